--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/forward"
 )
 
-// backoffLinesPerSecond bounds the lines on pauses: hundreds of instances may ask for one at
-// the same moment. What is left out is counted.
+// backoffLinesPerSecond limits the log lines on pauses: hundreds of instances may request one at
+// the same moment. Omitted lines are counted.
 const backoffLinesPerSecond = 10
 
 var (
@@ -23,11 +23,12 @@
 	instancesBackAgain = metrics.GetOrCreateCounter("ravenway_instances_back_total")
 )
 
-// backoffKeeper tells of what instances ask this entry node for.
+// backoffKeeper tracks the pauses that instances request from this entry node in their responses,
+// and logs and counts the changes.
 type backoffKeeper struct {
 	node    *Node
 	tracker *backoff.Tracker
-	// prunedAt is when lives were last looked for that are over.
+	// prunedAt is when ended incarnations were last pruned.
 	prunedAt time.Duration
 	lines    *forward.LineBudget
 }
@@ -36,7 +37,7 @@
 	return &backoffKeeper{node: node, tracker: backoff.NewTracker(backoff.DefaultReturn), lines: forward.NewLineBudget(backoffLinesPerSecond)}
 }
 
-// look notes the pauses that are over. The loads' duty calls it.
+// look records the pauses that have expired. The loads duty calls it.
 func (k *backoffKeeper) look() {
 	now := k.node.now()
 	for _, change := range k.tracker.Look(now) {
@@ -62,14 +63,14 @@
 	return isListed
 }
 
-// forget drops the lives that newer ones have replaced.
+// forget drops the incarnations that newer ones have replaced.
 func (k *backoffKeeper) forget(replaced []registry.Instance) {
 	for _, over := range replaced {
 		k.tracker.Forget(over.Life())
 	}
 }
 
-// note writes a line for a change, with this node's requests at the instance.
+// note counts and logs a change, with the number of this node's requests in flight at the instance.
 func (k *backoffKeeper) note(change backoff.Change, inFlight int) {
 	event := "instance_pause"
 	switch change.Kind {
@@ -95,7 +96,7 @@
 		Int("answers", change.Answers).Int("in_flight", inFlight).AnErr("error", change.Fault).Send()
 }
 
-// summarize writes how many lines on pauses were left out since the last call.
+// summarize logs how many lines on pauses were omitted since the last call.
 func (k *backoffKeeper) summarize() {
 	if leftOut := k.lines.TakeLeftOut(); leftOut > 0 {
 		k.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", leftOut).Int64("in_backoff", k.tracker.Count()).Send()
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -16,23 +16,23 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// orderTimeout bounds the work on an operator's order: who waits longer asks
-// another node.
+// orderTimeout is the maximum time for an operator's order on this node; a client that waits longer
+// tries another node.
 const orderTimeout = 900 * time.Millisecond
 
-// takeQuestion asks the leader to take a document.
+// takeQuestion requests that the leader commit a document.
 type takeQuestion struct {
 	Command machine.DocumentCommand `msgpack:"c"`
 }
 
-// readQuestion asks the leader for the newest document. Have is the version
-// that the asking node holds, so that it is not sent what it has.
+// readQuestion requests the newest document from the leader. Have is the version that the
+// requesting node holds, so that the leader does not send it again.
 type readQuestion struct {
 	Have uint64 `msgpack:"h"`
 }
 
-// readAnswer is the newest document as it was sent, packed; Same tells that it is the
-// one that the asking node has.
+// readAnswer carries the newest document as it was received, packed; Same indicates that the
+// requesting node already has it.
 type readAnswer struct {
 	Raw  []byte `msgpack:"r"`
 	Same bool   `msgpack:"s"`
@@ -49,7 +49,7 @@
 // TakeDocument implements Control.
 func (n *Node) TakeDocument(ctx context.Context, taken *document.Document, raw []byte) (uint64, error) {
 	if held := n.documents.version(); taken.Version <= held {
-		// It is in the log here, so a higher or equal version is committed.
+		// This version comes from the log, so an equal or higher version is already committed.
 		return held, nil
 	}
 	n.warnOfRegions(taken)
@@ -75,9 +75,9 @@
 	return outcome.Held, nil
 }
 
-// warnOfRegions writes a line for each region that a configuration binds requests to and
-// in which no zone of the fleet stands: nothing is served there. It is taken all the
-// same: a region may come to have zones.
+// warnOfRegions logs a warning for each region that a configuration binds requests to but that has
+// no zone of the fleet, so that no request is served there. The configuration is accepted
+// regardless, since zones of the region may be added later.
 func (n *Node) warnOfRegions(taken *document.Document) {
 	known := map[string]bool{"": true}
 	for _, region := range n.settings.Load().Fleet.Regions {
@@ -121,7 +121,7 @@
 // errNoLeader says that no leader of the control group is known.
 var errNoLeader = errors.New("no leader of the control group is known")
 
-// atLeader does work here if this node leads, and otherwise asks the leader.
+// atLeader calls here if this node leads, and otherwise sends the request to the leader.
 func atLeader[T any](ctx context.Context, n *Node, method peer.Method, question any, here func() (T, error)) (T, error) {
 	var none T
 	leader := n.leader()
@@ -197,7 +197,7 @@
 	return answer.value, err
 }
 
-// serveCall answers another node's call.
+// serveCall executes another node's call and sends the reply.
 func (n *Node) serveCall(from string, call peer.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
--- a/internal/gateway/dialects.go
+++ b/internal/gateway/dialects.go
@@ -7,9 +7,9 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// peerDialects holds how the other nodes read messages. While a fleet is given another
-// build, nodes of two builds run side by side; what a node may be sent is decided here
-// alone. It is used by all duties.
+// peerDialects holds the protocol version that each other node reads. During a fleet's upgrade
+// nodes of two builds run side by side, and only this type decides what a node may be sent. All
+// duties use it.
 type peerDialects struct {
 	mutex sync.RWMutex
 	of    map[string]peer.Dialect
@@ -17,24 +17,25 @@
 
 func newPeerDialects() *peerDialects { return &peerDialects{of: map[string]peer.Dialect{}} }
 
-// reader is how a node reads. Of an unknown node the strictest is assumed, which all read.
+// reader returns the protocol version that a node reads. For an unknown node it is the oldest one,
+// whose decoding is strict and which all builds read.
 func (d *peerDialects) reader(address string) peer.Dialect {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	return d.of[address]
 }
 
-// note takes what a hello tells of its sender, and a control node's of the nodes that it
-// lists: entry nodes hear no hellos of each other. A control node whose build knows no
-// dialects can't tell, so the nodes that it lists are taken to be strict until another
-// one tells.
+// note records the protocol version of a hello's sender, and from a control node's hello also those
+// of the nodes that it lists, since entry nodes receive no hellos from each other. A control node
+// whose build has no protocol versions can't report them, so the nodes that it lists are assumed to
+// decode strictly until another control node reports them.
 func (d *peerDialects) note(hello peer.Hello) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.of[hello.Address] = hello.Dialect
 	for _, listed := range slices.Concat(hello.Nodes, hello.Joined) {
 		if listed.Control {
-			// Control nodes tell their own to all.
+			// Control nodes report their own version to all nodes.
 			continue
 		}
 		dialect, isOlder := hello.OlderNodes[listed.Address]
@@ -45,8 +46,8 @@
 	}
 }
 
-// older returns those of some nodes that have not this build's dialect, with their own;
-// nil if there are none.
+// older returns the protocol versions of those entry nodes that do not run this build's version, by
+// address; nil if there are none.
 func (d *peerDialects) older(nodes []peer.NodeEntry) map[string]peer.Dialect {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -12,34 +12,33 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// documentStore holds the document in force at this node. A lower version
-// never replaces a higher one. A control node has its documents from the log,
-// an entry node from the control nodes.
+// documentStore holds the document in effect at this node. A lower version never replaces a higher
+// one. A control node reads its documents from the log, an entry node receives them from the
+// control nodes.
 type documentStore struct {
 	node  *Node
 	index atomic.Pointer[document.Index]
-	// changed is told of a new document in force.
+	// changed is called with each document that comes into effect.
 	changed func(*document.Index)
-	// newest is the highest version heard of; each request reads it.
+	// newest is the highest version known to exist; each request reads it.
 	newest atomic.Pointer[heardVersion]
 
 	mutex   sync.Mutex
 	encoded []byte
-	// follower decides whom to ask for what did not come.
+	// follower decides from which node to request a document that did not arrive.
 	follower *follow.Follower
-	// isWaiting tells that a look at the follower is due at a later time.
+	// isWaiting is set while a later check of the follower is scheduled.
 	isWaiting bool
 }
 
-// heardVersion is a version that some node has in force, and when this node
-// first heard so.
+// heardVersion is a version that is in effect at some node, and when this node first learnt of it.
 type heardVersion struct {
 	version uint64
 	at      time.Duration
 }
 
-// documentSeconds is the time from the first word of a version to its being in
-// force here, for the newest one heard of.
+// documentSeconds is the time from when this node first learnt of a version until the version is in
+// effect here, for the newest known version.
 var documentSeconds = metrics.GetOrCreateHistogram("ravenway_document_wait_seconds")
 
 func newDocumentStore(node *Node) *documentStore {
@@ -57,30 +56,29 @@
 	return 0
 }
 
-// held returns the document in force as it is sent to others.
+// held returns the document in effect in the form that is sent to other nodes.
 func (d *documentStore) held() peer.DocumentData {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return peer.DocumentData{Version: d.version(), Encoded: d.encoded}
 }
 
-// newestHeard is the highest version that was heard of, and how long ago the
-// first word of it came. It is the version in force unless this node is behind.
+// newestHeard returns the highest version known to exist, and how long ago this node first learnt
+// of it. It is the version in effect unless this node is behind.
 func (d *documentStore) newestHeard() (version uint64, since time.Duration) {
 	newest := d.newest.Load()
 	return newest.version, d.node.now() - newest.at
 }
 
-// noteHeard remembers when a version was first heard of. The caller holds the
-// mutex.
+// noteHeard records when this node first learnt of a version. The caller holds the mutex.
 func (d *documentStore) noteHeard(version uint64) {
 	if version > d.newest.Load().version {
 		d.newest.Store(&heardVersion{version: version, at: d.node.now()})
 	}
 }
 
-// put takes a document that a node sent, or this node's own log, and tells
-// whether it is in force now.
+// put applies a document from another node or from this node's own log, and reports whether it has
+// come into effect.
 func (d *documentStore) put(from string, version uint64, encoded []byte) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -109,7 +107,7 @@
 	return true
 }
 
-// hear takes a control node's word of its version.
+// hear records the version that a control node reports, and requests the document if it is due.
 func (d *documentStore) hear(from follow.Node, version uint64) {
 	if d.node.replica != nil {
 		return
@@ -121,8 +119,8 @@
 	d.ask()
 }
 
-// takeNotice takes a control node's word of its version, of which the sender's
-// zone is known by its hellos.
+// takeNotice handles a control node's notice of its version. The sender's zone is known from its
+// hellos.
 func (d *documentStore) takeNotice(from string, version uint64) {
 	node := follow.Node{Address: from}
 	for _, known := range d.node.fleet.view.Load().alive {
@@ -133,8 +131,8 @@
 	d.hear(node, version)
 }
 
-// ask asks for what did not come by itself, and looks again when there may be
-// another question.
+// ask requests a document that did not arrive unrequested, and schedules a check for when another
+// request may be due.
 func (d *documentStore) ask() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -163,8 +161,8 @@
 		Ints64("control_silence_ms", freshness.silences).Ints64("control_delay_ms", freshness.delays).Send()
 }
 
-// take takes a document that a control node sent, and tells it what is in force
-// now: it sends no more until then.
+// take applies a document that a control node sent, and reports the version now in effect to it:
+// the control node sends no further document before this confirmation.
 func (d *documentStore) take(from string, data peer.DocumentData) {
 	if d.node.replica != nil {
 		return
--- a/internal/gateway/duties_bench_test.go
+++ b/internal/gateway/duties_bench_test.go
@@ -19,9 +19,9 @@
 	"github.com/ravenway/ravenway/internal/state/disk"
 )
 
-// The benchmarks give the processor time of one second's periodic duties of a node
-// without requests, by the number of entry nodes: five zones, five control nodes,
-// 160 instances, 40 tenants.
+// The benchmarks measure the processor time of one second of a node's periodic duties without
+// requests, by the number of entry nodes, with five zones, five control nodes, 160 instances and 40
+// tenants.
 const (
 	benchZones     = 5
 	benchControls  = 5
@@ -39,7 +39,7 @@
 
 func benchControl(number int) string { return fmt.Sprintf("10.9.0.%d:7000", number+1) }
 
-// newIdleNode makes a node that is not run: the benchmark calls its duties.
+// newIdleNode returns a node that does not run: the benchmark or test calls its duties.
 func newIdleNode(tb testing.TB, address, zone, role string) *Node {
 	tb.Helper()
 	options := Options{
@@ -69,7 +69,7 @@
 	return node
 }
 
-// controlHello is a control node's hello to a node; every tenth names all nodes.
+// controlHello is a control node's hello; with withNodes it carries the full list of entry nodes.
 func controlHello(number, entries int, digest uint64, withNodes bool) peer.Hello {
 	hello := peer.Hello{
 		Address: benchControl(number), Zone: benchZone(number), Life: "1", Control: true, HasGroup: true, Leader: benchControl(0),
@@ -114,7 +114,8 @@
 	tokenTicksASecond = int(time.Second / tokensTick)
 )
 
-// benchSecond is the processor time of a second's duties: times calls of each part.
+// benchSecond measures the processor time of second, which does one second's work of the duties.
+// The frames waiting in the mesh are dropped outside of the measured time.
 func benchSecond(b *testing.B, node *Node, entries int, second func(number int)) {
 	b.ReportAllocs()
 	number := 0
@@ -136,7 +137,8 @@
 			holdTokens(node)
 			benchSecond(b, node, entries, func(number int) {
 				if number%6 == 0 {
-					// The list of nodes is repeated each 6 s or less often.
+					// The full list of nodes is repeated every 6 s here, more often than in
+					// operation.
 					hear(node, long)
 				}
 				hear(node, short)
@@ -146,7 +148,7 @@
 	}
 }
 
-// entrySecond is a second's ticks of all duties, with a load report each 0.2 s.
+// entrySecond does one second's ticks of all duties, with a load report every 0.2 s.
 func entrySecond(node *Node) {
 	for range fleetTicksASecond {
 		node.fleet.tick()
@@ -164,7 +166,7 @@
 	}
 }
 
-// holdTokens has the node hold a part of each tenant's tokens.
+// holdTokens grants the node a part of each tenant's tokens.
 func holdTokens(node *Node) {
 	holder := node.tokens.holder
 	for number := range benchTenants {
@@ -187,7 +189,7 @@
 func BenchmarkRelaySecond(b *testing.B) {
 	for _, entries := range benchSizes {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
-			// The lowest address of its zone.
+			// The node with the lowest address of its zone is the relay.
 			node := newIdleNode(b, benchEntry(0), benchZone(0), settings.RoleEntry)
 			hear(node, controlHellos(node, entries, true))
 			benchSecond(b, node, entries, func(int) {
@@ -202,8 +204,8 @@
 	}
 }
 
-// hearMembers has the relay hear a report of a few requests from each node of its
-// zone, and a whole one from each other zone.
+// hearMembers delivers to the relay a report with a few requests from each node of its zone, and a
+// report on all instances from each other zone.
 func hearMembers(node *Node, entries int) {
 	for member := benchZones; member < entries; member += benchZones {
 		report := balance.LoadReport{Scope: balance.OwnLoads, Zone: benchZone(0)}
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -9,18 +9,18 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// instancesPatience is how long an entry node that has its configuration waits
-// for a list of instances before it calls itself ready without one.
+// instancesPatience is how long after its start an entry node that has its configuration waits for
+// a list of instances before it reports itself ready without one.
 const instancesPatience = 4 * time.Second
 
-// entryEnvironment is the node as the pipeline sees it.
+// entryEnvironment implements forward.Environment, the pipeline's view of the node.
 type entryEnvironment struct{ node *Node }
 
 // Configuration implements forward.Environment.
 func (e *entryEnvironment) Configuration() *document.Index { return e.node.documents.index.Load() }
 
-// Certain implements forward.Environment: a control node that lately had word
-// of a quorum has no higher version.
+// Certain implements forward.Environment: no control node that recently had contact with a quorum
+// has a higher version.
 func (e *entryEnvironment) Certain() bool {
 	view := e.node.fleet.view.Load()
 	return e.node.now() < view.rootHeardAt+certainFor && e.node.documents.version() >= view.certainVersion
@@ -73,7 +73,7 @@
 // Now implements forward.Environment.
 func (e *entryEnvironment) Now() time.Duration { return e.node.now() }
 
-// ready tells whether this entry node should get callers.
+// ready reports whether callers should be sent to this entry node.
 func (n *Node) ready() bool {
 	if n.isStopping() || n.documents.version() == 0 || n.link.shedding.Load() || n.link.busy.Load() {
 		return false
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -20,22 +20,22 @@
 	fleetTick = 300 * time.Millisecond
 	// helloTicks is the number of ticks between hellos.
 	helloTicks = 2
-	// publishPause is the least time between two views of the roster for the other duties,
-	// for each node in it: a view of 1,000 nodes takes 0.1 ms, and without a pause tens of
-	// control nodes' hellos a second would each bring one about.
+	// publishPause is the minimum time between two roster views for the other duties, for each node
+	// in the roster: building a view of 1,000 nodes takes 0.1 ms, and without this interval each of
+	// the tens of control nodes' hellos a second would trigger one.
 	publishPause = 100 * time.Microsecond
-	// farHellos is the number of rounds, 1.8 s, between hellos of an entry node and a control
-	// node that have little to say to each other. One that is lost is noticed late: they
-	// count each other as silent after 2.5 s.
+	// farHellos is the number of rounds, 1.8 s, between hellos of an entry node and a control node
+	// that rarely need each other. A single lost hello already brings them close to the limit: they
+	// count each other as lost after 2.5 s without contact.
 	farHellos = 3
-	// rememberTicks is the number of ticks, 3 s, between looks whether the instances have
-	// changed since they were last written to a control node's disk.
+	// rememberTicks is the number of ticks, 3 s, between checks whether the instances have changed
+	// since they were last written to a control node's disk.
 	rememberTicks = 10
-	// heardTicks is the number of ticks between lists of instances heard.
+	// heardTicks is the number of ticks between lists of the instances that sent heartbeats.
 	heardTicks = 8
-	// certainFor is how long a control node's word on the newest version counts.
+	// certainFor is how long the newest version that a control node reported is taken as current.
 	certainFor = 2 * time.Second
-	// quorumFor is how old that node's own word of a quorum may be.
+	// quorumFor is the maximum time since that control node itself last had contact with a quorum.
 	quorumFor = 1500 * time.Millisecond
 )
 
@@ -46,34 +46,35 @@
 	roster   *roster.Roster
 	registry *registry.Registry
 	ticks    int
-	// nodes are those that a control node tells of, told what each node was told of them.
+	// nodes is the node list that a control node distributes, and told is what each receiver was
+	// last sent of it.
 	nodes       nodeList
 	told        map[string]toldNodes
 	publishedAt time.Duration
-	// helloRounds is the number of hellos at ticks, ownTellers are the control nodes that
-	// tell this entry node of all others.
+	// helloRounds counts the periodic rounds of hellos. ownTellers are the control nodes that send
+	// this entry node the list of all nodes.
 	helloRounds  int
 	ownTellers   []string
 	isPublishDue bool
 	mismatches   map[string]mismatch
-	// askedAt is when another node was last asked for its instances, if hasAsked is set.
+	// askedAt is when instances were last requested from another node, if hasAsked is set.
 	askedAt  time.Duration
 	hasAsked bool
-	// unannounced are changes of instances that the others are yet to be told of.
+	// unannounced are changes of instances that are yet to be sent to other nodes.
 	unannounced []registry.Instance
-	// merged are changes that other nodes told and that have no line in the log yet.
+	// merged are changes received from other nodes that are not logged yet.
 	merged []registry.Instance
-	// unrelayed are changes that are yet to be passed on to entry nodes.
+	// unrelayed are changes from other control nodes that are yet to be relayed to entry nodes.
 	unrelayed []registry.Instance
-	// unpublished are the instances whose changes are yet to come into force here.
+	// unpublished are the IDs of instances whose changes are yet to take effect on this node.
 	unpublished                      map[string]struct{}
 	list                             instanceList
 	announcing, relaying, publishing gathered
-	// greeted are the nodes that the last hello went to.
+	// greeted are the nodes that were selected for the last hello.
 	greeted map[string]bool
-	// heardBefore are the control nodes that were alive at the last look.
+	// heardBefore are the control nodes that were alive at the last tick.
 	heardBefore map[string]bool
-	// view is what other goroutines may read.
+	// view is the state that other goroutines may read.
 	view atomic.Pointer[fleetView]
 	// remembered is nil on nodes without a disk.
 	remembered *rememberedFile[[]registry.Instance]
@@ -81,20 +82,20 @@
 	instances atomic.Int64
 }
 
-// neighbours are the other entry nodes, in lists that are made anew only when
-// they have changed.
+// neighbours are the other entry nodes. The lists are rebuilt only when the set has changed.
 type neighbours struct {
-	// generation is another one whenever they have changed; 0 before the first.
+	// generation differs after each change of the set; 0 before the first.
 	generation uint64
 	nodes      []balance.EntryNode
-	// inZone is the number of those in the own zone.
+	// inZone is the number of them in this node's zone.
 	inZone int
-	// lenders are the addresses, those of the own zone first.
+	// lenders are their addresses in the order in which tokens are borrowed: this node's zone
+	// first.
 	lenders []string
 }
 
-// newNeighbours lists other entry nodes, given in order, as a node of a zone sees
-// them.
+// newNeighbours builds the lists of the other entry nodes, which are given in sorted order, as seen
+// by the node self.
 func newNeighbours(self balance.EntryNode, entries []peer.NodeEntry, generation uint64) neighbours {
 	made := neighbours{generation: generation, nodes: make([]balance.EntryNode, 0, len(entries))}
 	var near, far []string
@@ -111,7 +112,7 @@
 	return made
 }
 
-// fleetView is the roster as others may read it.
+// fleetView is an immutable snapshot of the roster for other goroutines.
 type fleetView struct {
 	alive []*roster.Heard
 	// controls is the number of control nodes among them.
@@ -120,18 +121,19 @@
 	// entries is the number of live entry nodes, this one included.
 	entries    int
 	neighbours neighbours
-	// live are the entry nodes that control nodes hear now, at entry nodes only.
+	// live are the entry nodes that control nodes currently have contact with; set on entry nodes
+	// only.
 	live roster.LiveEntries
-	// rootHeardAt is when a control node that has a quorum was last heard, and
-	// certainVersion the newest version then.
+	// rootHeardAt is the time of the last contact with a control node that has a quorum, and
+	// certainVersion the newest document version that such a node reported.
 	rootHeardAt    time.Duration
 	certainVersion uint64
 }
 
-// controlFreshness is how fresh this node's knowledge of the control nodes is, for logs.
+// controlFreshness describes how recent this node's knowledge of the control nodes is, for logs.
 type controlFreshness struct {
-	// silences are the times since each live control node was heard, delays how
-	// long its last hello was on its way beyond the fastest one; both in
+	// silences are the times since the last contact with each live control node. delays are by how
+	// much the transit of its last hello exceeded that of the fastest one. Both are in
 	// milliseconds.
 	silences, delays []int64
 }
@@ -164,9 +166,9 @@
 	return fleet
 }
 
-// recallInstances begins with the instances that this node knew before it started. One
-// that has changed since says so within a second or so; one that is gone can't be
-// reached, or refuses what is not for it.
+// recallInstances loads the instances that this node knew before its restart. An instance that has
+// changed since then reports it within about a second; one that is gone can't be reached, or
+// refuses requests that are not meant for it.
 func (f *fleetDuty) recallInstances() {
 	if news := f.registry.Merge(f.node.now(), f.remembered.recall()); len(news) > 0 {
 		f.logInstances("recalled", news)
@@ -211,7 +213,7 @@
 	f.node.link.look(now, f.view.Load())
 }
 
-// noteLost writes a line for each control node that is not heard any more.
+// noteLost logs each control node that has become unreachable.
 func (f *fleetDuty) noteLost(now time.Duration) {
 	alive := map[string]bool{}
 	for _, known := range f.roster.Controls(now) {
@@ -228,12 +230,13 @@
 
 func (f *fleetDuty) isControl() bool { return f.node.replica != nil }
 
-// hello tells all whom this node greets at once what it is.
+// hello sends a hello immediately to every node that receives hellos from this one.
 func (f *fleetDuty) hello() { f.sayHello(func(string) bool { return true }) }
 
-// isTurn tells whether a node is greeted in this round. Of many control nodes an entry node
-// needs few closely: those that tell it of all others, and those of the group, who know the
-// root; the others greet it, and it them, each third time.
+// isTurn reports whether a node is sent a hello in this round. Of many control nodes an entry node
+// needs frequent contact with only a few: those that send it the list of all nodes, and the members
+// of the control group, which know the root. It exchanges hellos with the others in every third
+// round.
 func (f *fleetDuty) isTurn(receiver string) bool {
 	known := f.roster.Get(receiver)
 	if known == nil || f.view.Load().controls < relayFrom {
@@ -245,12 +248,13 @@
 	return known.Control || f.node.replica.shared.Load().hasGroup || f.decideOn(receiver).isTeller || f.isFarTurn(receiver)
 }
 
-// isFarTurn spreads the nodes that are greeted now and then over the rounds.
+// isFarTurn reports whether a node that is sent fewer hellos is due, and spreads these nodes evenly
+// over the rounds.
 func (f *fleetDuty) isFarTurn(receiver string) bool {
 	return (uint64(f.helloRounds)+xxhash.Sum64String(receiver))%farHellos == 0
 }
 
-// tellers are the control nodes that tell this entry node of all others.
+// tellers are the control nodes that send this entry node the list of all nodes.
 func (f *fleetDuty) tellers() []string {
 	if f.isControl() {
 		return nil
@@ -264,8 +268,8 @@
 	return follow.ChooseSenders(follow.Node{Address: f.node.address, Zone: f.node.settings.Load().Node.Zone}, controls, listTellers)
 }
 
-// sayHello tells the control nodes, and a control node tells all that it hears
-// from, what this node is, as far as it is their turn.
+// sayHello sends hellos to the nodes that isTurn selects: to control nodes, and from a control node
+// also to every live node.
 func (f *fleetDuty) sayHello(isTurn func(receiver string) bool) {
 	now := f.node.now()
 	said := f.describe()
@@ -273,7 +277,7 @@
 	if f.isControl() {
 		greeted := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
-			// Greet's are in order, and few.
+			// The addresses from Greet are sorted, and few.
 			if _, found := slices.BinarySearch(receivers[:greeted], known.Address); !found {
 				receivers = append(receivers, known.Address)
 			}
@@ -303,10 +307,10 @@
 	}
 }
 
-// greetNamed says hello to control nodes that were named since the last hello. After a
-// loss of all power that brings each node to the root, which may lead on a control node
-// that is no seed, a second sooner; until then what lives that are over held can't be
-// granted.
+// greetNamed sends a hello to control nodes that were learnt of since the last round. After a power
+// loss of the whole fleet it brings each node into contact with the root a second sooner, as the
+// leader may be a control node that is not a seed; until then the tokens that ended incarnations
+// held can't be granted.
 func (f *fleetDuty) greetNamed(now time.Duration) {
 	var named []string
 	for _, address := range f.roster.Greet(now) {
@@ -340,12 +344,12 @@
 	return said
 }
 
-// hearsOlder tells whether a node is heard that compares ordered digests.
+// hearsOlder reports whether any live node runs an older build that compares ordered digests.
 func (f *fleetDuty) hearsOlder() bool {
 	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Heard) bool { return known.Dialect < peer.DialectSums })
 }
 
-// takeHello notes another node's hello and settles what differs.
+// takeHello records another node's hello and starts to reconcile state that differs.
 func (f *fleetDuty) takeHello(from string, hello peer.Hello) {
 	if from != hello.Address {
 		return
@@ -377,12 +381,13 @@
 		f.node.publisher.hear(hello)
 	}
 	if isNew || hello.Control {
-		// The other hellos of entry nodes, by far the most, wait for the next tick.
+		// Other hellos of entry nodes, by far the most frequent, are published at the next tick.
 		f.publishSoon(now)
 	}
 }
 
-// publishSoon shares the roster at once, or when the pause since the last time is over.
+// publishSoon publishes the roster immediately, or as soon as the minimum interval since the last
+// time has passed.
 func (f *fleetDuty) publishSoon(now time.Duration) {
 	pause := time.Duration(len(f.view.Load().alive)) * publishPause
 	if now-f.publishedAt >= pause {
@@ -395,20 +400,20 @@
 	}
 }
 
-// greetNew notes a node that was not heard before, or not of late.
+// greetNew handles the first hello of a node that was unknown or recently unreachable.
 func (f *fleetDuty) greetNew(now time.Duration, hello peer.Hello) {
 	f.node.log.Info().Str("event", "node_heard").Str("peer", hello.Node).Str("address", hello.Address).
 		Str("life", hello.Life).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
 	delete(f.told, hello.Address)
 	if f.isControl() {
-		// It learns at once what it would else wait for.
+		// Sends the node list without waiting for the next round.
 		if list := f.newListHellos(now, f.describe()).forReceiver(hello.Address); list != nil {
 			f.node.sendMessage(hello.Address, list)
 		}
 	}
 }
 
-// publish shares the roster with the other duties.
+// publish stores a new view of the roster for the other duties.
 func (f *fleetDuty) publish() {
 	now := f.node.now()
 	f.publishedAt, f.isPublishDue = now, false
@@ -439,8 +444,8 @@
 	f.view.Store(view)
 }
 
-// liveEntries are the entry nodes that control nodes hear now. A control node hears them
-// itself, and counts as heard while it has a quorum.
+// liveEntries are the entry nodes that control nodes currently have contact with. A control node
+// uses its own contacts, and counts itself among them while it has a quorum.
 func (f *fleetDuty) liveEntries(now time.Duration) roster.LiveEntries {
 	if f.isControl() {
 		return f.roster.HeardEntries(now, f.node.hearsRoot())
@@ -448,8 +453,8 @@
 	return f.roster.LiveEntries(now)
 }
 
-// startingAfter turns a sorted list so that it begins behind a node's own
-// place: the first in the list would else be asked by all.
+// startingAfter rotates a sorted list so that it starts after a node's own position. Otherwise all
+// nodes would send their requests to the first node of the list.
 func startingAfter(own string, addresses []string) []string {
 	place, _ := slices.BinarySearch(addresses, own)
 	return append(slices.Clone(addresses[place:]), addresses[:place]...)
--- a/internal/gateway/founding.go
+++ b/internal/gateway/founding.go
@@ -7,15 +7,14 @@
 	"github.com/ravenway/ravenway/internal/coordination/consensus"
 )
 
-// foundingPatience is how long the founder waits for all of the seeds before it
-// goes on with more than half of them.
+// foundingPatience is how long the bootstrapping node waits for all seeds before it proceeds with
+// more than half of them.
 const foundingPatience = 4 * time.Second
 
-// foundIfFirst founds the group at the first start of the whole system. All
-// nodes then have the same seeds; the one with the lowest address founds, with
-// every seed's replica as a voter from the start, so that nothing is ever
-// acknowledged by one disk alone. At any other start an empty data folder
-// waits to be taken in by the others' group.
+// foundIfFirst bootstraps the control group at the first start of the fleet. All nodes then have
+// the same seeds. The seed with the lowest address creates the group, with every seed's replica as
+// a voter from the beginning, so that no entry is ever acknowledged by a single disk. At any other
+// start, a node with an empty data folder waits to be added to the existing group.
 func (r *replicaDuty) foundIfFirst() {
 	current := r.node.settings.Load()
 	if !current.Fleet.FirstStart {
@@ -33,7 +32,7 @@
 	founders := []consensus.Member{{ID: r.id, Node: r.node.address}}
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.HasGroup {
-			// There is a group already: it takes this node in.
+			// A group exists already and will add this node.
 			return
 		}
 		if known.Replica != 0 && slices.Contains(seeds, known.Address) {
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/coordination/overload"
 )
 
-// callerGate is the entry node's gate for heavy callers. Requests and the loads
-// duty share it.
+// callerGate is the entry node's admission gate, which bounds heavy callers under overload.
+// Requests and the loads duty share it.
 type callerGate struct {
 	node  *Node
 	mutex sync.Mutex
@@ -22,14 +22,14 @@
 	return &callerGate{node: node, gate: overload.NewGate()}
 }
 
-// gatesSet counts the times that heavy callers were bounded, schedulerLag is how
-// long a goroutine waited for its turn.
+// gatesSet counts how often heavy callers were bounded. schedulerLag is how long a goroutine waited
+// to be scheduled.
 var (
 	gatesSet     = metrics.GetOrCreateCounter("ravenway_caller_bounds_total")
 	schedulerLag = metrics.GetOrCreateHistogram("ravenway_scheduler_lag_seconds")
 )
 
-// read takes a reading of how much the node has to do.
+// read takes a reading of the node's load and updates the gate.
 func (c *callerGate) read() {
 	lag := measureLag()
 	schedulerLag.Update(lag.Seconds())
@@ -45,7 +45,7 @@
 	}
 }
 
-// logChange writes that heavy callers are bounded, or not any more.
+// logChange logs that heavy callers are now bounded, or no longer bounded.
 func (c *callerGate) logChange(pressure overload.Pressure) {
 	c.mutex.Lock()
 	bound, lag, heaviest := c.gate.Bound(), c.gate.Lag(), c.gate.Heaviest(c.node.now())
@@ -61,15 +61,15 @@
 		Int64("frame_delay_ms", pressure.FrameDelay.Milliseconds()).Send()
 }
 
-// measureLag is how long a goroutine that gives way waits for its next turn: the
-// work of all that are ready to run.
+// measureLag returns how long a goroutine that yields waits until it is scheduled again: the time
+// taken by all goroutines that are ready to run.
 func measureLag() time.Duration {
 	began := time.Now()
 	runtime.Gosched()
 	return time.Since(began)
 }
 
-// letsIn notes a request and tells whether it is served here.
+// letsIn records a request and reports whether it is admitted on this node.
 func (c *callerGate) letsIn(caller string, bodyBytes int64, mustServe bool) bool {
 	now := c.node.now()
 	c.mutex.Lock()
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -11,65 +11,69 @@
 )
 
 const (
-	// mismatchPatience is how long another node's digest may differ from the own one while
-	// either changes: changes are on their way, and while a deployment starts they are so
-	// all the time. Digests that both stand still from one hello to the next, and differ,
-	// mean that a change was lost.
+	// mismatchPatience is how long another node's digest may differ from this node's while either
+	// changes: changes are in transit, and during the start of a deployment they are in transit all
+	// the time. If both digests are unchanged from one hello to the next and still differ, a change
+	// was lost.
 	mismatchPatience = 6 * time.Second
-	// repairPause is the least time between two questions for other nodes' instances. What
-	// one node lacks, it lacks beside all others, and one of them can tell it: asking each
-	// of 25 control nodes took 15 MB to each entry node while 10,000 instances registered.
+	// repairPause is the minimum time between two requests for other nodes' instances. A change
+	// that one node lacks is known to all others, so that a response of one of them is enough:
+	// requests to each of 25 control nodes caused 15 MB of traffic to each entry node while 10,000
+	// instances registered.
 	repairPause = time.Second
-	// gatherTime is how long a change that is not urgent waits for others after one was
-	// told, or came into force here. With 3,000 instances that register within 10 s at
-	// 300 nodes it takes nine tenths off what an entry node spends on them
+	// gatherTime is how long a change that is not urgent waits to be batched with others after the
+	// last batch was sent or took effect on this node. With 3,000 instances that register within 10
+	// s at 300 nodes it saves nine tenths of an entry node's processing time for them
 	// (BenchmarkRegistering).
 	gatherTime = 50 * time.Millisecond
-	// gatherTimeOfControl is added for each control node: each gathers and tells its own
-	// changes, so that a node is told some 100 times a second whatever their number.
+	// gatherTimeOfControl is the batching time for each control node: each batches and sends its
+	// own changes, so that a node receives some 100 batches a second regardless of the number of
+	// control nodes.
 	gatherTimeOfControl = 10 * time.Millisecond
-	// relayFrom is the number of control nodes from which a change that is not urgent goes
-	// to the control nodes only, and to an entry node from the first of those that tell it of
-	// all others: it is then told some ten times a second and not 100 times, by each of 25
-	// control nodes for itself. With few control nodes the way over one is a detour.
+	// relayFrom is the minimum number of control nodes for relaying changes that are not urgent.
+	// Such a change then goes only to the control nodes, and an entry node receives it from the
+	// first of the control nodes that send it the node list: some ten messages a second instead of
+	// 100 when each of 25 control nodes sends its own. With few control nodes a relay would only
+	// add delay.
 	relayFrom = 8
-	// relayGather is how long a control node gathers what it passes on.
+	// relayGather is how long a control node batches the changes that it relays.
 	relayGather = 100 * time.Millisecond
-	// listReuse is how long a whole list that was encoded serves further receivers: with
-	// 3,000 instances it has some 270 KB, and while a deployment starts hundreds of nodes
-	// ask a control node for it within a moment.
+	// listReuse is how long a full list that was encoded is reused for further receivers: with
+	// 3,000 instances it has some 270 KB, and during the start of a deployment hundreds of nodes
+	// request it from a control node almost simultaneously.
 	listReuse = 200 * time.Millisecond
 )
 
-// mismatch is a difference between another node's digest and the own one.
+// mismatch is a difference between another node's digest and this node's.
 type mismatch struct {
 	own, other uint64
 	since      time.Duration
-	// hasAsked tells that the other node's list was asked for since.
+	// hasAsked is set if the other node's list was requested since then.
 	hasAsked bool
 }
 
-// instanceList is the whole registry as it was last encoded for other nodes.
+// instanceList is the full registry as it was last encoded for other nodes.
 type instanceList struct {
 	message *peer.Message
 	digest  uint64
 	at      time.Duration
 }
 
-// gathered is work that changes ask for, done at once or together with that of others.
+// gathered schedules work that is triggered by changes: immediately if a change is urgent,
+// otherwise batched with later changes.
 type gathered struct {
 	isDue, isUrgent, isWaiting bool
 	doneAt                     time.Duration
 }
 
-// ask notes that the work is due.
+// ask marks the work as due.
 func (g *gathered) ask(isUrgent bool) {
 	g.isDue = true
 	g.isUrgent = g.isUrgent || isUrgent
 }
 
-// take tells whether the work is to be done now; wait is when to look again otherwise,
-// 0 if that is not needed.
+// take reports whether the work is to be done now. Otherwise wait is the time until the next check,
+// or 0 if no check needs to be scheduled.
 func (g *gathered) take(now, gather time.Duration) (isNow bool, wait time.Duration) {
 	if !g.isDue {
 		return false, 0
@@ -85,24 +89,26 @@
 	return true, 0
 }
 
-// isUrgent tells whether a change must be known at once: an instance that takes no more
-// work. One that begins, in whichever life, may wait for others.
+// isUrgent reports whether a change must be known immediately: an instance that accepts no more
+// work. The start of an instance, in any incarnation, may wait to be batched.
 func isUrgent(changes []registry.Instance) bool {
 	return slices.ContainsFunc(changes, func(changed registry.Instance) bool { return !changed.TakesWork() })
 }
 
-// instancesMessage carries changes of the registry, or all of it.
+// instancesMessage carries changes of the registry, or the full registry.
 type instancesMessage struct {
 	Instances []registry.Instance `msgpack:"i"`
-	// Answer asks the receiver for all that it has, or if Sums is set for what differs.
+	// Answer requests the receiver's full registry, or if Sums is set only the instances that
+	// differ.
 	Answer bool `msgpack:"a,omitempty"`
-	// Sums are the digests of the sender's buckets: with Answer as they are before the
+	// Sums are the digests of the sender's buckets. With Answer they are the state before the
 	// exchange; without it the receiver sends back what still differs.
 	Sums []uint64 `msgpack:"s,omitempty"`
 }
 
-// compareInstances exchanges the registry with a node that holds another one. Of a control
-// node and an entry node the entry node begins, unless the control node knows of nothing.
+// compareInstances exchanges registry contents with a node whose registry differs. Between a
+// control node and an entry node the entry node starts the exchange, unless the control node knows
+// no live instance.
 func (f *fleetDuty) compareInstances(hello peer.Hello) {
 	own, other := f.registry.Digest(), hello.InstancesSum
 	if hello.Dialect < peer.DialectSums {
@@ -133,8 +139,7 @@
 	f.askFor(hello, before)
 }
 
-// askFor asks a node for instances that are not known here, and tells it of those that it
-// does not know.
+// askFor requests instances that this node lacks, and sends those that the other node lacks.
 func (f *fleetDuty) askFor(hello peer.Hello, known mismatch) {
 	if hello.Dialect >= peer.DialectSums {
 		delete(f.mismatches, hello.Address)
@@ -151,7 +156,7 @@
 	f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Answer: true})
 }
 
-// wholeList is the message of all instances.
+// wholeList returns the message with all instances, reusing a recent encoding.
 func (f *fleetDuty) wholeList() *peer.Message {
 	now, digest := f.node.now(), f.registry.Digest()
 	if f.list.message == nil || f.list.digest != digest || now-f.list.at > listReuse {
@@ -161,7 +166,7 @@
 	return f.list.message
 }
 
-// forgetList gives up the memory of a whole list that serves nobody any more.
+// forgetList frees the encoded full list once it is too old to be reused.
 func (f *fleetDuty) forgetList(now time.Duration) {
 	if f.list.message != nil && now-f.list.at > listReuse {
 		f.list = instanceList{}
@@ -170,7 +175,7 @@
 
 func (f *fleetDuty) takeInstances(from string, message instancesMessage) {
 	f.duty.Offer(func() {
-		// An answer to this node's question is news to it alone.
+		// A response to this node's own request contains changes that only this node lacked.
 		f.mergeInstances(message.Instances, message.Sums == nil)
 		switch now := f.node.now(); {
 		case message.Answer && message.Sums != nil && areEmpty(message.Sums):
@@ -187,13 +192,14 @@
 	})
 }
 
-// areEmpty tells whether the sums are those of a node that knows no instance. After a loss of
-// all power a thousand nodes ask for all at once: one list serves them.
+// areEmpty reports whether the sums are those of a node that knows no instance. After a power loss
+// of the whole fleet a thousand nodes request all instances at the same time, and one encoded list
+// serves all of them.
 func areEmpty(sums []uint64) bool {
 	return !slices.ContainsFunc(sums, func(sum uint64) bool { return sum != 0 })
 }
 
-// mergeInstances takes instances that another node told, and passes on what is news to all.
+// mergeInstances merges instances that another node sent, and relays changes that all nodes need.
 func (f *fleetDuty) mergeInstances(others []registry.Instance, isForAll bool) {
 	if news := f.registry.Merge(f.node.now(), others); len(news) > 0 {
 		f.merged = append(f.merged, news...)
@@ -209,7 +215,8 @@
 	f.duty.Offer(func() { f.registry.Heard(f.node.now(), heard.IDs) })
 }
 
-// tellHeard tells the other control nodes which instances are alive.
+// tellHeard sends the other control nodes the IDs of the instances whose heartbeats this node
+// received.
 func (f *fleetDuty) tellHeard() {
 	ids := f.registry.TakeHeardHere()
 	if len(ids) == 0 {
@@ -220,7 +227,7 @@
 	}
 }
 
-// announce has all nodes told of changes.
+// announce schedules changes to be sent to all nodes and to take effect on this node.
 func (f *fleetDuty) announce(changes []registry.Instance) {
 	if len(changes) == 0 {
 		return
@@ -231,7 +238,7 @@
 	f.publishLater(changes)
 }
 
-// publishLater has changes come into force here.
+// publishLater schedules changes to take effect on this node.
 func (f *fleetDuty) publishLater(changes []registry.Instance) {
 	for _, changed := range changes {
 		f.unpublished[changed.ID] = struct{}{}
@@ -239,7 +246,7 @@
 	f.publishing.ask(isUrgent(changes))
 }
 
-// flush does what changes have asked for, if it is time.
+// flush does the work that changes have scheduled and that is due.
 func (f *fleetDuty) flush() {
 	now := f.node.now()
 	isUrgent := f.announcing.isUrgent
@@ -258,14 +265,14 @@
 	}
 	for _, wait := range []time.Duration{announceIn, relayIn, publishIn} {
 		if wait > 0 {
-			// The duty looks again behind this.
+			// The duty flushes again after this empty work item.
 			time.AfterFunc(wait, func() { f.duty.Offer(func() {}) })
 		}
 	}
 }
 
-// sendAnnounced tells others of the changes gathered: all nodes if one of them is urgent or
-// none relays, else the control nodes and the entry nodes that it passes changes on to.
+// sendAnnounced sends the batched changes: to all nodes if one of them is urgent or changes are not
+// relayed, otherwise to the control nodes and to the entry nodes that this node relays to.
 func (f *fleetDuty) sendAnnounced(isUrgent bool) {
 	message := peer.NewMessage(peer.KindInstances, &instancesMessage{Instances: f.unannounced})
 	f.unannounced = nil
@@ -277,10 +284,11 @@
 	}
 }
 
-// relays tells whether changes that are not urgent reach entry nodes over one control node.
+// relays reports whether changes that are not urgent reach each entry node through one relaying
+// control node.
 func (f *fleetDuty) relays() bool { return f.isControl() && len(f.nodes.controls) >= relayFrom }
 
-// sendRelayed passes on what other nodes told.
+// sendRelayed relays changes that other nodes sent.
 func (f *fleetDuty) sendRelayed() {
 	message := peer.NewMessage(peer.KindInstances, &instancesMessage{Instances: f.unrelayed})
 	f.unrelayed = nil
@@ -291,11 +299,11 @@
 	}
 }
 
-// instanceLines is the most changes at once that have a line each: thousands of instances
-// register while a deployment starts, and each node hears of each.
+// instanceLines is the maximum number of changes in a batch that are logged one by one: thousands
+// of instances register during the start of a deployment, and each node receives every one of them.
 const instanceLines = 8
 
-// logMerged writes the changes that other nodes told since the last tick.
+// logMerged logs the changes received from other nodes since the last tick.
 func (f *fleetDuty) logMerged() {
 	if len(f.merged) > 0 {
 		f.logInstances("merged", f.merged)
@@ -347,7 +355,8 @@
 	}
 }
 
-// heartbeat takes an instance's word and tells all nodes before it returns.
+// heartbeat records an instance's heartbeat and schedules the announcement of a change before it
+// returns.
 func (f *fleetDuty) heartbeat(ctx context.Context, instance registry.Instance) error {
 	result, err := duty.Ask(ctx, f.duty, func(answer func(error)) {
 		changed, err := f.registry.Heartbeat(f.node.now(), instance)
@@ -362,7 +371,7 @@
 	return result
 }
 
-// leave takes an instance's word that a life of it ends.
+// leave records an instance's notice that one of its incarnations is ending.
 func (f *fleetDuty) leave(ctx context.Context, life registry.Life) error {
 	_, err := duty.Ask(ctx, f.duty, func(answer func(bool)) {
 		changed := f.registry.Leave(f.node.now(), life)
--- a/internal/gateway/judging.go
+++ b/internal/gateway/judging.go
@@ -13,11 +13,11 @@
 )
 
 const (
-	// rolloutTick is the time between two looks of the leader at its evidence.
+	// rolloutTick is the interval at which the leader analyses the samples of running rollouts.
 	rolloutTick = 100 * time.Millisecond
-	// evidenceInterval is the time between a node's reports of what it recorded, and
-	// evidenceOfNode what it grows by for each entry node: the leader has some 400 reports
-	// a second at most.
+	// evidenceInterval is the minimum time between a node's reports of its samples. evidenceOfNode
+	// is the minimum for each entry node of the fleet, so that the leader receives at most some 400
+	// reports a second.
 	evidenceInterval = 250 * time.Millisecond
 	evidenceOfNode   = 2500 * time.Microsecond
 )
@@ -27,23 +27,23 @@
 	rolloutsRolledBack = metrics.GetOrCreateCounter(`ravenway_rollouts_total{ended="rolled_back"}`)
 )
 
-// evidenceMessage carries what a node has recorded of rollouts to the leader.
+// evidenceMessage carries the samples that a node recorded of rollouts to the leader.
 type evidenceMessage struct {
-	// Life is the node's life: its counts begin anew with each.
+	// Life is the node's incarnation. The counts restart at zero with each.
 	Life     string             `msgpack:"l"`
 	Evidence []judging.Evidence `msgpack:"e"`
 }
 
-// rolloutsDuty reports what this entry node has recorded, or judges rollouts if this
-// control node leads.
+// rolloutsDuty reports the samples of an entry node to the leader, and on the leading control node
+// decides on the rollouts by canary analysis.
 type rolloutsDuty struct {
 	node *Node
 	duty *duty.Duty
-	// reportedAt is when evidence was last sent.
+	// reportedAt is when samples were last sent.
 	reportedAt time.Duration
-	// judges are the leader's, by the rollouts' revisions.
+	// judges are the leader's canary analyses, by the rollouts' revisions.
 	judges map[uint64]*judging.Judge
-	// isProposing tells that a step is on its way into the log.
+	// isProposing is set while a step is proposed to the log and not yet committed.
 	isProposing bool
 }
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// report sends what this node has recorded to the leader.
+// report sends this node's samples to the leader.
 func (d *rolloutsDuty) report() {
 	now := d.node.now()
 	interval := max(evidenceInterval, time.Duration(d.node.fleet.view.Load().entries)*evidenceOfNode)
@@ -82,7 +82,7 @@
 	d.node.send(leader, peer.KindRollouts, &evidenceMessage{Life: d.node.life, Evidence: evidence})
 }
 
-// take takes a node's evidence.
+// take accepts a node's samples.
 func (d *rolloutsDuty) take(from string, message evidenceMessage) {
 	d.duty.Offer(func() {
 		for _, evidence := range message.Evidence {
@@ -93,7 +93,7 @@
 	})
 }
 
-// judge moves the running rollouts on if this node leads.
+// judge analyses the running rollouts and proposes their next stages if this node leads.
 func (d *rolloutsDuty) judge() {
 	if !d.node.replica.shared.Load().leading {
 		clear(d.judges)
@@ -120,7 +120,7 @@
 	}
 }
 
-// liveEntries are the names of the entry nodes that are heard: holderName of each.
+// liveEntries are the names of the live entry nodes, as holderName forms them.
 func (d *rolloutsDuty) liveEntries() []string {
 	var live []string
 	for _, known := range d.node.fleet.view.Load().alive {
@@ -131,7 +131,8 @@
 	return live
 }
 
-// propose commits a rollout's next stage. What is not committed is decided again.
+// propose proposes a rollout's next stage to the log. A stage that is not committed is decided
+// again.
 func (d *rolloutsDuty) propose(one rollout.Rollout, decision judging.Decision) {
 	d.isProposing = true
 	step := rollout.Step{Service: one.Service, Rollout: one.Revision, Stage: decision.Stage, Reason: decision.Reason}
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -17,12 +17,11 @@
 )
 
 const (
-	// holderPatience is how long a holder's answer is waited for beyond the request's own
-	// patience: a round trip within a region takes some milliseconds, between regions up
-	// to 150.
+	// holderPatience is how long an issuer's response is awaited beyond the request's own maximum
+	// wait: a round trip takes some milliseconds within a region, and up to 150 between regions.
 	holderPatience = 200 * time.Millisecond
-	// limitLinesPerSecond bounds the lines on limits: hundreds of instances may name one at
-	// the same moment. What is left out is counted.
+	// limitLinesPerSecond limits the log lines on rate limits: hundreds of instances may name one
+	// at the same moment. Omitted lines are counted.
 	limitLinesPerSecond = 10
 )
 
@@ -39,24 +38,25 @@
 	permitSeconds    = metrics.GetOrCreateHistogram("ravenway_permit_wait_seconds")
 )
 
-// limitKeeper is this entry node's part in keeping the limits that instances name.
+// limitKeeper is this entry node's part in enforcing the rate limits that instances name in their
+// responses.
 type limitKeeper struct {
 	node   *Node
 	limits *ratelimit.Limits
-	// generation is that of the live entry nodes that the limits know.
+	// generation is the generation of the live entry nodes that the limits were last given.
 	generation uint64
 	prunedAt   time.Duration
 	lines      *forward.LineBudget
 }
 
-// pruneInterval is the time between looks for limits and pauses of lives that are over.
+// pruneInterval is the time between checks for limits and pauses of ended incarnations.
 const pruneInterval = time.Second
 
 func newLimitKeeper(node *Node) *limitKeeper {
 	return &limitKeeper{node: node, limits: ratelimit.New(node.address), lines: forward.NewLineBudget(limitLinesPerSecond)}
 }
 
-// look tells the limits who is live. The loads' duty calls it.
+// look passes the live entry nodes to the limits and prunes them. The loads duty calls it.
 func (k *limitKeeper) look() {
 	now, live := k.node.now(), k.node.fleet.view.Load().live
 	k.takeNodes(now, live)
@@ -68,7 +68,7 @@
 	limitsInForce.Set(float64(k.limits.Count()))
 }
 
-// takeNodes tells the limits which entry nodes give out permits, this one included.
+// takeNodes passes the entry nodes that issue permits to the limits, this one included.
 func (k *limitKeeper) takeNodes(now time.Duration, live roster.LiveEntries) {
 	if live.Generation == k.generation {
 		return
@@ -88,12 +88,12 @@
 	k.note("answer", k.limits.Learn(k.node.now(), instance.Life(), said, k.node.at(writtenAt)))
 }
 
-// hear takes what other nodes tell of limits.
+// hear accepts other nodes' updates on limits.
 func (k *limitKeeper) hear(words []ratelimit.Word) {
 	k.note("peer", k.limits.Hear(k.node.now(), words)...)
 }
 
-// note writes a line for each change, with how it was learnt.
+// note counts and logs each change, with the source it was learnt from.
 func (k *limitKeeper) note(how string, changes ...ratelimit.Change) {
 	for _, change := range changes {
 		event := "instance_limit"
@@ -157,7 +157,7 @@
 
 var errNoHolder = errors.New("gateway: no node holds the limit")
 
-// ask asks the holder for a permit.
+// ask requests a permit from the issuer.
 func (k *limitKeeper) ask(ctx context.Context, holder string, ask ratelimit.Ask) (ratelimit.Answer, error) {
 	switch holder {
 	case "":
@@ -170,7 +170,7 @@
 	return peer.Invoke[ratelimit.Answer](ctx, k.node.calls, holder, peer.MethodPermit, ask)
 }
 
-// grant answers a node that asks for a permit.
+// grant responds to a node's request for a permit.
 func (k *limitKeeper) grant(from string, ask ratelimit.Ask) ratelimit.Answer {
 	answer := k.limits.Grant(k.node.now(), from, ask)
 	if answer.IsGranted {
@@ -179,8 +179,8 @@
 	return answer
 }
 
-// summarize writes what this node made of the limits since the last call, and how many
-// lines on limits were left out.
+// summarize logs how the limits were used since the last call, and how many lines on limits were
+// omitted.
 func (k *limitKeeper) summarize() {
 	now := k.node.now()
 	for _, use := range k.limits.TakeUse(now) {
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -12,43 +12,42 @@
 )
 
 const (
-	// freshWord is how old a control node's last hello may be for its delay to
-	// count: they come each 0.6 s.
+	// freshWord is the maximum age of a control node's last hello whose delay is taken into
+	// account; hellos are sent every 0.6 s.
 	freshWord = 1500 * time.Millisecond
-	// bytesPerMegabit turns megabits a second into bytes a second.
+	// bytesPerMegabit converts megabits to bytes.
 	bytesPerMegabit = 1e6 / 8
 )
 
-// linkWatch watches the entry node's own link. The fleet duty owns it; others
-// read whether the node sheds load.
+// linkWatch monitors the load of the entry node's network link. The fleet duty owns it; other
+// goroutines read whether the node sheds load.
 type linkWatch struct {
 	node     *Node
 	shedder  overload.Shedder
 	shedding atomic.Bool
-	// busy tells that new connections are to go to other nodes.
+	// busy is set while new connections should go to other nodes.
 	busy atomic.Bool
-	// current is the delay at the last look, in nanoseconds; 0 if it is not known.
+	// current is the delay at the last reading, in nanoseconds; 0 if it is not known.
 	current atomic.Int64
-	// reports is the delay of other entry nodes' load reports: what is left to go
-	// by in a cut from all control nodes.
+	// reports is the delay of other entry nodes' load reports, the only measure that remains when
+	// all control nodes are unreachable.
 	reports atomic.Pointer[reportDelay]
 }
 
 // reportDelay is a delay and the time at which it was read.
 type reportDelay struct{ delay, at time.Duration }
 
-// noteReports takes the delays of the load reports of late.
+// noteReports stores the median delay of recent load reports.
 func (l *linkWatch) noteReports(now time.Duration, delays []time.Duration) {
 	if median, known := delay.Median(delays); known {
 		l.reports.Store(&reportDelay{delay: median, at: now})
 	}
 }
 
-// loadSheds counts the times that this node asked for no more callers because its
-// link was full.
+// loadSheds counts how often this node began to shed load because its link was full.
 var loadSheds = metrics.GetOrCreateCounter("ravenway_load_sheds_total")
 
-// look takes a reading at a tick.
+// look takes a reading at each tick and updates whether the node sheds load or is busy.
 func (l *linkWatch) look(now time.Duration, view *fleetView) {
 	if l.node.pipeline == nil {
 		return
@@ -82,7 +81,8 @@
 	return reading
 }
 
-// delay is that of the control nodes' last hellos, or else of load reports.
+// delay returns the median delay of the control nodes' last hellos, or if there are none that of
+// load reports.
 func (l *linkWatch) delay(now time.Duration, alive []*roster.Heard) (time.Duration, bool) {
 	var delays []time.Duration
 	for _, known := range alive {
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -12,56 +12,58 @@
 )
 
 const (
-	// nodesEvery is the number of hellos, in 30 s, after which a whole list of nodes is
-	// repeated though it did not change: a frame with a change of it may have been lost with
-	// its connection. With 1,000 nodes it is 2 KB a second at an entry node.
+	// nodesEvery is the number of hellos, about 30 s, after which the full list of nodes is
+	// repeated even if it did not change: a frame with a change may have been lost with its
+	// connection. With 1,000 nodes this costs an entry node 2 KB a second.
 	nodesEvery = 50
-	// listTellers is the number of control nodes that tell an entry node of all others:
-	// the list of 985 entry nodes has 25 KB, and from each of 25 control nodes it was 2.5 MB
-	// for each entry node while a fleet starts. A second one is for the loss of the first.
+	// listTellers is the number of control nodes that send an entry node the list of all nodes. The
+	// list of 985 entry nodes has 25 KB; sent by each of 25 control nodes it added up to 2.5 MB for
+	// each entry node during the start of a fleet. The second sender covers the loss of the first.
 	listTellers = 2
 )
 
-// toldNodes is what a node was told of the nodes, and what this control node is to it.
+// toldNodes is what a receiver was last sent of the node list, and this control node's role for it.
 type toldNodes struct {
-	// version is that of the list of all nodes it was told last, 0 if it was told another
-	// list or none; controls the digest of the control nodes that it was told.
+	// version is the version of the list of all nodes that was last sent, 0 if another list or none
+	// was sent. controls is the digest of the control nodes that were sent.
 	version  uint64
 	controls uint64
 	hellos   int
-	// decidedBy is the digest of the control nodes by which it was decided whether this
-	// node is one that tells the receiver of all entry nodes.
+	// decidedBy is the digest of the control nodes for which it was last decided whether this node
+	// sends the receiver the list of all nodes.
 	decidedBy uint64
 	isTeller  bool
-	// isRelay tells that it is the first of them, who also passes changes on.
+	// isRelay is set if this node is the first of those senders, which also relays changes of
+	// instances.
 	isRelay   bool
 	isDecided bool
 }
 
-// nodeList is the list of the nodes that a control node hears from, itself included, with
-// its latest changes.
+// nodeList is the list of the live nodes that a control node knows, itself included, with its
+// latest changes.
 type nodeList struct {
 	nodes    []peer.NodeEntry
 	dialects []peer.Dialect
-	// version rises with each change; history are the latest ones, the newest last.
+	// version rises with each change. history holds the latest changes, the newest last.
 	version uint64
 	history []listChange
-	// controls are the control nodes among them, controlsDigest covers them.
+	// controls are the control nodes among them, and controlsDigest is a digest of their addresses.
 	controls       []peer.NodeEntry
 	controlsDigest uint64
 }
 
-// listChange is what led to a version of the list.
+// listChange is the difference between two versions of the list.
 type listChange struct {
 	joined []peer.NodeEntry
 	left   []string
 }
 
-// historyKept is the number of changes after which a node is told the whole list: a change
-// has some 40 bytes a node, the list of 985 has 25 KB, and nodes are told each 0.6 s.
+// historyKept is the number of changes that are kept. A receiver that is further behind is sent the
+// full list. A change has some 40 bytes for each node, the list of 985 nodes has 25 KB, and changes
+// are sent every 0.6 s.
 const historyKept = 32
 
-// update makes the list anew.
+// update rebuilds the list from the live nodes.
 func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Heard) {
 	before, beforeDialects := l.nodes, l.dialects
 	l.nodes, l.dialects, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
@@ -82,7 +84,7 @@
 	case slices.Equal(before, l.nodes) && slices.Equal(beforeDialects, l.dialects):
 		return
 	case l.version == 0 || !slices.Equal(dialectsOf(before, beforeDialects, l.nodes), dialectsOf(l.nodes, l.dialects, before)):
-		// A node that is given another build is told of with the whole list.
+		// Changes carry no protocol versions, so an upgraded node requires the full list.
 		l.history = nil
 	default:
 		l.history = append(l.history, changeBetween(before, l.nodes))
@@ -91,7 +93,7 @@
 	l.version++
 }
 
-// dialectsOf are the dialects of those nodes that are in another list too.
+// dialectsOf are the protocol versions of those nodes that are also in another list.
 func dialectsOf(nodes []peer.NodeEntry, dialects []peer.Dialect, others []peer.NodeEntry) []peer.Dialect {
 	isOther := make(map[string]bool, len(others))
 	for _, other := range others {
@@ -106,7 +108,7 @@
 	return common
 }
 
-// changeBetween tells what led from one list to another.
+// changeBetween returns the difference between two lists.
 func changeBetween(before, after []peer.NodeEntry) listChange {
 	var change listChange
 	known := make(map[string]peer.NodeEntry, len(before))
@@ -130,7 +132,8 @@
 	return change
 }
 
-// since tells what has changed since a version, and false if that is not known any more.
+// since returns the accumulated changes since a version, and false if the history does not reach
+// back that far.
 func (l *nodeList) since(version uint64) (listChange, bool) {
 	behind := l.version - version
 	if version == 0 || behind > uint64(len(l.history)) {
@@ -146,7 +149,7 @@
 	return all, true
 }
 
-// listHellos are the hellos of one round with lists, made when they are first needed.
+// listHellos are one round's hellos with node lists. Each is built when it is first needed.
 type listHellos struct {
 	fleet    *fleetDuty
 	said     peer.Hello
@@ -155,14 +158,13 @@
 	changes  map[uint64]*peer.Message
 }
 
-// newListHellos makes the hellos of a round of what a node says of itself.
+// newListHellos updates the node list and prepares a round's hellos from this node's own hello.
 func (f *fleetDuty) newListHellos(now time.Duration, said peer.Hello) *listHellos {
 	f.nodes.update(peer.NodeEntry{Address: f.node.address, Zone: said.Zone, Control: true}, f.roster.AliveNodes(now))
 	return &listHellos{fleet: f, said: said, changes: map[uint64]*peer.Message{}}
 }
 
-// forReceiver is the hello for a node: with the list of nodes that is for it if it is due,
-// nil if it is not.
+// forReceiver returns the hello with the node list that a receiver is due, or nil if none is due.
 func (h *listHellos) forReceiver(receiver string) *peer.Message {
 	told := h.fleet.decideOn(receiver)
 	isDue := told.hellos%nodesEvery == 0
@@ -192,8 +194,8 @@
 	return h.controls
 }
 
-// withAll tells of all nodes: what has changed since a version where that is known and
-// enough.
+// withAll returns the hello about all nodes: only the changes since a version where these are known
+// and the full list is not required.
 func (h *listHellos) withAll(since uint64, isWhole bool) *peer.Message {
 	list := &h.fleet.nodes
 	change, isKnown := list.since(since)
@@ -213,9 +215,9 @@
 	return h.changes[since]
 }
 
-// decideOn decides what this control node is to a node: one of those that tell it of all
-// entry nodes or not. Control nodes hear entry nodes themselves, and two are enough for
-// any entry node.
+// decideOn decides whether this control node is one of those that send a node the list of all
+// nodes. Control nodes are in contact with entry nodes themselves, and listTellers senders are
+// enough for any entry node.
 func (f *fleetDuty) decideOn(receiver string) toldNodes {
 	told := f.told[receiver]
 	known := f.roster.Get(receiver)
--- a/internal/gateway/lists_test.go
+++ b/internal/gateway/lists_test.go
@@ -14,7 +14,7 @@
 	"github.com/ravenway/ravenway/internal/settings"
 )
 
-// aliveNodes are nodes as a roster has heard of them.
+// aliveNodes are the entries of a roster for nodes of these names.
 func aliveNodes(names []string) []*roster.Heard {
 	var alive []*roster.Heard
 	for _, name := range names {
@@ -23,8 +23,8 @@
 	return alive
 }
 
-// However nodes come and go and whichever hellos are lost, a node that takes the changes has
-// the control node's list, or waits for the whole one.
+// For any sequence of joining and leaving nodes and of lost hellos, a node that applies the changes
+// either has the control node's list or waits for the full one.
 func TestChangesOfListsLeadToTheSameList(t *testing.T) {
 	own := peer.NodeEntry{Address: "10.9.0.1:7000", Zone: "a", Control: true}
 	rapid.Check(t, func(t *rapid.T) {
@@ -80,8 +80,8 @@
 	return 0
 }
 
-// A node that joins or leaves a fleet costs a few bytes to each other node, whatever their
-// number: the whole list of a thousand has 25 KB.
+// A node that joins or leaves a fleet must cost only a few bytes for each other node, regardless of
+// their number: the full list of a thousand nodes has 25 KB.
 func TestNodeThatJoinsCostsFewBytes(t *testing.T) {
 	for _, entries := range []int{300, 1000, 2000} {
 		node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
@@ -103,7 +103,8 @@
 		setClock(node, began)
 		node.fleet.hello()
 		joined := node.sent.bytes[peer.KindHello].Get() - before
-		// Those that this control node tells, and the newcomer, which may get the whole list.
+		// The changes for the nodes to which this control node sends the list, and the full list
+		// that the new node may be sent.
 		most := idle + uint64(2*entries/25+20)*80 + uint64(30*entries)
 		assert.Assert(t, joined > idle && joined < most, "%d entry nodes: %d bytes idle, %d with one that joined, at most %d", entries, idle, joined, most)
 		forgetFrames(node, entries+2)
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -10,12 +10,12 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// clockPatience is how long a new leader waits for the other control nodes'
-// clocks before it charges a life all that it held.
+// clockPatience is how long a new leader waits for the other control nodes' clocks before it
+// charges an ended incarnation for everything that it held.
 const clockPatience = 3 * time.Second
 
-// readClocks reads this leader's clocks. The time of day counts if more than half
-// of the voters were heard lately and their clocks agree with this node's.
+// readClocks reads this leader's clocks. The wall clock is included if the clocks of more than half
+// of the voters are known and agree with this node's.
 func (r *replicaDuty) readClocks() clocks.Reading {
 	now := r.node.now()
 	reading := clocks.Reading{Clock: xxhash.Sum64String(r.node.life), Steady: now}
@@ -32,8 +32,8 @@
 	return reading
 }
 
-// closeLives ends the accounts of lives that are over: their node says that it
-// runs another one.
+// closeLives closes the accounts of incarnations that have ended, because their node reports a
+// newer one.
 func (r *replicaDuty) closeLives() {
 	command := r.livesOver()
 	if len(command.Lives) == 0 {
@@ -44,8 +44,8 @@
 	})
 }
 
-// livesOver lists the holders whose life is over, and how long each was silent
-// before its successor had started.
+// livesOver lists the holders whose incarnation has ended, with the time between each one's last
+// contact and the start of its successor.
 func (r *replicaDuty) livesOver() *machine.CloseLivesCommand {
 	running, reading := r.runningEntries(), r.readClocks()
 	command := &machine.CloseLivesCommand{}
@@ -55,7 +55,7 @@
 		if !isRunning || successor.Life == life {
 			continue
 		}
-		// Its successor had started by then.
+		// The successor has been running for this long, so the incarnation ended before.
 		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Steady - successor.At
 		silence, known := clocks.Silence(r.machine.Accounts().LastContact(holder), reading, sinceOver)
 		if !known && r.node.now()-r.leadsSince < clockPatience {
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -10,28 +10,28 @@
 )
 
 const (
-	// loadsInterval is the time between load reports. Behind a relay they are
-	// older than that.
+	// loadsInterval is the time between load reports. Reports that arrive through a relay are older
+	// than that.
 	loadsInterval = 50 * time.Millisecond
-	// In a fleet with more entry nodes than fewEntries reports name many
-	// instances, and come less often.
+	// With fewEntries other entry nodes or more, reports name many instances and are sent only
+	// every manyLoadsTicks ticks.
 	manyLoadsTicks = 4
 	fewEntries     = 16
-	// freshReport is how old a load report may be for its delay to count.
+	// freshReport is the maximum age of a load report whose delay is taken into account.
 	freshReport = time.Second
-	// wayMemory is how long the fastest report of a silent node is remembered.
+	// wayMemory is how long the fastest report of a node that sends no more reports is remembered.
 	wayMemory = 30 * time.Second
 )
 
-// loadsDuty owns the node's part of the load exchange.
+// loadsDuty owns the node's part in the exchange of instance loads between entry nodes.
 type loadsDuty struct {
 	node     *Node
 	duty     *duty.Duty
 	exchange *balance.LoadExchange
 	ticks    int
-	// generation is that of the neighbours that the exchange knows.
+	// generation is the generation of the neighbours that the exchange was last given.
 	generation uint64
-	// ways are the ways from the nodes that send reports here.
+	// ways measure the transit delay of reports, by sending node.
 	ways map[string]*delay.Meter
 }
 
@@ -90,7 +90,7 @@
 	})
 }
 
-// delays are those of the reports that count; it forgets nodes that send none.
+// delays returns the delays of fresh reports, and forgets nodes that send none any more.
 func (l *loadsDuty) delays(now time.Duration) []time.Duration {
 	var delays []time.Duration
 	for from, way := range l.ways {
--- a/internal/gateway/logversion.go
+++ b/internal/gateway/logversion.go
@@ -9,11 +9,11 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// errNewerLog says that the disk holds a log of a later build's version.
+// errNewerLog says that the log on disk has a version of a later build.
 var errNewerLog = errors.New("gateway: the log holds commands that this build can't read")
 
-// checkLogVersion refuses a log that a later build has written to since it was raised: this
-// build would apply some of it otherwise than the other replicas.
+// checkLogVersion refuses a log whose version is higher than this build reads: this build would
+// apply some entries differently from the other replicas.
 func checkLogVersion(state *machine.Machine) error {
 	if held := state.LogVersion(); held > machine.OwnLogVersion {
 		return fmt.Errorf("%w: it has version %d, this build reads up to %d: start the build that the fleet was upgraded to", errNewerLog, held, machine.OwnLogVersion)
@@ -24,13 +24,13 @@
 // logVersionOf is the newest version of the log that a control node reads.
 func logVersionOf(hello peer.Hello) machine.LogVersion {
 	if hello.LogVersion == 0 && hello.Dialect >= peer.DialectSums {
-		// Builds that know rollouts, before they told versions.
+		// These builds support rollouts but do not report a log version yet.
 		return machine.VersionRollouts
 	}
 	return machine.LogVersion(hello.LogVersion)
 }
 
-// lookAtLogVersion finds out who the raise of the log's version waits for.
+// lookAtLogVersion updates which control nodes delay the raise of the log's version.
 func (r *replicaDuty) lookAtLogVersion() {
 	heard := []logversion.Control{{Address: r.node.address, Reads: machine.OwnLogVersion}}
 	for _, known := range r.node.fleet.view.Load().alive {
--- a/internal/gateway/logversion_test.go
+++ b/internal/gateway/logversion_test.go
@@ -12,7 +12,7 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// newFoundedReplica is the replica of a control node that has founded a group of its own.
+// newFoundedReplica returns the replica of a control node that has bootstrapped a group of its own.
 func newFoundedReplica(t *testing.T) *replicaDuty {
 	t.Helper()
 	node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
@@ -22,7 +22,7 @@
 	return replica
 }
 
-// runUntil runs the duty's ticks until something holds.
+// runUntil runs the duty's ticks until a condition holds, for at most 100 ticks.
 func runUntil(t *testing.T, replica *replicaDuty, holds func() bool) {
 	t.Helper()
 	for range 100 {
@@ -32,7 +32,7 @@
 			return
 		}
 	}
-	t.Fatal("not within 100 ticks")
+	t.Fatal("the condition did not hold within 100 ticks")
 }
 
 func hearControl(replica *replicaDuty, dialect peer.Dialect, logVersion uint32) {
@@ -52,7 +52,7 @@
 	}
 	assert.Equal(t, replica.machine.LogVersion(), machine.VersionFirst)
 	assert.DeepEqual(t, replica.shared.Load().waitsFor, []string{benchControl(1)})
-	// It is given a build that knows rollouts, and tells no version.
+	// The node is upgraded to a build that supports rollouts but reports no log version.
 	hearControl(replica, peer.DialectSums, 0)
 	began := time.Now()
 	runUntil(t, replica, func() bool {
@@ -71,7 +71,7 @@
 	runUntil(t, node.replica, func() bool { return node.replica.machine.LogVersion() == machine.OwnLogVersion })
 }
 
-// The build that is taken again must not go on with what it can't read.
+// After a downgrade the earlier build must not continue with a log that it can't read.
 func TestReplicaDoesNotOpenALogOfALaterVersion(t *testing.T) {
 	replica := newFoundedReplica(t)
 	assert.Assert(t, replica.replica != nil)
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -1,11 +1,11 @@
-// Package gateway runs a node of a fleet whose members find each other from
-// seeds, whose configuration is one document at an outside version, and whose
-// engines register themselves.
+// Package gateway runs one node of a fleet. The members discover each other through seed addresses,
+// the configuration is one document whose version is set from outside, and engines register
+// themselves.
 //
-// An entry node serves callers. A control node holds a replica of the durable
-// state, takes configurations and registrations, and tells all entry nodes.
-// Each duty is a goroutine that owns its state: the fleet (who is there, which
-// instances), the replica, and the prepaid tokens held here.
+// An entry node serves callers. A control node holds a replica of the durable state, accepts
+// configurations and registrations, and distributes them to all entry nodes. Each duty is a
+// goroutine that owns its state: the fleet (known nodes and instances), the replica, and the
+// prepaid tokens that are held here.
 package gateway
 
 import (
@@ -41,68 +41,66 @@
 	"github.com/ravenway/ravenway/internal/transport"
 )
 
-// Dialect is a wire interface to callers, engines and operators.
+// Dialect adapts one HTTP interface to callers, engines and operators.
 type Dialect interface {
 	forward.Dialect
 	// ControlHandler serves engines and operators on control nodes.
 	ControlHandler(control Control) http.Handler
-	// ReadyHandler tells the platform whether an entry node should get callers.
+	// ReadyHandler reports to the platform whether callers should be sent to an entry node.
 	ReadyHandler(ready func() bool) http.Handler
 }
 
 // Control is what a Dialect's control handler needs.
 type Control interface {
-	// Heartbeat takes an instance's word; nil acknowledges it.
+	// Heartbeat accepts an instance's heartbeat; nil acknowledges it.
 	Heartbeat(ctx context.Context, instance registry.Instance) error
-	// HeartbeatRefused notes a heartbeat that can't be used, and why.
+	// HeartbeatRefused records a heartbeat that can't be used, and the reason.
 	HeartbeatRefused(id string, err error)
-	// Leave takes an instance's word that a life of it ends; without Born it is the
-	// one known.
+	// Leave accepts an instance's notice that one of its incarnations is ending; if the start time
+	// is missing, the notice applies to the known incarnation.
 	Leave(ctx context.Context, life registry.Life) error
-	// TakeDocument makes a checked configuration last. It returns the version
-	// held afterwards, which is higher if a higher one was there.
+	// TakeDocument commits a validated configuration to the log. It returns the version held
+	// afterwards, which is higher than the given one if a higher one was already committed.
 	TakeDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
-	// ReadDocument returns the newest configuration as it was sent; nil if
+	// ReadDocument returns the newest configuration in the form in which it was received; nil if
 	// there is none yet.
 	ReadDocument(ctx context.Context) (raw []byte, err error)
-	// OrderRollout has a service's work move to instances of a version, and returns once the
-	// order is committed. The errors are ErrUnknownService, ErrRolloutUnderWay,
+	// OrderRollout orders that a service's requests move to instances of a version, and returns
+	// once the order is committed. The errors are ErrUnknownService, ErrRolloutUnderWay,
 	// ErrOtherRollout, ErrVersionRuns, ErrRolloutDuration and ErrUnavailable.
 	OrderRollout(ctx context.Context, service, version string, duration time.Duration) error
-	// Rollout returns a service's newest rollout. ErrNoRollout says that there is none.
+	// Rollout returns a service's newest rollout. It returns ErrNoRollout if there is none.
 	Rollout(ctx context.Context, service string) (rollout.Rollout, error)
-	// OrderZone evacuates a zone, or restores it, and returns the evacuated zones
-	// once the order is committed. ErrUnknownZone says that there is no such zone.
+	// OrderZone evacuates a zone, or restores it, and returns the evacuated zones once the order is
+	// committed. It returns ErrUnknownZone if there is no such zone.
 	OrderZone(ctx context.Context, zone string, evacuated bool) (evacuation.Zones, error)
 }
 
-// ErrUnavailable says that a control node can't tell or do what it was asked;
-// another one may.
+// ErrUnavailable says that a control node can't serve a request at the moment; another control node
+// may be able to.
 var ErrUnavailable = errors.New("gateway: not possible here now")
 
-// Listeners are a node's open listeners; those of a role that it does not have
-// are nil.
+// Listeners are a node's open listeners; the listeners of a role that it does not have are nil.
 type Listeners struct {
 	Callers net.Listener
 	Ready   net.Listener
 	Control net.Listener
 	Peers   net.Listener
 	Health  net.Listener
-	// Operators is for the command line, Debug for profiles; nil means that they are
-	// not served.
+	// Operators serves the command line tool and Debug serves profiles; nil means not served.
 	Operators net.Listener
 	Debug     net.Listener
 }
 
-// Options set up a Node.
+// Options configure a Node.
 type Options struct {
 	Settings *settings.Settings
 	PeerKey  []byte
-	// OperatorToken is needed from operators unless it is empty.
+	// OperatorToken is required from operators unless it is empty.
 	OperatorToken []byte
 	Dialect       Dialect
 	Listeners     Listeners
-	// FileSystem is the data folder; needed by the control role.
+	// FileSystem is the data folder; required by the control role.
 	FileSystem disk.FileSystem
 	// DialPeer and DialEngine open connections; nil means TCP.
 	DialPeer   func(ctx context.Context, address string) (net.Conn, error)
@@ -112,7 +110,7 @@
 	Build string
 }
 
-// Node is one daemon.
+// Node is one process of the fleet, with the duties of its roles.
 type Node struct {
 	options  Options
 	settings atomic.Pointer[settings.Settings]
@@ -128,9 +126,9 @@
 	publisher *documentPublisher
 	zones     *zoneStore
 	rollouts  *rolloutStore
-	// judging reports on rollouts, or judges them.
+	// judging reports samples of rollouts to the leader, or analyses them if this node leads.
 	judging *rolloutsDuty
-	// quarantine holds the requests that end their engines.
+	// quarantine holds the requests that crash their engines.
 	quarantine *quarantineDuty
 	link       *linkWatch
 	gate       *callerGate
@@ -153,7 +151,7 @@
 	stop atomic.Pointer[plannedStop]
 }
 
-// New makes a node. Its listeners are served by Run.
+// New creates a node. Run serves its listeners.
 func New(options Options) (*Node, error) {
 	node := &Node{
 		options: options, address: options.Settings.Listen.Peers, life: newLife(), started: time.Now(), log: options.Logger,
@@ -197,39 +195,41 @@
 }
 
 const (
-	// bodiesShare is the part of the process's memory that callers' bodies may take:
-	// each is there twice while it is written to an engine, and the heap is kept
-	// below 0.7 of the memory.
+	// bodiesShare is the share of the process's memory that callers' request bodies may occupy:
+	// each body is in memory twice while it is written to an engine, and the heap is kept below 0.7
+	// of the memory.
 	bodiesShare = 0.12
 	bytesPerMB  = 1 << 20
 )
 
-// bodyBytes bounds the bodies in memory; 0 where the memory is not known.
+// bodyBytes is the maximum size in bytes of all request bodies in memory; 0 if the size of the
+// memory is not known.
 func bodyBytes(memoryMB int) int64 { return int64(bodiesShare * float64(memoryMB) * bytesPerMB) }
 
-// newLife names this run of the process.
+// newLife returns a random identifier for this run of the process, its incarnation.
 func newLife() string {
 	var drawn [8]byte
-	// crypto/rand.Read never fails: it ends the process instead.
+	// crypto/rand.Read never returns an error: it aborts the process instead.
 	_, _ = rand.Read(drawn[:])
 	return hex.EncodeToString(drawn[:])
 }
 
-// newRandom makes a random source for one duty.
+// newRandom returns a randomly seeded source for one duty.
 func newRandom() *mathrand.Rand {
 	var seed [16]byte
 	_, _ = rand.Read(seed[:])
 	return mathrand.New(mathrand.NewPCG(binary.BigEndian.Uint64(seed[:8]), binary.BigEndian.Uint64(seed[8:])))
 }
 
-// isControlRole tells whether the settings make this node a control node.
+// isControlRole reports whether the settings give this node the control role.
 func (n *Node) isControlRole() bool { return n.settings.Load().HasRole(settings.RoleControl) }
 
-// now is the time since the node started, the clock of all duties. The time of
-// day may jump; only readClocks uses it, where control nodes agree on it.
+// now is the time since the node started on the monotonic clock, which all duties use. The wall
+// clock may jump, so decisions about time do not rest on it except in readClocks, where control
+// nodes agree on it, and for the age of a rollout that is restored from the log.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// at is a moment on the clock of now; 0 for the zero time.
+// at converts a moment to the clock of now; 0 for the zero time.
 func (n *Node) at(moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return 0
@@ -237,7 +237,7 @@
 	return moment.Sub(n.started)
 }
 
-// Run serves until the context ends. Use Stop for a planned stop before that.
+// Run serves until the context ends. Call Stop before that for a planned stop.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -272,7 +272,7 @@
 
 const upkeepInterval = 2 * time.Second
 
-// runUpkeep does what has no event of its own.
+// runUpkeep does periodic work that no event triggers: pipeline ticks and log summaries.
 func (n *Node) runUpkeep(ctx context.Context) {
 	ticker := time.NewTicker(upkeepInterval)
 	defer ticker.Stop()
@@ -293,8 +293,8 @@
 	}
 }
 
-// logLoad writes what the process holds in memory, to explain one that ends for
-// lack of it, and the bytes to and from other nodes since the last line.
+// logLoad logs the process's memory use, to explain a process that is killed for lack of memory,
+// and the bytes exchanged with other nodes since the last such line.
 func (n *Node) logLoad() {
 	samples := []metrics.Sample{
 		{Name: "/memory/classes/heap/objects:bytes"}, {Name: "/memory/classes/total:bytes"},
@@ -307,23 +307,24 @@
 		Uint64("goroutines", samples[4].Value.Uint64()).Dict("sent", n.sent.describe()).Dict("received", n.received.describe()).Send()
 }
 
-// Version is the version of the configuration in force here, 0 before the first.
+// Version is the version of the configuration in effect on this node, 0 before the first.
 func (n *Node) Version() uint64 { return n.documents.version() }
 
-// Reload takes changed settings: the seeds. Others hold until a restart.
+// Reload applies changed settings. Only changes of the seeds take effect at once; other settings
+// keep their values until a restart.
 func (n *Node) Reload(changed *settings.Settings) {
 	n.settings.Store(changed)
 	n.fleet.setSeeds(seedAddresses(changed))
 	n.log.Info().Str("event", "reloaded").Strs("seeds", changed.Fleet.Seeds).Send()
 }
 
-// Refuse notes that changed settings were not taken; those in force stay.
+// Refuse logs that changed settings were not applied; the current ones stay in effect.
 func (n *Node) Refuse(err error) {
 	n.log.Warn().Str("event", "reload_refused").Err(err).Send()
 }
 
-// seedAddresses are the peer listeners of the seeds: a seed names a control
-// node's listener of another kind, on the same machine.
+// seedAddresses are the addresses of the seeds' peer listeners: a seed names another listener of a
+// control node on the same machine.
 func seedAddresses(current *settings.Settings) []string {
 	var addresses []string
 	for _, seed := range current.Fleet.Seeds {
@@ -336,20 +337,20 @@
 	return addresses
 }
 
-// send sends a body to another node, or handles it here.
+// send encodes a body and sends it to a node; a message to this node is handled directly.
 func (n *Node) send(to string, kind peer.Kind, body any) {
 	n.sendMessage(to, peer.NewMessage(kind, body))
 }
 
-// sendAll sends one message to several nodes: encoding it for each of hundreds
-// would be most of its cost.
+// sendAll sends one message to several nodes. The encoded message is shared, since encoding it for
+// each of hundreds of receivers would be most of the cost.
 func (n *Node) sendAll(receivers []string, message *peer.Message) {
 	for _, receiver := range receivers {
 		n.sendMessage(receiver, message)
 	}
 }
 
-// sendMessage sends a message as the receiver reads it.
+// sendMessage sends a message in the protocol version that the receiver reads.
 func (n *Node) sendMessage(to string, message *peer.Message) {
 	reader := peer.OwnDialect
 	if to != n.address {
@@ -368,7 +369,7 @@
 	n.mesh.Send(to, frame)
 }
 
-// handleFrame hands a frame to the duty that it is for.
+// handleFrame decodes a frame and passes it to the duty that handles its kind.
 func (n *Node) handleFrame(from string, frame []byte) {
 	envelope, err := peer.Decode(frame)
 	if err == nil {
@@ -425,7 +426,7 @@
 	case peer.KindReply:
 		return peer.Dispatch(envelope, n.calls.Answered)
 	}
-	return fmt.Errorf("kind %s has no duty here", envelope.Kind)
+	return fmt.Errorf("no duty on this node handles messages of kind %s", envelope.Kind)
 }
 
 func (n *Node) takeAccounts(message escrow.AccountsMessage) {
@@ -441,8 +442,8 @@
 	}
 }
 
-// holderName names a node's life as a holder of tokens; holderAddress finds the
-// node's address in it.
+// holderName is the name of a node's incarnation as a holder of tokens; holderAddress splits it
+// into the node's address and the incarnation.
 func holderName(address, life string) string { return address + "#" + life }
 
 func holderAddress(name string) (address, life string) {
@@ -460,20 +461,20 @@
 	return n.fleet.view.Load().leader
 }
 
-// hearsRoot tells whether a control node that has a quorum was heard lately.
+// hearsRoot reports whether a control node that has a quorum was in contact recently.
 func (n *Node) hearsRoot() bool {
 	return n.now() < n.fleet.view.Load().rootHeardAt+rootSilence
 }
 
-// startTime is how long a node may look for the root after its start.
+// startTime is how long after its start a node assumes that the root is still being elected.
 const startTime = 3 * time.Second
 
-// rootMayComeBack tells whether the root's silence is probably a short one: all
-// nodes may have started together, and the root is elected. A longer silence
-// is a cut; a caller that comes back at once would be refused once more.
+// rootMayComeBack reports whether an unreachable root will probably be reachable soon: all nodes
+// may have started together, so that the root is still being elected. A longer outage means a
+// partition, in which a caller that retries immediately would be refused again.
 func (n *Node) rootMayComeBack() bool { return n.now() < startTime }
 
-// nodeOfReplica finds the node that holds a replica identity.
+// nodeOfReplica returns the address of the node that holds a replica, or "" if it is not known.
 func (n *Node) nodeOfReplica(id consensus.ReplicaID) string {
 	for _, node := range n.fleet.view.Load().alive {
 		if node.Replica == uint64(id) {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -19,15 +19,15 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// operatorServer serves what an operator may ask of a node. Changes come as
-// whole configurations through the control listener, so the schema's changes of
-// single objects are not served here.
+// operatorServer serves operators' requests to a node. Configurations are changed as whole
+// documents through the control listener, so the schema's methods that change single objects are
+// not served here.
 type operatorServer struct {
 	ravenwayv1connect.UnimplementedOperatorServiceHandler
 	node *Node
 }
 
-// operatorHandler serves operators; a token is needed if the settings have one.
+// operatorHandler serves operators; a token is required if the options have one.
 func (n *Node) operatorHandler() http.Handler {
 	_, handler := ravenwayv1connect.NewOperatorServiceHandler(&operatorServer{node: n})
 	return operator.RequireToken(n.options.OperatorToken, handler)
@@ -103,8 +103,8 @@
 	return connect.NewResponse(&ravenwayv1.OrderZoneResponse{EvacuatedZones: zones.Names, EvacuationRevision: zones.Revision}), nil
 }
 
-// GetCatalog implements the schema's GetCatalog: the document in force here,
-// with the instances that are registered. Keys are left out.
+// GetCatalog implements the schema's GetCatalog: the document in effect on this node, with the
+// registered instances. API keys are omitted.
 func (o *operatorServer) GetCatalog(ctx context.Context, _ *connect.Request[ravenwayv1.GetCatalogRequest]) (*connect.Response[ravenwayv1.GetCatalogResponse], error) {
 	index := o.node.documents.index.Load()
 	if index == nil {
@@ -119,7 +119,7 @@
 	}), nil
 }
 
-// describeInstances lists the live instances as back ends.
+// describeInstances lists the live instances as the schema's back ends.
 func (f *fleetDuty) describeInstances() []*ravenwayv1.Backend {
 	var backends []*ravenwayv1.Backend
 	for _, instance := range f.registry.Live() {
@@ -170,8 +170,8 @@
 	return connect.NewResponse(&ravenwayv1.GetBudgetsResponse{Budgets: budgets}), nil
 }
 
-// Budgets returns one budget, or all if none is wanted, as this node's replica has
-// applied their accounts.
+// Budgets returns the budget of the wanted name, or all budgets if it is empty, as this node's
+// replica has applied their accounts.
 func (n *Node) Budgets(ctx context.Context, wanted string) ([]*ravenwayv1.BudgetStatus, error) {
 	if n.replica == nil {
 		return nil, errors.New("this node holds no accounts; ask a control node")
@@ -216,7 +216,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// errNoLimits says that a node keeps no limits of instances.
+// errNoLimits says that a node tracks no rate limits of instances.
 var errNoLimits = errors.New("only entry nodes know the limits that instances name")
 
 // GetLimits implements the schema's GetLimits.
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -9,19 +9,20 @@
 	"github.com/ravenway/ravenway/internal/coordination/membership"
 )
 
-// tokenPools tells which nodes hold a budget for their zone: all nodes agree on them
-// without talk, by rendezvous hashing of the budget over the zone's entry nodes.
+// tokenPools determines which nodes hold the pooled tokens of a budget for their zone. All nodes
+// agree on these pool holders without communication, by rendezvous hashing of the budget over the
+// zone's entry nodes.
 type tokenPools struct {
 	self, zone string
 	// zones are the entry nodes of the zones that are large enough for pools.
 	zones map[string][]string
-	// chosen are the pool holders by zone and budget that were asked for.
+	// chosen caches the pool holders by zone and budget.
 	chosen map[poolKey][]string
 }
 
 type poolKey struct{ zone, budget string }
 
-// newTokenPools makes the pools of a node among other entry nodes.
+// newTokenPools returns the pools as seen by the node self in zone, among the other entry nodes.
 func newTokenPools(self, zone string, others []balance.EntryNode) *tokenPools {
 	pools := &tokenPools{self: self, zone: zone, zones: map[string][]string{zone: {self}}, chosen: map[poolKey][]string{}}
 	for _, node := range others {
@@ -31,7 +32,7 @@
 	return pools
 }
 
-// before are the own zone's pool holders that come before this node, in order.
+// before are the pool holders of this node's zone that rank before this node, in order.
 func (p *tokenPools) before(budget string) []string {
 	holders := p.holders(p.zone, budget)
 	if place := slices.Index(holders, p.self); place >= 0 {
@@ -40,7 +41,7 @@
 	return holders
 }
 
-// far are the first pool holders of the other zones.
+// far are the first pool holders of the other zones, sorted by zone.
 func (p *tokenPools) far(budget string) []string {
 	var far []string
 	for _, zone := range slices.Sorted(maps.Keys(p.zones)) {
--- a/internal/gateway/pools_test.go
+++ b/internal/gateway/pools_test.go
@@ -54,8 +54,8 @@
 	assert.Equal(t, len(holds), 80)
 }
 
-// A node that is gone hands its budgets to the second pool holder, and no other
-// budget moves.
+// If a pool holder is gone, its budgets must move to the second pool holder, and no other budget
+// may move.
 func TestLostPoolHolderIsFollowedByTheSecond(t *testing.T) {
 	nodes := entryNodes(map[string]int{"a": 60})
 	for number := range 40 {
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -8,8 +8,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// documentPublisher brings the document in force at a control node to the entry
-// nodes. It is used by several duties.
+// documentPublisher distributes the document in effect at a control node to the entry nodes.
+// Several duties use it.
 type documentPublisher struct {
 	node      *Node
 	mutex     sync.Mutex
@@ -20,8 +20,8 @@
 	return &documentPublisher{node: node, publisher: follow.NewPublisher()}
 }
 
-// publish sends the document in force to the entry nodes that are this node's
-// to send to, and tells all others its version.
+// publish sends the document in effect to the entry nodes that this node is responsible for, and
+// sends its version to all other entry nodes.
 func (p *documentPublisher) publish() {
 	held := p.node.documents.held()
 	alive := p.node.fleet.view.Load().alive
@@ -47,8 +47,8 @@
 		Int("sent", sent).Int("told", told).Send()
 }
 
-// due notes what an entry node has and tells whether the document is to be sent
-// to it now. An empty life is that which is known.
+// due records the version that an entry node has and reports whether the document is to be sent to
+// it now. An empty life means the known incarnation.
 func (p *documentPublisher) due(address, life string, has uint64, held peer.DocumentData) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -74,8 +74,8 @@
 	return follow.ChooseSender(follow.Node{Address: entry.Address, Zone: entry.Zone}, controls) == p.node.address
 }
 
-// hear looks whether an entry node lacks what it should have been sent: it was
-// not heard then, or what was sent did not come.
+// hear checks whether an entry node lacks the document that it should have been sent: it was
+// unknown then, or the document was lost.
 func (p *documentPublisher) hear(hello peer.Hello) {
 	if !hello.Entry || hello.Version >= p.node.documents.version() {
 		return
@@ -86,8 +86,8 @@
 	p.sendIfDue(hello.Address, hello.Life, hello.Version, "hello")
 }
 
-// answer sends the document in force to an entry node that asks for a newer one
-// than it has, or notes that it took one.
+// answer sends the document in effect to an entry node that requests a newer one than it has, or
+// records that the node has applied one.
 func (p *documentPublisher) answer(from string, fetch peer.DocumentFetch) {
 	if fetch.Took {
 		p.sendIfDue(from, "", fetch.Have, "confirmation")
@@ -111,7 +111,7 @@
 	p.node.send(address, peer.KindDocument, &held)
 }
 
-// forget drops what is known of a node that is gone.
+// forget drops the state of a node that is gone.
 func (p *documentPublisher) forget(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -14,43 +14,43 @@
 )
 
 const (
-	// quarantineTick is the time between looks whether an end has come to count.
+	// quarantineTick is the interval at which it is checked whether a crash has begun to count.
 	quarantineTick = 100 * time.Millisecond
-	// quarantinePause is the least time between two decisions.
+	// quarantinePause is the minimum time between two decisions.
 	quarantinePause = 20 * time.Millisecond
-	// quarantineAskPause is the least time between two questions for a control node's
-	// list: where two control nodes hold different ones, they are about to exchange them.
+	// quarantineAskPause is the minimum time between two requests for a control node's list: if two
+	// control nodes hold different lists, they are about to exchange them.
 	quarantineAskPause = 2 * time.Second
-	// quarantineMismatches is how many hellos in a row may tell another list than the one
-	// known here: a change of it may be on its way.
+	// quarantineMismatches is the number of consecutive hellos that may report a digest other than
+	// the known one before the list is requested: a change of it may be in transit.
 	quarantineMismatches = 1
-	// rememberQuarantineTicks is the number of ticks between looks whether the list on a
-	// control node's disk is outdated.
+	// rememberQuarantineTicks is the number of ticks between checks whether the list on a control
+	// node's disk is outdated.
 	rememberQuarantineTicks = 3
 )
 
-// quarantineMessage carries what a node holds against requests. Entry nodes send their
-// own evidence to the control nodes; these send what all are to know to the entry nodes
-// of their zone as it changes, and the whole list to whoever asks.
+// quarantineMessage carries the records of crashes that a node holds against requests. Entry nodes
+// send their own crash reports to the control nodes. Control nodes send changes that all nodes need
+// to the entry nodes of their zone, and the full list to any node that requests it.
 type quarantineMessage struct {
 	Records []quarantine.Record `msgpack:"r"`
-	// Digest is that of the sender's list, if IsList is set: control nodes' only.
+	// Digest is the digest of the sender's list if IsList is set, which only control nodes do.
 	Digest uint64 `msgpack:"d"`
 	IsList bool   `msgpack:"l,omitempty"`
-	// Answer asks the receiver for its whole list.
+	// Answer requests the receiver's full list.
 	Answer bool `msgpack:"a,omitempty"`
 }
 
-// quarantineDuty owns what this node holds against requests that end their engines.
+// quarantineDuty owns this node's records of requests that crash their engines (poison requests).
 type quarantineDuty struct {
 	node    *Node
 	duty    *duty.Duty
 	tracker *quarantine.Tracker
 	guard   *quarantine.Guard
 	ticks   int
-	// digest is that of the tracker's list.
+	// digest is the digest of the tracker's list.
 	digest atomic.Uint64
-	// known is the digest of the control nodes' list as it was last taken here.
+	// known is the digest of the control nodes' list that was last merged here.
 	known      uint64
 	mismatches int
 	// decidedAt is when the tracker last decided.
@@ -113,9 +113,9 @@
 	}
 }
 
-// flush decides on what has come, and tells others of it. An engine that ends takes
-// many runs of many nodes along, whose words come within milliseconds: they are weighed
-// together.
+// flush decides on the reports received and distributes the results. An engine's crash breaks many
+// runs of many nodes, whose reports arrive within milliseconds of each other, so they are decided
+// on together.
 func (q *quarantineDuty) flush() {
 	now := q.node.now()
 	if !q.tracker.IsDue(now) || now-q.decidedAt < quarantinePause {
@@ -123,7 +123,7 @@
 	}
 	q.decidedAt = now
 	verdicts := q.tracker.Decide(now)
-	// A list of a thousand requests is made anew in a sixth of a millisecond.
+	// Rebuilding the view takes a sixth of a millisecond for a list of a thousand requests.
 	q.guard.SetView(q.tracker.View())
 	for _, verdict := range verdicts {
 		q.logVerdict(verdict)
@@ -145,7 +145,7 @@
 	}
 }
 
-// logVerdict writes a verdict with what it rests on.
+// logVerdict logs a verdict with the crashes that it is based on.
 func (q *quarantineDuty) logVerdict(verdict quarantine.Verdict) {
 	event := "quarantine_ended"
 	if verdict.IsQuarantined {
@@ -163,7 +163,7 @@
 		Strs("lives", lives).Ints64("ages_ms", ages).Strs("suspicions", suspicions).Uint32("generation", verdict.Generation).Send()
 }
 
-// controls are the control nodes that are heard.
+// controls are the addresses of the other live control nodes.
 func (q *quarantineDuty) controls() []string {
 	var addresses []string
 	for _, known := range q.node.fleet.view.Load().alive {
@@ -174,8 +174,8 @@
 	return addresses
 }
 
-// entriesOfZone are the entry nodes whom this control node tells of changes at once.
-// Those of zones without one have them from the next hello on.
+// entriesOfZone are the entry nodes to which this control node sends changes immediately. Entry
+// nodes of zones without a control node request them after the next hellos.
 func (q *quarantineDuty) entriesOfZone() []string {
 	var addresses []string
 	for _, known := range q.node.fleet.view.Load().alive {
@@ -206,9 +206,9 @@
 	})
 }
 
-// hear compares a control node's list with the one known here, and asks for it if it is
-// another one. A control node that was not heard of late is told all that this node
-// holds: it may have been cut off, or have lost its memory.
+// hear compares a control node's digest with the known one, and requests its list if they differ. A
+// control node that is new or was recently unreachable is sent all records of this node: it may
+// have been partitioned, or have lost its state.
 func (q *quarantineDuty) hear(from string, digest uint64, isNew bool) {
 	if digest == 0 && q.digest.Load() == 0 && !isNew {
 		return
@@ -221,7 +221,7 @@
 	})
 }
 
-// sendAllTo sends all that is held here to one node.
+// sendAllTo sends all records of this node to one node.
 func (q *quarantineDuty) sendAllTo(receiver string) {
 	if records := q.tracker.Records(q.node.now()); len(records) > 0 {
 		q.sendTo([]string{receiver}, quarantineMessage{Records: records})
@@ -247,16 +247,16 @@
 	q.sendTo([]string{from}, ask)
 }
 
-// ErrNotHeld says that nothing is held against a request.
+// ErrNotHeld says that no crash is recorded against a request.
 var ErrNotHeld = errors.New("gateway: nothing is held against the request")
 
-// held lists what this node holds against requests: those in quarantine first, then
-// those with the most ends.
+// held lists the summaries of the requests with recorded crashes: those in quarantine first, then
+// those with the most crashes.
 func (q *quarantineDuty) held(ctx context.Context) ([]quarantine.Held, error) {
 	return duty.Ask(ctx, q.duty, func(answer func([]quarantine.Held)) { answer(q.tracker.Held(q.node.now())) })
 }
 
-// release forgets the ends of a request; all nodes are told.
+// release clears the crashes recorded against a request, on all nodes.
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
 	wasHeld, err := duty.Ask(ctx, q.duty, func(answer func(bool)) { answer(q.clear(fingerprint, "released by an operator")) })
 	if err == nil && !wasHeld {
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -11,7 +11,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// recordOf is a request at some ends, as nodes tell each other of it.
+// recordOf returns the record of a request that was in flight at a number of crashes, as nodes send
+// it to each other.
 func recordOf(ends int) quarantine.Record {
 	tracker := quarantine.NewTracker(quarantine.Options{})
 	for number := range ends {
@@ -24,9 +25,9 @@
 	return tracker.Records(0)[0]
 }
 
-// What an engine's end costs in traffic: the evidence of each broken run to each control
-// node, and of each request that all are told of its record to each node. In the incident
-// 47 ends had 7.7 broken runs in the mean, within 40 s at eight nodes.
+// Limits the traffic that an engine's crash causes: a crash report of each broken run to each
+// control node, and for each request that all nodes must know its record to each node. In the
+// incident, 47 crashes had 7.7 broken runs on average, within 40 s at eight nodes.
 func TestWordOfARequestAtAnEngineEndIsSmall(t *testing.T) {
 	for ends, most := range map[int]int{1: 90, 3: 150, 8: 300} {
 		frame, err := peer.Encode(peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(ends)}})
--- a/internal/gateway/refused.go
+++ b/internal/gateway/refused.go
@@ -6,22 +6,23 @@
 )
 
 const (
-	// refusedLinePause is the least time between two lines on heartbeats of one writer
-	// that can't be used for one reason.
+	// refusedLinePause is the minimum time between two log lines on refused heartbeats of one
+	// instance for the same reason.
 	refusedLinePause = 10 * time.Second
-	// refusedKept bounds the writers and reasons that are remembered for that.
+	// refusedKept is the maximum number of pairs of instance and reason that are remembered for
+	// that.
 	refusedKept = 256
 )
 
-// refusedHeartbeats bounds the lines on heartbeats that can't be used: a writer that is
-// wrong once is wrong each second.
+// refusedHeartbeats limits the log lines on heartbeats that can't be used: an instance that sends
+// one invalid heartbeat usually sends one every second.
 type refusedHeartbeats struct {
 	mutex sync.Mutex
-	// written is when the last line was, by writer and reason.
+	// written is when the last line was logged, by instance and reason.
 	written map[[2]string]time.Duration
 }
 
-// isDue tells whether a line is due, and notes it.
+// isDue reports whether a line is due, and records it as logged.
 func (r *refusedHeartbeats) isDue(now time.Duration, id, reason string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -36,8 +37,9 @@
 	return true
 }
 
-// HeartbeatRefused implements Control. An engine that was known is used on with what it
-// last said until its lease ends: another writer's bytes are no word of it.
+// HeartbeatRefused implements Control. A known engine stays in use with its last valid heartbeat
+// until its lease expires: invalid bytes may come from another sender and say nothing about the
+// engine.
 func (n *Node) HeartbeatRefused(id string, err error) {
 	if n.refused.isDue(n.now(), id, err.Error()) {
 		n.log.Warn().Str("event", "heartbeat_refused").Str("instance", id).Err(err).Send()
--- a/internal/gateway/register_bench_test.go
+++ b/internal/gateway/register_bench_test.go
@@ -10,22 +10,23 @@
 	"github.com/ravenway/ravenway/internal/settings"
 )
 
-// registering is a deployment whose instances all register within ten seconds, as after
-// the start of the whole: what that costs one node, in processor time and in bytes sent.
+// registering is a deployment whose instances all register within ten seconds, as after a start of
+// the whole fleet. The benchmark measures what that costs one node, in processor time and in bytes
+// sent.
 type registering struct{ nodes, controls, instances int }
 
-// registrations are a fleet of hundreds of nodes, the whole of a fleet of a thousand, and
-// twice that.
+// registrations are the sizes of fleets: hundreds of nodes, a thousand, and twice that.
 var registrations = []registering{{300, 5, 3000}, {1000, 25, 10_000}, {2000, 25, 20_000}}
 
 const (
 	registeringFor    = 10 * time.Second
 	registeringHellos = int(registeringFor / (helloTicks * fleetTick))
-	// toldEach is how often a control node tells the others of what registers there.
+	// toldEach is the interval at which a control node sends the others the instances that
+	// registered with it.
 	toldEach = 250 * time.Millisecond
 )
 
-// registeringInstance is one of them, heard for the first time.
+// registeringInstance is one of the instances, at its first heartbeat.
 func registeringInstance(number int) registry.Instance {
 	return registry.Instance{
 		ID: fmt.Sprint("new-", number), Service: "model", Address: fmt.Sprintf("10.7.%d.%d:80", number/200, 1+number%200),
@@ -33,9 +34,9 @@
 	}
 }
 
-// BenchmarkRegistering gives the processor time of a node while they register: each
-// control node hears its part of them itself, and all hear the others' words. Between two
-// hellos of a control node its digest is always another one.
+// BenchmarkRegistering measures the processor time of a node while the instances register: each
+// control node receives the heartbeats of its part of them, and all nodes receive the other control
+// nodes' changes. A control node's digest differs from each hello to the next.
 func BenchmarkRegistering(b *testing.B) {
 	for _, size := range registrations {
 		for _, role := range []string{settings.RoleEntry, settings.RoleControl} {
@@ -62,7 +63,7 @@
 	}
 }
 
-// hellos are one of each control node.
+// hellos are one hello of each control node.
 func (r registering) hellos(digest int, withNodes bool) []peer.Hello {
 	var hellos []peer.Hello
 	for number := range r.controls {
@@ -90,7 +91,7 @@
 			} else {
 				node.fleet.mergeInstances(told, true)
 			}
-			// The node's clock goes on as it would.
+			// Advances the node's clock by the time that this step stands for.
 			node.started = node.started.Add(-toldEach / time.Duration(r.controls))
 			node.fleet.flush()
 		}
@@ -107,7 +108,7 @@
 	}
 }
 
-// total is the bytes of all kinds.
+// total is the number of bytes of all kinds.
 func (t *traffic) total() (bytes uint64) {
 	for _, counter := range t.bytes {
 		bytes += counter.Get()
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -12,12 +12,12 @@
 	"github.com/ravenway/ravenway/internal/settings"
 )
 
-// setClock sets a node's clock: hearing a thousand nodes may take longer beside load than
-// they count as alive.
+// setClock sets a node's clock. On a loaded machine, processing a thousand hellos may take longer
+// than the time for which nodes count as alive.
 func setClock(node *Node, to time.Duration) { node.started = time.Now().Add(-to) }
 
-// framesOfInstances counts the frames with instances that a control node of some fleet sends
-// for one change that it hears itself and one that another control node tells.
+// framesOfInstances counts the frames with instances that a control node sends for one change that
+// it learns itself (own) and for one that another control node sends it (told).
 func framesOfInstances(t *testing.T, entries, controls int, state registry.State) (own, told uint64) {
 	t.Helper()
 	node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
@@ -46,8 +46,9 @@
 	return own, told
 }
 
-// With many control nodes a change reaches each entry node over one of them, and what a
-// control node sends for one grows with its part of the entry nodes and not with all.
+// With many control nodes, a change reaches each entry node through one of them. The number of
+// frames that a control node sends for a change must grow with its share of the entry nodes, not
+// with all of them.
 func TestChangesReachEntryNodesOverOneControlNode(t *testing.T) {
 	for _, entries := range []int{100, 300, 1000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
@@ -56,14 +57,15 @@
 			assert.Assert(t, own <= most && told <= most, "%d and %d frames", own, told)
 			assert.Assert(t, told > 0)
 			own, _ = framesOfInstances(t, entries, 25, registry.Draining)
-			assert.Assert(t, own >= uint64(entries), "an instance that takes no more work is told to all at once: %d frames", own)
+			assert.Assert(t, own >= uint64(entries), "an instance that accepts no more work is sent to all nodes immediately: %d frames", own)
 		})
 	}
 	own, told := framesOfInstances(t, 100, 5, registry.Ready)
-	assert.Assert(t, own >= 100 && told == 0, "few control nodes tell all themselves: %d and %d", own, told)
+	assert.Assert(t, own >= 100 && told == 0, "with few control nodes each sends its changes to all nodes itself: %d and %d frames", own, told)
 }
 
-// Whoever lacks a change gets the instances of its bucket, not all.
+// A node that lacks a change must be sent only the instances of the bucket that differs, not all
+// instances.
 func TestLostChangeIsRepairedWithAFewInstances(t *testing.T) {
 	complete, lacking := registry.New(0), registry.New(0)
 	for number := range 10_000 {
@@ -81,8 +83,8 @@
 	assert.Equal(t, len(complete.Differing(0, lacking.Sums())), 0)
 }
 
-// An entry node greets those of many control nodes closely that it needs, and the others often
-// enough to count as alive there.
+// With many control nodes, an entry node sends hellos in every round only to those that it needs,
+// and to the others often enough to count as alive there.
 func TestEntryNodeGreetsClosely(t *testing.T) {
 	node := newIdleNode(t, benchEntry(0), benchZone(0), settings.RoleEntry)
 	const controls, replicas, rounds = 25, 7, 30
@@ -101,15 +103,15 @@
 		for number := range controls {
 			address := benchControl(number)
 			if !node.fleet.isTurn(address) {
-				assert.Assert(t, number >= replicas, "a replica of the group is greeted each time")
+				assert.Assert(t, number >= replicas, "a member of the control group is sent a hello in every round")
 				continue
 			}
 			greetings++
-			assert.Assert(t, round-lastGreeted[address] <= farHellos, "%s was not greeted for %d rounds", address, round-lastGreeted[address])
+			assert.Assert(t, round-lastGreeted[address] <= farHellos, "%s was sent no hello for %d rounds", address, round-lastGreeted[address])
 			lastGreeted[address] = round
 		}
 	}
 	most := rounds * (replicas + listTellers + (controls-replicas+farHellos-1)/farHellos + 1)
-	assert.Assert(t, greetings <= most, "%d greetings, at most %d", greetings, most)
+	assert.Assert(t, greetings <= most, "%d hellos, at most %d", greetings, most)
 	assert.Assert(t, time.Duration(farHellos*helloTicks)*fleetTick < 2500*time.Millisecond, "they count as alive")
 }
--- a/internal/gateway/remembered.go
+++ b/internal/gateway/remembered.go
@@ -11,21 +11,21 @@
 	"github.com/ravenway/ravenway/internal/state/journal"
 )
 
-// Files that control nodes keep hints for their next start in.
+// Names of the files in which control nodes keep hints for their next start.
 const (
 	rememberedInstances  = "instances"
 	rememberedQuarantine = "quarantine"
 )
 
-// rememberedFile keeps what a control node knows of something on its disk, as a hint for
-// its next start: after a loss of all power nobody would know it until it is told anew.
-// What is read may be outdated; whatever comes later goes before it.
+// rememberedFile keeps state that a control node knows on its disk, as a hint for its next start:
+// after a power loss of the whole fleet no node would have the state until it is reported again.
+// The content that is read may be outdated; anything received later takes precedence.
 type rememberedFile[Content any] struct {
 	node *Node
 	name string
-	// digest is that of the content written last.
+	// digest is the digest of the content that was last queued for writing.
 	digest uint64
-	// due is the content to be written; a full channel means that the disk is slow.
+	// due is the content to be written. If the channel is full, the disk is slow.
 	due chan Content
 }
 
@@ -33,7 +33,7 @@
 	return &rememberedFile[Content]{node: node, name: name, due: make(chan Content, 1)}
 }
 
-// look has the content written if it has changed.
+// look queues the content for writing if its digest has changed.
 func (r *rememberedFile[Content]) look(digest uint64, content func() Content) {
 	if digest == r.digest {
 		return
@@ -42,11 +42,11 @@
 	case r.due <- content():
 		r.digest = digest
 	default:
-		// The next look finds it changed still.
+		// The digest stays outdated, so the next call tries again.
 	}
 }
 
-// run writes what is offered, away from all duties: a disk may hang.
+// run writes queued content on a goroutine of its own, so that a disk that hangs blocks no duty.
 func (r *rememberedFile[Content]) run(ctx context.Context) {
 	for {
 		select {
@@ -72,8 +72,8 @@
 	return disk.WriteFileSynced(r.node.options.FileSystem, r.name, framed)
 }
 
-// recall returns what an earlier process wrote. A file that can't be read is as good as
-// none: all that it holds is told again.
+// recall returns the content that an earlier process wrote. A file that can't be read is treated as
+// missing, since all of its content will be reported again.
 func (r *rememberedFile[Content]) recall() (content Content) {
 	read, err := r.read()
 	if err != nil {
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -20,29 +20,30 @@
 
 const (
 	replicaTick = 50 * time.Millisecond
-	// electionTicks make an election timeout of 0.5 to 1 second.
+	// electionTicks is the election timeout in ticks, randomized between 0.5 and 1 second.
 	electionTicks = 10
-	// startTicks make an election timeout of 0.1 to 0.2 seconds after a start:
-	// about as long as the machines' processes differ in their start.
+	// startTicks is the election timeout after a start, randomized between 0.1 and 0.2 seconds:
+	// about the difference between the start times of the processes on the machines.
 	startTicks = 2
-	// heartbeatTicks make a heartbeat of 150 milliseconds.
+	// heartbeatTicks is the interval of the leader's heartbeats, 150 milliseconds.
 	heartbeatTicks = 3
-	// lostTicks is the silence, 2.5 seconds, after which a learner may take a
-	// voter's place.
+	// lostTicks is the time without contact, 2.5 seconds, after which a learner may replace a
+	// voter.
 	lostTicks = 50
-	// manageTicks is the number of ticks between looks at the members, closeTicks
-	// between looks at lives that are over.
+	// manageTicks is the number of ticks between checks of the group's members, and closeTicks
+	// between checks for ended incarnations.
 	manageTicks = 4
 	closeTicks  = 6
-	// accountTicks is the number of ticks between lines on the accounts,
-	// accountLines the most lines then.
+	// accountTicks is the number of ticks between log lines on the accounts, and accountLines the
+	// maximum number of lines each time.
 	accountTicks = 100
 	accountLines = 16
-	// recallPause is how long a budget that was recalled in vain is left alone.
+	// recallPause is the time after an unsuccessful recall of a budget before it may be recalled
+	// again.
 	recallPause = 500 * time.Millisecond
-	// reopenPause is the time between tries to use a disk that failed.
+	// reopenPause is the time between attempts to reopen a disk that failed.
 	reopenPause = 300 * time.Millisecond
-	// journalSegmentBytes keeps segments small: the disks are.
+	// journalSegmentBytes is the size of a journal segment, kept small because the disks are small.
 	journalSegmentBytes = 1 << 20
 )
 
@@ -55,27 +56,27 @@
 	root    *escrow.Root
 	id      consensus.ReplicaID
 	ticks   int
-	// failedAt is when the disk failed last; the replica is nil until it works
-	// again.
+	// failedAt is when the disk last failed; the replica is nil until the disk works again.
 	failedAt  time.Duration
 	published uint64
-	// committedBefore is the last committed entry at the leader's last look at
-	// the members; 0 before the first.
+	// committedBefore is the index of the last committed entry at the leader's previous check of
+	// the members; 0 before the first check.
 	committedBefore uint64
 	wasLeader       bool
 	// leadsSince is when this node became the leader.
 	leadsSince time.Duration
-	// nodeHeard tells that a node was heard that runs a new life. The life before may hold
-	// tokens that nobody can be granted until it is closed, and a control node's clock may
-	// be the one that was lacking for that.
+	// nodeHeard is set when a node appears with a new incarnation. The previous incarnation may
+	// hold tokens that can't be granted until its accounts are closed; if the node is a control
+	// node, its clock may be the one that was missing for closing accounts.
 	nodeHeard atomic.Bool
-	// founding is since when this node waits for the others to found a group.
+	// founding is when this node began to wait for the other seeds to bootstrap the group; 0
+	// before.
 	founding time.Duration
 	raise    logversion.Raise
 	shared   atomic.Pointer[replicaView]
 }
 
-// replicaView is the replica's state as others may read it.
+// replicaView is an immutable snapshot of the replica's state for other goroutines.
 type replicaView struct {
 	leader        string
 	leading       bool
@@ -83,11 +84,11 @@
 	quorumSilence time.Duration
 	hasGroup      bool
 	replica       consensus.ReplicaID
-	// voters and caughtUpVoters are known to the leader only: its group's
-	// voters, and those that hold every committed entry on disk.
+	// voters is the number of the group's voters, and caughtUpVoters that of the voters that hold
+	// every committed entry on disk. Only the leader knows them.
 	voters, caughtUpVoters int
-	// logVersion is that of the applied log; waitsFor are the control nodes for which its
-	// raise waits.
+	// logVersion is the version of the applied log. waitsFor are the control nodes that delay the
+	// raise of the version.
 	logVersion machine.LogVersion
 	waitsFor   []string
 }
@@ -101,8 +102,8 @@
 	return owner
 }
 
-// reopen starts from what is on the disk, as after a crash. A disk that refuses
-// to be written is tried again later.
+// reopen recovers the replica from the disk, as after a crash. If the disk can't be written, it is
+// tried again later.
 func (r *replicaDuty) reopen() {
 	r.failedAt = r.node.now()
 	r.machine = machine.New()
@@ -141,8 +142,8 @@
 	})
 }
 
-// fail gives the replica up until the disk works: nothing that is not on it
-// may count, so all that was not acknowledged is forgotten.
+// fail closes the replica until the disk works again. Only what is on disk may count, so all
+// unacknowledged state in memory is dropped.
 func (r *replicaDuty) fail(err error) {
 	r.node.log.Error().Str("event", "disk_failed").Err(err).Send()
 	_ = r.replica.Close()
@@ -151,7 +152,7 @@
 	r.share()
 }
 
-// send finds the node that holds a replica.
+// send sends a message to the node that holds the receiving replica.
 func (r *replicaDuty) send(message consensus.Message) {
 	if r.replica != nil {
 		if member, found := r.replica.Core().Configuration().Member(message.To); found {
@@ -159,8 +160,8 @@
 			return
 		}
 	}
-	// Not a member as this replica knows it: a new leader that it has not
-	// heard the configuration of. Its node says who it is in its hellos.
+	// The receiver is not in the configuration that this replica knows, for example a new leader of
+	// a later configuration. Hellos name the replica of each node.
 	if address := r.node.nodeOfReplica(message.To); address != "" {
 		r.node.send(address, peer.KindConsensus, &message)
 	}
@@ -220,7 +221,7 @@
 
 func (r *replicaDuty) hasGroup() bool { return len(r.replica.Core().Configuration().Members) > 0 }
 
-// flush persists, sends and applies, and passes on what has changed.
+// flush persists and sends messages, applies committed entries, and publishes the changes.
 func (r *replicaDuty) flush() {
 	if r.replica == nil {
 		return
@@ -285,7 +286,7 @@
 	return holders
 }
 
-// proposeReports turns the waiting reports of holders into one command.
+// proposeReports proposes one command with all waiting reports of holders.
 func (r *replicaDuty) proposeReports() {
 	batch, found := r.root.Batch()
 	if !found {
@@ -296,11 +297,11 @@
 		if err == nil {
 			root.Applied(r.node.now(), batch, result)
 		}
-		// Holders repeat what was not answered.
+		// Holders repeat reports that received no response.
 	})
 }
 
-// propose appends a command; done is called once.
+// propose proposes a command to the log; done is called exactly once.
 func (r *replicaDuty) propose(command machine.Command, done func(machine.Result, error)) {
 	if r.replica == nil {
 		done(machine.Result{}, consensus.ErrNotLeader)
@@ -320,8 +321,7 @@
 	})
 }
 
-// logAccounts writes how the prepaid tokens stand, of the tenants with the
-// least left to grant.
+// logAccounts logs the accounts of the tenants with the fewest prepaid tokens left to grant.
 func (r *replicaDuty) logAccounts() {
 	var budgets []*accounts.Budget
 	for _, name := range r.machine.Accounts().Names() {
@@ -336,8 +336,8 @@
 	}
 }
 
-// publish puts the zones, the rollouts and the document of the applied log in force here
-// and tells all.
+// publish brings the evacuated zones, the rollouts and the document of the applied log into effect
+// on this node and distributes them.
 func (r *replicaDuty) publish() {
 	r.node.zones.put(r.node.address, r.machine.Evacuated())
 	r.node.rollouts.put(r.node.address, r.machine.Rollouts(), false)
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -12,32 +12,33 @@
 )
 
 const (
-	// leastRollout is the shortest time in which a version can be judged and all work moved;
-	// mostRollout keeps a mistaken figure from standing for weeks.
+	// leastRollout is the shortest time in which a version can be analysed and all requests moved.
+	// mostRollout prevents a mistyped duration from staying in effect for weeks.
 	leastRollout, mostRollout = 3 * time.Second, 24 * time.Hour
 )
 
-// Errors of orders for rollouts.
+// Errors of rollout orders.
 var (
 	// ErrUnknownService says that the configuration has no such service.
 	ErrUnknownService = errors.New("gateway: no such service")
-	// ErrRolloutUnderWay says that the same order was taken before.
+	// ErrRolloutUnderWay says that the same order was accepted before and its rollout is in
+	// progress.
 	ErrRolloutUnderWay = errors.New("gateway: the rollout is under way")
 	// ErrOtherRollout says that another rollout of the service is running.
 	ErrOtherRollout = errors.New("gateway: another rollout of the service is running")
-	// ErrVersionRuns says that all of the service's instances have the version already.
+	// ErrVersionRuns says that all of the service's instances already run the version.
 	ErrVersionRuns = errors.New("gateway: the version runs already")
-	// ErrRolloutDuration says that an order can't be met in its time.
+	// ErrRolloutDuration says that an order's duration is out of range.
 	ErrRolloutDuration = errors.New("gateway: a rollout can't take that time")
 	// ErrNoRollout says that no rollout of the service was ordered.
 	ErrNoRollout = errors.New("gateway: no rollout of the service was ordered")
-	// errConfigurationNotRead says that the leader does not know the configuration yet.
+	// errConfigurationNotRead says that the leader has not read the configuration yet.
 	errConfigurationNotRead = errors.New("the leader has not read its configuration yet")
-	// errOlderNodes says that nodes run builds that know no rollouts.
+	// errOlderNodes says that nodes run builds that do not support rollouts.
 	errOlderNodes = errors.New("nodes run a build that knows no rollouts")
 )
 
-// rolloutRefusal tells why an order was not taken.
+// rolloutRefusal is the reason why an order was not accepted.
 type rolloutRefusal uint8
 
 const (
@@ -47,7 +48,7 @@
 	refusedOlderNodes
 )
 
-// rolloutAnswer answers an order for a rollout, or a question for one.
+// rolloutAnswer is the response to a rollout order, or to a request for a service's rollout.
 type rolloutAnswer struct {
 	Refused rolloutRefusal  `msgpack:"f"`
 	Answer  rollout.Answer  `msgpack:"a"`
@@ -55,7 +56,7 @@
 	Found   bool            `msgpack:"o"`
 }
 
-// rolloutQuestion asks the leader for a service's newest rollout.
+// rolloutQuestion requests a service's newest rollout from the leader.
 type rolloutQuestion struct {
 	Service string `msgpack:"s"`
 }
@@ -102,7 +103,7 @@
 		return rolloutAnswer{}, err
 	}
 	if held.Version == 0 || n.documents.version() < held.Version {
-		// This node has just started: it can't tell which services there are.
+		// This node has just started and does not know the services yet.
 		return rolloutAnswer{}, errConfigurationNotRead
 	}
 	if refused := n.refusesRollout(order); refused != rolloutTaken {
@@ -116,7 +117,7 @@
 	return rolloutAnswer{Answer: result.Rollout.Answer, Rollout: result.Rollout.Rollout, Found: true}, nil
 }
 
-// refusesRollout tells why an order can't be taken as things are.
+// refusesRollout returns why an order can't be accepted at the moment, or rolloutTaken if it can.
 func (n *Node) refusesRollout(order rollout.Order) rolloutRefusal {
 	index := n.documents.index.Load()
 	if index.Service(order.Service) == nil {
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// canaryShare is the part of the exposure that a bad version may have that a canary
-	// uses. The rest is for nodes that end and are forgotten with what they had served.
+	// canaryShare is the part of the permitted exposure to a bad version that a canary may use. The
+	// remainder covers nodes that crash, whose counts of served requests are lost with them.
 	canaryShare = 0.8
-	// tellDoneFor is how long nodes are told of a rollout that is done, and keep from the
-	// old version: its instances end meanwhile. Later ones of any version get work again.
+	// tellDoneFor is how long a completed rollout is still distributed and keeps requests from the
+	// old version, whose instances end in that time. Instances of any version that start later
+	// receive work again.
 	tellDoneFor = 15 * time.Second
 )
 
-// rolloutStore holds the rollouts in force at this node: a control node has them from the
-// log, an entry node from the hellos of control nodes. It is used by several duties.
+// rolloutStore holds the rollouts in effect at this node: a control node reads them from the log,
+// an entry node receives them in the hellos of control nodes. Several duties use it.
 type rolloutStore struct {
 	node     *Node
 	recorder *judging.Recorder
 	mutex    sync.Mutex
 	held     rollout.Set
-	// seen is when this node first held each rollout by its revision, as if it had held it
-	// since the order.
+	// seen is the time at which each rollout was ordered as this node sees it, by the rollout's
+	// revision: when the node first held it, or earlier if it was restored from the log.
 	seen map[uint64]time.Duration
-	// steppedAt is when it was last seen to move on.
+	// steppedAt is when each rollout's stage was last seen to change, by revision.
 	steppedAt map[uint64]time.Duration
-	// kept is the number of rollouts that the table keeps to.
+	// kept is the number of rollouts that the table applies.
 	kept int
 }
 
@@ -40,23 +41,23 @@
 	return &rolloutStore{node: node, recorder: judging.NewRecorder(), seen: map[uint64]time.Duration{}, steppedAt: map[uint64]time.Duration{}}
 }
 
-// inForce are the rollouts as this node keeps to them.
+// inForce are the rollouts in effect at this node.
 func (s *rolloutStore) inForce() rollout.Set {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.held
 }
 
-// hear takes a control node's word of the rollouts.
+// hear accepts the rollouts in a control node's hello.
 func (s *rolloutStore) hear(hello peer.Hello) {
 	if s.node.replica == nil && hello.Rollouts != nil {
 		s.put(hello.Address, *hello.Rollouts, false)
 	}
 }
 
-// put takes rollouts that a control node or this node's own log tells of. A control node
-// says hello to all at once. One whose log is read again after a start has missed a part of
-// a rollout's time, which the time of day tells.
+// put applies rollouts from a control node or from this node's own log if they are newer. A control
+// node then sends hellos to all nodes immediately. A node that reads its log after a restart has
+// missed part of a rollout's time, which it estimates by the wall clock.
 func (s *rolloutStore) put(from string, set rollout.Set, isRestored bool) {
 	now := s.node.now()
 	s.mutex.Lock()
@@ -112,15 +113,15 @@
 	}
 }
 
-// keepTo has the table keep to the rollouts that say where requests go. The caller holds
-// the mutex.
+// keepTo passes the effective rollouts, which decide where requests go, to the table. The caller
+// holds the mutex.
 func (s *rolloutStore) keepTo(now time.Duration) {
 	kept := s.effective(now)
 	s.kept = len(kept)
 	s.node.table.SetRollouts(kept, s.share())
 }
 
-// tick gives up rollouts that are done for long enough.
+// tick drops rollouts that have been done for tellDoneFor.
 func (s *rolloutStore) tick() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// effective are the rollouts but those that are done for some time. The caller holds the
+// effective are the rollouts except those that have been done for tellDoneFor. The caller holds the
 // mutex.
 func (s *rolloutStore) effective(now time.Duration) []rollout.Rollout {
 	return slices.DeleteFunc(slices.Clone(s.held.Rollouts), func(one rollout.Rollout) bool {
@@ -137,7 +138,7 @@
 	})
 }
 
-// told is what this control node's hellos tell of rollouts; nil is nothing.
+// told returns the rollouts that this control node's hellos carry, or nil if there are none.
 func (s *rolloutStore) told() *rollout.Set {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -25,7 +25,7 @@
 	readyTimeout         = 2 * time.Second
 )
 
-// server is one open listener with what serves it.
+// server is a server on an open listener.
 type server interface {
 	close()
 }
@@ -90,9 +90,9 @@
 	return router
 }
 
-// callerServer serves callers under the limits of the document in force. An
-// http.Server's limits can't change while it serves, so each change of them
-// begins another one for the connections that come after it.
+// callerServer serves callers with the limits of the document in effect. An http.Server's limits
+// can't change while it serves, so each change starts another server for the connections accepted
+// after it.
 type callerServer struct {
 	listener net.Listener
 	handler  http.Handler
@@ -104,7 +104,7 @@
 	closed  bool
 }
 
-// limitedServer is an http.Server that is handed its connections.
+// limitedServer is an http.Server that receives its connections through a channel.
 type limitedServer struct {
 	http        *http.Server
 	connections chan net.Conn
@@ -119,7 +119,7 @@
 	return callers
 }
 
-// adopt takes the limits of a new document in force.
+// adopt applies the limits of a document that has come into effect.
 func (c *callerServer) adopt(index *document.Index) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -151,7 +151,7 @@
 	go func() { _ = begun.http.Serve(begun) }()
 }
 
-// run hands new connections to the server under the limits in force.
+// run accepts connections and passes them to the server with the current limits.
 func (c *callerServer) run() {
 	for {
 		connection, err := c.listener.Accept()
@@ -173,8 +173,7 @@
 	}
 }
 
-// shutdown takes no more connections, closes those at rest, and waits for the
-// requests in progress.
+// shutdown stops accepting connections, closes idle ones, and waits for the requests in flight.
 func (c *callerServer) shutdown(ctx context.Context) {
 	c.mutex.Lock()
 	c.closed = true
--- a/internal/gateway/stale.go
+++ b/internal/gateway/stale.go
@@ -12,12 +12,12 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// staleLines is the most lines on stale frames at a time: in a cut all other
-// nodes may be among their receivers.
+// staleLines is the maximum number of log lines on stale frames in one summary: in a partition all
+// other nodes may be among the receivers.
 const staleLines = 16
 
-// staleFrames notes the frames that waited too long for their connection, by
-// receiver and kind, and writes a bounded number of lines on them.
+// staleFrames counts the frames that were dropped because they waited too long for their
+// connection, by receiver and kind, and logs a bounded number of lines on them.
 type staleFrames struct {
 	node *Node
 
@@ -25,7 +25,7 @@
 	waiting map[staleKind]staleSum
 }
 
-// staleKind is what stale frames are summed up by.
+// staleKind is the key by which stale frames are summed up.
 type staleKind struct {
 	peer string
 	kind peer.Kind
@@ -42,7 +42,7 @@
 	return &staleFrames{node: node, waiting: map[staleKind]staleSum{}}
 }
 
-// note counts one frame; the next summary has its line.
+// note counts one frame for the next summary.
 func (s *staleFrames) note(to string, frame []byte, waited time.Duration) {
 	envelope, err := peer.Decode(frame)
 	if err != nil {
@@ -59,8 +59,8 @@
 	}
 }
 
-// summarize writes a line for each receiver and kind with the most frames since
-// the last call, and one for all the others together.
+// summarize logs a line for each of the staleLines pairs of receiver and kind with the most frames
+// since the last call, and one line for all others together.
 func (s *staleFrames) summarize() {
 	sums := s.take()
 	for _, sum := range sums[:min(len(sums), staleLines)] {
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,30 +8,31 @@
 )
 
 const (
-	// listedWait is how long the platform may go on sending callers to a node
-	// that says that it is not ready.
+	// listedWait is how long the platform may continue to send callers to a node that reports
+	// itself not ready.
 	listedWait = 3200 * time.Millisecond
-	// handOverWait is what a control node needs to hand its leadership over.
+	// handOverWait is the time that a control node needs to transfer its leadership.
 	handOverWait = 600 * time.Millisecond
-	// returnWait bounds the return of unspent tokens.
+	// returnWait is the maximum time for the return of unspent tokens.
 	returnWait = 500 * time.Millisecond
-	// requestsWait bounds the wait for requests if the caller names no time.
+	// requestsWait is the maximum wait for requests in flight if the context has no deadline.
 	requestsWait = time.Minute
-	// stopPoll is the time between looks at the requests in progress.
+	// stopPoll is the interval at which the number of requests in flight is checked.
 	stopPoll = 20 * time.Millisecond
 )
 
 // plannedStop is a planned stop that has begun.
 type plannedStop struct {
-	// began and cutsAt are times of the node's clock.
+	// began is when the stop began, and cutsAt when requests still in flight are aborted. Both are
+	// on the clock of Node.now.
 	began, cutsAt time.Duration
 }
 
 func (n *Node) isStopping() bool { return n.stop.Load() != nil }
 
-// Stop is a planned stop: the node calls itself not ready, serves what still
-// comes, waits for the requests in progress as long as the context allows, and
-// gives back what it holds. It returns the number of requests that are cut.
+// Stop performs a planned stop: the node reports itself not ready, serves requests that still
+// arrive, waits for the requests in flight as long as the context allows, and returns the tokens
+// that it holds. It returns the number of requests that are aborted.
 func (n *Node) Stop(ctx context.Context) int64 {
 	began := n.now()
 	n.stop.Store(&plannedStop{began: began, cutsAt: began + time.Until(n.endOfRequests(ctx))})
@@ -56,10 +57,10 @@
 	return n.pipeline.Active()
 }
 
-// drain waits for the platform's list and for the requests in progress, then
-// takes no more connections. Until then those that still come are answered: the
-// platform may have nobody else to send them to. The tokens go back last: a
-// request that still comes must be able to have some.
+// drain waits until the platform has removed the node from its list and the requests in flight are
+// done, then accepts no more connections. Requests that arrive before that are served, since the
+// platform may have no other node to send them to. The tokens are returned last, because a request
+// that still arrives must be able to reserve some.
 func (n *Node) drain(ctx context.Context) {
 	serving, cancel := context.WithDeadline(ctx, n.endOfRequests(ctx))
 	defer cancel()
@@ -74,7 +75,8 @@
 	}
 }
 
-// endOfRequests leaves time for the return of the tokens.
+// endOfRequests is the deadline for requests in flight. It leaves time for the return of the
+// tokens.
 func (n *Node) endOfRequests(ctx context.Context) time.Time {
 	if deadline, found := ctx.Deadline(); found {
 		return deadline.Add(-returnWait)
@@ -82,8 +84,7 @@
 	return time.Now().Add(requestsWait)
 }
 
-// handOver gives leadership to another voter, so that nothing waits for an
-// election.
+// handOver transfers leadership to another voter, so that no work has to wait for an election.
 func (n *Node) handOver() {
 	n.replica.duty.Offer(func() {
 		if !n.replica.leading() {
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -15,20 +15,21 @@
 
 const (
 	tokensTick = 40 * time.Millisecond
-	// rootTimeout is the silence of the root after which neighbours are asked.
+	// rootTimeout is the time without a response from the root after which tokens are requested
+	// from neighbours.
 	rootTimeout = 50 * time.Millisecond
-	// onlyLife is the incarnation of all holders here: each life of a node has
-	// a name of its own.
+	// onlyLife is the incarnation number of all holders of a node: each incarnation of a node
+	// already has a unique name.
 	onlyLife = 1
 )
 
-// tokensDuty owns the prepaid tokens that were granted to this node.
+// tokensDuty owns the prepaid tokens that are granted to this node.
 type tokensDuty struct {
 	node   *Node
 	duty   *duty.Duty
 	holder *escrow.Holder
-	// lenders is the generation of the neighbours that the holder may borrow from,
-	// pools are the pool holders among them.
+	// lenders is the generation of the neighbours from which the holder may borrow, and pools
+	// determines the pool holders among them.
 	lenders uint64
 	pools   *tokenPools
 }
@@ -71,7 +72,7 @@
 	t.holder.Tick(t.node.now())
 }
 
-// reservation is a forward.Reservation.
+// reservation implements forward.Reservation.
 type reservation struct {
 	tokens *tokensDuty
 	held   escrow.Reservation
@@ -89,13 +90,13 @@
 	err  error
 }
 
-// reserve sets tokens aside; it waits shortly for the root or a neighbour.
+// reserve reserves tokens for a request. It waits at most patience for the root or a neighbour.
 func (t *tokensDuty) reserve(ctx context.Context, tenant string, amount uint64, patience time.Duration) (forward.Reservation, error) {
 	ended, err := duty.Ask(ctx, t.duty, func(answer func(reserved)) {
 		deadline := t.node.now() + patience
 		t.holder.Reserve(t.node.now(), deadline, tenant, amount, escrow.Policy{}, func(held escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
-				// Nobody waits for it any more.
+				// The caller has given up waiting, so the tokens are released.
 				t.holder.Settle(t.node.now(), held, 0)
 			}
 			answer(reserved{held: held, err: err})
@@ -129,9 +130,9 @@
 	t.duty.Offer(func() { t.holder.TakeStandings(message) })
 }
 
-// takeLend handles one step of a loan. A loan stays charged to its lender's
-// grant for good: when a life ends all that it was granted is charged, so a
-// loan that is known to nobody any more can't be spent twice.
+// takeLend handles one step of a loan. A loan stays charged to its lender's grant permanently: when
+// an incarnation ends, all that it was granted is charged, so a loan that no node knows of any more
+// can't be spent twice.
 func (t *tokensDuty) takeLend(message escrow.LendMessage) {
 	t.duty.Offer(func() {
 		now := t.node.now()
@@ -153,7 +154,7 @@
 	})
 }
 
-// takePool handles another node's request for pooled tokens, or the refusal of one.
+// takePool handles another node's request for pooled tokens, or the refusal of such a request.
 func (t *tokensDuty) takePool(message escrow.PoolMessage) {
 	t.duty.Offer(func() {
 		if refusal := message.Refusal; refusal != nil {
@@ -166,19 +167,19 @@
 
 func neverFenced(accounts.HolderID) bool { return false }
 
-// stopping lets nothing be held ahead of demand any more.
+// stopping makes the holder hold no more tokens ahead of demand.
 func (t *tokensDuty) stopping() { t.duty.Offer(t.holder.SetStopping) }
 
 const (
-	// rootSilence is the silence of all control nodes after which the root
-	// counts as out of reach.
+	// rootSilence is the time without contact with a control node that has a quorum after which the
+	// root counts as unreachable.
 	rootSilence = time.Second
-	// handOverTry is how long one neighbour may take to take tokens over.
+	// handOverTry is how long one neighbour may take to accept tokens.
 	handOverTry = 150 * time.Millisecond
 )
 
-// giveAway gives up what this node holds, for a planned stop: to the root, or
-// where that is out of reach to a neighbour, who may go on spending it.
+// giveAway gives up the tokens that this node holds, for a planned stop: to the root, or if that is
+// unreachable to neighbours, which can spend them.
 func (t *tokensDuty) giveAway(ctx context.Context) error {
 	if t.node.hearsRoot() {
 		return t.returnAll(ctx)
@@ -198,8 +199,8 @@
 	return nil
 }
 
-// returnAll gives back what is unspent and waits until the root knows all, for
-// a planned stop.
+// returnAll returns unspent tokens and waits until everything is reported to the root, for a
+// planned stop.
 func (t *tokensDuty) returnAll(ctx context.Context) error {
 	if err := t.duty.Do(ctx, t.holder.ReturnAll); err != nil {
 		return err
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -14,7 +14,7 @@
 type traffic struct {
 	frames []*metrics.Counter
 	bytes  []*metrics.Counter
-	// logged are the bytes at the last line.
+	// logged are the byte counts at the last log line, by kind.
 	logged []uint64
 }
 
@@ -36,8 +36,7 @@
 	}
 }
 
-// describe adds the bytes of each kind since the last call, for those that had
-// any.
+// describe returns the bytes of each kind since the last call, without kinds that had none.
 func (t *traffic) describe() *zerolog.Event {
 	line := zerolog.Dict()
 	for kind := range t.bytes {
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -33,9 +33,9 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-var writeShapes = flag.Bool("write-shapes", false, "write testdata/shapes.txt anew")
+var writeShapes = flag.Bool("write-shapes", false, "rewrite testdata/shapes.txt")
 
-// wireSample is one message as a node may send it.
+// wireSample is a sample of one message that a node may send.
 type wireSample struct {
 	name string
 	kind peer.Kind
@@ -44,8 +44,8 @@
 
 var sampleHolder = accounts.HolderID{Node: "10.1.0.40:7340#0123456789abcdef", Incarnation: 1}
 
-// samplesOfStrictBuilds are messages with the fields that the builds before dialects know.
-// The frames that those builds write of them are under testdata.
+// samplesOfStrictBuilds are messages with the fields that builds without protocol versions know.
+// The frames that those builds encode for them are in testdata.
 func samplesOfStrictBuilds() []wireSample {
 	contact := accounts.Contact{Index: 12, Clock: 3, SteadyMS: 1234, WallMS: 1700000000000}
 	allowance := accounts.Allowance{Sequence: 3, Tokens: 4000, Pace: 100}
@@ -136,7 +136,7 @@
 	return append(all, wireSample{"quarantine", peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(2)}, Digest: 4, IsList: true, Answer: true}})
 }
 
-// decodeInto reads a frame as this build does.
+// decodeInto decodes a frame as this build does.
 func decodeInto(frame []byte, like any) (any, error) {
 	envelope, err := peer.Decode(frame)
 	if err != nil {
@@ -182,7 +182,7 @@
 	return &body, err
 }
 
-// decodeStrictly reads a body as the builds before dialects do.
+// decodeStrictly decodes a body as the builds without protocol versions do.
 func decodeStrictly(frame []byte, like any) (any, error) {
 	var envelope peer.Envelope
 	if err := msgpack.Unmarshal(frame, &envelope); err != nil {
@@ -192,10 +192,10 @@
 	return into, msgpack.Unmarshal(envelope.Body, into)
 }
 
-// strictBuilds are the builds before dialects that a fleet may be upgraded from.
+// strictBuilds are the builds without protocol versions that a fleet may be upgraded from.
 var strictBuilds = []string{"2b8f16a", "619b733"}
 
-// goldenFrames reads the frames that a build wrote, by the names of the samples.
+// goldenFrames reads the frames that a build encoded, by the names of the samples.
 func goldenFrames(t *testing.T, build string) map[string][]byte {
 	t.Helper()
 	file, err := os.Open(filepath.Join("testdata", "frames-"+build+".txt"))
@@ -214,14 +214,14 @@
 	return frames
 }
 
-// An upgrade mixes builds: all that an earlier one says is understood, each field in its
-// place, and what it does not know is zero.
+// During an upgrade builds are mixed. All fields of an earlier build's messages must be decoded
+// correctly, and fields that it does not know must be zero.
 func TestFramesOfEarlierBuildsAreRead(t *testing.T) {
 	for _, build := range strictBuilds {
 		frames := goldenFrames(t, build)
 		for _, sample := range samplesOfStrictBuilds() {
 			frame, found := frames[sample.name]
-			assert.Assert(t, found, "%s has no frame %q", build, sample.name)
+			assert.Assert(t, found, "build %s has no frame %q", build, sample.name)
 			read, err := decodeInto(frame, sample.body)
 			assert.NilError(t, err, "%s of %s", sample.name, build)
 			assert.DeepEqual(t, read, sample.body)
@@ -229,8 +229,8 @@
 	}
 }
 
-// The builds before dialects read all messages that this one writes for them, each by
-// their own rules and with their own structs.
+// Builds without protocol versions must be able to decode all messages that this build encodes for
+// them, with their strict rules and their own structs.
 func TestFramesForEarlierBuildsAreReadByThem(t *testing.T) {
 	for _, sample := range samples() {
 		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.DialectStrict)
@@ -253,13 +253,14 @@
 	}
 }
 
-// helloBeforeQuarantine is a part of 2b8f16a's Hello; a map's other fields are passed over.
+// helloBeforeQuarantine has some fields of 2b8f16a's Hello; the decoder ignores the map's other
+// fields.
 type helloBeforeQuarantine struct {
 	Address string           `msgpack:"a"`
 	Nodes   []peer.NodeEntry `msgpack:"m,omitempty"`
 }
 
-// instancesBeforeLives is a part of 2b8f16a's list of instances.
+// instancesBeforeLives has some fields of 2b8f16a's list of instances.
 type instancesBeforeLives struct {
 	Instances []struct {
 		ID       string `msgpack:"i"`
@@ -268,7 +269,7 @@
 	} `msgpack:"i"`
 }
 
-// Messages between two nodes of this build.
+// Messages between two nodes of this build must be decoded with all fields.
 func TestFramesOfThisBuildAreReadWhole(t *testing.T) {
 	for _, sample := range samples() {
 		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.OwnDialect)
@@ -279,7 +280,7 @@
 	}
 }
 
-// shapes are those of all messages between nodes.
+// shapes describes the encoded fields of all messages between nodes, one field a line.
 func shapes() []string {
 	var lines []string
 	for _, sample := range samples() {
@@ -299,8 +300,9 @@
 	return lines
 }
 
-// A message that changes is a matter for nodes of two builds: whoever changes one sees it
-// here, and that earlier builds' fields still stand where those builds look for them.
+// A changed message affects fleets that run two builds. This test makes each change of a message
+// visible, and checks that the fields of an earlier build stay at the positions where that build
+// expects them.
 func TestShapesOfMessagesChangeOnlyByFieldsBehindTheOthers(t *testing.T) {
 	today := shapes()
 	if *writeShapes {
@@ -314,7 +316,7 @@
 	}
 }
 
-// byStruct sorts the lines of shapes, "package.Struct.field kind", by their structs.
+// byStruct groups the lines of shapes, "package.Struct.field kind", by their structs.
 func byStruct(lines []string) map[string][]string {
 	fields := map[string][]string{}
 	for _, line := range lines {
@@ -332,7 +334,8 @@
 	return strings.Split(strings.TrimSpace(string(text)), "\n")
 }
 
-// withFields returns a frame whose body, an array, has some fields more or fewer.
+// withFields returns a frame whose body, an array, has more additional fields, or fewer if more is
+// negative.
 func withFields(t *testing.T, frame []byte, more int) []byte {
 	t.Helper()
 	envelope, err := peer.Decode(frame)
@@ -351,7 +354,8 @@
 	return changed.Bytes()
 }
 
-// The next build's messages have more fields, and this one's fewer than that reads.
+// Messages of a later build may have more fields than this build knows, and messages of an earlier
+// one fewer.
 func TestArraysOfMoreAndOfFewerFieldsAreRead(t *testing.T) {
 	for _, sample := range samples() {
 		if sample.kind == peer.KindHello {
@@ -374,8 +378,8 @@
 	}
 }
 
-// Whatever comes is an error or a message, never a panic; and what is read as a report
-// names the holder that the bytes name.
+// Any input must decode to a message or an error, never a panic, and a decoded report must name a
+// holder whose name is in the input.
 func FuzzMessagesOfAnyBuild(f *testing.F) {
 	for _, sample := range samples() {
 		for _, reader := range []peer.Dialect{peer.DialectStrict, peer.OwnDialect} {
@@ -396,7 +400,8 @@
 	})
 }
 
-// Who reads how is known from hellos, and of entry nodes from the control nodes' lists.
+// The protocol versions of nodes are learnt from their hellos, and those of entry nodes from the
+// control nodes' lists.
 func TestDialectsAreKnownFromHellosAndLists(t *testing.T) {
 	node := newIdleNode(t, benchEntry(0), benchZone(0), settings.RoleEntry)
 	hello := controlHello(0, 3, 1, true)
@@ -406,7 +411,7 @@
 	assert.Equal(t, node.dialects.reader(hello.Address), peer.OwnDialect)
 	assert.Equal(t, node.dialects.reader(benchEntry(1)), peer.OwnDialect)
 	assert.Equal(t, node.dialects.reader(benchEntry(2)), peer.DialectStrict)
-	// It is given the earlier build again, which can't tell how the others read.
+	// The node is downgraded to the earlier build, which can't report the other nodes' versions.
 	earlier := controlHello(0, 3, 1, true)
 	earlier.Dialect = peer.DialectStrict
 	node.fleet.takeHello(hello.Address, earlier)
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -12,12 +12,12 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// ErrUnknownZone says that an order names a zone that is not there.
+// ErrUnknownZone says that an order names a zone that does not exist.
 var ErrUnknownZone = errors.New("gateway: no such zone")
 
-// zoneStore holds the evacuated zones in force at this node. A control node has
-// them from the log, an entry node from the hellos of control nodes; an older
-// revision never replaces a newer one.
+// zoneStore holds the evacuated zones in effect at this node. A control node reads them from the
+// log, an entry node receives them in the hellos of control nodes; an older revision never replaces
+// a newer one.
 type zoneStore struct {
 	node  *Node
 	mutex sync.Mutex
@@ -26,23 +26,23 @@
 
 func newZoneStore(node *Node) *zoneStore { return &zoneStore{node: node} }
 
-// inForce are the evacuated zones as this node keeps to them.
+// inForce are the evacuated zones in effect at this node.
 func (z *zoneStore) inForce() evacuation.Zones {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	return z.held
 }
 
-// hear takes a control node's word of the zones.
+// hear accepts the evacuated zones in a control node's hello.
 func (z *zoneStore) hear(hello peer.Hello) {
 	if z.node.replica == nil {
 		z.put(hello.Address, hello.Evacuated)
 	}
 }
 
-// put takes zones that a control node or this node's own log tells of. A control
-// node says hello to all at once: so an order is in force everywhere one way later,
-// and each further hello repeats it for whom that one did not reach.
+// put applies evacuated zones from a control node or from this node's own log if they are newer. A
+// control node then sends hellos to all nodes immediately, so that an order takes effect everywhere
+// after one transit time; each later hello repeats it for nodes that the first did not reach.
 func (z *zoneStore) put(from string, zones evacuation.Zones) {
 	z.mutex.Lock()
 	isNewer := zones.Supersedes(z.held)
@@ -60,7 +60,7 @@
 	}
 }
 
-// EvacuatedZones are the evacuated zones in force at this node.
+// EvacuatedZones are the evacuated zones in effect at this node.
 func (n *Node) EvacuatedZones() evacuation.Zones { return n.zones.inForce() }
 
 // OrderZone implements Control.
@@ -71,8 +71,8 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	command := machine.ZoneCommand{Zone: zone, Evacuated: evacuated}
-	// It goes to the log also where it seems to change nothing: another operator's
-	// order that this node has not heard of may come before it.
+	// The order is committed even if it seems to change nothing: another operator's order that this
+	// node does not know yet may precede it in the log.
 	zones, err := atLeader(ctx, n, peer.MethodOrderZone, &command, func() (evacuation.Zones, error) {
 		return n.orderZoneHere(ctx, command)
 	})
@@ -93,8 +93,8 @@
 	return *result.Zones, nil
 }
 
-// knowsZone tells whether a zone is one of the fleet's: one that the settings name,
-// or where they name none, one in which a node or an instance was heard.
+// knowsZone reports whether a zone belongs to the fleet: one that the settings name, or where they
+// name none, one in which a node or an instance is known.
 func (n *Node) knowsZone(zone string) bool {
 	current := n.settings.Load()
 	if len(current.Fleet.Zones) > 0 {
