--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -18,14 +18,14 @@
 	pausesBegan        = metrics.GetOrCreateCounter("ravenway_instance_pauses_begun_total")
 	pausesExtended     = metrics.GetOrCreateCounter("ravenway_instance_pauses_extended_total")
 	pausesUnreadable   = metrics.GetOrCreateCounter("ravenway_instance_pauses_unreadable_total")
-	instancesNotOpen   = metrics.GetOrCreateGauge("ravenway_instances_in_backoff", nil)
-	instancesLeft      = metrics.GetOrCreateCounter("ravenway_instances_leaving_seen_total")
-	instancesBackAgain = metrics.GetOrCreateCounter("ravenway_instances_back_total")
+	instancesInBackoff = metrics.GetOrCreateGauge("ravenway_instances_in_backoff", nil)
+	instancesLeaving   = metrics.GetOrCreateCounter("ravenway_instances_leaving_seen_total")
+	instancesResumed   = metrics.GetOrCreateCounter("ravenway_instances_back_total")
 )
 
-// backoffKeeper tracks the pauses that instances request from this entry node in their responses,
+// pauseRecorder tracks the pauses that instances request from this entry node in their responses,
 // and logs and counts the changes.
-type backoffKeeper struct {
+type pauseRecorder struct {
 	node    *Node
 	tracker *backoff.Tracker
 	// prunedAt is when ended incarnations were last pruned.
@@ -33,45 +33,46 @@
 	lines    *forward.LineBudget
 }
 
-func newBackoffKeeper(node *Node) *backoffKeeper {
-	return &backoffKeeper{node: node, tracker: backoff.NewTracker(backoff.DefaultReturn), lines: forward.NewLineBudget(backoffLinesPerSecond)}
+func newPauseRecorder(node *Node) *pauseRecorder {
+	return &pauseRecorder{node: node, tracker: backoff.NewTracker(backoff.DefaultReturn), lines: forward.NewLineBudget(backoffLinesPerSecond)}
 }
 
-// look records the pauses that have expired. The loads duty calls it.
-func (k *backoffKeeper) look() {
-	now := k.node.now()
-	for _, change := range k.tracker.Look(now) {
-		k.note(change, 0)
+// tick records the pauses that have expired. The loads duty calls it.
+func (p *pauseRecorder) tick() {
+	now := p.node.now()
+	for _, change := range p.tracker.Look(now) {
+		p.record(change, 0)
 	}
-	if now-k.prunedAt >= pruneInterval {
-		k.tracker.Prune(now, k.isListed)
-		k.prunedAt = now
+	if now-p.prunedAt >= pruneInterval {
+		p.tracker.Prune(now, p.isListed)
+		p.prunedAt = now
 	}
-	instancesNotOpen.Set(float64(k.tracker.Count()))
+	instancesInBackoff.Set(float64(p.tracker.Count()))
 }
 
 // Learn implements forward.Backoff.
-func (k *backoffKeeper) Learn(instance registry.Instance, request string, said backoff.Said, writtenAt time.Time) {
-	answered := backoff.Request{ID: request, WrittenAt: k.node.at(writtenAt)}
-	for _, change := range k.tracker.Learn(k.node.now(), instance.Life(), answered, said) {
-		k.note(change, k.node.table.InFlight(instance.Life()))
+func (p *pauseRecorder) Learn(instance registry.Instance, request string, signal backoff.Said, writtenAt time.Time) {
+	response := backoff.Request{ID: request, WrittenAt: p.node.monotonicTime(writtenAt)}
+	for _, change := range p.tracker.Learn(p.node.now(), instance.Life(), response, signal) {
+		p.record(change, p.node.table.InFlight(instance.Life()))
 	}
 }
 
-func (k *backoffKeeper) isListed(life registry.Life) bool {
-	_, isListed := k.node.table.Instance(life)
+func (p *pauseRecorder) isListed(incarnation registry.Life) bool {
+	_, isListed := p.node.table.Instance(incarnation)
 	return isListed
 }
 
 // forget drops the incarnations that newer ones have replaced.
-func (k *backoffKeeper) forget(replaced []registry.Instance) {
-	for _, over := range replaced {
-		k.tracker.Forget(over.Life())
+func (p *pauseRecorder) forget(replaced []registry.Instance) {
+	for _, replacedOne := range replaced {
+		p.tracker.Forget(replacedOne.Life())
 	}
 }
 
-// note counts and logs a change, with the number of this node's requests in flight at the instance.
-func (k *backoffKeeper) note(change backoff.Change, inFlight int) {
+// record counts and logs a change, with the number of this node's requests in flight at the
+// instance.
+func (p *pauseRecorder) record(change backoff.Change, inFlight int) {
 	event := "instance_pause"
 	switch change.Kind {
 	case backoff.Began:
@@ -79,26 +80,26 @@
 	case backoff.Extended:
 		pausesExtended.Inc()
 	case backoff.Left:
-		instancesLeft.Inc()
+		instancesLeaving.Inc()
 		event = "instance_leaving"
 	case backoff.Back:
-		instancesBackAgain.Inc()
+		instancesResumed.Inc()
 	case backoff.Unreadable:
 		pausesUnreadable.Inc()
 		event = "instance_pause_unreadable"
 	case backoff.Unchanged, backoff.Ended:
 	}
-	if !k.lines.Take() {
+	if !p.lines.Take() {
 		return
 	}
-	k.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
+	p.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
 		Int64("asked_ms", change.Asked.Milliseconds()).Int64("left_ms", change.Left.Milliseconds()).Str("request", change.Request).
 		Int("answers", change.Answers).Int("in_flight", inFlight).AnErr("error", change.Fault).Send()
 }
 
 // summarize logs how many lines on pauses were omitted since the last call.
-func (k *backoffKeeper) summarize() {
-	if leftOut := k.lines.TakeLeftOut(); leftOut > 0 {
-		k.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", leftOut).Int64("in_backoff", k.tracker.Count()).Send()
+func (p *pauseRecorder) summarize() {
+	if leftOut := p.lines.TakeLeftOut(); leftOut > 0 {
+		p.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", leftOut).Int64("in_backoff", p.tracker.Count()).Send()
 	}
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -20,20 +20,20 @@
 // tries another node.
 const orderTimeout = 900 * time.Millisecond
 
-// takeQuestion requests that the leader commit a document.
-type takeQuestion struct {
+// commitDocumentRequest requests that the leader commit a document.
+type commitDocumentRequest struct {
 	Command machine.DocumentCommand `msgpack:"c"`
 }
 
-// readQuestion requests the newest document from the leader. Have is the version that the
+// readDocumentRequest requests the newest document from the leader. Have is the version that the
 // requesting node holds, so that the leader does not send it again.
-type readQuestion struct {
+type readDocumentRequest struct {
 	Have uint64 `msgpack:"h"`
 }
 
-// readAnswer carries the newest document as it was received, packed; Same indicates that the
-// requesting node already has it.
-type readAnswer struct {
+// readDocumentResponse carries the newest document as it was received, packed; Same indicates that
+// the requesting node already has it.
+type readDocumentResponse struct {
 	Raw  []byte `msgpack:"r"`
 	Same bool   `msgpack:"s"`
 }
@@ -44,15 +44,17 @@
 }
 
 // Leave implements Control.
-func (n *Node) Leave(ctx context.Context, life registry.Life) error { return n.fleet.leave(ctx, life) }
+func (n *Node) Leave(ctx context.Context, incarnation registry.Life) error {
+	return n.fleet.leave(ctx, incarnation)
+}
 
 // TakeDocument implements Control.
 func (n *Node) TakeDocument(ctx context.Context, taken *document.Document, raw []byte) (uint64, error) {
-	if held := n.documents.version(); taken.Version <= held {
+	if heldVersion := n.documents.version(); taken.Version <= heldVersion {
 		// This version comes from the log, so an equal or higher version is already committed.
-		return held, nil
+		return heldVersion, nil
 	}
-	n.warnOfRegions(taken)
+	n.warnOfUnknownRegions(taken)
 	encoded, err := taken.Encode()
 	if err != nil {
 		return 0, err
@@ -64,8 +66,8 @@
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	command := machine.DocumentCommand{Version: taken.Version, Raw: packed, Encoded: encoded}
-	outcome, err := atLeader(ctx, n, peer.MethodTakeDocument, &takeQuestion{Command: command}, func() (machine.DocumentOutcome, error) {
-		return n.takeDocumentHere(ctx, command)
+	outcome, err := atLeader(ctx, n, peer.MethodTakeDocument, &commitDocumentRequest{Command: command}, func() (machine.DocumentOutcome, error) {
+		return n.commitDocumentHere(ctx, command)
 	})
 	n.log.Info().Str("event", "document_order").Uint64("version", taken.Version).Int("bytes", len(raw)).
 		Uint64("held", outcome.Held).Bool("taken", outcome.Taken).AnErr("error", err).Send()
@@ -75,10 +77,10 @@
 	return outcome.Held, nil
 }
 
-// warnOfRegions logs a warning for each region that a configuration binds requests to but that has
-// no zone of the fleet, so that no request is served there. The configuration is accepted
+// warnOfUnknownRegions logs a warning for each region that a configuration binds requests to but
+// that has no zone of the fleet, so that no request is served there. The configuration is accepted
 // regardless, since zones of the region may be added later.
-func (n *Node) warnOfRegions(taken *document.Document) {
+func (n *Node) warnOfUnknownRegions(taken *document.Document) {
 	known := map[string]bool{"": true}
 	for _, region := range n.settings.Load().Fleet.Regions {
 		known[region] = true
@@ -103,26 +105,26 @@
 func (n *Node) ReadDocument(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	held, err := duty.Ask(ctx, n.replica.duty, func(answer func(machine.HeldDocument)) { answer(n.replica.machine.Document()) })
+	heldDocument, err := duty.Ask(ctx, n.replica.duty, func(respond func(machine.HeldDocument)) { respond(n.replica.machine.Document()) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	question := readQuestion{Have: held.Version}
-	answer, err := atLeader(ctx, n, peer.MethodReadDocument, &question, func() (readAnswer, error) { return n.readDocumentHere(ctx, question) })
+	request := readDocumentRequest{Have: heldDocument.Version}
+	response, err := atLeader(ctx, n, peer.MethodReadDocument, &request, func() (readDocumentResponse, error) { return n.readDocumentHere(ctx, request) })
 	switch {
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
-	case answer.Same:
-		return document.Unpack(held.Raw)
+	case response.Same:
+		return document.Unpack(heldDocument.Raw)
 	}
-	return document.Unpack(answer.Raw)
+	return document.Unpack(response.Raw)
 }
 
 // errNoLeader says that no leader of the control group is known.
 var errNoLeader = errors.New("no leader of the control group is known")
 
 // atLeader calls here if this node leads, and otherwise sends the request to the leader.
-func atLeader[T any](ctx context.Context, n *Node, method peer.Method, question any, here func() (T, error)) (T, error) {
+func atLeader[T any](ctx context.Context, n *Node, method peer.Method, request any, here func() (T, error)) (T, error) {
 	var none T
 	leader := n.leader()
 	if leader == "" {
@@ -131,31 +133,31 @@
 	if leader == n.address {
 		return here()
 	}
-	return peer.Invoke[T](ctx, n.calls, leader, method, question)
+	return peer.Invoke[T](ctx, n.calls, leader, method, request)
 }
 
 // commitHere commits a command if this node leads.
 func (n *Node) commitHere(ctx context.Context, command machine.Command) (machine.Result, error) {
-	type ended struct {
+	type reply struct {
 		result machine.Result
 		err    error
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	outcome, err := duty.Ask(ctx, n.replica.duty, func(respond func(reply)) {
 		n.replica.propose(command, func(result machine.Result, err error) {
-			answer(ended{result: result, err: err})
+			respond(reply{result: result, err: err})
 		})
 	})
 	if err == nil {
-		err = answer.err
+		err = outcome.err
 	}
-	if err == nil && answer.result.Refused != "" {
-		err = errors.New(answer.result.Refused)
+	if err == nil && outcome.result.Refused != "" {
+		err = errors.New(outcome.result.Refused)
 	}
-	return answer.result, err
+	return outcome.result, err
 }
 
-// takeDocumentHere commits a document if this node leads.
-func (n *Node) takeDocumentHere(ctx context.Context, command machine.DocumentCommand) (machine.DocumentOutcome, error) {
+// commitDocumentHere commits a document if this node leads.
+func (n *Node) commitDocumentHere(ctx context.Context, command machine.DocumentCommand) (machine.DocumentOutcome, error) {
 	result, err := n.commitHere(ctx, machine.Command{Document: &command})
 	if err != nil {
 		return machine.DocumentOutcome{}, err
@@ -165,44 +167,44 @@
 
 // readDocumentHere reads the newest document once a quorum has confirmed that
 // this node leads.
-func (n *Node) readDocumentHere(ctx context.Context, question readQuestion) (readAnswer, error) {
-	held, err := readHere(ctx, n, (*machine.Machine).Document)
+func (n *Node) readDocumentHere(ctx context.Context, request readDocumentRequest) (readDocumentResponse, error) {
+	newest, err := readHere(ctx, n, (*machine.Machine).Document)
 	switch {
 	case err != nil:
-		return readAnswer{}, err
-	case held.Version > 0 && held.Version == question.Have:
-		return readAnswer{Same: true}, nil
+		return readDocumentResponse{}, err
+	case newest.Version > 0 && newest.Version == request.Have:
+		return readDocumentResponse{Same: true}, nil
 	}
-	return readAnswer{Raw: held.Raw}, nil
+	return readDocumentResponse{Raw: newest.Raw}, nil
 }
 
 // readHere reads committed state once a quorum has confirmed that this node leads.
 func readHere[T any](ctx context.Context, n *Node, read func(*machine.Machine) T) (T, error) {
-	type ended struct {
+	type reply struct {
 		value T
 		err   error
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	outcome, err := duty.Ask(ctx, n.replica.duty, func(respond func(reply)) {
 		if n.replica.replica == nil {
-			answer(ended{err: consensus.ErrNotLeader})
+			respond(reply{err: consensus.ErrNotLeader})
 			return
 		}
 		n.replica.replica.Read(func(err error) {
-			answer(ended{value: read(n.replica.machine), err: err})
+			respond(reply{value: read(n.replica.machine), err: err})
 		})
 	})
 	if err == nil {
-		err = answer.err
+		err = outcome.err
 	}
-	return answer.value, err
+	return outcome.value, err
 }
 
 // serveCall executes another node's call and sends the reply.
 func (n *Node) serveCall(from string, call peer.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	answer, err := n.executeCall(ctx, from, call)
-	n.calls.Answer(from, call, answer, err, errorCode)
+	response, err := n.executeCall(ctx, from, call)
+	n.calls.Answer(from, call, response, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -214,22 +216,22 @@
 
 func (n *Node) executeCall(ctx context.Context, from string, call peer.Call) (any, error) {
 	if call.Method == peer.MethodPermit && n.limits != nil {
-		return peer.Execute(call, func(ask ratelimit.Ask) (any, error) { return n.limits.grant(from, ask), nil })
+		return peer.Execute(call, func(permitRequest ratelimit.Ask) (any, error) { return n.limits.grant(from, permitRequest), nil })
 	}
 	if n.replica == nil {
 		return nil, consensus.ErrNotLeader
 	}
 	switch call.Method {
 	case peer.MethodTakeDocument:
-		return peer.Execute(call, func(question takeQuestion) (any, error) { return n.takeDocumentHere(ctx, question.Command) })
+		return peer.Execute(call, func(request commitDocumentRequest) (any, error) { return n.commitDocumentHere(ctx, request.Command) })
 	case peer.MethodReadDocument:
-		return peer.Execute(call, func(question readQuestion) (any, error) { return n.readDocumentHere(ctx, question) })
+		return peer.Execute(call, func(request readDocumentRequest) (any, error) { return n.readDocumentHere(ctx, request) })
 	case peer.MethodOrderZone:
 		return peer.Execute(call, func(command machine.ZoneCommand) (any, error) { return n.orderZoneHere(ctx, command) })
 	case peer.MethodOrderRollout:
 		return peer.Execute(call, func(order rollout.Order) (any, error) { return n.orderRolloutHere(ctx, order) })
 	case peer.MethodReadRollout:
-		return peer.Execute(call, func(question rolloutQuestion) (any, error) { return n.readRolloutHere(ctx, question) })
+		return peer.Execute(call, func(request readRolloutRequest) (any, error) { return n.readRolloutHere(ctx, request) })
 	}
 	return nil, fmt.Errorf("method %q is not known here", call.Method)
 }
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -18,10 +18,10 @@
 type documentStore struct {
 	node  *Node
 	index atomic.Pointer[document.Index]
-	// changed is called with each document that comes into effect.
-	changed func(*document.Index)
+	// onChange is called with each document that comes into effect.
+	onChange func(*document.Index)
 	// newest is the highest version known to exist; each request reads it.
-	newest atomic.Pointer[heardVersion]
+	newest atomic.Pointer[knownVersion]
 
 	mutex   sync.Mutex
 	encoded []byte
@@ -31,8 +31,8 @@
 	isWaiting bool
 }
 
-// heardVersion is a version that is in effect at some node, and when this node first learnt of it.
-type heardVersion struct {
+// knownVersion is a version that is in effect at some node, and when this node first learnt of it.
+type knownVersion struct {
 	version uint64
 	at      time.Duration
 }
@@ -43,9 +43,9 @@
 
 func newDocumentStore(node *Node) *documentStore {
 	store := &documentStore{
-		node: node, changed: func(*document.Index) {}, follower: follow.NewFollower(node.settings.Load().Node.Zone),
+		node: node, onChange: func(*document.Index) {}, follower: follow.NewFollower(node.settings.Load().Node.Zone),
 	}
-	store.newest.Store(&heardVersion{})
+	store.newest.Store(&knownVersion{})
 	return store
 }
 
@@ -63,17 +63,17 @@
 	return peer.DocumentData{Version: d.version(), Encoded: d.encoded}
 }
 
-// newestHeard returns the highest version known to exist, and how long ago this node first learnt
+// newestKnown returns the highest version known to exist, and how long ago this node first learnt
 // of it. It is the version in effect unless this node is behind.
-func (d *documentStore) newestHeard() (version uint64, since time.Duration) {
+func (d *documentStore) newestKnown() (version uint64, since time.Duration) {
 	newest := d.newest.Load()
 	return newest.version, d.node.now() - newest.at
 }
 
-// noteHeard records when this node first learnt of a version. The caller holds the mutex.
-func (d *documentStore) noteHeard(version uint64) {
+// recordVersion records when this node first learnt of a version. The caller holds the mutex.
+func (d *documentStore) recordVersion(version uint64) {
 	if version > d.newest.Load().version {
-		d.newest.Store(&heardVersion{version: version, at: d.node.now()})
+		d.newest.Store(&knownVersion{version: version, at: d.node.now()})
 	}
 }
 
@@ -85,61 +85,62 @@
 	if version <= d.version() {
 		return false
 	}
-	d.noteHeard(version)
-	began := d.node.now()
+	d.recordVersion(version)
+	startedAt := d.node.now()
 	decoded, err := document.Decode(encoded)
 	if err != nil {
 		d.node.log.Error().Str("event", "document_unreadable").Uint64("version", version).Err(err).Send()
 		return false
 	}
-	index, newest, asks := document.NewIndex(decoded), d.newest.Load(), d.follower.Asks()
+	index, newest, requests := document.NewIndex(decoded), d.newest.Load(), d.follower.Asks()
 	d.encoded = encoded
 	d.index.Store(index)
-	d.changed(index)
-	d.follower.Took(began, version)
+	d.onChange(index)
+	d.follower.Took(startedAt, version)
 	d.node.log.Info().Str("event", "document_in_force").Uint64("version", version).Int("routes", len(decoded.Routes)).
-		Int("tenants", len(decoded.Tenants)).Int("bytes", len(encoded)).Str("from", from).Int("asks", asks).
-		Uint64("newest", newest.version).Int64("newest_heard_ms", (began-newest.at).Milliseconds()).
-		Int64("taking_ms", (d.node.now() - began).Milliseconds()).Send()
+		Int("tenants", len(decoded.Tenants)).Int("bytes", len(encoded)).Str("from", from).Int("asks", requests).
+		Uint64("newest", newest.version).Int64("newest_heard_ms", (startedAt-newest.at).Milliseconds()).
+		Int64("taking_ms", (d.node.now() - startedAt).Milliseconds()).Send()
 	if version >= newest.version {
 		documentSeconds.Update((d.node.now() - newest.at).Seconds())
 	}
 	return true
 }
 
-// hear records the version that a control node reports, and requests the document if it is due.
-func (d *documentStore) hear(from follow.Node, version uint64) {
+// handleVersion records the version that a control node reports, and requests the document if it is
+// due.
+func (d *documentStore) handleVersion(from follow.Node, version uint64) {
 	if d.node.replica != nil {
 		return
 	}
 	d.mutex.Lock()
-	d.noteHeard(version)
+	d.recordVersion(version)
 	d.follower.Heard(d.node.now(), from, version)
 	d.mutex.Unlock()
-	d.ask()
+	d.requestMissing()
 }
 
-// takeNotice handles a control node's notice of its version. The sender's zone is known from its
+// handleNotice handles a control node's notice of its version. The sender's zone is known from its
 // hellos.
-func (d *documentStore) takeNotice(from string, version uint64) {
+func (d *documentStore) handleNotice(from string, version uint64) {
 	node := follow.Node{Address: from}
 	for _, known := range d.node.fleet.view.Load().alive {
 		if known.Address == from {
 			node.Zone = known.Zone
 		}
 	}
-	d.hear(node, version)
+	d.handleVersion(node, version)
 }
 
-// ask requests a document that did not arrive unrequested, and schedules a check for when another
-// request may be due.
-func (d *documentStore) ask() {
+// requestMissing requests a document that did not arrive unrequested, and schedules a check for
+// when another request may be due.
+func (d *documentStore) requestMissing() {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.node.now()
 	from, wait := d.follower.Next(now)
 	if from != "" {
-		d.logAsk(now, from)
+		d.logRequest(now, from)
 		d.node.send(from, peer.KindDocumentFetch, &peer.DocumentFetch{Have: d.version()})
 		_, wait = d.follower.Next(now)
 	}
@@ -149,21 +150,21 @@
 			d.mutex.Lock()
 			d.isWaiting = false
 			d.mutex.Unlock()
-			d.ask()
+			d.requestMissing()
 		})
 	}
 }
 
-func (d *documentStore) logAsk(now time.Duration, from string) {
+func (d *documentStore) logRequest(now time.Duration, from string) {
 	newest, freshness := d.newest.Load(), d.node.fleet.controlFreshness(now)
 	d.node.log.Info().Str("event", "document_asked").Uint64("version", newest.version).Str("from", from).
 		Uint64("have", d.version()).Int("asks", d.follower.Asks()).Int64("newest_heard_ms", (now-newest.at).Milliseconds()).
-		Ints64("control_silence_ms", freshness.silences).Ints64("control_delay_ms", freshness.delays).Send()
+		Ints64("control_silence_ms", freshness.contactAges).Ints64("control_delay_ms", freshness.delays).Send()
 }
 
-// take applies a document that a control node sent, and reports the version now in effect to it:
-// the control node sends no further document before this confirmation.
-func (d *documentStore) take(from string, data peer.DocumentData) {
+// handleDocument applies a document that a control node sent, and reports the version now in effect
+// to it: the control node sends no further document before this confirmation.
+func (d *documentStore) handleDocument(from string, data peer.DocumentData) {
 	if d.node.replica != nil {
 		return
 	}
--- a/internal/gateway/duties_bench_test.go
+++ b/internal/gateway/duties_bench_test.go
@@ -83,7 +83,7 @@
 	return hello
 }
 
-func forgetFrames(node *Node, entries int) {
+func dropFrames(node *Node, entries int) {
 	for number := range entries {
 		node.mesh.Forget(benchEntry(number))
 	}
@@ -101,17 +101,17 @@
 	return hellos
 }
 
-func hear(node *Node, hellos []peer.Hello) {
+func recordHellos(node *Node, hellos []peer.Hello) {
 	for _, hello := range hellos {
-		node.fleet.noteHello(hello)
+		node.fleet.recordHello(hello)
 	}
 }
 
 const (
-	hellosASecond     = float64(time.Second) / float64(helloTicks*fleetTick)
-	loadStepsASecond  = int(time.Second / (loadsInterval * manyLoadsTicks))
-	fleetTicksASecond = int(time.Second / fleetTick)
-	tokenTicksASecond = int(time.Second / tokensTick)
+	hellosPerSecond     = float64(time.Second) / float64(helloTicks*fleetTick)
+	loadStepsPerSecond  = int(time.Second / (loadsInterval * largeFleetLoadsTicks))
+	fleetTicksPerSecond = int(time.Second / fleetTick)
+	tokenTicksPerSecond = int(time.Second / tokensTick)
 )
 
 // benchSecond measures the processor time of second, which does one second's work of the duties.
@@ -123,7 +123,7 @@
 		second(number)
 		number++
 		b.StopTimer()
-		forgetFrames(node, entries)
+		dropFrames(node, entries)
 		b.StartTimer()
 	}
 }
@@ -133,15 +133,15 @@
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			node := newIdleNode(b, benchEntry(7), benchZone(7), settings.RoleEntry)
 			long, short := controlHellos(node, entries, true), controlHellos(node, entries, false)
-			hear(node, long)
+			recordHellos(node, long)
 			holdTokens(node)
 			benchSecond(b, node, entries, func(number int) {
 				if number%6 == 0 {
 					// The full list of nodes is repeated every 6 s here, more often than in
 					// operation.
-					hear(node, long)
+					recordHellos(node, long)
 				}
-				hear(node, short)
+				recordHellos(node, short)
 				entrySecond(node)
 			})
 		})
@@ -150,17 +150,17 @@
 
 // entrySecond does one second's ticks of all duties, with a load report every 0.2 s.
 func entrySecond(node *Node) {
-	for range fleetTicksASecond {
+	for range fleetTicksPerSecond {
 		node.fleet.tick()
 	}
 	report := benchLoads(benchInstances)
-	for range loadStepsASecond {
+	for range loadStepsPerSecond {
 		node.loads.exchange.Take(node.now(), benchEntry(2), report)
-		for range manyLoadsTicks {
+		for range largeFleetLoadsTicks {
 			node.loads.tick()
 		}
 	}
-	for range tokenTicksASecond {
+	for range tokenTicksPerSecond {
 		node.tokens.tick()
 		node.tokens.flush()
 	}
@@ -191,11 +191,11 @@
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			// The node with the lowest address of its zone is the relay.
 			node := newIdleNode(b, benchEntry(0), benchZone(0), settings.RoleEntry)
-			hear(node, controlHellos(node, entries, true))
+			recordHellos(node, controlHellos(node, entries, true))
 			benchSecond(b, node, entries, func(int) {
-				for range loadStepsASecond {
-					hearMembers(node, entries)
-					for range manyLoadsTicks {
+				for range loadStepsPerSecond {
+					deliverMemberReports(node, entries)
+					for range largeFleetLoadsTicks {
 						node.loads.tick()
 					}
 				}
@@ -204,9 +204,9 @@
 	}
 }
 
-// hearMembers delivers to the relay a report with a few requests from each node of its zone, and a
-// report on all instances from each other zone.
-func hearMembers(node *Node, entries int) {
+// deliverMemberReports delivers to the relay a report with a few requests from each node of its
+// zone, and a report on all instances from each other zone.
+func deliverMemberReports(node *Node, entries int) {
 	for member := benchZones; member < entries; member += benchZones {
 		report := balance.LoadReport{Scope: balance.OwnLoads, Zone: benchZone(0)}
 		report.Loads = balance.Loads{
@@ -227,12 +227,12 @@
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
 			node := newIdleNode(b, benchControl(1), benchZone(1), settings.RoleControl)
 			controls, hellos := controlHellos(node, entries, false), entryHellos(node, entries)
-			hear(node, hellos)
+			recordHellos(node, hellos)
 			benchSecond(b, node, entries, func(int) {
-				hear(node, controls)
-				hear(node, hellos)
-				hear(node, hellos[:int((hellosASecond-1)*float64(entries))])
-				for range fleetTicksASecond {
+				recordHellos(node, controls)
+				recordHellos(node, hellos)
+				recordHellos(node, hellos[:int((hellosPerSecond-1)*float64(entries))])
+				for range fleetTicksPerSecond {
 					node.fleet.tick()
 				}
 			})
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -9,9 +9,9 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// instancesPatience is how long after its start an entry node that has its configuration waits for
+// instancesTimeout is how long after its start an entry node that has its configuration waits for
 // a list of instances before it reports itself ready without one.
-const instancesPatience = 4 * time.Second
+const instancesTimeout = 4 * time.Second
 
 // entryEnvironment implements forward.Environment, the pipeline's view of the node.
 type entryEnvironment struct{ node *Node }
@@ -23,17 +23,17 @@
 // has a higher version.
 func (e *entryEnvironment) Certain() bool {
 	view := e.node.fleet.view.Load()
-	return e.node.now() < view.rootHeardAt+certainFor && e.node.documents.version() >= view.certainVersion
+	return e.node.now() < view.rootContactAt+versionValidity && e.node.documents.version() >= view.certainVersion
 }
 
 // NewestHeard implements forward.Environment.
 func (e *entryEnvironment) NewestHeard() (version uint64, since time.Duration) {
-	return e.node.documents.newestHeard()
+	return e.node.documents.newestKnown()
 }
 
 // Reserve implements forward.Environment.
-func (e *entryEnvironment) Reserve(ctx context.Context, tenant string, tokens uint64, patience time.Duration) (forward.Reservation, error) {
-	return e.node.tokens.reserve(ctx, tenant, tokens, patience)
+func (e *entryEnvironment) Reserve(ctx context.Context, tenant string, tokens uint64, maximumWait time.Duration) (forward.Reservation, error) {
+	return e.node.tokens.reserve(ctx, tenant, tokens, maximumWait)
 }
 
 // RetryPolicy implements forward.Environment.
@@ -54,12 +54,12 @@
 		return forward.StopState{}
 	}
 	now := e.node.now()
-	return forward.StopState{Begun: true, Since: now - stop.began, Left: stop.cutsAt - now}
+	return forward.StopState{Begun: true, Since: now - stop.began, Left: stop.abortsAt - now}
 }
 
 // LinkDelay implements forward.Environment.
 func (e *entryEnvironment) LinkDelay() time.Duration {
-	return time.Duration(e.node.link.current.Load())
+	return time.Duration(e.node.link.currentDelay.Load())
 }
 
 // Shedding implements forward.Environment.
@@ -67,7 +67,7 @@
 
 // LetsIn implements forward.Environment.
 func (e *entryEnvironment) LetsIn(caller string, bodyBytes int64, mustServe bool) bool {
-	return e.node.gate.letsIn(caller, bodyBytes, mustServe)
+	return e.node.gate.admits(caller, bodyBytes, mustServe)
 }
 
 // Now implements forward.Environment.
@@ -78,5 +78,5 @@
 	if n.isStopping() || n.documents.version() == 0 || n.link.shedding.Load() || n.link.busy.Load() {
 		return false
 	}
-	return n.fleet.instances.Load() > 0 || n.now() > instancesPatience
+	return n.fleet.instanceCount.Load() > 0 || n.now() > instancesTimeout
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -20,23 +20,26 @@
 	fleetTick = 300 * time.Millisecond
 	// helloTicks is the number of ticks between hellos.
 	helloTicks = 2
-	// publishPause is the minimum time between two roster views for the other duties, for each node
-	// in the roster: building a view of 1,000 nodes takes 0.1 ms, and without this interval each of
-	// the tens of control nodes' hellos a second would trigger one.
-	publishPause = 100 * time.Microsecond
-	// farHellos is the number of rounds, 1.8 s, between hellos of an entry node and a control node
-	// that rarely need each other. A single lost hello already brings them close to the limit: they
-	// count each other as lost after 2.5 s without contact.
-	farHellos = 3
-	// rememberTicks is the number of ticks, 3 s, between checks whether the instances have changed
+	// viewIntervalPerNode is the minimum time between two roster views for the other duties, for
+	// each node in the roster: building a view of 1,000 nodes takes 0.1 ms, and without this
+	// interval each of the tens of control nodes' hellos a second would trigger one.
+	viewIntervalPerNode = 100 * time.Microsecond
+	// reducedHelloRounds is the number of rounds, 1.8 s, between hellos of an entry node and a
+	// control node that rarely need each other. A single lost hello already brings them close to
+	// the limit: they count each other as lost after 2.5 s without contact.
+	reducedHelloRounds = 3
+	// hintTicks is the number of ticks, 3 s, between checks whether the instances have changed
 	// since they were last written to a control node's disk.
-	rememberTicks = 10
-	// heardTicks is the number of ticks between lists of the instances that sent heartbeats.
-	heardTicks = 8
-	// certainFor is how long the newest version that a control node reported is taken as current.
-	certainFor = 2 * time.Second
-	// quorumFor is the maximum time since that control node itself last had contact with a quorum.
-	quorumFor = 1500 * time.Millisecond
+	hintTicks = 10
+	// instancesHeardTicks is the number of ticks between lists of the instances that sent
+	// heartbeats.
+	instancesHeardTicks = 8
+	// versionValidity is how long the newest version that a control node reported is taken as
+	// current.
+	versionValidity = 2 * time.Second
+	// maximumQuorumAge is the maximum time since that control node itself last had contact with a
+	// quorum.
+	maximumQuorumAge = 1500 * time.Millisecond
 )
 
 // fleetDuty owns the roster and the registry.
@@ -46,40 +49,40 @@
 	roster   *roster.Roster
 	registry *registry.Registry
 	ticks    int
-	// nodes is the node list that a control node distributes, and told is what each receiver was
-	// last sent of it.
-	nodes       nodeList
-	told        map[string]toldNodes
-	publishedAt time.Duration
-	// helloRounds counts the periodic rounds of hellos. ownTellers are the control nodes that send
+	// nodes is the node list that a control node distributes, and sentLists is what each receiver
+	// was last sent of it.
+	nodes           nodeList
+	sentLists       map[string]sentNodeList
+	viewPublishedAt time.Duration
+	// helloRounds counts the periodic rounds of hellos. listSenders are the control nodes that send
 	// this entry node the list of all nodes.
-	helloRounds  int
-	ownTellers   []string
-	isPublishDue bool
-	mismatches   map[string]mismatch
-	// askedAt is when instances were last requested from another node, if hasAsked is set.
-	askedAt  time.Duration
-	hasAsked bool
+	helloRounds int
+	listSenders []string
+	isViewDue   bool
+	mismatches  map[string]mismatch
+	// requestedAt is when instances were last requested from another node, if hasRequested is set.
+	requestedAt  time.Duration
+	hasRequested bool
 	// unannounced are changes of instances that are yet to be sent to other nodes.
 	unannounced []registry.Instance
 	// merged are changes received from other nodes that are not logged yet.
 	merged []registry.Instance
 	// unrelayed are changes from other control nodes that are yet to be relayed to entry nodes.
 	unrelayed []registry.Instance
-	// unpublished are the IDs of instances whose changes are yet to take effect on this node.
-	unpublished                      map[string]struct{}
-	list                             instanceList
-	announcing, relaying, publishing gathered
-	// greeted are the nodes that were selected for the last hello.
-	greeted map[string]bool
-	// heardBefore are the control nodes that were alive at the last tick.
-	heardBefore map[string]bool
+	// unapplied are the IDs of instances whose changes are yet to take effect on this node.
+	unapplied                      map[string]struct{}
+	encodedList                    instanceList
+	announcing, relaying, applying batchSchedule
+	// helloReceivers are the nodes that were selected for the last hello.
+	helloReceivers map[string]bool
+	// previousControls are the control nodes that were alive at the last tick.
+	previousControls map[string]bool
 	// view is the state that other goroutines may read.
 	view atomic.Pointer[fleetView]
-	// remembered is nil on nodes without a disk.
-	remembered *rememberedFile[[]registry.Instance]
-	// instances is the number of live instances known.
-	instances atomic.Int64
+	// hints is nil on nodes without a disk.
+	hints *hintFile[[]registry.Instance]
+	// instanceCount is the number of live instances known.
+	instanceCount atomic.Int64
 }
 
 // neighbours are the other entry nodes. The lists are rebuilt only when the set has changed.
@@ -97,19 +100,19 @@
 // newNeighbours builds the lists of the other entry nodes, which are given in sorted order, as seen
 // by the node self.
 func newNeighbours(self balance.EntryNode, entries []peer.NodeEntry, generation uint64) neighbours {
-	made := neighbours{generation: generation, nodes: make([]balance.EntryNode, 0, len(entries))}
-	var near, far []string
+	result := neighbours{generation: generation, nodes: make([]balance.EntryNode, 0, len(entries))}
+	var sameZone, remote []string
 	for _, entry := range entries {
-		made.nodes = append(made.nodes, balance.EntryNode{Address: entry.Address, Zone: entry.Zone})
+		result.nodes = append(result.nodes, balance.EntryNode{Address: entry.Address, Zone: entry.Zone})
 		if entry.Zone == self.Zone {
-			near = append(near, entry.Address)
+			sameZone = append(sameZone, entry.Address)
 			continue
 		}
-		far = append(far, entry.Address)
+		remote = append(remote, entry.Address)
 	}
-	made.inZone = len(near)
-	made.lenders = append(startingAfter(self.Address, near), startingAfter(self.Address, far)...)
-	return made
+	result.inZone = len(sameZone)
+	result.lenders = append(rotateAfter(self.Address, sameZone), rotateAfter(self.Address, remote)...)
+	return result
 }
 
 // fleetView is an immutable snapshot of the roster for other goroutines.
@@ -124,25 +127,25 @@
 	// live are the entry nodes that control nodes currently have contact with; set on entry nodes
 	// only.
 	live roster.LiveEntries
-	// rootHeardAt is the time of the last contact with a control node that has a quorum, and
+	// rootContactAt is the time of the last contact with a control node that has a quorum, and
 	// certainVersion the newest document version that such a node reported.
-	rootHeardAt    time.Duration
+	rootContactAt  time.Duration
 	certainVersion uint64
 }
 
 // controlFreshness describes how recent this node's knowledge of the control nodes is, for logs.
 type controlFreshness struct {
-	// silences are the times since the last contact with each live control node. delays are by how
-	// much the transit of its last hello exceeded that of the fastest one. Both are in
+	// contactAges are the times since the last contact with each live control node. delays are by
+	// how much the transit of its last hello exceeded that of the fastest one. Both are in
 	// milliseconds.
-	silences, delays []int64
+	contactAges, delays []int64
 }
 
 func (f *fleetDuty) controlFreshness(now time.Duration) controlFreshness {
-	freshness := controlFreshness{silences: []int64{}, delays: []int64{}}
+	freshness := controlFreshness{contactAges: []int64{}, delays: []int64{}}
 	for _, known := range f.view.Load().alive {
 		if known.Control {
-			freshness.silences = append(freshness.silences, (now - known.At).Milliseconds())
+			freshness.contactAges = append(freshness.contactAges, (now - known.At).Milliseconds())
 			freshness.delays = append(freshness.delays, known.Delay().Milliseconds())
 		}
 	}
@@ -154,33 +157,33 @@
 	fleet := &fleetDuty{
 		node: node, duty: duty.New("fleet", fleetTick),
 		roster: roster.New(node.address, seedAddresses(current)), registry: registry.New(0),
-		told: map[string]toldNodes{}, mismatches: map[string]mismatch{}, unpublished: map[string]struct{}{}, greeted: map[string]bool{}, heardBefore: map[string]bool{},
+		sentLists: map[string]sentNodeList{}, mismatches: map[string]mismatch{}, unapplied: map[string]struct{}{}, helloReceivers: map[string]bool{}, previousControls: map[string]bool{},
 	}
-	fleet.view.Store(&fleetView{entries: 1, rootHeardAt: -certainFor})
+	fleet.view.Store(&fleetView{entries: 1, rootContactAt: -versionValidity})
 	fleet.duty.Tick = fleet.tick
 	fleet.duty.Flush = fleet.flush
 	if node.isControlRole() {
-		fleet.remembered = newRememberedFile[[]registry.Instance](node, rememberedInstances)
-		fleet.recallInstances()
+		fleet.hints = newHintFile[[]registry.Instance](node, instancesHintFile)
+		fleet.loadInstances()
 	}
 	return fleet
 }
 
-// recallInstances loads the instances that this node knew before its restart. An instance that has
+// loadInstances loads the instances that this node knew before its restart. An instance that has
 // changed since then reports it within about a second; one that is gone can't be reached, or
 // refuses requests that are not meant for it.
-func (f *fleetDuty) recallInstances() {
-	if news := f.registry.Merge(f.node.now(), f.remembered.recall()); len(news) > 0 {
-		f.logInstances("recalled", news)
-		f.publishLater(news)
-		f.publishInstances()
+func (f *fleetDuty) loadInstances() {
+	if changed := f.registry.Merge(f.node.now(), f.hints.load()); len(changed) > 0 {
+		f.logInstances("recalled", changed)
+		f.scheduleApply(changed)
+		f.applyInstances()
 	}
 }
 
 func (f *fleetDuty) setSeeds(seeds []string) {
 	f.duty.Offer(func() {
 		f.roster.SetSeeds(seeds)
-		f.hello()
+		f.sendHelloToAll()
 	})
 }
 
@@ -188,74 +191,74 @@
 	now := f.node.now()
 	if f.ticks%helloTicks == 0 {
 		f.helloRounds++
-		f.ownTellers = f.tellers()
-		f.sayHello(f.isTurn)
+		f.listSenders = f.chooseListSenders()
+		f.sendHello(f.isHelloDue)
 	}
-	if f.isControl() && f.ticks%heardTicks == 0 {
-		f.tellHeard()
+	if f.isControl() && f.ticks%instancesHeardTicks == 0 {
+		f.sendInstancesHeard()
 		f.announce(f.registry.Expire(now))
 	}
-	if f.remembered != nil && f.ticks%rememberTicks == 0 {
-		f.remembered.look(f.registry.Digest(), func() []registry.Instance { return f.registry.Instances(now) })
+	if f.hints != nil && f.ticks%hintTicks == 0 {
+		f.hints.writeIfChanged(f.registry.Digest(), func() []registry.Instance { return f.registry.Instances(now) })
 	}
 	f.ticks++
-	f.noteLost(now)
+	f.logLostControls(now)
 	f.logMerged()
-	f.forgetList(now)
+	f.dropStaleList(now)
 	for _, gone := range f.roster.Forget(now) {
 		f.node.mesh.Forget(gone)
-		f.node.dialects.forget(gone)
-		delete(f.told, gone)
+		f.node.protocols.forget(gone)
+		delete(f.sentLists, gone)
 		delete(f.mismatches, gone)
 		f.node.publisher.forget(gone)
 	}
-	f.publish()
-	f.node.link.look(now, f.view.Load())
+	f.publishView()
+	f.node.link.tick(now, f.view.Load())
 }
 
-// noteLost logs each control node that has become unreachable.
-func (f *fleetDuty) noteLost(now time.Duration) {
+// logLostControls logs each control node that has become unreachable.
+func (f *fleetDuty) logLostControls(now time.Duration) {
 	alive := map[string]bool{}
 	for _, known := range f.roster.Controls(now) {
 		alive[known.Address] = true
 	}
-	for address := range f.heardBefore {
+	for address := range f.previousControls {
 		if known := f.roster.Get(address); !alive[address] && known != nil {
 			f.node.log.Warn().Str("event", "node_lost").Str("peer", known.Node).Str("address", address).
 				Int64("silent_ms", (now-known.At).Milliseconds()).Int("control_nodes_heard", len(alive)).Send()
 		}
 	}
-	f.heardBefore = alive
+	f.previousControls = alive
 }
 
 func (f *fleetDuty) isControl() bool { return f.node.replica != nil }
 
-// hello sends a hello immediately to every node that receives hellos from this one.
-func (f *fleetDuty) hello() { f.sayHello(func(string) bool { return true }) }
+// sendHelloToAll sends a hello immediately to every node that receives hellos from this one.
+func (f *fleetDuty) sendHelloToAll() { f.sendHello(func(string) bool { return true }) }
 
-// isTurn reports whether a node is sent a hello in this round. Of many control nodes an entry node
-// needs frequent contact with only a few: those that send it the list of all nodes, and the members
-// of the control group, which know the root. It exchanges hellos with the others in every third
-// round.
-func (f *fleetDuty) isTurn(receiver string) bool {
+// isHelloDue reports whether a node is sent a hello in this round. Of many control nodes an entry
+// node needs frequent contact with only a few: those that send it the list of all nodes, and the
+// members of the control group, which know the root. It exchanges hellos with the others in every
+// third round.
+func (f *fleetDuty) isHelloDue(receiver string) bool {
 	known := f.roster.Get(receiver)
-	if known == nil || f.view.Load().controls < relayFrom {
+	if known == nil || f.view.Load().controls < minimumRelayControls {
 		return true
 	}
 	if !f.isControl() {
-		return known.HasGroup || slices.Contains(f.ownTellers, receiver) || f.isFarTurn(receiver)
+		return known.HasGroup || slices.Contains(f.listSenders, receiver) || f.isReducedHelloDue(receiver)
 	}
-	return known.Control || f.node.replica.shared.Load().hasGroup || f.decideOn(receiver).isTeller || f.isFarTurn(receiver)
+	return known.Control || f.node.replica.shared.Load().hasGroup || f.decideListRole(receiver).isListSender || f.isReducedHelloDue(receiver)
 }
 
-// isFarTurn reports whether a node that is sent fewer hellos is due, and spreads these nodes evenly
-// over the rounds.
-func (f *fleetDuty) isFarTurn(receiver string) bool {
-	return (uint64(f.helloRounds)+xxhash.Sum64String(receiver))%farHellos == 0
+// isReducedHelloDue reports whether a node that is sent fewer hellos is due, and spreads these
+// nodes evenly over the rounds.
+func (f *fleetDuty) isReducedHelloDue(receiver string) bool {
+	return (uint64(f.helloRounds)+xxhash.Sum64String(receiver))%reducedHelloRounds == 0
 }
 
-// tellers are the control nodes that send this entry node the list of all nodes.
-func (f *fleetDuty) tellers() []string {
+// chooseListSenders are the control nodes that send this entry node the list of all nodes.
+func (f *fleetDuty) chooseListSenders() []string {
 	if f.isControl() {
 		return nil
 	}
@@ -265,32 +268,32 @@
 			controls = append(controls, follow.Node{Address: known.Address, Zone: known.Zone})
 		}
 	}
-	return follow.ChooseSenders(follow.Node{Address: f.node.address, Zone: f.node.settings.Load().Node.Zone}, controls, listTellers)
+	return follow.ChooseSenders(follow.Node{Address: f.node.address, Zone: f.node.settings.Load().Node.Zone}, controls, listSenderCount)
 }
 
-// sayHello sends hellos to the nodes that isTurn selects: to control nodes, and from a control node
+// sendHello sends hellos to the nodes that isDue selects: to control nodes, and from a control node
 // also to every live node.
-func (f *fleetDuty) sayHello(isTurn func(receiver string) bool) {
+func (f *fleetDuty) sendHello(isDue func(receiver string) bool) {
 	now := f.node.now()
-	said := f.describe()
+	own := f.ownHello()
 	receivers := f.roster.Greet(now)
 	if f.isControl() {
-		greeted := len(receivers)
+		sorted := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
 			// The addresses from Greet are sorted, and few.
-			if _, found := slices.BinarySearch(receivers[:greeted], known.Address); !found {
+			if _, found := slices.BinarySearch(receivers[:sorted], known.Address); !found {
 				receivers = append(receivers, known.Address)
 			}
 		}
 	}
-	f.noteGreeted(receivers)
-	receivers = slices.DeleteFunc(receivers, func(receiver string) bool { return !isTurn(receiver) })
-	short := peer.NewMessage(peer.KindHello, said)
+	f.recordHelloReceivers(receivers)
+	receivers = slices.DeleteFunc(receivers, func(receiver string) bool { return !isDue(receiver) })
+	short := peer.NewMessage(peer.KindHello, own)
 	if !f.isControl() {
 		f.node.sendAll(receivers, short)
 		return
 	}
-	lists := f.newListHellos(now, said)
+	lists := f.newListHellos(now, own)
 	for _, receiver := range receivers {
 		if hello := lists.forReceiver(receiver); hello != nil {
 			f.node.sendMessage(receiver, hello)
@@ -300,125 +303,125 @@
 	}
 }
 
-func (f *fleetDuty) noteGreeted(receivers []string) {
-	clear(f.greeted)
+func (f *fleetDuty) recordHelloReceivers(receivers []string) {
+	clear(f.helloReceivers)
 	for _, receiver := range receivers {
-		f.greeted[receiver] = true
+		f.helloReceivers[receiver] = true
 	}
 }
 
-// greetNamed sends a hello to control nodes that were learnt of since the last round. After a power
-// loss of the whole fleet it brings each node into contact with the root a second sooner, as the
-// leader may be a control node that is not a seed; until then the tokens that ended incarnations
-// held can't be granted.
-func (f *fleetDuty) greetNamed(now time.Duration) {
+// sendHelloToNamed sends a hello to control nodes that were learnt of since the last round. After a
+// power loss of the whole fleet it brings each node into contact with the root a second sooner, as
+// the leader may be a control node that is not a seed; until then the tokens that ended
+// incarnations held can't be granted.
+func (f *fleetDuty) sendHelloToNamed(now time.Duration) {
 	var named []string
 	for _, address := range f.roster.Greet(now) {
-		if !f.greeted[address] {
-			f.greeted[address] = true
+		if !f.helloReceivers[address] {
+			f.helloReceivers[address] = true
 			named = append(named, address)
 		}
 	}
 	if len(named) == 0 {
 		return
 	}
-	f.node.sendAll(named, peer.NewMessage(peer.KindHello, f.describe()))
+	f.node.sendAll(named, peer.NewMessage(peer.KindHello, f.ownHello()))
 }
 
-func (f *fleetDuty) describe() peer.Hello {
+func (f *fleetDuty) ownHello() peer.Hello {
 	current := f.node.settings.Load()
-	said := peer.Hello{
-		Address: f.node.address, Node: current.Node.Name, Zone: current.Node.Zone, Life: f.node.life,
+	hello := peer.Hello{
+		Address: f.node.address, Node: current.Node.Name, Zone: current.Node.Zone, Life: f.node.incarnation,
 		Entry: current.HasRole(settings.RoleEntry), Control: f.isControl(), Stopping: f.node.isStopping(),
 		Version: f.node.documents.version(), InstancesSum: f.registry.Digest(),
-		AgeMS: uint64(f.node.now().Milliseconds()), Evacuated: f.node.zones.inForce(),
+		AgeMS: uint64(f.node.now().Milliseconds()), Evacuated: f.node.zones.current(),
 		QuarantineDigest: f.node.quarantine.digest.Load(), Dialect: peer.OwnDialect, Build: f.node.options.Build,
 	}
-	if f.hearsOlder() {
-		said.InstancesDigest = f.registry.OrderedDigest()
+	if f.hasOlderPeers() {
+		hello.InstancesDigest = f.registry.OrderedDigest()
 	}
 	if f.isControl() {
-		f.node.replica.describe(&said)
-		said.Rollouts = f.node.rollouts.told()
+		f.node.replica.addToHello(&hello)
+		hello.Rollouts = f.node.rollouts.advertised()
 	}
-	return said
+	return hello
 }
 
-// hearsOlder reports whether any live node runs an older build that compares ordered digests.
-func (f *fleetDuty) hearsOlder() bool {
+// hasOlderPeers reports whether any live node runs an older build that compares ordered digests.
+func (f *fleetDuty) hasOlderPeers() bool {
 	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Heard) bool { return known.Dialect < peer.DialectSums })
 }
 
-// takeHello records another node's hello and starts to reconcile state that differs.
-func (f *fleetDuty) takeHello(from string, hello peer.Hello) {
+// handleHello records another node's hello and starts to reconcile state that differs.
+func (f *fleetDuty) handleHello(from string, hello peer.Hello) {
 	if from != hello.Address {
 		return
 	}
-	f.node.dialects.note(hello)
-	f.duty.Offer(func() { f.noteHello(hello) })
+	f.node.protocols.record(hello)
+	f.duty.Offer(func() { f.recordHello(hello) })
 }
 
-func (f *fleetDuty) noteHello(hello peer.Hello) {
+func (f *fleetDuty) recordHello(hello peer.Hello) {
 	now := f.node.now()
 	isNew := f.roster.Hello(now, hello)
 	if isNew {
-		f.greetNew(now, hello)
+		f.handleNewNode(now, hello)
 		if f.isControl() {
-			f.node.replica.nodeHeard.Store(true)
+			f.node.replica.hasNewIncarnation.Store(true)
 		}
 	}
 	f.compareInstances(hello)
 	if hello.Control {
-		f.node.zones.hear(hello)
-		f.node.rollouts.hear(hello)
-		f.node.quarantine.hear(hello.Address, hello.QuarantineDigest, isNew)
-		f.node.documents.hear(follow.Node{Address: hello.Address, Zone: hello.Zone}, hello.Version)
+		f.node.zones.handleHello(hello)
+		f.node.rollouts.handleHello(hello)
+		f.node.quarantine.handleDigest(hello.Address, hello.QuarantineDigest, isNew)
+		f.node.documents.handleVersion(follow.Node{Address: hello.Address, Zone: hello.Zone}, hello.Version)
 	}
 	if hello.Control && (isNew || len(hello.Nodes) > 0) {
-		f.greetNamed(now)
+		f.sendHelloToNamed(now)
 	}
 	if f.isControl() {
-		f.node.publisher.hear(hello)
+		f.node.publisher.handleHello(hello)
 	}
 	if isNew || hello.Control {
 		// Other hellos of entry nodes, by far the most frequent, are published at the next tick.
-		f.publishSoon(now)
+		f.publishViewSoon(now)
 	}
 }
 
-// publishSoon publishes the roster immediately, or as soon as the minimum interval since the last
-// time has passed.
-func (f *fleetDuty) publishSoon(now time.Duration) {
-	pause := time.Duration(len(f.view.Load().alive)) * publishPause
-	if now-f.publishedAt >= pause {
-		f.publish()
+// publishViewSoon publishes the roster immediately, or as soon as the minimum interval since the
+// last time has passed.
+func (f *fleetDuty) publishViewSoon(now time.Duration) {
+	interval := time.Duration(len(f.view.Load().alive)) * viewIntervalPerNode
+	if now-f.viewPublishedAt >= interval {
+		f.publishView()
 		return
 	}
-	if !f.isPublishDue {
-		f.isPublishDue = true
-		time.AfterFunc(f.publishedAt+pause-now, func() { f.duty.Offer(f.publish) })
+	if !f.isViewDue {
+		f.isViewDue = true
+		time.AfterFunc(f.viewPublishedAt+interval-now, func() { f.duty.Offer(f.publishView) })
 	}
 }
 
-// greetNew handles the first hello of a node that was unknown or recently unreachable.
-func (f *fleetDuty) greetNew(now time.Duration, hello peer.Hello) {
+// handleNewNode handles the first hello of a node that was unknown or recently unreachable.
+func (f *fleetDuty) handleNewNode(now time.Duration, hello peer.Hello) {
 	f.node.log.Info().Str("event", "node_heard").Str("peer", hello.Node).Str("address", hello.Address).
 		Str("life", hello.Life).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
-	delete(f.told, hello.Address)
+	delete(f.sentLists, hello.Address)
 	if f.isControl() {
 		// Sends the node list without waiting for the next round.
-		if list := f.newListHellos(now, f.describe()).forReceiver(hello.Address); list != nil {
+		if list := f.newListHellos(now, f.ownHello()).forReceiver(hello.Address); list != nil {
 			f.node.sendMessage(hello.Address, list)
 		}
 	}
 }
 
-// publish stores a new view of the roster for the other duties.
-func (f *fleetDuty) publish() {
+// publishView stores a new view of the roster for the other duties.
+func (f *fleetDuty) publishView() {
 	now := f.node.now()
-	f.publishedAt, f.isPublishDue = now, false
+	f.viewPublishedAt, f.isViewDue = now, false
 	current := f.node.settings.Load()
-	view := &fleetView{leader: f.roster.Leader(now), rootHeardAt: -certainFor}
+	view := &fleetView{leader: f.roster.Leader(now), rootContactAt: -versionValidity}
 	view.alive = f.roster.AliveNodes(now)
 	before := f.view.Load().neighbours
 	view.neighbours = before
@@ -434,12 +437,12 @@
 	}
 	for _, known := range f.roster.Controls(now) {
 		view.controls++
-		quorum := time.Duration(known.QuorumSilenceMS) * time.Millisecond
-		if !known.HasGroup || quorum > quorumFor {
+		quorumAge := time.Duration(known.QuorumSilenceMS) * time.Millisecond
+		if !known.HasGroup || quorumAge > maximumQuorumAge {
 			continue
 		}
 		view.certainVersion = max(view.certainVersion, known.Version)
-		view.rootHeardAt = max(view.rootHeardAt, known.At)
+		view.rootContactAt = max(view.rootContactAt, known.At)
 	}
 	f.view.Store(view)
 }
@@ -448,14 +451,14 @@
 // uses its own contacts, and counts itself among them while it has a quorum.
 func (f *fleetDuty) liveEntries(now time.Duration) roster.LiveEntries {
 	if f.isControl() {
-		return f.roster.HeardEntries(now, f.node.hearsRoot())
+		return f.roster.HeardEntries(now, f.node.isRootReachable())
 	}
 	return f.roster.LiveEntries(now)
 }
 
-// startingAfter rotates a sorted list so that it starts after a node's own position. Otherwise all
+// rotateAfter rotates a sorted list so that it starts after a node's own position. Otherwise all
 // nodes would send their requests to the first node of the list.
-func startingAfter(own string, addresses []string) []string {
+func rotateAfter(own string, addresses []string) []string {
 	place, _ := slices.BinarySearch(addresses, own)
 	return append(slices.Clone(addresses[place:]), addresses[:place]...)
 }
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -22,11 +22,11 @@
 	return &callerGate{node: node, gate: overload.NewGate()}
 }
 
-// gatesSet counts how often heavy callers were bounded. schedulerLag is how long a goroutine waited
-// to be scheduled.
+// callerBoundsSet counts how often heavy callers were bounded. schedulerLag is how long a goroutine
+// waited to be scheduled.
 var (
-	gatesSet     = metrics.GetOrCreateCounter("ravenway_caller_bounds_total")
-	schedulerLag = metrics.GetOrCreateHistogram("ravenway_scheduler_lag_seconds")
+	callerBoundsSet = metrics.GetOrCreateCounter("ravenway_caller_bounds_total")
+	schedulerLag    = metrics.GetOrCreateHistogram("ravenway_scheduler_lag_seconds")
 )
 
 // read takes a reading of the node's load and updates the gate.
@@ -34,7 +34,7 @@
 	lag := measureLag()
 	schedulerLag.Update(lag.Seconds())
 	pressure := overload.Pressure{
-		Lag: lag, FrameDelay: time.Duration(c.node.link.current.Load()),
+		Lag: lag, FrameDelay: time.Duration(c.node.link.currentDelay.Load()),
 		BodyBytes: c.node.pipeline.ReceivedBytes(), LinkBytes: c.node.settings.Load().Limits.LinkMbps * bytesPerMegabit,
 	}
 	c.mutex.Lock()
@@ -53,7 +53,7 @@
 	event := "callers_unbounded"
 	if bound > 0 {
 		event = "callers_bounded"
-		gatesSet.Inc()
+		callerBoundsSet.Inc()
 	}
 	c.node.log.Warn().Str("event", event).Int64("lag_ms", lag.Milliseconds()).Float64("bound", bound).
 		Str("heaviest_caller", heaviest.Name).Float64("heaviest_rate", heaviest.Rate).Float64("total_rate", heaviest.Total).
@@ -64,13 +64,13 @@
 // measureLag returns how long a goroutine that yields waits until it is scheduled again: the time
 // taken by all goroutines that are ready to run.
 func measureLag() time.Duration {
-	began := time.Now()
+	startedAt := time.Now()
 	runtime.Gosched()
-	return time.Since(began)
+	return time.Since(startedAt)
 }
 
-// letsIn records a request and reports whether it is admitted on this node.
-func (c *callerGate) letsIn(caller string, bodyBytes int64, mustServe bool) bool {
+// admits records a request and reports whether it is admitted on this node.
+func (c *callerGate) admits(caller string, bodyBytes int64, mustServe bool) bool {
 	now := c.node.now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/gateway/lives.go
+++ b/internal/gateway/incarnations.go
@@ -10,15 +10,15 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// clockPatience is how long a new leader waits for the other control nodes' clocks before it
+// clockTimeout is how long a new leader waits for the other control nodes' clocks before it
 // charges an ended incarnation for everything that it held.
-const clockPatience = 3 * time.Second
+const clockTimeout = 3 * time.Second
 
 // readClocks reads this leader's clocks. The wall clock is included if the clocks of more than half
 // of the voters are known and agree with this node's.
 func (r *replicaDuty) readClocks() clocks.Reading {
 	now := r.node.now()
-	reading := clocks.Reading{Clock: xxhash.Sum64String(r.node.life), Steady: now}
+	reading := clocks.Reading{Clock: xxhash.Sum64String(r.node.incarnation), Steady: now}
 	var others []int64
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control && known.WallMS != 0 {
@@ -32,10 +32,10 @@
 	return reading
 }
 
-// closeLives closes the accounts of incarnations that have ended, because their node reports a
-// newer one.
-func (r *replicaDuty) closeLives() {
-	command := r.livesOver()
+// closeIncarnations closes the accounts of incarnations that have ended, because their node reports
+// a newer one.
+func (r *replicaDuty) closeIncarnations() {
+	command := r.endedIncarnations()
 	if len(command.Lives) == 0 {
 		return
 	}
@@ -44,25 +44,25 @@
 	})
 }
 
-// livesOver lists the holders whose incarnation has ended, with the time between each one's last
-// contact and the start of its successor.
-func (r *replicaDuty) livesOver() *machine.CloseLivesCommand {
+// endedIncarnations lists the holders whose incarnation has ended, with the time between each one's
+// last contact and the start of its successor.
+func (r *replicaDuty) endedIncarnations() *machine.CloseLivesCommand {
 	running, reading := r.runningEntries(), r.readClocks()
 	command := &machine.CloseLivesCommand{}
 	for _, holder := range r.machine.Accounts().Holders() {
-		address, life := holderAddress(holder.Node)
+		address, incarnation := holderAddress(holder.Node)
 		successor, isRunning := running[address]
-		if !isRunning || successor.Life == life {
+		if !isRunning || successor.Life == incarnation {
 			continue
 		}
 		// The successor has been running for this long, so the incarnation ended before.
 		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Steady - successor.At
 		silence, known := clocks.Silence(r.machine.Accounts().LastContact(holder), reading, sinceOver)
-		if !known && r.node.now()-r.leadsSince < clockPatience {
+		if !known && r.node.now()-r.leaderSince < clockTimeout {
 			continue
 		}
 		command.Lives, command.Silences = append(command.Lives, holder), append(command.Silences, silence)
-		r.node.log.Info().Str("event", "life_over").Str("node", successor.Node).Str("life", life).
+		r.node.log.Info().Str("event", "life_over").Str("node", successor.Node).Str("life", incarnation).
 			Bool("silence_known", known).Int64("silence_ms", silence.Milliseconds()).Send()
 	}
 	return command
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -11,45 +11,45 @@
 )
 
 const (
-	// mismatchPatience is how long another node's digest may differ from this node's while either
+	// mismatchTimeout is how long another node's digest may differ from this node's while either
 	// changes: changes are in transit, and during the start of a deployment they are in transit all
 	// the time. If both digests are unchanged from one hello to the next and still differ, a change
 	// was lost.
-	mismatchPatience = 6 * time.Second
-	// repairPause is the minimum time between two requests for other nodes' instances. A change
+	mismatchTimeout = 6 * time.Second
+	// repairInterval is the minimum time between two requests for other nodes' instances. A change
 	// that one node lacks is known to all others, so that a response of one of them is enough:
 	// requests to each of 25 control nodes caused 15 MB of traffic to each entry node while 10,000
 	// instances registered.
-	repairPause = time.Second
-	// gatherTime is how long a change that is not urgent waits to be batched with others after the
+	repairInterval = time.Second
+	// batchTime is how long a change that is not urgent waits to be batched with others after the
 	// last batch was sent or took effect on this node. With 3,000 instances that register within 10
 	// s at 300 nodes it saves nine tenths of an entry node's processing time for them
 	// (BenchmarkRegistering).
-	gatherTime = 50 * time.Millisecond
-	// gatherTimeOfControl is the batching time for each control node: each batches and sends its
+	batchTime = 50 * time.Millisecond
+	// batchTimePerControl is the batching time for each control node: each batches and sends its
 	// own changes, so that a node receives some 100 batches a second regardless of the number of
 	// control nodes.
-	gatherTimeOfControl = 10 * time.Millisecond
-	// relayFrom is the minimum number of control nodes for relaying changes that are not urgent.
-	// Such a change then goes only to the control nodes, and an entry node receives it from the
-	// first of the control nodes that send it the node list: some ten messages a second instead of
-	// 100 when each of 25 control nodes sends its own. With few control nodes a relay would only
+	batchTimePerControl = 10 * time.Millisecond
+	// minimumRelayControls is the minimum number of control nodes for relaying changes that are not
+	// urgent. Such a change then goes only to the control nodes, and an entry node receives it from
+	// the first of the control nodes that send it the node list: some ten messages a second instead
+	// of 100 when each of 25 control nodes sends its own. With few control nodes a relay would only
 	// add delay.
-	relayFrom = 8
-	// relayGather is how long a control node batches the changes that it relays.
-	relayGather = 100 * time.Millisecond
-	// listReuse is how long a full list that was encoded is reused for further receivers: with
+	minimumRelayControls = 8
+	// relayBatchTime is how long a control node batches the changes that it relays.
+	relayBatchTime = 100 * time.Millisecond
+	// listReuseTime is how long a full list that was encoded is reused for further receivers: with
 	// 3,000 instances it has some 270 KB, and during the start of a deployment hundreds of nodes
 	// request it from a control node almost simultaneously.
-	listReuse = 200 * time.Millisecond
+	listReuseTime = 200 * time.Millisecond
 )
 
 // mismatch is a difference between another node's digest and this node's.
 type mismatch struct {
 	own, other uint64
 	since      time.Duration
-	// hasAsked is set if the other node's list was requested since then.
-	hasAsked bool
+	// hasRequested is set if the other node's list was requested since then.
+	hasRequested bool
 }
 
 // instanceList is the full registry as it was last encoded for other nodes.
@@ -59,33 +59,33 @@
 	at      time.Duration
 }
 
-// gathered schedules work that is triggered by changes: immediately if a change is urgent,
+// batchSchedule schedules work that is triggered by changes: immediately if a change is urgent,
 // otherwise batched with later changes.
-type gathered struct {
+type batchSchedule struct {
 	isDue, isUrgent, isWaiting bool
 	doneAt                     time.Duration
 }
 
-// ask marks the work as due.
-func (g *gathered) ask(isUrgent bool) {
+// request marks the work as due.
+func (g *batchSchedule) request(isUrgent bool) {
 	g.isDue = true
 	g.isUrgent = g.isUrgent || isUrgent
 }
 
-// take reports whether the work is to be done now. Otherwise wait is the time until the next check,
-// or 0 if no check needs to be scheduled.
-func (g *gathered) take(now, gather time.Duration) (isNow bool, wait time.Duration) {
+// takeDue reports whether the work is to be done now. Otherwise wait is the time until the next
+// check, or 0 if no check needs to be scheduled.
+func (g *batchSchedule) takeDue(now, batchInterval time.Duration) (isNow bool, wait time.Duration) {
 	if !g.isDue {
 		return false, 0
 	}
-	if since := now - g.doneAt; !g.isUrgent && since < gather {
+	if since := now - g.doneAt; !g.isUrgent && since < batchInterval {
 		if g.isWaiting {
 			return false, 0
 		}
 		g.isWaiting = true
-		return false, gather - since
+		return false, batchInterval - since
 	}
-	*g = gathered{doneAt: now}
+	*g = batchSchedule{doneAt: now}
 	return true, 0
 }
 
@@ -98,9 +98,9 @@
 // instancesMessage carries changes of the registry, or the full registry.
 type instancesMessage struct {
 	Instances []registry.Instance `msgpack:"i"`
-	// Answer requests the receiver's full registry, or if Sums is set only the instances that
+	// Request requests the receiver's full registry, or if Sums is set only the instances that
 	// differ.
-	Answer bool `msgpack:"a,omitempty"`
+	Request bool `msgpack:"a,omitempty"`
 	// Sums are the digests of the sender's buckets. With Answer they are the state before the
 	// exchange; without it the receiver sends back what still differs.
 	Sums []uint64 `msgpack:"s,omitempty"`
@@ -123,67 +123,68 @@
 	if !isKnown {
 		before.since = now
 	}
-	stands := isKnown && before.own == own && before.other == other
-	patience := mismatchPatience
+	isStable := isKnown && before.own == own && before.other == other
+	timeout := mismatchTimeout
 	if f.isControl() && !hello.Control {
-		stands, patience = false, 2*mismatchPatience
+		isStable, timeout = false, 2*mismatchTimeout
 	}
 	before.own, before.other = own, other
 	f.mismatches[hello.Address] = before
-	isOld := now-before.since >= patience && (!f.hasAsked || now-f.askedAt >= patience)
+	isOld := now-before.since >= timeout && (!f.hasRequested || now-f.requestedAt >= timeout)
 	isEmpty := f.registry.LiveCount() == 0
-	if !stands && !isOld && !isEmpty || f.hasAsked && now-f.askedAt < repairPause {
+	if !isStable && !isOld && !isEmpty || f.hasRequested && now-f.requestedAt < repairInterval {
 		return
 	}
-	f.askedAt, f.hasAsked = now, true
-	f.askFor(hello, before)
+	f.requestedAt, f.hasRequested = now, true
+	f.requestInstances(hello, before)
 }
 
-// askFor requests instances that this node lacks, and sends those that the other node lacks.
-func (f *fleetDuty) askFor(hello peer.Hello, known mismatch) {
+// requestInstances requests instances that this node lacks, and sends those that the other node
+// lacks.
+func (f *fleetDuty) requestInstances(hello peer.Hello, known mismatch) {
 	if hello.Dialect >= peer.DialectSums {
 		delete(f.mismatches, hello.Address)
-		f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Answer: true, Sums: f.registry.Sums()})
+		f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Request: true, Sums: f.registry.Sums()})
 		return
 	}
-	if known.hasAsked {
+	if known.hasRequested {
 		delete(f.mismatches, hello.Address)
-		f.node.sendMessage(hello.Address, f.wholeList())
+		f.node.sendMessage(hello.Address, f.fullList())
 	} else {
-		known.hasAsked = true
+		known.hasRequested = true
 		f.mismatches[hello.Address] = known
 	}
-	f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Answer: true})
+	f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Request: true})
 }
 
-// wholeList returns the message with all instances, reusing a recent encoding.
-func (f *fleetDuty) wholeList() *peer.Message {
+// fullList returns the message with all instances, reusing a recent encoding.
+func (f *fleetDuty) fullList() *peer.Message {
 	now, digest := f.node.now(), f.registry.Digest()
-	if f.list.message == nil || f.list.digest != digest || now-f.list.at > listReuse {
+	if f.encodedList.message == nil || f.encodedList.digest != digest || now-f.encodedList.at > listReuseTime {
 		message := peer.NewMessage(peer.KindInstances, &instancesMessage{Instances: f.registry.Instances(now)})
-		f.list = instanceList{message: message, digest: digest, at: now}
+		f.encodedList = instanceList{message: message, digest: digest, at: now}
 	}
-	return f.list.message
+	return f.encodedList.message
 }
 
-// forgetList frees the encoded full list once it is too old to be reused.
-func (f *fleetDuty) forgetList(now time.Duration) {
-	if f.list.message != nil && now-f.list.at > listReuse {
-		f.list = instanceList{}
+// dropStaleList frees the encoded full list once it is too old to be reused.
+func (f *fleetDuty) dropStaleList(now time.Duration) {
+	if f.encodedList.message != nil && now-f.encodedList.at > listReuseTime {
+		f.encodedList = instanceList{}
 	}
 }
 
-func (f *fleetDuty) takeInstances(from string, message instancesMessage) {
+func (f *fleetDuty) handleInstances(from string, message instancesMessage) {
 	f.duty.Offer(func() {
 		// A response to this node's own request contains changes that only this node lacked.
 		f.mergeInstances(message.Instances, message.Sums == nil)
 		switch now := f.node.now(); {
-		case message.Answer && message.Sums != nil && areEmpty(message.Sums):
-			f.node.sendMessage(from, f.wholeList())
-		case message.Answer && message.Sums != nil:
+		case message.Request && message.Sums != nil && areAllZero(message.Sums):
+			f.node.sendMessage(from, f.fullList())
+		case message.Request && message.Sums != nil:
 			f.node.send(from, peer.KindInstances, &instancesMessage{Instances: f.registry.Differing(now, message.Sums), Sums: f.registry.Sums()})
-		case message.Answer:
-			f.node.sendMessage(from, f.wholeList())
+		case message.Request:
+			f.node.sendMessage(from, f.fullList())
 		case message.Sums != nil:
 			if differing := f.registry.Differing(now, message.Sums); len(differing) > 0 {
 				f.node.send(from, peer.KindInstances, &instancesMessage{Instances: differing})
@@ -192,32 +193,32 @@
 	})
 }
 
-// areEmpty reports whether the sums are those of a node that knows no instance. After a power loss
-// of the whole fleet a thousand nodes request all instances at the same time, and one encoded list
-// serves all of them.
-func areEmpty(sums []uint64) bool {
+// areAllZero reports whether the sums are those of a node that knows no instance. After a power
+// loss of the whole fleet a thousand nodes request all instances at the same time, and one encoded
+// list serves all of them.
+func areAllZero(sums []uint64) bool {
 	return !slices.ContainsFunc(sums, func(sum uint64) bool { return sum != 0 })
 }
 
 // mergeInstances merges instances that another node sent, and relays changes that all nodes need.
 func (f *fleetDuty) mergeInstances(others []registry.Instance, isForAll bool) {
-	if news := f.registry.Merge(f.node.now(), others); len(news) > 0 {
-		f.merged = append(f.merged, news...)
-		f.publishLater(news)
-		if isForAll && f.relays() {
-			f.unrelayed = append(f.unrelayed, news...)
-			f.relaying.ask(isUrgent(news))
+	if changed := f.registry.Merge(f.node.now(), others); len(changed) > 0 {
+		f.merged = append(f.merged, changed...)
+		f.scheduleApply(changed)
+		if isForAll && f.relaysChanges() {
+			f.unrelayed = append(f.unrelayed, changed...)
+			f.relaying.request(isUrgent(changed))
 		}
 	}
 }
 
-func (f *fleetDuty) takeHeard(heard peer.InstancesHeard) {
-	f.duty.Offer(func() { f.registry.Heard(f.node.now(), heard.IDs) })
+func (f *fleetDuty) handleInstancesHeard(received peer.InstancesHeard) {
+	f.duty.Offer(func() { f.registry.Heard(f.node.now(), received.IDs) })
 }
 
-// tellHeard sends the other control nodes the IDs of the instances whose heartbeats this node
-// received.
-func (f *fleetDuty) tellHeard() {
+// sendInstancesHeard sends the other control nodes the IDs of the instances whose heartbeats this
+// node received.
+func (f *fleetDuty) sendInstancesHeard() {
 	ids := f.registry.TakeHeardHere()
 	if len(ids) == 0 {
 		return
@@ -234,36 +235,36 @@
 	}
 	f.logInstances("announced", changes)
 	f.unannounced = append(f.unannounced, changes...)
-	f.announcing.ask(isUrgent(changes))
-	f.publishLater(changes)
+	f.announcing.request(isUrgent(changes))
+	f.scheduleApply(changes)
 }
 
-// publishLater schedules changes to take effect on this node.
-func (f *fleetDuty) publishLater(changes []registry.Instance) {
+// scheduleApply schedules changes to take effect on this node.
+func (f *fleetDuty) scheduleApply(changes []registry.Instance) {
 	for _, changed := range changes {
-		f.unpublished[changed.ID] = struct{}{}
+		f.unapplied[changed.ID] = struct{}{}
 	}
-	f.publishing.ask(isUrgent(changes))
+	f.applying.request(isUrgent(changes))
 }
 
 // flush does the work that changes have scheduled and that is due.
 func (f *fleetDuty) flush() {
 	now := f.node.now()
 	isUrgent := f.announcing.isUrgent
-	announceGather := max(gatherTime, time.Duration(f.view.Load().controls)*gatherTimeOfControl)
-	isNow, announceIn := f.announcing.take(now, announceGather)
+	announceBatchTime := max(batchTime, time.Duration(f.view.Load().controls)*batchTimePerControl)
+	isNow, announceIn := f.announcing.takeDue(now, announceBatchTime)
 	if isNow {
 		f.sendAnnounced(isUrgent)
 	}
-	isNow, relayIn := f.relaying.take(now, relayGather)
+	isNow, relayIn := f.relaying.takeDue(now, relayBatchTime)
 	if isNow {
 		f.sendRelayed()
 	}
-	isNow, publishIn := f.publishing.take(now, gatherTime)
+	isNow, applyIn := f.applying.takeDue(now, batchTime)
 	if isNow {
-		f.publishInstances()
+		f.applyInstances()
 	}
-	for _, wait := range []time.Duration{announceIn, relayIn, publishIn} {
+	for _, wait := range []time.Duration{announceIn, relayIn, applyIn} {
 		if wait > 0 {
 			// The duty flushes again after this empty work item.
 			time.AfterFunc(wait, func() { f.duty.Offer(func() {}) })
@@ -276,32 +277,35 @@
 func (f *fleetDuty) sendAnnounced(isUrgent bool) {
 	message := peer.NewMessage(peer.KindInstances, &instancesMessage{Instances: f.unannounced})
 	f.unannounced = nil
-	toAll := isUrgent || !f.relays()
+	toAll := isUrgent || !f.relaysChanges()
 	for _, known := range f.roster.AliveNodes(f.node.now()) {
-		if toAll || known.Control || f.decideOn(known.Address).isRelay {
+		if toAll || known.Control || f.decideListRole(known.Address).isRelay {
 			f.node.sendMessage(known.Address, message)
 		}
 	}
 }
 
-// relays reports whether changes that are not urgent reach each entry node through one relaying
-// control node.
-func (f *fleetDuty) relays() bool { return f.isControl() && len(f.nodes.controls) >= relayFrom }
+// relaysChanges reports whether changes that are not urgent reach each entry node through one
+// relaying control node.
+func (f *fleetDuty) relaysChanges() bool {
+	return f.isControl() && len(f.nodes.controls) >= minimumRelayControls
+}
 
 // sendRelayed relays changes that other nodes sent.
 func (f *fleetDuty) sendRelayed() {
 	message := peer.NewMessage(peer.KindInstances, &instancesMessage{Instances: f.unrelayed})
 	f.unrelayed = nil
 	for _, known := range f.roster.AliveNodes(f.node.now()) {
-		if f.decideOn(known.Address).isRelay {
+		if f.decideListRole(known.Address).isRelay {
 			f.node.sendMessage(known.Address, message)
 		}
 	}
 }
 
-// instanceLines is the maximum number of changes in a batch that are logged one by one: thousands
-// of instances register during the start of a deployment, and each node receives every one of them.
-const instanceLines = 8
+// maximumInstanceLines is the maximum number of changes in a batch that are logged one by one:
+// thousands of instances register during the start of a deployment, and each node receives every
+// one of them.
+const maximumInstanceLines = 8
 
 // logMerged logs the changes received from other nodes since the last tick.
 func (f *fleetDuty) logMerged() {
@@ -312,7 +316,7 @@
 }
 
 func (f *fleetDuty) logInstances(how string, changes []registry.Instance) {
-	if len(changes) > instanceLines {
+	if len(changes) > maximumInstanceLines {
 		states := map[string]int{}
 		for _, changed := range changes {
 			states[changed.State.String()]++
@@ -328,22 +332,22 @@
 	}
 }
 
-func (f *fleetDuty) publishInstances() {
-	changes := make([]registry.Instance, 0, len(f.unpublished))
-	for id := range f.unpublished {
+func (f *fleetDuty) applyInstances() {
+	changes := make([]registry.Instance, 0, len(f.unapplied))
+	for id := range f.unapplied {
 		if known, found := f.registry.Get(id); found {
 			changes = append(changes, known)
 		}
 	}
-	clear(f.unpublished)
-	f.instances.Store(int64(f.registry.LiveCount()))
+	clear(f.unapplied)
+	f.instanceCount.Store(int64(f.registry.LiveCount()))
 	replaced := f.node.table.Apply(changes)
 	if f.node.pipeline == nil {
 		return
 	}
 	f.node.backoff.forget(replaced)
-	for _, over := range replaced {
-		f.node.limits.limits.Forget(over.Life())
+	for _, previous := range replaced {
+		f.node.limits.limits.Forget(previous.Life())
 	}
 	for _, changed := range changes {
 		if changed.HasEnded() {
@@ -358,12 +362,12 @@
 // heartbeat records an instance's heartbeat and schedules the announcement of a change before it
 // returns.
 func (f *fleetDuty) heartbeat(ctx context.Context, instance registry.Instance) error {
-	result, err := duty.Ask(ctx, f.duty, func(answer func(error)) {
+	result, err := duty.Ask(ctx, f.duty, func(respond func(error)) {
 		changed, err := f.registry.Heartbeat(f.node.now(), instance)
 		if changed {
 			f.announce([]registry.Instance{instance})
 		}
-		answer(err)
+		respond(err)
 	})
 	if err != nil {
 		return err
@@ -372,13 +376,13 @@
 }
 
 // leave records an instance's notice that one of its incarnations is ending.
-func (f *fleetDuty) leave(ctx context.Context, life registry.Life) error {
-	_, err := duty.Ask(ctx, f.duty, func(answer func(bool)) {
-		changed := f.registry.Leave(f.node.now(), life)
-		if left, found := f.registry.Get(life.ID); changed && found {
+func (f *fleetDuty) leave(ctx context.Context, incarnation registry.Life) error {
+	_, err := duty.Ask(ctx, f.duty, func(respond func(bool)) {
+		changed := f.registry.Leave(f.node.now(), incarnation)
+		if left, found := f.registry.Get(incarnation.ID); changed && found {
 			f.announce([]registry.Instance{left})
 		}
-		answer(changed)
+		respond(changed)
 	})
 	return err
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// holderPatience is how long an issuer's response is awaited beyond the request's own maximum
+	// issuerTimeout is how long an issuer's response is awaited beyond the request's own maximum
 	// wait: a round trip takes some milliseconds within a region, and up to 150 between regions.
-	holderPatience = 200 * time.Millisecond
+	issuerTimeout = 200 * time.Millisecond
 	// limitLinesPerSecond limits the log lines on rate limits: hundreds of instances may name one
 	// at the same moment. Omitted lines are counted.
 	limitLinesPerSecond = 10
 )
 
 var (
-	limitsBegan      = metrics.GetOrCreateCounter("ravenway_instance_limits_begun_total")
-	limitsEnded      = metrics.GetOrCreateCounter("ravenway_instance_limits_ended_total")
-	limitsUnreadable = metrics.GetOrCreateCounter("ravenway_instance_limits_unreadable_total")
-	permitsUsed      = metrics.GetOrCreateCounter(`ravenway_permits_total{result="granted"}`)
-	permitsDenied    = metrics.GetOrCreateCounter(`ravenway_permits_total{result="denied"}`)
-	permitsSilent    = metrics.GetOrCreateCounter(`ravenway_permits_total{result="no_holder"}`)
-	permitsStale     = metrics.GetOrCreateCounter(`ravenway_permits_total{result="stale"}`)
-	permitsGiven     = metrics.GetOrCreateCounter("ravenway_permits_given_total")
-	limitsInForce    = metrics.GetOrCreateGauge("ravenway_instance_limits_in_force", nil)
-	permitSeconds    = metrics.GetOrCreateHistogram("ravenway_permit_wait_seconds")
+	limitsBegan       = metrics.GetOrCreateCounter("ravenway_instance_limits_begun_total")
+	limitsEnded       = metrics.GetOrCreateCounter("ravenway_instance_limits_ended_total")
+	limitsUnreadable  = metrics.GetOrCreateCounter("ravenway_instance_limits_unreadable_total")
+	permitsUsed       = metrics.GetOrCreateCounter(`ravenway_permits_total{result="granted"}`)
+	permitsDenied     = metrics.GetOrCreateCounter(`ravenway_permits_total{result="denied"}`)
+	permitsUnanswered = metrics.GetOrCreateCounter(`ravenway_permits_total{result="no_holder"}`)
+	permitsStale      = metrics.GetOrCreateCounter(`ravenway_permits_total{result="stale"}`)
+	permitsIssued     = metrics.GetOrCreateCounter("ravenway_permits_given_total")
+	limitsActive      = metrics.GetOrCreateGauge("ravenway_instance_limits_in_force", nil)
+	permitSeconds     = metrics.GetOrCreateHistogram("ravenway_permit_wait_seconds")
 )
 
-// limitKeeper is this entry node's part in enforcing the rate limits that instances name in their
+// limitEnforcer is this entry node's part in enforcing the rate limits that instances name in their
 // responses.
-type limitKeeper struct {
+type limitEnforcer struct {
 	node   *Node
 	limits *ratelimit.Limits
 	// generation is the generation of the live entry nodes that the limits were last given.
@@ -52,49 +52,49 @@
 // pruneInterval is the time between checks for limits and pauses of ended incarnations.
 const pruneInterval = time.Second
 
-func newLimitKeeper(node *Node) *limitKeeper {
-	return &limitKeeper{node: node, limits: ratelimit.New(node.address), lines: forward.NewLineBudget(limitLinesPerSecond)}
+func newLimitEnforcer(node *Node) *limitEnforcer {
+	return &limitEnforcer{node: node, limits: ratelimit.New(node.address), lines: forward.NewLineBudget(limitLinesPerSecond)}
 }
 
-// look passes the live entry nodes to the limits and prunes them. The loads duty calls it.
-func (k *limitKeeper) look() {
-	now, live := k.node.now(), k.node.fleet.view.Load().live
-	k.takeNodes(now, live)
-	k.limits.SetSure(now, live.NamesSelf && !k.node.isStopping())
-	if now-k.prunedAt >= pruneInterval {
-		k.limits.Prune(now)
-		k.prunedAt = now
+// tick passes the live entry nodes to the limits and prunes them. The loads duty calls it.
+func (e *limitEnforcer) tick() {
+	now, live := e.node.now(), e.node.fleet.view.Load().live
+	e.updateNodes(now, live)
+	e.limits.SetSure(now, live.NamesSelf && !e.node.isStopping())
+	if now-e.prunedAt >= pruneInterval {
+		e.limits.Prune(now)
+		e.prunedAt = now
 	}
-	limitsInForce.Set(float64(k.limits.Count()))
+	limitsActive.Set(float64(e.limits.Count()))
 }
 
-// takeNodes passes the entry nodes that issue permits to the limits, this one included.
-func (k *limitKeeper) takeNodes(now time.Duration, live roster.LiveEntries) {
-	if live.Generation == k.generation {
+// updateNodes passes the entry nodes that issue permits to the limits, this one included.
+func (e *limitEnforcer) updateNodes(now time.Duration, live roster.LiveEntries) {
+	if live.Generation == e.generation {
 		return
 	}
-	k.generation = live.Generation
-	nodes := []ratelimit.Node{{Address: k.node.address, Zone: k.node.settings.Load().Node.Zone}}
+	e.generation = live.Generation
+	nodes := []ratelimit.Node{{Address: e.node.address, Zone: e.node.settings.Load().Node.Zone}}
 	for _, entry := range live.Nodes {
-		if entry.Address != k.node.address && k.node.dialects.reader(entry.Address) >= peer.DialectPermits {
+		if entry.Address != e.node.address && e.node.protocols.versionOf(entry.Address) >= peer.DialectPermits {
 			nodes = append(nodes, ratelimit.Node{Address: entry.Address, Zone: entry.Zone})
 		}
 	}
-	k.limits.SetNodes(now, nodes)
+	e.limits.SetNodes(now, nodes)
 }
 
 // Learn implements forward.RateLimits.
-func (k *limitKeeper) Learn(instance registry.Instance, said ratelimit.Said, writtenAt time.Time) {
-	k.note("answer", k.limits.Learn(k.node.now(), instance.Life(), said, k.node.at(writtenAt)))
+func (e *limitEnforcer) Learn(instance registry.Instance, signal ratelimit.Said, writtenAt time.Time) {
+	e.record("answer", e.limits.Learn(e.node.now(), instance.Life(), signal, e.node.monotonicTime(writtenAt)))
 }
 
-// hear accepts other nodes' updates on limits.
-func (k *limitKeeper) hear(words []ratelimit.Word) {
-	k.note("peer", k.limits.Hear(k.node.now(), words)...)
+// handleUpdates accepts other nodes' updates on limits.
+func (e *limitEnforcer) handleUpdates(updates []ratelimit.Word) {
+	e.record("peer", e.limits.Hear(e.node.now(), updates)...)
 }
 
-// note counts and logs each change, with the source it was learnt from.
-func (k *limitKeeper) note(how string, changes ...ratelimit.Change) {
+// record counts and logs each change, with the source it was learnt from.
+func (e *limitEnforcer) record(how string, changes ...ratelimit.Change) {
 	for _, change := range changes {
 		event := "instance_limit"
 		switch change.Kind {
@@ -109,87 +109,87 @@
 			event = "instance_limit_unreadable"
 		case ratelimit.Changed:
 		}
-		if !k.lines.Take() {
+		if !e.lines.Take() {
 			continue
 		}
-		k.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
+		e.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
 			Float64("per_second", change.PerSecond).Float64("before", change.Before).Int64("age_ms", change.Age.Milliseconds()).
 			Str("how", how).AnErr("error", change.Fault).Send()
 	}
 }
 
 // Permit implements forward.RateLimits.
-func (k *limitKeeper) Permit(ctx context.Context, instance registry.Instance, need ratelimit.Need) error {
-	if !k.limits.Any() {
+func (e *limitEnforcer) Permit(ctx context.Context, instance registry.Instance, needs ratelimit.Need) error {
+	if !e.limits.Any() {
 		return nil
 	}
-	life, began := instance.Life(), k.node.now()
-	ask, holder, isLimited := k.limits.Ask(began, life, instance.Zone, need)
+	incarnation, startedAt := instance.Life(), e.node.now()
+	permitRequest, issuer, isLimited := e.limits.Ask(startedAt, incarnation, instance.Zone, needs)
 	if !isLimited {
 		return nil
 	}
-	answer, err := k.ask(ctx, holder, ask)
-	now := k.node.now()
+	response, err := e.requestPermit(ctx, issuer, permitRequest)
+	now := e.node.now()
 	if err != nil {
-		permitsSilent.Inc()
-		k.limits.Unanswered(now, life)
-		return fmt.Errorf("%w: the holder %q of %s gave no answer: %w", forward.ErrNoPermit, holder, life, err)
+		permitsUnanswered.Inc()
+		e.limits.Unanswered(now, incarnation)
+		return fmt.Errorf("%w: the holder %q of %s gave no answer: %w", forward.ErrNoPermit, issuer, incarnation, err)
 	}
-	k.note("holder", k.limits.Answered(now, life, answer)...)
-	if !answer.IsGranted {
-		if _, isStill := k.limits.Room(now, life); !isStill {
+	e.record("holder", e.limits.Answered(now, incarnation, response)...)
+	if !response.IsGranted {
+		if _, isStill := e.limits.Room(now, incarnation); !isStill {
 			return nil
 		}
 		permitsDenied.Inc()
-		return fmt.Errorf("%w: the holder %s of %s has one in %d ms", forward.ErrNoPermit, holder, life, answer.FreeMS)
+		return fmt.Errorf("%w: the holder %s of %s has one in %d ms", forward.ErrNoPermit, issuer, incarnation, response.FreeMS)
 	}
-	if !pause.For(ctx, time.Duration(answer.DelayMS)*time.Millisecond) {
+	if !pause.For(ctx, time.Duration(response.DelayMS)*time.Millisecond) {
 		return context.Cause(ctx)
 	}
-	if k.node.now()-began > need.Patience()+ratelimit.PermitLife {
+	if e.node.now()-startedAt > needs.Patience()+ratelimit.PermitLife {
 		permitsStale.Inc()
-		return fmt.Errorf("%w: that for %s came too late", forward.ErrNoPermit, life)
+		return fmt.Errorf("%w: that for %s came too late", forward.ErrNoPermit, incarnation)
 	}
 	permitsUsed.Inc()
-	permitSeconds.Update((k.node.now() - began).Seconds())
+	permitSeconds.Update((e.node.now() - startedAt).Seconds())
 	return nil
 }
 
-var errNoHolder = errors.New("gateway: no node holds the limit")
+var errNoIssuer = errors.New("gateway: no node holds the limit")
 
-// ask requests a permit from the issuer.
-func (k *limitKeeper) ask(ctx context.Context, holder string, ask ratelimit.Ask) (ratelimit.Answer, error) {
-	switch holder {
+// requestPermit requests a permit from the issuer.
+func (e *limitEnforcer) requestPermit(ctx context.Context, issuer string, permitRequest ratelimit.Ask) (ratelimit.Answer, error) {
+	switch issuer {
 	case "":
-		return ratelimit.Answer{}, errNoHolder
-	case k.node.address:
-		return k.grant(holder, ask), nil
+		return ratelimit.Answer{}, errNoIssuer
+	case e.node.address:
+		return e.grant(issuer, permitRequest), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, ask.Patience()+holderPatience)
+	ctx, cancel := context.WithTimeout(ctx, permitRequest.Patience()+issuerTimeout)
 	defer cancel()
-	return peer.Invoke[ratelimit.Answer](ctx, k.node.calls, holder, peer.MethodPermit, ask)
+	return peer.Invoke[ratelimit.Answer](ctx, e.node.calls, issuer, peer.MethodPermit, permitRequest)
 }
 
 // grant responds to a node's request for a permit.
-func (k *limitKeeper) grant(from string, ask ratelimit.Ask) ratelimit.Answer {
-	answer := k.limits.Grant(k.node.now(), from, ask)
-	if answer.IsGranted {
-		permitsGiven.Inc()
+func (e *limitEnforcer) grant(from string, permitRequest ratelimit.Ask) ratelimit.Answer {
+	response := e.limits.Grant(e.node.now(), from, permitRequest)
+	if response.IsGranted {
+		permitsIssued.Inc()
 	}
-	return answer
+	return response
 }
 
 // summarize logs how the limits were used since the last call, and how many lines on limits were
 // omitted.
-func (k *limitKeeper) summarize() {
-	now := k.node.now()
-	for _, use := range k.limits.TakeUse(now) {
-		if k.lines.Take() {
-			k.node.log.Info().Str("event", "instance_limit_use").Stringer("life", use.Life).Float64("per_second", use.PerSecond).
+func (e *limitEnforcer) summarize() {
+	now := e.node.now()
+	for _, use := range e.limits.TakeUse(now) {
+		if e.lines.Take() {
+			e.node.log.Info().Str("event", "instance_limit_use").Stringer("life", use.Life).Float64("per_second", use.PerSecond).
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
-	if leftOut := k.lines.TakeLeftOut(); leftOut > 0 {
-		k.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", leftOut).Int("in_force", len(k.limits.List(now))).Send()
+	if leftOut := e.lines.TakeLeftOut(); leftOut > 0 {
+		e.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", leftOut).Int("in_force", len(e.limits.List(now))).Send()
 	}
 }
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// freshWord is the maximum age of a control node's last hello whose delay is taken into
+	// maximumHelloAge is the maximum age of a control node's last hello whose delay is taken into
 	// account; hellos are sent every 0.6 s.
-	freshWord = 1500 * time.Millisecond
+	maximumHelloAge = 1500 * time.Millisecond
 	// bytesPerMegabit converts megabits to bytes.
 	bytesPerMegabit = 1e6 / 8
 )
 
-// linkWatch monitors the load of the entry node's network link. The fleet duty owns it; other
+// linkMonitor monitors the load of the entry node's network link. The fleet duty owns it; other
 // goroutines read whether the node sheds load.
-type linkWatch struct {
+type linkMonitor struct {
 	node     *Node
 	shedder  overload.Shedder
 	shedding atomic.Bool
 	// busy is set while new connections should go to other nodes.
 	busy atomic.Bool
-	// current is the delay at the last reading, in nanoseconds; 0 if it is not known.
-	current atomic.Int64
+	// currentDelay is the delay at the last reading, in nanoseconds; 0 if it is not known.
+	currentDelay atomic.Int64
 	// reports is the delay of other entry nodes' load reports, the only measure that remains when
 	// all control nodes are unreachable.
 	reports atomic.Pointer[reportDelay]
@@ -37,8 +37,8 @@
 // reportDelay is a delay and the time at which it was read.
 type reportDelay struct{ delay, at time.Duration }
 
-// noteReports stores the median delay of recent load reports.
-func (l *linkWatch) noteReports(now time.Duration, delays []time.Duration) {
+// recordReports stores the median delay of recent load reports.
+func (l *linkMonitor) recordReports(now time.Duration, delays []time.Duration) {
 	if median, known := delay.Median(delays); known {
 		l.reports.Store(&reportDelay{delay: median, at: now})
 	}
@@ -47,13 +47,13 @@
 // loadSheds counts how often this node began to shed load because its link was full.
 var loadSheds = metrics.GetOrCreateCounter("ravenway_load_sheds_total")
 
-// look takes a reading at each tick and updates whether the node sheds load or is busy.
-func (l *linkWatch) look(now time.Duration, view *fleetView) {
+// tick takes a reading at each tick and updates whether the node sheds load or is busy.
+func (l *linkMonitor) tick(now time.Duration, view *fleetView) {
 	if l.node.pipeline == nil {
 		return
 	}
 	reading := l.read(now, view)
-	l.current.Store(int64(reading.Delay))
+	l.currentDelay.Store(int64(reading.Delay))
 	changed := l.shedder.Step(now, reading)
 	if busy := l.shedder.Busy(); l.busy.Swap(busy) != busy {
 		l.node.log.Warn().Str("event", "new_connections").Bool("asked_for", !busy).Int64("caller_bytes", reading.CallerBytes).
@@ -72,7 +72,7 @@
 		Int64("caller_bytes", reading.CallerBytes).Float64("link_bytes_a_second", reading.LinkBytes).Int("others", reading.Others).Send()
 }
 
-func (l *linkWatch) read(now time.Duration, view *fleetView) overload.Reading {
+func (l *linkMonitor) read(now time.Duration, view *fleetView) overload.Reading {
 	current := l.node.settings.Load()
 	reading := overload.Reading{
 		CallerBytes: l.node.pipeline.ReceivedBytes(), LinkBytes: current.Limits.LinkMbps * bytesPerMegabit, Others: view.neighbours.inZone,
@@ -83,17 +83,17 @@
 
 // delay returns the median delay of the control nodes' last hellos, or if there are none that of
 // load reports.
-func (l *linkWatch) delay(now time.Duration, alive []*roster.Heard) (time.Duration, bool) {
+func (l *linkMonitor) delay(now time.Duration, alive []*roster.Heard) (time.Duration, bool) {
 	var delays []time.Duration
 	for _, known := range alive {
-		if known.Control && known.IsFresh(now, freshWord) {
+		if known.Control && known.IsFresh(now, maximumHelloAge) {
 			delays = append(delays, known.Delay())
 		}
 	}
 	if median, known := delay.Median(delays); known {
 		return median, true
 	}
-	if reports := l.reports.Load(); reports != nil && now-reports.at <= freshReport {
+	if reports := l.reports.Load(); reports != nil && now-reports.at <= maximumReportAge {
 		return reports.delay, true
 	}
 	return 0, false
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -12,27 +12,29 @@
 )
 
 const (
-	// nodesEvery is the number of hellos, about 30 s, after which the full list of nodes is
+	// fullListHellos is the number of hellos, about 30 s, after which the full list of nodes is
 	// repeated even if it did not change: a frame with a change may have been lost with its
 	// connection. With 1,000 nodes this costs an entry node 2 KB a second.
-	nodesEvery = 50
-	// listTellers is the number of control nodes that send an entry node the list of all nodes. The
-	// list of 985 entry nodes has 25 KB; sent by each of 25 control nodes it added up to 2.5 MB for
-	// each entry node during the start of a fleet. The second sender covers the loss of the first.
-	listTellers = 2
+	fullListHellos = 50
+	// listSenderCount is the number of control nodes that send an entry node the list of all nodes.
+	// The list of 985 entry nodes has 25 KB; sent by each of 25 control nodes it added up to 2.5 MB
+	// for each entry node during the start of a fleet. The second sender covers the loss of the
+	// first.
+	listSenderCount = 2
 )
 
-// toldNodes is what a receiver was last sent of the node list, and this control node's role for it.
-type toldNodes struct {
+// sentNodeList is what a receiver was last sent of the node list, and this control node's role for
+// it.
+type sentNodeList struct {
 	// version is the version of the list of all nodes that was last sent, 0 if another list or none
 	// was sent. controls is the digest of the control nodes that were sent.
 	version  uint64
 	controls uint64
 	hellos   int
-	// decidedBy is the digest of the control nodes for which it was last decided whether this node
+	// decidedFor is the digest of the control nodes for which it was last decided whether this node
 	// sends the receiver the list of all nodes.
-	decidedBy uint64
-	isTeller  bool
+	decidedFor   uint64
+	isListSender bool
 	// isRelay is set if this node is the first of those senders, which also relays changes of
 	// instances.
 	isRelay   bool
@@ -42,8 +44,8 @@
 // nodeList is the list of the live nodes that a control node knows, itself included, with its
 // latest changes.
 type nodeList struct {
-	nodes    []peer.NodeEntry
-	dialects []peer.Dialect
+	nodes     []peer.NodeEntry
+	protocols []peer.Dialect
 	// version rises with each change. history holds the latest changes, the newest last.
 	version uint64
 	history []listChange
@@ -58,22 +60,22 @@
 	left   []string
 }
 
-// historyKept is the number of changes that are kept. A receiver that is further behind is sent the
-// full list. A change has some 40 bytes for each node, the list of 985 nodes has 25 KB, and changes
-// are sent every 0.6 s.
-const historyKept = 32
+// maximumHistory is the number of changes that are kept. A receiver that is further behind is sent
+// the full list. A change has some 40 bytes for each node, the list of 985 nodes has 25 KB, and
+// changes are sent every 0.6 s.
+const maximumHistory = 32
 
 // update rebuilds the list from the live nodes.
 func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Heard) {
-	before, beforeDialects := l.nodes, l.dialects
-	l.nodes, l.dialects, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
+	before, beforeProtocols := l.nodes, l.protocols
+	l.nodes, l.protocols, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
 	digest := xxhash.New()
 	for _, known := range alive {
 		if known.Stopping {
 			continue
 		}
 		entry := peer.NodeEntry{Address: known.Address, Zone: known.Zone, Entry: known.Entry, Control: known.Control}
-		l.nodes, l.dialects = append(l.nodes, entry), append(l.dialects, known.Dialect)
+		l.nodes, l.protocols = append(l.nodes, entry), append(l.protocols, known.Dialect)
 		if known.Control {
 			l.controls = append(l.controls, entry)
 			_, _ = digest.WriteString(known.Address)
@@ -81,20 +83,20 @@
 	}
 	l.controlsDigest = digest.Sum64()
 	switch {
-	case slices.Equal(before, l.nodes) && slices.Equal(beforeDialects, l.dialects):
+	case slices.Equal(before, l.nodes) && slices.Equal(beforeProtocols, l.protocols):
 		return
-	case l.version == 0 || !slices.Equal(dialectsOf(before, beforeDialects, l.nodes), dialectsOf(l.nodes, l.dialects, before)):
+	case l.version == 0 || !slices.Equal(protocolsOf(before, beforeProtocols, l.nodes), protocolsOf(l.nodes, l.protocols, before)):
 		// Changes carry no protocol versions, so an upgraded node requires the full list.
 		l.history = nil
 	default:
 		l.history = append(l.history, changeBetween(before, l.nodes))
-		l.history = l.history[max(0, len(l.history)-historyKept):]
+		l.history = l.history[max(0, len(l.history)-maximumHistory):]
 	}
 	l.version++
 }
 
-// dialectsOf are the protocol versions of those nodes that are also in another list.
-func dialectsOf(nodes []peer.NodeEntry, dialects []peer.Dialect, others []peer.NodeEntry) []peer.Dialect {
+// protocolsOf are the protocol versions of those nodes that are also in another list.
+func protocolsOf(nodes []peer.NodeEntry, protocols []peer.Dialect, others []peer.NodeEntry) []peer.Dialect {
 	isOther := make(map[string]bool, len(others))
 	for _, other := range others {
 		isOther[other.Address] = true
@@ -102,7 +104,7 @@
 	var common []peer.Dialect
 	for position, node := range nodes {
 		if isOther[node.Address] {
-			common = append(common, dialects[position])
+			common = append(common, protocols[position])
 		}
 	}
 	return common
@@ -132,9 +134,9 @@
 	return change
 }
 
-// since returns the accumulated changes since a version, and false if the history does not reach
-// back that far.
-func (l *nodeList) since(version uint64) (listChange, bool) {
+// changesSince returns the accumulated changes since a version, and false if the history does not
+// reach back that far.
+func (l *nodeList) changesSince(version uint64) (listChange, bool) {
 	behind := l.version - version
 	if version == 0 || behind > uint64(len(l.history)) {
 		return listChange{}, false
@@ -152,87 +154,87 @@
 // listHellos are one round's hellos with node lists. Each is built when it is first needed.
 type listHellos struct {
 	fleet    *fleetDuty
-	said     peer.Hello
-	whole    *peer.Message
+	hello    peer.Hello
+	full     *peer.Message
 	controls *peer.Message
 	changes  map[uint64]*peer.Message
 }
 
 // newListHellos updates the node list and prepares a round's hellos from this node's own hello.
-func (f *fleetDuty) newListHellos(now time.Duration, said peer.Hello) *listHellos {
-	f.nodes.update(peer.NodeEntry{Address: f.node.address, Zone: said.Zone, Control: true}, f.roster.AliveNodes(now))
-	return &listHellos{fleet: f, said: said, changes: map[uint64]*peer.Message{}}
+func (f *fleetDuty) newListHellos(now time.Duration, own peer.Hello) *listHellos {
+	f.nodes.update(peer.NodeEntry{Address: f.node.address, Zone: own.Zone, Control: true}, f.roster.AliveNodes(now))
+	return &listHellos{fleet: f, hello: own, changes: map[uint64]*peer.Message{}}
 }
 
 // forReceiver returns the hello with the node list that a receiver is due, or nil if none is due.
 func (h *listHellos) forReceiver(receiver string) *peer.Message {
-	told := h.fleet.decideOn(receiver)
-	isDue := told.hellos%nodesEvery == 0
+	state := h.fleet.decideListRole(receiver)
+	isDue := state.hellos%fullListHellos == 0
 	var hello *peer.Message
 	switch list := &h.fleet.nodes; {
-	case !told.isTeller:
-		if isDue || told.controls != list.controlsDigest || told.version != 0 {
+	case !state.isListSender:
+		if isDue || state.controls != list.controlsDigest || state.version != 0 {
 			hello = h.withControls()
 		}
-		told.controls, told.version = list.controlsDigest, 0
-	case isDue || told.version != list.version:
-		readsChanges := h.fleet.node.dialects.reader(receiver) >= peer.DialectSums
-		hello = h.withAll(told.version, isDue || !readsChanges)
-		told.version = list.version
+		state.controls, state.version = list.controlsDigest, 0
+	case isDue || state.version != list.version:
+		readsChanges := h.fleet.node.protocols.versionOf(receiver) >= peer.DialectSums
+		hello = h.withAllNodes(state.version, isDue || !readsChanges)
+		state.version = list.version
 	}
-	told.hellos++
-	h.fleet.told[receiver] = told
+	state.hellos++
+	h.fleet.sentLists[receiver] = state
 	return hello
 }
 
 func (h *listHellos) withControls() *peer.Message {
 	if h.controls == nil {
-		said := h.said
-		said.Nodes = h.fleet.nodes.controls
-		h.controls = peer.NewMessage(peer.KindHello, said)
+		own := h.hello
+		own.Nodes = h.fleet.nodes.controls
+		h.controls = peer.NewMessage(peer.KindHello, own)
 	}
 	return h.controls
 }
 
-// withAll returns the hello about all nodes: only the changes since a version where these are known
-// and the full list is not required.
-func (h *listHellos) withAll(since uint64, isWhole bool) *peer.Message {
+// withAllNodes returns the hello about all nodes: only the changes since a version where these are
+// known and the full list is not required.
+func (h *listHellos) withAllNodes(since uint64, isWhole bool) *peer.Message {
 	list := &h.fleet.nodes
-	change, isKnown := list.since(since)
+	change, isKnown := list.changesSince(since)
 	if isWhole || !isKnown {
-		if h.whole == nil {
-			said := h.said
-			said.Nodes, said.ListVersion, said.OlderNodes = list.nodes, list.version, h.fleet.node.dialects.older(list.nodes)
-			h.whole = peer.NewMessage(peer.KindHello, said)
+		if h.full == nil {
+			own := h.hello
+			own.Nodes, own.ListVersion, own.OlderNodes = list.nodes, list.version, h.fleet.node.protocols.olderVersions(list.nodes)
+			h.full = peer.NewMessage(peer.KindHello, own)
 		}
-		return h.whole
+		return h.full
 	}
 	if h.changes[since] == nil {
-		said := h.said
-		said.ListBase, said.ListVersion, said.Joined, said.Left = since, list.version, change.joined, change.left
-		h.changes[since] = peer.NewMessage(peer.KindHello, said)
+		own := h.hello
+		own.ListBase, own.ListVersion, own.Joined, own.Left = since, list.version, change.joined, change.left
+		h.changes[since] = peer.NewMessage(peer.KindHello, own)
 	}
 	return h.changes[since]
 }
 
-// decideOn decides whether this control node is one of those that send a node the list of all
-// nodes. Control nodes are in contact with entry nodes themselves, and listTellers senders are
+// decideListRole decides whether this control node is one of those that send a node the list of all
+// nodes. Control nodes are in contact with entry nodes themselves, and listSenderCount senders are
 // enough for any entry node.
-func (f *fleetDuty) decideOn(receiver string) toldNodes {
-	told := f.told[receiver]
+func (f *fleetDuty) decideListRole(receiver string) sentNodeList {
+	state := f.sentLists[receiver]
 	known := f.roster.Get(receiver)
 	if known == nil || !known.Entry {
-		return told
+		return state
 	}
-	if !told.isDecided || told.decidedBy != f.nodes.controlsDigest {
+	if !state.isDecided || state.decidedFor != f.nodes.controlsDigest {
 		var controls []follow.Node
 		for _, control := range f.nodes.controls {
 			controls = append(controls, follow.Node{Address: control.Address, Zone: control.Zone})
 		}
-		chosen := follow.ChooseSenders(follow.Node{Address: known.Address, Zone: known.Zone}, controls, listTellers)
-		told.isTeller, told.isRelay = slices.Contains(chosen, f.node.address), len(chosen) > 0 && chosen[0] == f.node.address
-		told.decidedBy, told.isDecided = f.nodes.controlsDigest, true
-		f.told[receiver] = told
+		chosen := follow.ChooseSenders(follow.Node{Address: known.Address, Zone: known.Zone}, controls, listSenderCount)
+		state.isListSender, state.isRelay = slices.Contains(chosen, f.node.address), len(chosen) > 0 && chosen[0] == f.node.address
+		state.decidedFor, state.isDecided = f.nodes.controlsDigest, true
+		f.sentLists[receiver] = state
 	}
-	return told
+	return state
 }
--- a/internal/gateway/lists_test.go
+++ b/internal/gateway/lists_test.go
@@ -31,37 +31,37 @@
 		var list nodeList
 		follower := roster.New("10.1.0.1:7000", nil)
 		present := map[string]bool{}
-		told := uint64(0)
+		sentVersion := uint64(0)
 		for step := range 60 {
 			for range rapid.IntRange(0, 3).Draw(t, "changes") {
 				name := fmt.Sprintf("10.1.0.%d:7000", 2+rapid.IntRange(0, 9).Draw(t, "node"))
 				present[name] = !present[name]
 			}
 			var names []string
-			for name, isThere := range present {
-				if isThere {
+			for name, isPresent := range present {
+				if isPresent {
 					names = append(names, name)
 				}
 			}
 			slices.Sort(names)
 			list.update(own, aliveNodes(names))
 			hello := peer.Hello{Address: own.Address, Zone: "a", Control: true, Life: "1"}
-			change, isKnown := list.since(told)
+			change, isKnown := list.changesSince(sentVersion)
 			if !isKnown || rapid.IntRange(0, 9).Draw(t, "whole") == 0 {
 				hello.Nodes, hello.ListVersion = list.nodes, list.version
-			} else if list.version != told {
-				hello.ListBase, hello.ListVersion, hello.Joined, hello.Left = told, list.version, change.joined, change.left
+			} else if list.version != sentVersion {
+				hello.ListBase, hello.ListVersion, hello.Joined, hello.Left = sentVersion, list.version, change.joined, change.left
 			}
-			told = list.version
+			sentVersion = list.version
 			if rapid.IntRange(0, 6).Draw(t, "lost") == 0 {
 				continue
 			}
 			follower.Hello(time.Duration(step)*time.Second, hello)
-			held := follower.Get(own.Address)
-			if held.ListVersion != list.version {
+			known := follower.Get(own.Address)
+			if known.ListVersion != list.version {
 				continue
 			}
-			got := slices.Clone(held.Nodes)
+			got := slices.Clone(known.Nodes)
 			slices.SortFunc(got, func(a, b peer.NodeEntry) int { return compareText(a.Address, b.Address) })
 			want := slices.Clone(list.nodes)
 			slices.SortFunc(want, func(a, b peer.NodeEntry) int { return compareText(a.Address, b.Address) })
@@ -85,28 +85,28 @@
 func TestNodeThatJoinsCostsFewBytes(t *testing.T) {
 	for _, entries := range []int{300, 1000, 2000} {
 		node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
-		hear(node, registering{nodes: entries, controls: 25}.hellos(1, false))
-		began := node.now()
+		recordHellos(node, registrationWave{nodes: entries, controls: 25}.hellos(1, false))
+		startedAt := node.now()
 		for _, hello := range entryHellos(node, entries) {
-			node.dialects.note(hello)
-			node.fleet.noteHello(hello)
+			node.protocols.record(hello)
+			node.fleet.recordHello(hello)
 		}
-		setClock(node, began)
-		node.fleet.hello()
+		setClock(node, startedAt)
+		node.fleet.sendHelloToAll()
 		before := node.sent.bytes[peer.KindHello].Get()
-		setClock(node, began)
-		node.fleet.hello()
+		setClock(node, startedAt)
+		node.fleet.sendHelloToAll()
 		idle := node.sent.bytes[peer.KindHello].Get() - before
-		newcomer := benchEntry(entries + 1)
-		node.fleet.roster.Hello(node.now(), peer.Hello{Address: newcomer, Zone: benchZone(1), Life: "1", Entry: true, Dialect: peer.OwnDialect})
+		newNode := benchEntry(entries + 1)
+		node.fleet.roster.Hello(node.now(), peer.Hello{Address: newNode, Zone: benchZone(1), Life: "1", Entry: true, Dialect: peer.OwnDialect})
 		before = node.sent.bytes[peer.KindHello].Get()
-		setClock(node, began)
-		node.fleet.hello()
+		setClock(node, startedAt)
+		node.fleet.sendHelloToAll()
 		joined := node.sent.bytes[peer.KindHello].Get() - before
 		// The changes for the nodes to which this control node sends the list, and the full list
 		// that the new node may be sent.
-		most := idle + uint64(2*entries/25+20)*80 + uint64(30*entries)
-		assert.Assert(t, joined > idle && joined < most, "%d entry nodes: %d bytes idle, %d with one that joined, at most %d", entries, idle, joined, most)
-		forgetFrames(node, entries+2)
+		maximum := idle + uint64(2*entries/25+20)*80 + uint64(30*entries)
+		assert.Assert(t, joined > idle && joined < maximum, "%d entry nodes: %d bytes idle, %d with one that joined, at most %d", entries, idle, joined, maximum)
+		dropFrames(node, entries+2)
 	}
 }
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -13,14 +13,15 @@
 	// loadsInterval is the time between load reports. Reports that arrive through a relay are older
 	// than that.
 	loadsInterval = 50 * time.Millisecond
-	// With fewEntries other entry nodes or more, reports name many instances and are sent only
-	// every manyLoadsTicks ticks.
-	manyLoadsTicks = 4
-	fewEntries     = 16
-	// freshReport is the maximum age of a load report whose delay is taken into account.
-	freshReport = time.Second
-	// wayMemory is how long the fastest report of a node that sends no more reports is remembered.
-	wayMemory = 30 * time.Second
+	// With largeFleetEntries other entry nodes or more, reports name many instances and are sent
+	// only every largeFleetLoadsTicks ticks.
+	largeFleetLoadsTicks = 4
+	largeFleetEntries    = 16
+	// maximumReportAge is the maximum age of a load report whose delay is taken into account.
+	maximumReportAge = time.Second
+	// meterRetention is how long the fastest report of a node that sends no more reports is
+	// remembered.
+	meterRetention = 30 * time.Second
 )
 
 // loadsDuty owns the node's part in the exchange of instance loads between entry nodes.
@@ -31,15 +32,15 @@
 	ticks    int
 	// generation is the generation of the neighbours that the exchange was last given.
 	generation uint64
-	// ways measure the transit delay of reports, by sending node.
-	ways map[string]*delay.Meter
+	// meters measure the transit delay of reports, by sending node.
+	meters map[string]*delay.Meter
 }
 
 func newLoadsDuty(node *Node) *loadsDuty {
 	self := balance.EntryNode{Address: node.address, Zone: node.settings.Load().Node.Zone}
 	loads := &loadsDuty{
 		node: node, duty: duty.New("loads", loadsInterval), exchange: balance.NewLoadExchange(self, loadsInterval),
-		ways: map[string]*delay.Meter{},
+		meters: map[string]*delay.Meter{},
 	}
 	loads.duty.Tick = loads.tick
 	loads.duty.Flush = func() {}
@@ -51,11 +52,11 @@
 	l.ticks++
 	neighbours := &l.node.fleet.view.Load().neighbours
 	interval := loadsInterval
-	if len(neighbours.nodes) >= fewEntries {
-		if l.ticks%manyLoadsTicks != 0 {
+	if len(neighbours.nodes) >= largeFleetEntries {
+		if l.ticks%largeFleetLoadsTicks != 0 {
 			return
 		}
-		interval *= manyLoadsTicks
+		interval *= largeFleetLoadsTicks
 	}
 	if neighbours.generation != l.generation {
 		l.exchange.SetNodes(neighbours.nodes, interval)
@@ -63,29 +64,29 @@
 		l.generation = neighbours.generation
 	}
 	now := l.node.now()
-	l.node.limits.look()
-	l.node.backoff.look()
-	news := balance.News{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeNews()}
-	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), news, l.node.limits.limits.InForce)
-	l.node.limits.hear(known.Limits)
+	l.node.limits.tick()
+	l.node.backoff.tick()
+	updates := balance.News{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeNews()}
+	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), updates, l.node.limits.limits.InForce)
+	l.node.limits.handleUpdates(known.Limits)
 	l.node.table.SetOthersLoads(known.Loads)
 	l.node.table.NoteHeld(now, known.Parts)
-	l.node.link.noteReports(now, l.delays(now))
+	l.node.link.recordReports(now, l.delays(now))
 	for _, one := range reports {
 		one.Report.AgeMS = uint64(now.Milliseconds())
 		l.node.send(one.To, peer.KindLoads, &one.Report)
 	}
 }
 
-func (l *loadsDuty) take(from string, report balance.LoadReport) {
+func (l *loadsDuty) handleReport(from string, report balance.LoadReport) {
 	l.duty.Offer(func() {
 		now := l.node.now()
-		way := l.ways[from]
-		if way == nil {
-			way = &delay.Meter{}
-			l.ways[from] = way
+		meter := l.meters[from]
+		if meter == nil {
+			meter = &delay.Meter{}
+			l.meters[from] = meter
 		}
-		way.Note(now, time.Duration(report.AgeMS)*time.Millisecond)
+		meter.Note(now, time.Duration(report.AgeMS)*time.Millisecond)
 		l.exchange.Take(now, from, report)
 	})
 }
@@ -93,12 +94,12 @@
 // delays returns the delays of fresh reports, and forgets nodes that send none any more.
 func (l *loadsDuty) delays(now time.Duration) []time.Duration {
 	var delays []time.Duration
-	for from, way := range l.ways {
+	for from, meter := range l.meters {
 		switch {
-		case way.IsFresh(now, freshReport):
-			delays = append(delays, way.Delay())
-		case !way.IsFresh(now, wayMemory):
-			delete(l.ways, from)
+		case meter.IsFresh(now, maximumReportAge):
+			delays = append(delays, meter.Delay())
+		case !meter.IsFresh(now, meterRetention):
+			delete(l.meters, from)
 		}
 	}
 	return delays
--- a/internal/gateway/logversion.go
+++ b/internal/gateway/logversion.go
@@ -15,8 +15,8 @@
 // checkLogVersion refuses a log whose version is higher than this build reads: this build would
 // apply some entries differently from the other replicas.
 func checkLogVersion(state *machine.Machine) error {
-	if held := state.LogVersion(); held > machine.OwnLogVersion {
-		return fmt.Errorf("%w: it has version %d, this build reads up to %d: start the build that the fleet was upgraded to", errNewerLog, held, machine.OwnLogVersion)
+	if version := state.LogVersion(); version > machine.OwnLogVersion {
+		return fmt.Errorf("%w: it has version %d, this build reads up to %d: start the build that the fleet was upgraded to", errNewerLog, version, machine.OwnLogVersion)
 	}
 	return nil
 }
@@ -30,19 +30,19 @@
 	return machine.LogVersion(hello.LogVersion)
 }
 
-// lookAtLogVersion updates which control nodes delay the raise of the log's version.
-func (r *replicaDuty) lookAtLogVersion() {
-	heard := []logversion.Control{{Address: r.node.address, Reads: machine.OwnLogVersion}}
+// updateLogVersionRaise updates which control nodes delay the raise of the log's version.
+func (r *replicaDuty) updateLogVersionRaise() {
+	controls := []logversion.Control{{Address: r.node.address, Reads: machine.OwnLogVersion}}
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control {
-			heard = append(heard, logversion.Control{Address: known.Address, Reads: logVersionOf(known.Hello)})
+			controls = append(controls, logversion.Control{Address: known.Address, Reads: logVersionOf(known.Hello)})
 		}
 	}
 	var members []string
 	for _, member := range r.replica.Core().Configuration().Members {
 		members = append(members, member.Node)
 	}
-	r.raise.Look(r.node.now(), heard, members)
+	r.raise.Look(r.node.now(), controls, members)
 }
 
 // raiseLogVersion raises the log's version once it is due.
--- a/internal/gateway/logversion_test.go
+++ b/internal/gateway/logversion_test.go
@@ -12,12 +12,13 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// newFoundedReplica returns the replica of a control node that has bootstrapped a group of its own.
-func newFoundedReplica(t *testing.T) *replicaDuty {
+// newBootstrappedReplica returns the replica of a control node that has bootstrapped a group of its
+// own.
+func newBootstrappedReplica(t *testing.T) *replicaDuty {
 	t.Helper()
 	node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
 	replica := node.replica
-	replica.found([]consensus.Member{{ID: replica.id, Node: node.address}})
+	replica.bootstrap([]consensus.Member{{ID: replica.id, Node: node.address}})
 	runUntil(t, replica, replica.leading)
 	return replica
 }
@@ -35,45 +36,45 @@
 	t.Fatal("the condition did not hold within 100 ticks")
 }
 
-func hearControl(replica *replicaDuty, dialect peer.Dialect, logVersion uint32) {
+func recordControlHello(replica *replicaDuty, protocol peer.Dialect, logVersion uint32) {
 	hello := controlHello(1, 3, 1, true)
-	hello.Dialect, hello.LogVersion = dialect, logVersion
+	hello.Dialect, hello.LogVersion = protocol, logVersion
 	replica.node.fleet.roster.Hello(replica.node.now(), hello)
-	replica.node.fleet.publish()
+	replica.node.fleet.publishView()
 }
 
 func TestLogVersionIsRaisedOnceAllControlNodesReadItAndHaveSettled(t *testing.T) {
-	replica := newFoundedReplica(t)
+	replica := newBootstrappedReplica(t)
 	replica.node.settings.Load().Fleet.UpgradeSettling = 20 * time.Millisecond
-	hearControl(replica, peer.DialectTolerant, 0)
-	for range 3 * manageTicks {
+	recordControlHello(replica, peer.DialectTolerant, 0)
+	for range 3 * membershipTicks {
 		replica.tick()
 		replica.flush()
 	}
 	assert.Equal(t, replica.machine.LogVersion(), machine.VersionFirst)
 	assert.DeepEqual(t, replica.shared.Load().waitsFor, []string{benchControl(1)})
 	// The node is upgraded to a build that supports rollouts but reports no log version.
-	hearControl(replica, peer.DialectSums, 0)
-	began := time.Now()
+	recordControlHello(replica, peer.DialectSums, 0)
+	startedAt := time.Now()
 	runUntil(t, replica, func() bool {
 		time.Sleep(time.Millisecond)
 		return replica.machine.LogVersion() == machine.OwnLogVersion
 	})
-	assert.Assert(t, time.Since(began) >= 20*time.Millisecond)
+	assert.Assert(t, time.Since(startedAt) >= 20*time.Millisecond)
 	assert.Equal(t, len(replica.shared.Load().waitsFor), 0)
 }
 
-func TestGroupThatNoEarlierBuildHasHeldHasTheNewestLogVersionAtOnce(t *testing.T) {
+func TestNewGroupStartsWithTheNewestLogVersion(t *testing.T) {
 	node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
 	node.settings.Load().Fleet.FirstStart, node.settings.Load().Fleet.UpgradeSettling = true, time.Hour
 	node.replica.reopen()
-	node.replica.found([]consensus.Member{{ID: node.replica.id, Node: node.address}})
+	node.replica.bootstrap([]consensus.Member{{ID: node.replica.id, Node: node.address}})
 	runUntil(t, node.replica, func() bool { return node.replica.machine.LogVersion() == machine.OwnLogVersion })
 }
 
 // After a downgrade the earlier build must not continue with a log that it can't read.
 func TestReplicaDoesNotOpenALogOfALaterVersion(t *testing.T) {
-	replica := newFoundedReplica(t)
+	replica := newBootstrappedReplica(t)
 	assert.Assert(t, replica.replica != nil)
 	replica.propose(machine.Command{Version: &machine.VersionCommand{Version: machine.OwnLogVersion + 1}}, func(machine.Result, error) {})
 	runUntil(t, replica, func() bool { return replica.replica == nil })
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -58,7 +58,7 @@
 	HeartbeatRefused(id string, err error)
 	// Leave accepts an instance's notice that one of its incarnations is ending; if the start time
 	// is missing, the notice applies to the known incarnation.
-	Leave(ctx context.Context, life registry.Life) error
+	Leave(ctx context.Context, incarnation registry.Life) error
 	// TakeDocument commits a validated configuration to the log. It returns the version held
 	// afterwards, which is higher than the given one if a higher one was already committed.
 	TakeDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
@@ -112,12 +112,12 @@
 
 // Node is one process of the fleet, with the duties of its roles.
 type Node struct {
-	options  Options
-	settings atomic.Pointer[settings.Settings]
-	address  string
-	life     string
-	started  time.Time
-	log      zerolog.Logger
+	options     Options
+	settings    atomic.Pointer[settings.Settings]
+	address     string
+	incarnation string
+	started     time.Time
+	log         zerolog.Logger
 
 	mesh      *transport.Mesh
 	calls     *peer.Calls
@@ -126,25 +126,25 @@
 	publisher *documentPublisher
 	zones     *zoneStore
 	rollouts  *rolloutStore
-	// judging reports samples of rollouts to the leader, or analyses them if this node leads.
-	judging *rolloutsDuty
+	// canary reports samples of rollouts to the leader, or analyses them if this node leads.
+	canary *canaryDuty
 	// quarantine holds the requests that crash their engines.
 	quarantine *quarantineDuty
-	link       *linkWatch
+	link       *linkMonitor
 	gate       *callerGate
 	table      *balance.Table
 	replica    *replicaDuty
 	tokens     *tokensDuty
 	loads      *loadsDuty
-	limits     *limitKeeper
-	backoff    *backoffKeeper
+	limits     *limitEnforcer
+	backoff    *pauseRecorder
 	pipeline   *forward.Pipeline
 	decisions  *forward.DecisionLog
 	callers    *callerServer
 	sent       *traffic
 	received   *traffic
 	stale      *staleFrames
-	dialects   *peerDialects
+	protocols  *peerProtocols
 	refused    refusedHeartbeats
 
 	// stop is nil until a planned stop begins.
@@ -154,23 +154,23 @@
 // New creates a node. Run serves its listeners.
 func New(options Options) (*Node, error) {
 	node := &Node{
-		options: options, address: options.Settings.Listen.Peers, life: newLife(), started: time.Now(), log: options.Logger,
+		options: options, address: options.Settings.Listen.Peers, incarnation: newIncarnation(), started: time.Now(), log: options.Logger,
 		table: balance.NewTable(options.Settings.Node.Zone), sent: newTraffic("sent"), received: newTraffic("received"),
-		dialects: newPeerDialects(),
+		protocols: newPeerProtocols(),
 	}
 	node.settings.Store(options.Settings)
 	node.table.SetRegions(options.Settings.Fleet.Regions)
 	node.stale = newStaleFrames(node)
 	node.mesh = transport.NewMesh(transport.Options{
 		Self: node.address, Key: options.PeerKey, OpenMembership: true, Listener: options.Listeners.Peers,
-		Dial: options.DialPeer, Handle: node.handleFrame, Dropped: node.stale.note, Logger: node.log,
+		Dial: options.DialPeer, Handle: node.handleFrame, Dropped: node.stale.record, Logger: node.log,
 	})
 	node.calls = peer.NewCalls(node.send)
 	node.documents, node.publisher = newDocumentStore(node), newDocumentPublisher(node)
 	node.zones = newZoneStore(node)
-	node.rollouts, node.judging = newRolloutStore(node), newRolloutsDuty(node)
+	node.rollouts, node.canary = newRolloutStore(node), newCanaryDuty(node)
 	node.quarantine = newQuarantineDuty(node)
-	node.link, node.gate = &linkWatch{node: node}, newCallerGate(node)
+	node.link, node.gate = &linkMonitor{node: node}, newCallerGate(node)
 	node.fleet = newFleetDuty(node)
 	if options.Settings.HasRole(settings.RoleControl) {
 		node.replica = newReplicaDuty(node)
@@ -178,36 +178,38 @@
 	if options.Settings.HasRole(settings.RoleEntry) {
 		node.tokens = newTokensDuty(node)
 		node.loads = newLoadsDuty(node)
-		node.limits = newLimitKeeper(node)
+		node.limits = newLimitEnforcer(node)
 		node.table.SetLimits(node.limits.limits)
-		node.backoff = newBackoffKeeper(node)
+		node.backoff = newPauseRecorder(node)
 		node.table.SetBackoff(node.backoff.tracker)
 		node.decisions = forward.NewDecisionLog(node.log)
 		node.pipeline = forward.New(forward.Options{
 			Dialect: options.Dialect, Environment: &entryEnvironment{node}, Table: node.table,
-			Log: node.decisions, Dial: options.DialEngine, BufferedBytes: bodyBytes(options.Settings.Limits.MemoryMB),
+			Log: node.decisions, Dial: options.DialEngine, BufferedBytes: maximumBodyBytes(options.Settings.Limits.MemoryMB),
 			Guard: node.quarantine.guard, Recorder: node.rollouts.recorder, RateLimits: node.limits, Backoff: node.backoff,
 		})
 		node.callers = newCallerServer(options.Listeners.Callers, node.pipeline)
-		node.documents.changed = node.callers.adopt
+		node.documents.onChange = node.callers.applyLimits
 	}
 	return node, nil
 }
 
 const (
-	// bodiesShare is the share of the process's memory that callers' request bodies may occupy:
+	// bodyMemoryShare is the share of the process's memory that callers' request bodies may occupy:
 	// each body is in memory twice while it is written to an engine, and the heap is kept below 0.7
 	// of the memory.
-	bodiesShare = 0.12
-	bytesPerMB  = 1 << 20
+	bodyMemoryShare = 0.12
+	bytesPerMB      = 1 << 20
 )
 
-// bodyBytes is the maximum size in bytes of all request bodies in memory; 0 if the size of the
-// memory is not known.
-func bodyBytes(memoryMB int) int64 { return int64(bodiesShare * float64(memoryMB) * bytesPerMB) }
+// maximumBodyBytes is the maximum size in bytes of all request bodies in memory; 0 if the size of
+// the memory is not known.
+func maximumBodyBytes(memoryMB int) int64 {
+	return int64(bodyMemoryShare * float64(memoryMB) * bytesPerMB)
+}
 
-// newLife returns a random identifier for this run of the process, its incarnation.
-func newLife() string {
+// newIncarnation returns a random identifier for this run of the process, its incarnation.
+func newIncarnation() string {
 	var drawn [8]byte
 	// crypto/rand.Read never returns an error: it aborts the process instead.
 	_, _ = rand.Read(drawn[:])
@@ -229,8 +231,8 @@
 // nodes agree on it, and for the age of a rollout that is restored from the log.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// at converts a moment to the clock of now; 0 for the zero time.
-func (n *Node) at(moment time.Time) time.Duration {
+// monotonicTime converts a moment to the clock of now; 0 for the zero time.
+func (n *Node) monotonicTime(moment time.Time) time.Duration {
 	if moment.IsZero() {
 		return 0
 	}
@@ -245,21 +247,21 @@
 	duties.Go(func() { n.mesh.Run(ctx) })
 	duties.Go(func() { n.fleet.duty.Run(ctx) })
 	duties.Go(func() { n.quarantine.duty.Run(ctx) })
-	duties.Go(func() { n.judging.duty.Run(ctx) })
+	duties.Go(func() { n.canary.duty.Run(ctx) })
 	if n.replica != nil {
 		duties.Go(func() { n.replica.duty.Run(ctx) })
-		duties.Go(func() { n.fleet.remembered.run(ctx) })
-		duties.Go(func() { n.quarantine.remembered.run(ctx) })
+		duties.Go(func() { n.fleet.hints.run(ctx) })
+		duties.Go(func() { n.quarantine.hints.run(ctx) })
 	}
 	if n.tokens != nil {
 		duties.Go(func() { n.tokens.duty.Run(ctx) })
 		duties.Go(func() { n.loads.duty.Run(ctx) })
 	}
-	duties.Go(func() { n.runUpkeep(ctx) })
+	duties.Go(func() { n.runMaintenance(ctx) })
 	servers := n.startServers(&duties)
 	current := n.settings.Load()
 	n.log.Info().Str("event", "started").Str("address", n.address).Str("zone", current.Node.Zone).
-		Strs("roles", current.Node.Roles).Str("life", n.life).Strs("seeds", current.Fleet.Seeds).
+		Strs("roles", current.Node.Roles).Str("life", n.incarnation).Strs("seeds", current.Fleet.Seeds).
 		Bool("first_start", current.Fleet.FirstStart).Send()
 	<-ctx.Done()
 	for _, server := range servers {
@@ -270,11 +272,11 @@
 	return nil
 }
 
-const upkeepInterval = 2 * time.Second
+const maintenanceInterval = 2 * time.Second
 
-// runUpkeep does periodic work that no event triggers: pipeline ticks and log summaries.
-func (n *Node) runUpkeep(ctx context.Context) {
-	ticker := time.NewTicker(upkeepInterval)
+// runMaintenance does periodic work that no event triggers: pipeline ticks and log summaries.
+func (n *Node) runMaintenance(ctx context.Context) {
+	ticker := time.NewTicker(maintenanceInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -354,7 +356,7 @@
 func (n *Node) sendMessage(to string, message *peer.Message) {
 	reader := peer.OwnDialect
 	if to != n.address {
-		reader = n.dialects.reader(to)
+		reader = n.protocols.versionOf(to)
 	}
 	frame, err := message.Frame(reader)
 	if err != nil {
@@ -365,7 +367,7 @@
 		n.handleFrame(n.address, frame)
 		return
 	}
-	n.sent.note(message.Kind(), len(frame))
+	n.sent.record(message.Kind(), len(frame))
 	n.mesh.Send(to, frame)
 }
 
@@ -373,7 +375,7 @@
 func (n *Node) handleFrame(from string, frame []byte) {
 	envelope, err := peer.Decode(frame)
 	if err == nil {
-		n.received.note(envelope.Kind, len(frame))
+		n.received.record(envelope.Kind, len(frame))
 		err = n.dispatch(from, envelope)
 	}
 	if err != nil {
@@ -384,43 +386,43 @@
 func (n *Node) dispatch(from string, envelope peer.Envelope) error {
 	switch envelope.Kind {
 	case peer.KindHello:
-		return peer.Dispatch(envelope, func(hello peer.Hello) { n.fleet.takeHello(from, hello) })
+		return peer.Dispatch(envelope, func(hello peer.Hello) { n.fleet.handleHello(from, hello) })
 	case peer.KindInstances:
-		return peer.Dispatch(envelope, func(message instancesMessage) { n.fleet.takeInstances(from, message) })
+		return peer.Dispatch(envelope, func(message instancesMessage) { n.fleet.handleInstances(from, message) })
 	case peer.KindInstancesHeard:
-		return peer.Dispatch(envelope, n.fleet.takeHeard)
+		return peer.Dispatch(envelope, n.fleet.handleInstancesHeard)
 	case peer.KindDocumentNotice:
-		return peer.Dispatch(envelope, func(notice peer.DocumentNotice) { n.documents.takeNotice(from, notice.Version) })
+		return peer.Dispatch(envelope, func(notice peer.DocumentNotice) { n.documents.handleNotice(from, notice.Version) })
 	case peer.KindDocumentFetch:
-		return peer.Dispatch(envelope, func(fetch peer.DocumentFetch) { n.publisher.answer(from, fetch) })
+		return peer.Dispatch(envelope, func(fetch peer.DocumentFetch) { n.publisher.handleFetch(from, fetch) })
 	case peer.KindDocument:
-		return peer.Dispatch(envelope, func(data peer.DocumentData) { n.documents.take(from, data) })
+		return peer.Dispatch(envelope, func(data peer.DocumentData) { n.documents.handleDocument(from, data) })
 	case peer.KindConsensus:
 		if n.replica == nil {
 			return nil
 		}
-		return peer.Dispatch(envelope, n.replica.take)
+		return peer.Dispatch(envelope, n.replica.handleMessage)
 	case peer.KindAccounts:
-		return peer.Dispatch(envelope, n.takeAccounts)
+		return peer.Dispatch(envelope, n.handleAccounts)
 	case peer.KindLend:
 		if n.tokens == nil {
 			return nil
 		}
-		return peer.Dispatch(envelope, n.tokens.takeLend)
+		return peer.Dispatch(envelope, n.tokens.handleLend)
 	case peer.KindPool:
 		if n.tokens == nil {
 			return nil
 		}
-		return peer.Dispatch(envelope, n.tokens.takePool)
+		return peer.Dispatch(envelope, n.tokens.handlePool)
 	case peer.KindQuarantine:
-		return peer.Dispatch(envelope, func(message quarantineMessage) { n.quarantine.take(from, message) })
+		return peer.Dispatch(envelope, func(message quarantineMessage) { n.quarantine.handleMessage(from, message) })
 	case peer.KindRollouts:
-		return peer.Dispatch(envelope, func(message evidenceMessage) { n.judging.take(from, message) })
+		return peer.Dispatch(envelope, func(message samplesMessage) { n.canary.handleSamples(from, message) })
 	case peer.KindLoads:
 		if n.loads == nil {
 			return nil
 		}
-		return peer.Dispatch(envelope, func(report balance.LoadReport) { n.loads.take(from, report) })
+		return peer.Dispatch(envelope, func(report balance.LoadReport) { n.loads.handleReport(from, report) })
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
@@ -429,26 +431,26 @@
 	return fmt.Errorf("no duty on this node handles messages of kind %s", envelope.Kind)
 }
 
-func (n *Node) takeAccounts(message escrow.AccountsMessage) {
+func (n *Node) handleAccounts(message escrow.AccountsMessage) {
 	switch {
 	case message.Report != nil && n.replica != nil:
-		n.replica.takeReport(*message.Report)
+		n.replica.handleReport(*message.Report)
 	case message.Answer != nil && n.tokens != nil:
-		n.tokens.takeAnswer(*message.Answer)
+		n.tokens.handleResponse(*message.Answer)
 	case message.Recall != nil && n.tokens != nil:
-		n.tokens.takeRecall(*message.Recall)
+		n.tokens.handleRecall(*message.Recall)
 	case message.Standings != nil && n.tokens != nil:
-		n.tokens.takeStandings(*message.Standings)
+		n.tokens.handleSummaries(*message.Standings)
 	}
 }
 
 // holderName is the name of a node's incarnation as a holder of tokens; holderAddress splits it
 // into the node's address and the incarnation.
-func holderName(address, life string) string { return address + "#" + life }
+func holderName(address, incarnation string) string { return address + "#" + incarnation }
 
-func holderAddress(name string) (address, life string) {
-	address, life, _ = strings.Cut(name, "#")
-	return address, life
+func holderAddress(name string) (address, incarnation string) {
+	address, incarnation, _ = strings.Cut(name, "#")
+	return address, incarnation
 }
 
 // leader returns the leading control node as this node knows it, or "".
@@ -461,18 +463,18 @@
 	return n.fleet.view.Load().leader
 }
 
-// hearsRoot reports whether a control node that has a quorum was in contact recently.
-func (n *Node) hearsRoot() bool {
-	return n.now() < n.fleet.view.Load().rootHeardAt+rootSilence
+// isRootReachable reports whether a control node that has a quorum was in contact recently.
+func (n *Node) isRootReachable() bool {
+	return n.now() < n.fleet.view.Load().rootContactAt+rootContactTimeout
 }
 
-// startTime is how long after its start a node assumes that the root is still being elected.
-const startTime = 3 * time.Second
+// startGrace is how long after its start a node assumes that the root is still being elected.
+const startGrace = 3 * time.Second
 
-// rootMayComeBack reports whether an unreachable root will probably be reachable soon: all nodes
+// expectsRootSoon reports whether an unreachable root will probably be reachable soon: all nodes
 // may have started together, so that the root is still being elected. A longer outage means a
 // partition, in which a caller that retries immediately would be refused again.
-func (n *Node) rootMayComeBack() bool { return n.now() < startTime }
+func (n *Node) expectsRootSoon() bool { return n.now() < startGrace }
 
 // nodeOfReplica returns the address of the node that holds a replica, or "" if it is not known.
 func (n *Node) nodeOfReplica(id consensus.ReplicaID) string {
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -38,38 +38,38 @@
 	node := o.node
 	current := node.settings.Load()
 	view := node.fleet.view.Load()
-	answer := &ravenwayv1.GetStatusResponse{
+	response := &ravenwayv1.GetStatusResponse{
 		Node: current.Node.Name, Leader: node.leader(), Revision: node.documents.version(),
 	}
-	zones := node.zones.inForce()
-	answer.EvacuatedZones, answer.EvacuationRevision = zones.Names, zones.Revision
-	for _, one := range node.rollouts.inForce().Rollouts {
-		answer.Rollouts = append(answer.Rollouts, &ravenwayv1.Rollout{
+	zones := node.zones.current()
+	response.EvacuatedZones, response.EvacuationRevision = zones.Names, zones.Revision
+	for _, one := range node.rollouts.current().Rollouts {
+		response.Rollouts = append(response.Rollouts, &ravenwayv1.Rollout{
 			Service: one.Service, Version: one.Version, DurationMilliseconds: uint64(one.Duration.Milliseconds()),
 			Stage: one.Stage.String(), Reason: one.Reason, Revision: one.Revision,
 		})
 	}
 	if node.replica != nil {
 		replica := node.replica.shared.Load()
-		answer.Term, answer.QuorumAgeMilliseconds = replica.term, uint64(replica.quorumSilence.Milliseconds())
-		answer.Voters, answer.CaughtUpVoters = uint32(replica.voters), uint32(replica.caughtUpVoters)
-		answer.LogVersion, answer.NewestLogVersion = uint32(replica.logVersion), uint32(machine.OwnLogVersion)
-		answer.LogVersionWaitsFor = replica.waitsFor
+		response.Term, response.QuorumAgeMilliseconds = replica.term, uint64(replica.quorumSilence.Milliseconds())
+		response.Voters, response.CaughtUpVoters = uint32(replica.voters), uint32(replica.caughtUpVoters)
+		response.LogVersion, response.NewestLogVersion = uint32(replica.logVersion), uint32(machine.OwnLogVersion)
+		response.LogVersionWaitsFor = replica.waitsFor
 	}
-	answer.Nodes = append(answer.Nodes, &ravenwayv1.NodeStatus{
+	response.Nodes = append(response.Nodes, &ravenwayv1.NodeStatus{
 		Name: current.Node.Name, Zone: current.Node.Zone, Control: node.replica != nil,
-		Leader: node.address == answer.Leader, Revision: answer.Revision, Stopping: node.isStopping(),
+		Leader: node.address == response.Leader, Revision: response.Revision, Stopping: node.isStopping(),
 		EvacuationRevision: zones.Revision, Dialect: uint32(peer.OwnDialect), Build: node.options.Build,
-		LogVersion: answer.GetNewestLogVersion(),
+		LogVersion: response.GetNewestLogVersion(),
 	})
 	for _, known := range view.alive {
-		answer.Nodes = append(answer.Nodes, &ravenwayv1.NodeStatus{
-			Name: known.Node, Zone: known.Zone, Control: known.Control, Leader: known.Address == answer.Leader,
+		response.Nodes = append(response.Nodes, &ravenwayv1.NodeStatus{
+			Name: known.Node, Zone: known.Zone, Control: known.Control, Leader: known.Address == response.Leader,
 			Revision: known.Version, SilentMilliseconds: uint64((node.now() - known.At).Milliseconds()), Stopping: known.Stopping,
 			EvacuationRevision: known.Evacuated.Revision, Dialect: uint32(known.Dialect), Build: known.Build, LogVersion: known.LogVersion,
 		})
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // OrderRollout implements the schema's OrderRollout at any node that knows a leader.
@@ -110,7 +110,7 @@
 	if index == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("no configuration is in force here yet"))
 	}
-	backends, err := duty.Ask(ctx, o.node.fleet.duty, func(answer func([]*ravenwayv1.Backend)) { answer(o.node.fleet.describeInstances()) })
+	backends, err := duty.Ask(ctx, o.node.fleet.duty, func(respond func([]*ravenwayv1.Backend)) { respond(o.node.fleet.describeInstances()) })
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
@@ -131,22 +131,22 @@
 	return backends
 }
 
-func describeDocument(held *document.Document, backends []*ravenwayv1.Backend) *ravenwayv1.CatalogDocument {
+func describeDocument(configuration *document.Document, backends []*ravenwayv1.Backend) *ravenwayv1.CatalogDocument {
 	described := &ravenwayv1.CatalogDocument{Backends: backends}
-	for _, tenant := range held.Tenants {
+	for _, tenant := range configuration.Tenants {
 		described.Tenants = append(described.Tenants, &ravenwayv1.Tenant{Name: tenant.Name, DefaultBudget: tenant.Name})
 		if tenant.HasPrepaid {
 			described.Budgets = append(described.Budgets, &ravenwayv1.Budget{Name: tenant.Name, Tenant: tenant.Name})
 		}
 	}
-	for _, service := range held.Services {
+	for _, service := range configuration.Services {
 		kind := ravenwayv1.ServiceKind_SERVICE_KIND_PLAIN
 		if service.Slots > 0 {
 			kind = ravenwayv1.ServiceKind_SERVICE_KIND_ENGINE
 		}
 		described.Services = append(described.Services, &ravenwayv1.Service{Name: service.Name, Kind: kind})
 	}
-	for _, route := range held.Routes {
+	for _, route := range configuration.Routes {
 		for _, target := range route.Targets {
 			described.Routes = append(described.Routes, &ravenwayv1.Route{
 				Name: route.Name, PathPrefix: route.Host + route.Prefix, Service: target.Service,
@@ -176,7 +176,7 @@
 	if n.replica == nil {
 		return nil, errors.New("this node holds no accounts; ask a control node")
 	}
-	return duty.Ask(ctx, n.replica.duty, func(answer func([]*ravenwayv1.BudgetStatus)) { answer(n.replica.describeBudgets(wanted)) })
+	return duty.Ask(ctx, n.replica.duty, func(respond func([]*ravenwayv1.BudgetStatus)) { respond(n.replica.describeBudgets(wanted)) })
 }
 
 func (r *replicaDuty) describeBudgets(wanted string) []*ravenwayv1.BudgetStatus {
@@ -196,24 +196,24 @@
 
 // Explain implements the schema's Explain: what this node decided on a request.
 func (o *operatorServer) Explain(_ context.Context, request *connect.Request[ravenwayv1.ExplainRequest]) (*connect.Response[ravenwayv1.ExplainResponse], error) {
-	answer := &ravenwayv1.ExplainResponse{Node: o.node.settings.Load().Node.Name}
+	response := &ravenwayv1.ExplainResponse{Node: o.node.settings.Load().Node.Name}
 	if o.node.decisions != nil {
-		answer.Decisions = o.node.decisions.Explain(request.Msg.GetRequestId())
+		response.Decisions = o.node.decisions.Explain(request.Msg.GetRequestId())
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // GetQuarantine implements the schema's GetQuarantine.
 func (o *operatorServer) GetQuarantine(ctx context.Context, _ *connect.Request[ravenwayv1.GetQuarantineRequest]) (*connect.Response[ravenwayv1.GetQuarantineResponse], error) {
-	held, err := o.node.quarantine.held(ctx)
+	summaries, err := o.node.quarantine.summaries(ctx)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	answer := &ravenwayv1.GetQuarantineResponse{}
-	for _, one := range held {
-		answer.Requests = append(answer.Requests, describeHeld(one))
+	response := &ravenwayv1.GetQuarantineResponse{}
+	for _, one := range summaries {
+		response.Requests = append(response.Requests, describeSummary(one))
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // errNoLimits says that a node tracks no rate limits of instances.
@@ -224,7 +224,7 @@
 	if o.node.limits == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNoLimits)
 	}
-	answer := &ravenwayv1.GetLimitsResponse{}
+	response := &ravenwayv1.GetLimitsResponse{}
 	now := o.node.now()
 	for _, one := range o.node.limits.limits.List(now) {
 		described := &ravenwayv1.InstanceLimit{
@@ -235,9 +235,9 @@
 			described.Service, described.Zone = instance.Service, instance.Zone
 			described.Holder = o.node.limits.limits.Holder(now, one.Life.ID, instance.Zone)
 		}
-		answer.Limits = append(answer.Limits, described)
+		response.Limits = append(response.Limits, described)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // errNoPauses says that a node sends no requests to instances.
@@ -248,7 +248,7 @@
 	if o.node.backoff == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errNoPauses)
 	}
-	answer := &ravenwayv1.GetPausesResponse{}
+	response := &ravenwayv1.GetPausesResponse{}
 	for _, one := range o.node.backoff.tracker.List(o.node.now()) {
 		described := &ravenwayv1.InstancePause{
 			Instance: one.Life.String(), Phase: one.Standing.Phase.String(), AskedMilliseconds: one.Asked.Milliseconds(),
@@ -258,12 +258,12 @@
 		if instance, isKnown := o.node.table.Instance(one.Life); isKnown {
 			described.Service, described.Zone = instance.Service, instance.Zone
 		}
-		answer.Pauses = append(answer.Pauses, described)
+		response.Pauses = append(response.Pauses, described)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
-func describeHeld(one quarantine.Held) *ravenwayv1.HeldRequest {
+func describeSummary(one quarantine.Held) *ravenwayv1.HeldRequest {
 	described := &ravenwayv1.HeldRequest{
 		Fingerprint: one.Fingerprint.String(), Route: one.Route, Tenant: one.Tenant, Quarantined: one.IsQuarantined,
 		CountedEnds: uint32(one.Counted), Generation: one.Generation,
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -16,15 +16,15 @@
 	self, zone string
 	// zones are the entry nodes of the zones that are large enough for pools.
 	zones map[string][]string
-	// chosen caches the pool holders by zone and budget.
-	chosen map[poolKey][]string
+	// cachedHolders caches the pool holders by zone and budget.
+	cachedHolders map[poolKey][]string
 }
 
 type poolKey struct{ zone, budget string }
 
 // newTokenPools returns the pools as seen by the node self in zone, among the other entry nodes.
 func newTokenPools(self, zone string, others []balance.EntryNode) *tokenPools {
-	pools := &tokenPools{self: self, zone: zone, zones: map[string][]string{zone: {self}}, chosen: map[poolKey][]string{}}
+	pools := &tokenPools{self: self, zone: zone, zones: map[string][]string{zone: {self}}, cachedHolders: map[poolKey][]string{}}
 	for _, node := range others {
 		pools.zones[node.Zone] = append(pools.zones[node.Zone], node.Address)
 	}
@@ -32,8 +32,8 @@
 	return pools
 }
 
-// before are the pool holders of this node's zone that rank before this node, in order.
-func (p *tokenPools) before(budget string) []string {
+// precedingHolders are the pool holders of this node's zone that rank before this node, in order.
+func (p *tokenPools) precedingHolders(budget string) []string {
 	holders := p.holders(p.zone, budget)
 	if place := slices.Index(holders, p.self); place >= 0 {
 		return holders[:place]
@@ -41,24 +41,24 @@
 	return holders
 }
 
-// far are the first pool holders of the other zones, sorted by zone.
-func (p *tokenPools) far(budget string) []string {
-	var far []string
+// remoteHolders are the first pool holders of the other zones, sorted by zone.
+func (p *tokenPools) remoteHolders(budget string) []string {
+	var remote []string
 	for _, zone := range slices.Sorted(maps.Keys(p.zones)) {
 		if holders := p.holders(zone, budget); zone != p.zone && len(holders) > 0 {
-			far = append(far, holders[0])
+			remote = append(remote, holders[0])
 		}
 	}
-	return far
+	return remote
 }
 
 func (p *tokenPools) holders(zone, budget string) []string {
 	key := poolKey{zone: zone, budget: budget}
-	holders, known := p.chosen[key]
+	holders, known := p.cachedHolders[key]
 	if !known {
 		holders = membership.Rank(budget, p.zones[zone])
 		holders = holders[:min(len(holders), escrow.PoolHolders)]
-		p.chosen[key] = holders
+		p.cachedHolders[key] = holders
 	}
 	return holders
 }
--- a/internal/gateway/pools_test.go
+++ b/internal/gateway/pools_test.go
@@ -33,13 +33,13 @@
 		pools := newTokenPools(node.Address, node.Zone, withoutNode(nodes, node.Address))
 		for number := range 40 {
 			budget := fmt.Sprint("tenant-", number)
-			before := pools.before(budget)
+			before := pools.precedingHolders(budget)
 			switch {
 			case node.Zone == "c":
 				assert.Equal(t, len(before), 0)
 			case len(before) == 0:
 				holds[node.Zone+budget]++
-				assert.Equal(t, len(pools.far(budget)), 1)
+				assert.Equal(t, len(pools.remoteHolders(budget)), 1)
 			default:
 				key := node.Zone + budget
 				assert.Assert(t, agreed[key] == "" || agreed[key] == before[0])
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -23,37 +23,37 @@
 // publish sends the document in effect to the entry nodes that this node is responsible for, and
 // sends its version to all other entry nodes.
 func (p *documentPublisher) publish() {
-	held := p.node.documents.held()
+	document := p.node.documents.held()
 	alive := p.node.fleet.view.Load().alive
 	controls := p.controls(alive)
-	notice := peer.NewMessage(peer.KindDocumentNotice, &peer.DocumentNotice{Version: held.Version})
-	whole := peer.NewMessage(peer.KindDocument, &held)
-	sent, told := 0, 0
+	notice := peer.NewMessage(peer.KindDocumentNotice, &peer.DocumentNotice{Version: document.Version})
+	whole := peer.NewMessage(peer.KindDocument, &document)
+	sent, notified := 0, 0
 	for _, known := range alive {
 		if !known.Entry {
 			continue
 		}
 		if !p.isSender(known.Hello, controls) {
-			told++
+			notified++
 			p.node.sendMessage(known.Address, notice)
 			continue
 		}
-		if p.due(known.Address, known.Life, known.Version, held) {
+		if p.isDue(known.Address, known.Life, known.Version, document) {
 			sent++
 			p.node.sendMessage(known.Address, whole)
 		}
 	}
-	p.node.log.Info().Str("event", "document_published").Uint64("version", held.Version).Int("bytes", len(held.Encoded)).
-		Int("sent", sent).Int("told", told).Send()
+	p.node.log.Info().Str("event", "document_published").Uint64("version", document.Version).Int("bytes", len(document.Encoded)).
+		Int("sent", sent).Int("told", notified).Send()
 }
 
-// due records the version that an entry node has and reports whether the document is to be sent to
-// it now. An empty life means the known incarnation.
-func (p *documentPublisher) due(address, life string, has uint64, held peer.DocumentData) bool {
+// isDue records the version that an entry node has and reports whether the document is to be sent
+// to it now. An empty life means the known incarnation.
+func (p *documentPublisher) isDue(address, incarnation string, has uint64, document peer.DocumentData) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.publisher.Has(address, life, has)
-	return p.publisher.Due(p.node.now(), address, held.Version, len(held.Encoded))
+	p.publisher.Has(address, incarnation, has)
+	return p.publisher.Due(p.node.now(), address, document.Version, len(document.Encoded))
 }
 
 // controls are the control nodes that may send documents, this one included.
@@ -74,9 +74,9 @@
 	return follow.ChooseSender(follow.Node{Address: entry.Address, Zone: entry.Zone}, controls) == p.node.address
 }
 
-// hear checks whether an entry node lacks the document that it should have been sent: it was
+// handleHello checks whether an entry node lacks the document that it should have been sent: it was
 // unknown then, or the document was lost.
-func (p *documentPublisher) hear(hello peer.Hello) {
+func (p *documentPublisher) handleHello(hello peer.Hello) {
 	if !hello.Entry || hello.Version >= p.node.documents.version() {
 		return
 	}
@@ -86,29 +86,29 @@
 	p.sendIfDue(hello.Address, hello.Life, hello.Version, "hello")
 }
 
-// answer sends the document in effect to an entry node that requests a newer one than it has, or
-// records that the node has applied one.
-func (p *documentPublisher) answer(from string, fetch peer.DocumentFetch) {
+// handleFetch sends the document in effect to an entry node that requests a newer one than it has,
+// or records that the node has applied one.
+func (p *documentPublisher) handleFetch(from string, fetch peer.DocumentFetch) {
 	if fetch.Took {
 		p.sendIfDue(from, "", fetch.Have, "confirmation")
 		return
 	}
-	held := p.node.documents.held()
+	document := p.node.documents.held()
 	p.node.log.Info().Str("event", "document_asked_for").Str("peer", from).Uint64("their_version", fetch.Have).
-		Uint64("version", held.Version).Int("bytes", len(held.Encoded)).Send()
-	if held.Version > fetch.Have {
-		p.node.send(from, peer.KindDocument, &held)
+		Uint64("version", document.Version).Int("bytes", len(document.Encoded)).Send()
+	if document.Version > fetch.Have {
+		p.node.send(from, peer.KindDocument, &document)
 	}
 }
 
-func (p *documentPublisher) sendIfDue(address, life string, has uint64, reason string) {
-	held := p.node.documents.held()
-	if held.Version == 0 || !p.due(address, life, has, held) {
+func (p *documentPublisher) sendIfDue(address, incarnation string, has uint64, reason string) {
+	document := p.node.documents.held()
+	if document.Version == 0 || !p.isDue(address, incarnation, has, document) {
 		return
 	}
 	p.node.log.Info().Str("event", "document_sent").Str("peer", address).Str("reason", reason).
-		Uint64("their_version", has).Uint64("version", held.Version).Int("bytes", len(held.Encoded)).Send()
-	p.node.send(address, peer.KindDocument, &held)
+		Uint64("their_version", has).Uint64("version", document.Version).Int("bytes", len(document.Encoded)).Send()
+	p.node.send(address, peer.KindDocument, &document)
 }
 
 // forget drops the state of a node that is gone.
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -16,17 +16,17 @@
 const (
 	// quarantineTick is the interval at which it is checked whether a crash has begun to count.
 	quarantineTick = 100 * time.Millisecond
-	// quarantinePause is the minimum time between two decisions.
-	quarantinePause = 20 * time.Millisecond
-	// quarantineAskPause is the minimum time between two requests for a control node's list: if two
-	// control nodes hold different lists, they are about to exchange them.
-	quarantineAskPause = 2 * time.Second
-	// quarantineMismatches is the number of consecutive hellos that may report a digest other than
+	// quarantineDecisionInterval is the minimum time between two decisions.
+	quarantineDecisionInterval = 20 * time.Millisecond
+	// quarantineRequestInterval is the minimum time between two requests for a control node's list:
+	// if two control nodes hold different lists, they are about to exchange them.
+	quarantineRequestInterval = 2 * time.Second
+	// toleratedMismatches is the number of consecutive hellos that may report a digest other than
 	// the known one before the list is requested: a change of it may be in transit.
-	quarantineMismatches = 1
-	// rememberQuarantineTicks is the number of ticks between checks whether the list on a control
+	toleratedMismatches = 1
+	// quarantineHintTicks is the number of ticks between checks whether the list on a control
 	// node's disk is outdated.
-	rememberQuarantineTicks = 3
+	quarantineHintTicks = 3
 )
 
 // quarantineMessage carries the records of crashes that a node holds against requests. Entry nodes
@@ -37,8 +37,8 @@
 	// Digest is the digest of the sender's list if IsList is set, which only control nodes do.
 	Digest uint64 `msgpack:"d"`
 	IsList bool   `msgpack:"l,omitempty"`
-	// Answer requests the receiver's full list.
-	Answer bool `msgpack:"a,omitempty"`
+	// Request requests the receiver's full list.
+	Request bool `msgpack:"a,omitempty"`
 }
 
 // quarantineDuty owns this node's records of requests that crash their engines (poison requests).
@@ -50,43 +50,43 @@
 	ticks   int
 	// digest is the digest of the tracker's list.
 	digest atomic.Uint64
-	// known is the digest of the control nodes' list that was last merged here.
-	known      uint64
-	mismatches int
+	// knownDigest is the digest of the control nodes' list that was last merged here.
+	knownDigest uint64
+	mismatches  int
 	// decidedAt is when the tracker last decided.
-	decidedAt time.Duration
-	askedAt   time.Duration
-	hasAsked  bool
-	// remembered is nil on nodes without a disk.
-	remembered *rememberedFile[[]quarantine.Record]
+	decidedAt    time.Duration
+	requestedAt  time.Duration
+	hasRequested bool
+	// hints is nil on nodes without a disk.
+	hints *hintFile[[]quarantine.Record]
 }
 
 var (
-	quarantineEvidence = metrics.GetOrCreateCounter("ravenway_quarantine_evidence_total")
+	quarantineReports  = metrics.GetOrCreateCounter("ravenway_quarantine_evidence_total")
 	quarantineCleared  = metrics.GetOrCreateCounter("ravenway_quarantine_cleared_total")
 	quarantineVerdicts = metrics.GetOrCreateCounter("ravenway_quarantine_verdicts_total")
 )
 
 func newQuarantineDuty(node *Node) *quarantineDuty {
 	bounds := node.settings.Load().Quarantine
-	made := &quarantineDuty{
+	created := &quarantineDuty{
 		node: node, duty: duty.New("quarantine", quarantineTick),
 		tracker: quarantine.NewTracker(quarantine.Options{Memory: bounds.Memory, Requests: bounds.Requests}),
 	}
-	made.guard = quarantine.NewGuard(made)
-	made.duty.Tick, made.duty.Flush = made.tick, made.flush
+	created.guard = quarantine.NewGuard(created)
+	created.duty.Tick, created.duty.Flush = created.tick, created.flush
 	if node.isControlRole() {
-		made.remembered = newRememberedFile[[]quarantine.Record](node, rememberedQuarantine)
-		made.tracker.Merge(node.now(), made.remembered.recall())
+		created.hints = newHintFile[[]quarantine.Record](node, quarantineHintFile)
+		created.tracker.Merge(node.now(), created.hints.load())
 	}
-	return made
+	return created
 }
 
 // EnginesEnded implements quarantine.Sink.
-func (q *quarantineDuty) EnginesEnded(evidence []quarantine.Evidence) {
+func (q *quarantineDuty) EnginesEnded(reports []quarantine.Evidence) {
 	q.duty.Offer(func() {
-		for _, one := range evidence {
-			quarantineEvidence.Inc()
+		for _, one := range reports {
+			quarantineReports.Inc()
 			q.tracker.Report(q.node.now(), one)
 		}
 	})
@@ -108,8 +108,8 @@
 
 func (q *quarantineDuty) tick() {
 	q.ticks++
-	if q.remembered != nil && q.ticks%rememberQuarantineTicks == 0 {
-		q.remembered.look(q.digest.Load(), func() []quarantine.Record { return q.tracker.Told(q.node.now()) })
+	if q.hints != nil && q.ticks%quarantineHintTicks == 0 {
+		q.hints.writeIfChanged(q.digest.Load(), func() []quarantine.Record { return q.tracker.Told(q.node.now()) })
 	}
 }
 
@@ -118,7 +118,7 @@
 // on together.
 func (q *quarantineDuty) flush() {
 	now := q.node.now()
-	if !q.tracker.IsDue(now) || now-q.decidedAt < quarantinePause {
+	if !q.tracker.IsDue(now) || now-q.decidedAt < quarantineDecisionInterval {
 		return
 	}
 	q.decidedAt = now
@@ -133,9 +133,9 @@
 	}
 	digest := q.tracker.Digest()
 	q.digest.Store(digest)
-	news := q.tracker.TakeNews(now)
-	if len(news) > 0 {
-		q.sendTo(q.controls(), quarantineMessage{Records: news})
+	updates := q.tracker.TakeNews(now)
+	if len(updates) > 0 {
+		q.sendTo(q.controls(), quarantineMessage{Records: updates})
 	}
 	if q.node.replica == nil {
 		return
@@ -152,15 +152,15 @@
 		event = "quarantined"
 		quarantineVerdicts.Inc()
 	}
-	lives, ages, suspicions := make([]string, 0, len(verdict.Ends)), make([]int64, 0, len(verdict.Ends)), make([]string, 0, len(verdict.Ends))
+	incarnations, ages, suspicions := make([]string, 0, len(verdict.Ends)), make([]int64, 0, len(verdict.Ends)), make([]string, 0, len(verdict.Ends))
 	for _, end := range verdict.Ends {
-		lives = append(lives, end.Life.String())
+		incarnations = append(incarnations, end.Life.String())
 		ages = append(ages, end.Age.Milliseconds())
 		suspicions = append(suspicions, end.Suspicion.String())
 	}
 	q.node.log.Warn().Str("event", event).Stringer("fingerprint", verdict.Fingerprint).Str("route", verdict.Route).
 		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.Beside).
-		Strs("lives", lives).Ints64("ages_ms", ages).Strs("suspicions", suspicions).Uint32("generation", verdict.Generation).Send()
+		Strs("lives", incarnations).Ints64("ages_ms", ages).Strs("suspicions", suspicions).Uint32("generation", verdict.Generation).Send()
 }
 
 // controls are the addresses of the other live control nodes.
@@ -192,24 +192,24 @@
 	}
 }
 
-// take merges what another node sent.
-func (q *quarantineDuty) take(from string, message quarantineMessage) {
+// handleMessage merges what another node sent.
+func (q *quarantineDuty) handleMessage(from string, message quarantineMessage) {
 	q.duty.Offer(func() {
 		now := q.node.now()
 		q.tracker.Merge(now, message.Records)
 		if message.IsList {
-			q.known, q.mismatches = message.Digest, 0
+			q.knownDigest, q.mismatches = message.Digest, 0
 		}
-		if message.Answer && q.node.replica != nil {
+		if message.Request && q.node.replica != nil {
 			q.sendTo([]string{from}, quarantineMessage{Records: q.tracker.Records(now), Digest: q.tracker.Digest(), IsList: true})
 		}
 	})
 }
 
-// hear compares a control node's digest with the known one, and requests its list if they differ. A
-// control node that is new or was recently unreachable is sent all records of this node: it may
-// have been partitioned, or have lost its state.
-func (q *quarantineDuty) hear(from string, digest uint64, isNew bool) {
+// handleDigest compares a control node's digest with the known one, and requests its list if they
+// differ. A control node that is new or was recently unreachable is sent all records of this node:
+// it may have been partitioned, or have lost its state.
+func (q *quarantineDuty) handleDigest(from string, digest uint64, isNew bool) {
 	if digest == 0 && q.digest.Load() == 0 && !isNew {
 		return
 	}
@@ -229,36 +229,36 @@
 }
 
 func (q *quarantineDuty) compare(from string, digest uint64) {
-	if digest == q.known || digest == q.tracker.Digest() {
+	if digest == q.knownDigest || digest == q.tracker.Digest() {
 		q.mismatches = 0
 		return
 	}
 	now := q.node.now()
-	isFirst := q.known == 0
+	isFirst := q.knownDigest == 0
 	q.mismatches++
-	if !isFirst && q.mismatches <= quarantineMismatches || q.hasAsked && now-q.askedAt < quarantineAskPause {
+	if !isFirst && q.mismatches <= toleratedMismatches || q.hasRequested && now-q.requestedAt < quarantineRequestInterval {
 		return
 	}
-	q.askedAt, q.hasAsked, q.mismatches = now, true, 0
-	ask := quarantineMessage{Answer: true}
+	q.requestedAt, q.hasRequested, q.mismatches = now, true, 0
+	request := quarantineMessage{Request: true}
 	if q.node.replica != nil {
-		ask.Records = q.tracker.Records(now)
+		request.Records = q.tracker.Records(now)
 	}
-	q.sendTo([]string{from}, ask)
+	q.sendTo([]string{from}, request)
 }
 
 // ErrNotHeld says that no crash is recorded against a request.
 var ErrNotHeld = errors.New("gateway: nothing is held against the request")
 
-// held lists the summaries of the requests with recorded crashes: those in quarantine first, then
-// those with the most crashes.
-func (q *quarantineDuty) held(ctx context.Context) ([]quarantine.Held, error) {
-	return duty.Ask(ctx, q.duty, func(answer func([]quarantine.Held)) { answer(q.tracker.Held(q.node.now())) })
+// summaries lists the summaries of the requests with recorded crashes: those in quarantine first,
+// then those with the most crashes.
+func (q *quarantineDuty) summaries(ctx context.Context) ([]quarantine.Held, error) {
+	return duty.Ask(ctx, q.duty, func(respond func([]quarantine.Held)) { respond(q.tracker.Held(q.node.now())) })
 }
 
 // release clears the crashes recorded against a request, on all nodes.
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
-	wasHeld, err := duty.Ask(ctx, q.duty, func(answer func(bool)) { answer(q.clear(fingerprint, "released by an operator")) })
+	wasHeld, err := duty.Ask(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
 	if err == nil && !wasHeld {
 		err = ErrNotHeld
 	}
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -13,9 +13,9 @@
 
 // recordOf returns the record of a request that was in flight at a number of crashes, as nodes send
 // it to each other.
-func recordOf(ends int) quarantine.Record {
+func recordOf(crashes int) quarantine.Record {
 	tracker := quarantine.NewTracker(quarantine.Options{})
-	for number := range ends {
+	for number := range crashes {
 		tracker.Report(0, quarantine.Evidence{
 			Fingerprint: quarantine.FingerprintOf(quarantine.ScopeOf("sepu93.example/dera112/2f", "zile830"), []byte("body")),
 			Life:        registry.Life{ID: fmt.Sprintf("i-28b412f9f%d", number), Born: 1764719254000}, Suspicion: quarantine.Likely,
@@ -28,11 +28,11 @@
 // Limits the traffic that an engine's crash causes: a crash report of each broken run to each
 // control node, and for each request that all nodes must know its record to each node. In the
 // incident, 47 crashes had 7.7 broken runs on average, within 40 s at eight nodes.
-func TestWordOfARequestAtAnEngineEndIsSmall(t *testing.T) {
-	for ends, most := range map[int]int{1: 90, 3: 150, 8: 300} {
-		frame, err := peer.Encode(peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(ends)}})
+func TestQuarantineRecordOfACrashIsSmall(t *testing.T) {
+	for crashes, maximum := range map[int]int{1: 90, 3: 150, 8: 300} {
+		frame, err := peer.Encode(peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(crashes)}})
 		assert.NilError(t, err)
-		t.Logf("%d ends: %d bytes", ends, len(frame))
-		assert.Assert(t, len(frame) <= most, "%d ends: %d bytes", ends, len(frame))
+		t.Logf("%d ends: %d bytes", crashes, len(frame))
+		assert.Assert(t, len(frame) <= maximum, "%d ends: %d bytes", crashes, len(frame))
 	}
 }
--- a/internal/gateway/refused.go
+++ b/internal/gateway/refusedheartbeats.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// refusedLinePause is the minimum time between two log lines on refused heartbeats of one
+	// refusedLineInterval is the minimum time between two log lines on refused heartbeats of one
 	// instance for the same reason.
-	refusedLinePause = 10 * time.Second
-	// refusedKept is the maximum number of pairs of instance and reason that are remembered for
-	// that.
-	refusedKept = 256
+	refusedLineInterval = 10 * time.Second
+	// maximumRefusedKept is the maximum number of pairs of instance and reason that are remembered
+	// for that.
+	maximumRefusedKept = 256
 )
 
 // refusedHeartbeats limits the log lines on heartbeats that can't be used: an instance that sends
@@ -27,10 +27,10 @@
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	key := [2]string{id, reason}
-	if at, found := r.written[key]; found && now-at < refusedLinePause {
+	if at, found := r.written[key]; found && now-at < refusedLineInterval {
 		return false
 	}
-	if r.written == nil || len(r.written) >= refusedKept {
+	if r.written == nil || len(r.written) >= maximumRefusedKept {
 		r.written = map[[2]string]time.Duration{}
 	}
 	r.written[key] = now
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -21,40 +21,40 @@
 func framesOfInstances(t *testing.T, entries, controls int, state registry.State) (own, told uint64) {
 	t.Helper()
 	node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
-	size := registering{nodes: entries, controls: controls}
-	began := node.now()
-	hear(node, size.hellos(1, true))
-	hear(node, entryHellos(node, entries))
-	setClock(node, began)
-	node.fleet.hello()
-	node.fleet.publish()
+	size := registrationWave{nodes: entries, controls: controls}
+	startedAt := node.now()
+	recordHellos(node, size.hellos(1, true))
+	recordHellos(node, entryHellos(node, entries))
+	setClock(node, startedAt)
+	node.fleet.sendHelloToAll()
+	node.fleet.publishView()
 	count := func() uint64 { return node.sent.frames[peer.KindInstances].Get() }
 	after := func(change func()) uint64 {
 		before := count()
 		change()
-		setClock(node, node.now()+gatherTimeOfControl*time.Duration(controls))
+		setClock(node, node.now()+batchTimePerControl*time.Duration(controls))
 		node.fleet.flush()
 		return count() - before
 	}
-	instance := registeringInstance(1)
+	instance := newlyRegistered(1)
 	instance.State = state
 	own = after(func() { node.fleet.announce([]registry.Instance{instance}) })
-	instance = registeringInstance(2)
+	instance = newlyRegistered(2)
 	instance.State = state
 	told = after(func() { node.fleet.mergeInstances([]registry.Instance{instance}, true) })
-	forgetFrames(node, entries)
+	dropFrames(node, entries)
 	return own, told
 }
 
 // With many control nodes, a change reaches each entry node through one of them. The number of
 // frames that a control node sends for a change must grow with its share of the entry nodes, not
 // with all of them.
-func TestChangesReachEntryNodesOverOneControlNode(t *testing.T) {
+func TestChangesReachEntryNodesThroughOneControlNode(t *testing.T) {
 	for _, entries := range []int{100, 300, 1000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
 			own, told := framesOfInstances(t, entries, 25, registry.Ready)
-			most := uint64(24 + 2*entries/25 + 10)
-			assert.Assert(t, own <= most && told <= most, "%d and %d frames", own, told)
+			maximum := uint64(24 + 2*entries/25 + 10)
+			assert.Assert(t, own <= maximum && told <= maximum, "%d and %d frames", own, told)
 			assert.Assert(t, told > 0)
 			own, _ = framesOfInstances(t, entries, 25, registry.Draining)
 			assert.Assert(t, own >= uint64(entries), "an instance that accepts no more work is sent to all nodes immediately: %d frames", own)
@@ -69,7 +69,7 @@
 func TestLostChangeIsRepairedWithAFewInstances(t *testing.T) {
 	complete, lacking := registry.New(0), registry.New(0)
 	for number := range 10_000 {
-		instance := registeringInstance(number)
+		instance := newlyRegistered(number)
 		_, _ = complete.Heartbeat(0, instance)
 		if number != 4711 {
 			_, _ = lacking.Heartbeat(0, instance)
@@ -85,33 +85,33 @@
 
 // With many control nodes, an entry node sends hellos in every round only to those that it needs,
 // and to the others often enough to count as alive there.
-func TestEntryNodeGreetsClosely(t *testing.T) {
+func TestEntryNodeSendsFrequentHellosOnlyToNeededControlNodes(t *testing.T) {
 	node := newIdleNode(t, benchEntry(0), benchZone(0), settings.RoleEntry)
 	const controls, replicas, rounds = 25, 7, 30
 	for number := range controls {
 		hello := controlHello(number, 0, 1, false)
 		hello.HasGroup = number < replicas
-		node.fleet.noteHello(hello)
+		node.fleet.recordHello(hello)
 	}
-	node.fleet.publish()
-	lastGreeted := map[string]int{}
-	greetings := 0
+	node.fleet.publishView()
+	lastHello := map[string]int{}
+	hellos := 0
 	for round := range rounds {
 		node.fleet.helloRounds++
-		node.fleet.ownTellers = node.fleet.tellers()
-		assert.Equal(t, len(node.fleet.ownTellers), listTellers)
+		node.fleet.listSenders = node.fleet.chooseListSenders()
+		assert.Equal(t, len(node.fleet.listSenders), listSenderCount)
 		for number := range controls {
 			address := benchControl(number)
-			if !node.fleet.isTurn(address) {
+			if !node.fleet.isHelloDue(address) {
 				assert.Assert(t, number >= replicas, "a member of the control group is sent a hello in every round")
 				continue
 			}
-			greetings++
-			assert.Assert(t, round-lastGreeted[address] <= farHellos, "%s was sent no hello for %d rounds", address, round-lastGreeted[address])
-			lastGreeted[address] = round
+			hellos++
+			assert.Assert(t, round-lastHello[address] <= reducedHelloRounds, "%s was sent no hello for %d rounds", address, round-lastHello[address])
+			lastHello[address] = round
 		}
 	}
-	most := rounds * (replicas + listTellers + (controls-replicas+farHellos-1)/farHellos + 1)
-	assert.Assert(t, greetings <= most, "%d hellos, at most %d", greetings, most)
-	assert.Assert(t, time.Duration(farHellos*helloTicks)*fleetTick < 2500*time.Millisecond, "they count as alive")
+	maximum := rounds * (replicas + listSenderCount + (controls-replicas+reducedHelloRounds-1)/reducedHelloRounds + 1)
+	assert.Assert(t, hellos <= maximum, "%d hellos, at most %d", hellos, maximum)
+	assert.Assert(t, time.Duration(reducedHelloRounds*helloTicks)*fleetTick < 2500*time.Millisecond, "they count as alive")
 }
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -22,27 +22,27 @@
 	replicaTick = 50 * time.Millisecond
 	// electionTicks is the election timeout in ticks, randomized between 0.5 and 1 second.
 	electionTicks = 10
-	// startTicks is the election timeout after a start, randomized between 0.1 and 0.2 seconds:
-	// about the difference between the start times of the processes on the machines.
-	startTicks = 2
+	// startElectionTicks is the election timeout after a start, randomized between 0.1 and 0.2
+	// seconds: about the difference between the start times of the processes on the machines.
+	startElectionTicks = 2
 	// heartbeatTicks is the interval of the leader's heartbeats, 150 milliseconds.
 	heartbeatTicks = 3
-	// lostTicks is the time without contact, 2.5 seconds, after which a learner may replace a
-	// voter.
-	lostTicks = 50
-	// manageTicks is the number of ticks between checks of the group's members, and closeTicks
-	// between checks for ended incarnations.
-	manageTicks = 4
-	closeTicks  = 6
-	// accountTicks is the number of ticks between log lines on the accounts, and accountLines the
-	// maximum number of lines each time.
-	accountTicks = 100
-	accountLines = 16
-	// recallPause is the time after an unsuccessful recall of a budget before it may be recalled
-	// again.
-	recallPause = 500 * time.Millisecond
-	// reopenPause is the time between attempts to reopen a disk that failed.
-	reopenPause = 300 * time.Millisecond
+	// lostContactTicks is the time without contact, 2.5 seconds, after which a learner may replace
+	// a voter.
+	lostContactTicks = 50
+	// membershipTicks is the number of ticks between checks of the group's members, and
+	// closeIncarnationsTicks between checks for ended incarnations.
+	membershipTicks        = 4
+	closeIncarnationsTicks = 6
+	// accountLogTicks is the number of ticks between log lines on the accounts, and
+	// maximumAccountLines the maximum number of lines each time.
+	accountLogTicks     = 100
+	maximumAccountLines = 16
+	// recallRetryInterval is the time after an unsuccessful recall of a budget before it may be
+	// recalled again.
+	recallRetryInterval = 500 * time.Millisecond
+	// reopenInterval is the time between attempts to reopen a disk that failed.
+	reopenInterval = 300 * time.Millisecond
 	// journalSegmentBytes is the size of a journal segment, kept small because the disks are small.
 	journalSegmentBytes = 1 << 20
 )
@@ -57,23 +57,23 @@
 	id      consensus.ReplicaID
 	ticks   int
 	// failedAt is when the disk last failed; the replica is nil until the disk works again.
-	failedAt  time.Duration
-	published uint64
-	// committedBefore is the index of the last committed entry at the leader's previous check of
+	failedAt         time.Duration
+	publishedVersion uint64
+	// previousCommit is the index of the last committed entry at the leader's previous check of
 	// the members; 0 before the first check.
-	committedBefore uint64
-	wasLeader       bool
-	// leadsSince is when this node became the leader.
-	leadsSince time.Duration
-	// nodeHeard is set when a node appears with a new incarnation. The previous incarnation may
-	// hold tokens that can't be granted until its accounts are closed; if the node is a control
+	previousCommit uint64
+	wasLeader      bool
+	// leaderSince is when this node became the leader.
+	leaderSince time.Duration
+	// hasNewIncarnation is set when a node appears with a new incarnation. The previous incarnation
+	// may hold tokens that can't be granted until its accounts are closed; if the node is a control
 	// node, its clock may be the one that was missing for closing accounts.
-	nodeHeard atomic.Bool
-	// founding is when this node began to wait for the other seeds to bootstrap the group; 0
+	hasNewIncarnation atomic.Bool
+	// bootstrapSince is when this node began to wait for the other seeds to bootstrap the group; 0
 	// before.
-	founding time.Duration
-	raise    logversion.Raise
-	shared   atomic.Pointer[replicaView]
+	bootstrapSince time.Duration
+	raise          logversion.Raise
+	shared         atomic.Pointer[replicaView]
 }
 
 // replicaView is an immutable snapshot of the replica's state for other goroutines.
@@ -120,7 +120,7 @@
 	if err != nil {
 		r.replica = nil
 		r.node.log.Error().Str("event", "disk_unusable").Err(err).Send()
-		r.share()
+		r.publishView()
 		return
 	}
 	r.root = escrow.NewRoot(r.rootOptions())
@@ -130,15 +130,15 @@
 		Uint64("version", r.machine.Document().Version).Int("records_read", r.replica.RecoveredRecords).
 		Int("torn_bytes", r.replica.TornBytes).Send()
 	r.node.rollouts.put(r.node.address, r.machine.Rollouts(), true)
-	r.publish()
-	r.share()
+	r.publishState()
+	r.publishView()
 }
 
-func (r *replicaDuty) open(founders []consensus.Member) (*consensus.Replica, error) {
+func (r *replicaDuty) open(bootstrapMembers []consensus.Member) (*consensus.Replica, error) {
 	return consensus.OpenReplica(consensus.ReplicaOptions{
-		ID: r.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, StartTicks: startTicks, Random: newRandom(),
+		ID: r.id, ElectionTicks: electionTicks, HeartbeatTicks: heartbeatTicks, StartTicks: startElectionTicks, Random: newRandom(),
 		FileSystem: r.node.options.FileSystem, SegmentBytes: journalSegmentBytes, Machine: r.machine,
-		Send: r.send, Bootstrap: founders,
+		Send: r.send, Bootstrap: bootstrapMembers,
 	})
 }
 
@@ -149,7 +149,7 @@
 	_ = r.replica.Close()
 	r.replica = nil
 	r.failedAt = r.node.now()
-	r.share()
+	r.publishView()
 }
 
 // send sends a message to the node that holds the receiving replica.
@@ -167,7 +167,7 @@
 	}
 }
 
-func (r *replicaDuty) take(message consensus.Message) {
+func (r *replicaDuty) handleMessage(message consensus.Message) {
 	r.duty.Offer(func() {
 		if r.replica != nil {
 			r.replica.Step(message)
@@ -175,7 +175,7 @@
 	})
 }
 
-func (r *replicaDuty) takeReport(message escrow.ReportMessage) {
+func (r *replicaDuty) handleReport(message escrow.ReportMessage) {
 	r.duty.Offer(func() {
 		if r.leading() {
 			r.root.Take(message)
@@ -190,7 +190,7 @@
 func (r *replicaDuty) tick() {
 	r.ticks++
 	if r.replica == nil {
-		if r.node.now()-r.failedAt >= reopenPause {
+		if r.node.now()-r.failedAt >= reopenInterval {
 			r.reopen()
 		}
 		return
@@ -198,23 +198,23 @@
 	r.replica.Tick()
 	r.root.Tick(r.node.now())
 	if !r.hasGroup() {
-		r.foundIfFirst()
+		r.bootstrapIfFirst()
 		return
 	}
-	if r.ticks%manageTicks == 0 {
-		r.lookAtLogVersion()
+	if r.ticks%membershipTicks == 0 {
+		r.updateLogVersionRaise()
 	}
 	if !r.leading() {
 		return
 	}
-	if r.ticks%manageTicks == 0 {
+	if r.ticks%membershipTicks == 0 {
 		r.manageMembers()
 		r.raiseLogVersion()
 	}
-	if r.nodeHeard.Swap(false) || r.ticks%closeTicks == 0 {
-		r.closeLives()
+	if r.hasNewIncarnation.Swap(false) || r.ticks%closeIncarnationsTicks == 0 {
+		r.closeIncarnations()
 	}
-	if r.ticks%accountTicks == 0 {
+	if r.ticks%accountLogTicks == 0 {
 		r.logAccounts()
 	}
 }
@@ -227,7 +227,7 @@
 		return
 	}
 	if r.leading() != r.wasLeader {
-		r.wasLeader, r.committedBefore, r.leadsSince = r.leading(), 0, r.node.now()
+		r.wasLeader, r.previousCommit, r.leaderSince = r.leading(), 0, r.node.now()
 		r.root = escrow.NewRoot(r.rootOptions())
 		r.node.log.Info().Str("event", "leadership").Bool("leading", r.wasLeader).Uint64("term", r.replica.Core().Term()).Send()
 	}
@@ -240,8 +240,8 @@
 		r.fail(err)
 		return
 	}
-	r.publish()
-	r.share()
+	r.publishState()
+	r.publishView()
 }
 
 func (r *replicaDuty) rootOptions() escrow.RootOptions {
@@ -255,8 +255,8 @@
 			address, _ := holderAddress(to)
 			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Recall: &message})
 		},
-		RecallPause: recallPause, Contact: func() accounts.Contact { return r.readClocks().Contact() },
-		StandingOf: r.standingOf,
+		RecallPause: recallRetryInterval, Contact: func() accounts.Contact { return r.readClocks().Contact() },
+		StandingOf: r.summaryOf,
 		Tell: func(to string, message escrow.StandingsMessage) {
 			address, _ := holderAddress(to)
 			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Standings: &message})
@@ -264,7 +264,7 @@
 	}
 }
 
-func (r *replicaDuty) standingOf(budget string) escrow.Standing {
+func (r *replicaDuty) summaryOf(budget string) escrow.Standing {
 	found := r.machine.Accounts().Budget(budget)
 	if found == nil {
 		return escrow.Standing{Budget: budget}
@@ -328,7 +328,7 @@
 		budgets = append(budgets, r.machine.Accounts().Budget(name))
 	}
 	slices.SortStableFunc(budgets, func(a, b *accounts.Budget) int { return cmp.Compare(a.Left(), b.Left()) })
-	for _, budget := range budgets[:min(len(budgets), accountLines)] {
+	for _, budget := range budgets[:min(len(budgets), maximumAccountLines)] {
 		r.node.log.Info().Str("event", "account").Str("tenant", budget.Name).Uint64("limit", budget.Limit).
 			Uint64("spent", budget.Spent()).Int64("forfeited", budget.Forfeited).
 			Int64("ended_allowed", budget.Ended.Allowed).Int64("ended_paced", budget.Ended.Paced).Int64("ended_whole", budget.Ended.Whole).
@@ -336,22 +336,22 @@
 	}
 }
 
-// publish brings the evacuated zones, the rollouts and the document of the applied log into effect
-// on this node and distributes them.
-func (r *replicaDuty) publish() {
+// publishState brings the evacuated zones, the rollouts and the document of the applied log into
+// effect on this node and distributes them.
+func (r *replicaDuty) publishState() {
 	r.node.zones.put(r.node.address, r.machine.Evacuated())
 	r.node.rollouts.put(r.node.address, r.machine.Rollouts(), false)
 	held := r.machine.Document()
-	if held.Version <= r.published {
+	if held.Version <= r.publishedVersion {
 		return
 	}
-	r.published = held.Version
+	r.publishedVersion = held.Version
 	if r.node.documents.put(r.node.address, held.Version, held.Encoded) {
 		r.node.publisher.publish()
 	}
 }
 
-func (r *replicaDuty) share() {
+func (r *replicaDuty) publishView() {
 	view := &replicaView{quorumSilence: time.Hour}
 	if r.replica != nil {
 		core := r.replica.Core()
@@ -379,8 +379,8 @@
 	return voters, caughtUp
 }
 
-// describe adds the replica to the node's hello.
-func (r *replicaDuty) describe(hello *peer.Hello) {
+// addToHello adds the replica to the node's hello.
+func (r *replicaDuty) addToHello(hello *peer.Hello) {
 	view := r.shared.Load()
 	hello.Replica, hello.HasGroup = uint64(view.replica), view.hasGroup
 	hello.Leader, hello.Term = view.leader, view.term
@@ -391,12 +391,12 @@
 
 func (r *replicaDuty) manageMembers() {
 	core := r.replica.Core()
-	committedBefore := r.committedBefore
-	r.committedBefore = core.Commit()
+	committedBefore := r.previousCommit
+	r.previousCommit = core.Commit()
 	state := replicaset.State{
 		Members: core.Configuration().Members, Self: r.id,
 		CaughtUp: func(id consensus.ReplicaID) bool { return committedBefore > 0 && core.Holds(id, committedBefore) },
-		Lost:     func(id consensus.ReplicaID) bool { return core.SilentTicks(id) > lostTicks },
+		Lost:     func(id consensus.ReplicaID) bool { return core.SilentTicks(id) > lostContactTicks },
 		Controls: []replicaset.Control{{Node: r.node.address, Replica: r.id}},
 	}
 	for _, known := range r.node.fleet.view.Load().alive {
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// leastRollout is the shortest time in which a version can be analysed and all requests moved.
-	// mostRollout prevents a mistyped duration from staying in effect for weeks.
-	leastRollout, mostRollout = 3 * time.Second, 24 * time.Hour
+	// minimumRollout is the shortest time in which a version can be analysed and all requests
+	// moved. maximumRollout prevents a mistyped duration from staying in effect for weeks.
+	minimumRollout, maximumRollout = 3 * time.Second, 24 * time.Hour
 )
 
 // Errors of rollout orders.
@@ -42,83 +42,84 @@
 type rolloutRefusal uint8
 
 const (
-	rolloutTaken rolloutRefusal = iota
+	rolloutAccepted rolloutRefusal = iota
 	refusedUnknownService
 	refusedVersionRuns
 	refusedOlderNodes
 )
 
-// rolloutAnswer is the response to a rollout order, or to a request for a service's rollout.
-type rolloutAnswer struct {
-	Refused rolloutRefusal  `msgpack:"f"`
-	Answer  rollout.Answer  `msgpack:"a"`
-	Rollout rollout.Rollout `msgpack:"r"`
-	Found   bool            `msgpack:"o"`
+// rolloutResponse is the response to a rollout order, or to a request for a service's rollout.
+type rolloutResponse struct {
+	Refusal  rolloutRefusal  `msgpack:"f"`
+	Response rollout.Answer  `msgpack:"a"`
+	Rollout  rollout.Rollout `msgpack:"r"`
+	Found    bool            `msgpack:"o"`
 }
 
-// rolloutQuestion requests a service's newest rollout from the leader.
-type rolloutQuestion struct {
+// readRolloutRequest requests a service's newest rollout from the leader.
+type readRolloutRequest struct {
 	Service string `msgpack:"s"`
 }
 
 // OrderRollout implements Control.
 func (n *Node) OrderRollout(ctx context.Context, service, version string, duration time.Duration) error {
-	if duration < leastRollout || duration > mostRollout {
-		return fmt.Errorf("%w: %s; from %s to %s are possible", ErrRolloutDuration, duration, leastRollout, mostRollout)
+	if duration < minimumRollout || duration > maximumRollout {
+		return fmt.Errorf("%w: %s; from %s to %s are possible", ErrRolloutDuration, duration, minimumRollout, maximumRollout)
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	order := rollout.Order{Service: service, Version: version, Duration: duration}
-	answer, err := atLeader(ctx, n, peer.MethodOrderRollout, &order, func() (rolloutAnswer, error) { return n.orderRolloutHere(ctx, order) })
+	response, err := atLeader(ctx, n, peer.MethodOrderRollout, &order, func() (rolloutResponse, error) { return n.orderRolloutHere(ctx, order) })
 	if err == nil {
-		err = answer.err(order)
+		err = response.err(order)
 	} else {
 		err = fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	n.log.Info().Str("event", "rollout_order").Str("service", service).Str("target", version).Dur("duration", duration).
-		Uint64("rollout", answer.Rollout.Revision).AnErr("error", err).Send()
+		Uint64("rollout", response.Rollout.Revision).AnErr("error", err).Send()
 	return err
 }
 
-func (a rolloutAnswer) err(order rollout.Order) error {
+func (a rolloutResponse) err(order rollout.Order) error {
 	switch {
-	case a.Refused == refusedUnknownService:
+	case a.Refusal == refusedUnknownService:
 		return fmt.Errorf("%w: %q", ErrUnknownService, order.Service)
-	case a.Refused == refusedVersionRuns:
+	case a.Refusal == refusedVersionRuns:
 		return fmt.Errorf("%w: %q of service %q", ErrVersionRuns, order.Version, order.Service)
-	case a.Refused == refusedOlderNodes:
+	case a.Refusal == refusedOlderNodes:
 		return fmt.Errorf("%w: %w", ErrUnavailable, errOlderNodes)
-	case a.Answer == rollout.UnderWay:
+	case a.Response == rollout.UnderWay:
 		return fmt.Errorf("%w: to %q since entry %d, now %s", ErrRolloutUnderWay, a.Rollout.Version, a.Rollout.Revision, a.Rollout.Stage)
-	case a.Answer == rollout.OtherUnderWay:
+	case a.Response == rollout.OtherUnderWay:
 		return fmt.Errorf("%w: to %q", ErrOtherRollout, a.Rollout.Version)
 	}
 	return nil
 }
 
 // orderRolloutHere commits an order if this node leads.
-func (n *Node) orderRolloutHere(ctx context.Context, order rollout.Order) (rolloutAnswer, error) {
-	held, err := readHere(ctx, n, (*machine.Machine).Document)
+func (n *Node) orderRolloutHere(ctx context.Context, order rollout.Order) (rolloutResponse, error) {
+	newest, err := readHere(ctx, n, (*machine.Machine).Document)
 	if err != nil {
-		return rolloutAnswer{}, err
+		return rolloutResponse{}, err
 	}
-	if held.Version == 0 || n.documents.version() < held.Version {
+	if newest.Version == 0 || n.documents.version() < newest.Version {
 		// This node has just started and does not know the services yet.
-		return rolloutAnswer{}, errConfigurationNotRead
+		return rolloutResponse{}, errConfigurationNotRead
 	}
-	if refused := n.refusesRollout(order); refused != rolloutTaken {
-		return rolloutAnswer{Refused: refused}, nil
+	if refused := n.rolloutRefusalFor(order); refused != rolloutAccepted {
+		return rolloutResponse{Refusal: refused}, nil
 	}
 	order.OrderedMS = time.Now().UnixMilli()
 	result, err := n.commitHere(ctx, machine.Command{Rollout: &machine.RolloutCommand{Order: &order}})
 	if err != nil {
-		return rolloutAnswer{}, err
+		return rolloutResponse{}, err
 	}
-	return rolloutAnswer{Answer: result.Rollout.Answer, Rollout: result.Rollout.Rollout, Found: true}, nil
+	return rolloutResponse{Response: result.Rollout.Answer, Rollout: result.Rollout.Rollout, Found: true}, nil
 }
 
-// refusesRollout returns why an order can't be accepted at the moment, or rolloutTaken if it can.
-func (n *Node) refusesRollout(order rollout.Order) rolloutRefusal {
+// rolloutRefusalFor returns why an order can't be accepted at the moment, or rolloutAccepted if it
+// can.
+func (n *Node) rolloutRefusalFor(order rollout.Order) rolloutRefusal {
 	index := n.documents.index.Load()
 	if index.Service(order.Service) == nil {
 		return refusedUnknownService
@@ -131,34 +132,34 @@
 			return refusedOlderNodes
 		}
 	}
-	if running, found := n.rollouts.inForce().Find(order.Service); found && running.Stage.IsRunning() {
-		return rolloutTaken
+	if running, found := n.rollouts.current().Find(order.Service); found && running.Stage.IsRunning() {
+		return rolloutAccepted
 	}
 	if versions := n.table.Versions(order.Service); len(versions) == 1 && versions[0] == order.Version {
 		return refusedVersionRuns
 	}
-	return rolloutTaken
+	return rolloutAccepted
 }
 
 // Rollout implements Control.
 func (n *Node) Rollout(ctx context.Context, service string) (rollout.Rollout, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	question := rolloutQuestion{Service: service}
-	answer, err := atLeader(ctx, n, peer.MethodReadRollout, &question, func() (rolloutAnswer, error) { return n.readRolloutHere(ctx, question) })
+	request := readRolloutRequest{Service: service}
+	response, err := atLeader(ctx, n, peer.MethodReadRollout, &request, func() (rolloutResponse, error) { return n.readRolloutHere(ctx, request) })
 	switch {
 	case err != nil:
 		return rollout.Rollout{}, fmt.Errorf("%w: %w", ErrUnavailable, err)
-	case !answer.Found:
+	case !response.Found:
 		return rollout.Rollout{}, fmt.Errorf("%w: %q", ErrNoRollout, service)
 	}
-	return answer.Rollout, nil
+	return response.Rollout, nil
 }
 
 // readRolloutHere reads a rollout once a quorum has confirmed that this node leads.
-func (n *Node) readRolloutHere(ctx context.Context, question rolloutQuestion) (rolloutAnswer, error) {
-	return readHere(ctx, n, func(state *machine.Machine) rolloutAnswer {
-		found, isFound := state.Rollouts().Find(question.Service)
-		return rolloutAnswer{Rollout: found, Found: isFound}
+func (n *Node) readRolloutHere(ctx context.Context, request readRolloutRequest) (rolloutResponse, error) {
+	return readHere(ctx, n, func(state *machine.Machine) rolloutResponse {
+		found, isFound := state.Rollouts().Find(request.Service)
+		return rolloutResponse{Rollout: found, Found: isFound}
 	})
 }
