--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/ravenway/ravenway/internal/coordination/balance"
-	judging "github.com/ravenway/ravenway/internal/coordination/rollout"
+	canary "github.com/ravenway/ravenway/internal/coordination/rollout"
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
@@ -15,41 +15,41 @@
 	// canaryShare is the part of the permitted exposure to a bad version that a canary may use. The
 	// remainder covers nodes that crash, whose counts of served requests are lost with them.
 	canaryShare = 0.8
-	// tellDoneFor is how long a completed rollout is still distributed and keeps requests from the
-	// old version, whose instances end in that time. Instances of any version that start later
+	// doneRetention is how long a completed rollout is still distributed and keeps requests from
+	// the old version, whose instances end in that time. Instances of any version that start later
 	// receive work again.
-	tellDoneFor = 15 * time.Second
+	doneRetention = 15 * time.Second
 )
 
 // rolloutStore holds the rollouts in effect at this node: a control node reads them from the log,
 // an entry node receives them in the hellos of control nodes. Several duties use it.
 type rolloutStore struct {
 	node     *Node
-	recorder *judging.Recorder
+	recorder *canary.Recorder
 	mutex    sync.Mutex
 	held     rollout.Set
-	// seen is the time at which each rollout was ordered as this node sees it, by the rollout's
-	// revision: when the node first held it, or earlier if it was restored from the log.
-	seen map[uint64]time.Duration
-	// steppedAt is when each rollout's stage was last seen to change, by revision.
-	steppedAt map[uint64]time.Duration
-	// kept is the number of rollouts that the table applies.
-	kept int
+	// orderedAt is the time at which each rollout was ordered as this node sees it, by the
+	// rollout's revision: when the node first held it, or earlier if it was restored from the log.
+	orderedAt map[uint64]time.Duration
+	// stageChangedAt is when each rollout's stage was last seen to change, by revision.
+	stageChangedAt map[uint64]time.Duration
+	// appliedCount is the number of rollouts that the table applies.
+	appliedCount int
 }
 
 func newRolloutStore(node *Node) *rolloutStore {
-	return &rolloutStore{node: node, recorder: judging.NewRecorder(), seen: map[uint64]time.Duration{}, steppedAt: map[uint64]time.Duration{}}
+	return &rolloutStore{node: node, recorder: canary.NewRecorder(), orderedAt: map[uint64]time.Duration{}, stageChangedAt: map[uint64]time.Duration{}}
 }
 
-// inForce are the rollouts in effect at this node.
-func (s *rolloutStore) inForce() rollout.Set {
+// current are the rollouts in effect at this node.
+func (s *rolloutStore) current() rollout.Set {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.held
 }
 
-// hear accepts the rollouts in a control node's hello.
-func (s *rolloutStore) hear(hello peer.Hello) {
+// handleHello accepts the rollouts in a control node's hello.
+func (s *rolloutStore) handleHello(hello peer.Hello) {
 	if s.node.replica == nil && hello.Rollouts != nil {
 		s.put(hello.Address, *hello.Rollouts, false)
 	}
@@ -63,10 +63,10 @@
 	s.mutex.Lock()
 	isNewer := set.Supersedes(s.held)
 	if isNewer {
-		s.noteTimes(now, set, isRestored)
+		s.recordTimes(now, set, isRestored)
 		s.held = set
 		s.recorder.Watch(set.Rollouts)
-		s.keepTo(now)
+		s.applyToTable(now)
 	}
 	s.mutex.Unlock()
 	if !isNewer {
@@ -77,32 +77,32 @@
 			Uint64("rollout", one.Revision).Uint64("revision", set.Revision).Str("reason", one.Reason).Str("from", from).Send()
 	}
 	if s.node.replica != nil {
-		s.node.fleet.duty.Offer(s.node.fleet.hello)
+		s.node.fleet.duty.Offer(s.node.fleet.sendHelloToAll)
 	}
 }
 
-func (s *rolloutStore) noteTimes(now time.Duration, set rollout.Set, isRestored bool) {
+func (s *rolloutStore) recordTimes(now time.Duration, set rollout.Set, isRestored bool) {
 	for _, one := range set.Rollouts {
 		before, wasHeld := s.held.Find(one.Service)
 		if !wasHeld || before.Revision != one.Revision || before.Stage != one.Stage {
-			s.steppedAt[one.Revision] = now
+			s.stageChangedAt[one.Revision] = now
 		}
-		if _, found := s.seen[one.Revision]; found {
+		if _, found := s.orderedAt[one.Revision]; found {
 			continue
 		}
 		age := time.Duration(0)
 		if isRestored {
 			age = min(max(0, time.Since(time.UnixMilli(one.OrderedMS))), one.Duration)
 		}
-		s.seen[one.Revision] = now - age
+		s.orderedAt[one.Revision] = now - age
 	}
 	isHeld := func(revision uint64) bool {
 		return slices.ContainsFunc(set.Rollouts, func(one rollout.Rollout) bool { return one.Revision == revision })
 	}
-	for revision := range s.seen {
+	for revision := range s.orderedAt {
 		if !isHeld(revision) {
-			delete(s.seen, revision)
-			delete(s.steppedAt, revision)
+			delete(s.orderedAt, revision)
+			delete(s.stageChangedAt, revision)
 		}
 	}
 }
@@ -113,37 +113,37 @@
 	}
 }
 
-// keepTo passes the effective rollouts, which decide where requests go, to the table. The caller
-// holds the mutex.
-func (s *rolloutStore) keepTo(now time.Duration) {
+// applyToTable passes the effective rollouts, which decide where requests go, to the table. The
+// caller holds the mutex.
+func (s *rolloutStore) applyToTable(now time.Duration) {
 	kept := s.effective(now)
-	s.kept = len(kept)
+	s.appliedCount = len(kept)
 	s.node.table.SetRollouts(kept, s.share())
 }
 
-// tick drops rollouts that have been done for tellDoneFor.
+// tick drops rollouts that have been done for doneRetention.
 func (s *rolloutStore) tick() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if now := s.node.now(); s.kept > 0 && len(s.effective(now)) != s.kept {
-		s.keepTo(now)
+	if now := s.node.now(); s.appliedCount > 0 && len(s.effective(now)) != s.appliedCount {
+		s.applyToTable(now)
 	}
 }
 
-// effective are the rollouts except those that have been done for tellDoneFor. The caller holds the
-// mutex.
+// effective are the rollouts except those that have been done for doneRetention. The caller holds
+// the mutex.
 func (s *rolloutStore) effective(now time.Duration) []rollout.Rollout {
 	return slices.DeleteFunc(slices.Clone(s.held.Rollouts), func(one rollout.Rollout) bool {
-		return one.Stage == rollout.Done && now-s.steppedAt[one.Revision] >= tellDoneFor
+		return one.Stage == rollout.Done && now-s.stageChangedAt[one.Revision] >= doneRetention
 	})
 }
 
-// told returns the rollouts that this control node's hellos carry, or nil if there are none.
-func (s *rolloutStore) told() *rollout.Set {
+// advertised returns the rollouts that this control node's hellos carry, or nil if there are none.
+func (s *rolloutStore) advertised() *rollout.Set {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if told := s.effective(s.node.now()); len(told) > 0 {
-		return &rollout.Set{Revision: s.held.Revision, Rollouts: told}
+	if effective := s.effective(s.node.now()); len(effective) > 0 {
+		return &rollout.Set{Revision: s.held.Revision, Rollouts: effective}
 	}
 	return nil
 }
@@ -152,5 +152,5 @@
 func (s *rolloutStore) elapsed(one rollout.Rollout) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.node.now() - s.seen[one.Revision]
+	return s.node.now() - s.orderedAt[one.Revision]
 }
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -81,7 +81,7 @@
 	})
 	router.HandleFunc("/metrics", func(writer http.ResponseWriter, _ *http.Request) {
 		metrics.WriteGaugeUint64(writer, "ravenway_document_version", n.documents.version())
-		metrics.WriteGaugeUint64(writer, "ravenway_instances", uint64(n.fleet.instances.Load()))
+		metrics.WriteGaugeUint64(writer, "ravenway_instances", uint64(n.fleet.instanceCount.Load()))
 		if n.pipeline != nil {
 			metrics.WriteGaugeUint64(writer, "ravenway_requests_active", uint64(n.pipeline.Active()))
 		}
@@ -100,7 +100,7 @@
 	mutex   sync.Mutex
 	limits  document.Limits
 	current *limitedServer
-	all     []*limitedServer
+	servers []*limitedServer
 	closed  bool
 }
 
@@ -115,22 +115,22 @@
 
 func newCallerServer(listener net.Listener, handler http.Handler) *callerServer {
 	callers := &callerServer{listener: listener, handler: handler}
-	callers.begin(document.Limits{})
+	callers.startServer(document.Limits{})
 	return callers
 }
 
-// adopt applies the limits of a document that has come into effect.
-func (c *callerServer) adopt(index *document.Index) {
+// applyLimits applies the limits of a document that has come into effect.
+func (c *callerServer) applyLimits(index *document.Index) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if index.Document.Limits != c.limits && !c.closed {
-		c.begin(index.Document.Limits)
+		c.startServer(index.Document.Limits)
 	}
 }
 
-func (c *callerServer) begin(limits document.Limits) {
+func (c *callerServer) startServer(limits document.Limits) {
 	c.limits = limits
-	begun := &limitedServer{
+	started := &limitedServer{
 		http: &http.Server{
 			Handler: c.handler, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
 			MaxHeaderBytes: defaultHeaderBytes, DisableGeneralOptionsHandler: true,
@@ -138,17 +138,17 @@
 		connections: make(chan net.Conn), closed: make(chan struct{}), address: c.listener.Addr(),
 	}
 	if limits.HeaderTimeout > 0 {
-		begun.http.ReadHeaderTimeout = limits.HeaderTimeout
+		started.http.ReadHeaderTimeout = limits.HeaderTimeout
 	}
 	if limits.IdleTimeout > 0 {
-		begun.http.IdleTimeout = limits.IdleTimeout
+		started.http.IdleTimeout = limits.IdleTimeout
 	}
 	if limits.MaxHeaderBytes > 0 {
-		begun.http.MaxHeaderBytes = limits.MaxHeaderBytes
+		started.http.MaxHeaderBytes = limits.MaxHeaderBytes
 	}
-	c.current = begun
-	c.all = append(c.all, begun)
-	go func() { _ = begun.http.Serve(begun) }()
+	c.current = started
+	c.servers = append(c.servers, started)
+	go func() { _ = started.http.Serve(started) }()
 }
 
 // run accepts connections and passes them to the server with the current limits.
@@ -177,7 +177,7 @@
 func (c *callerServer) shutdown(ctx context.Context) {
 	c.mutex.Lock()
 	c.closed = true
-	all := c.all
+	all := c.servers
 	c.mutex.Unlock()
 	_ = c.listener.Close()
 	for _, one := range all {
@@ -190,7 +190,7 @@
 	defer c.mutex.Unlock()
 	c.closed = true
 	_ = c.listener.Close()
-	for _, one := range c.all {
+	for _, one := range c.servers {
 		_ = one.http.Close()
 	}
 }
--- a/internal/gateway/stale.go
+++ b/internal/gateway/stale.go
@@ -12,9 +12,9 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// staleLines is the maximum number of log lines on stale frames in one summary: in a partition all
-// other nodes may be among the receivers.
-const staleLines = 16
+// maximumStaleLines is the maximum number of log lines on stale frames in one summary: in a
+// partition all other nodes may be among the receivers.
+const maximumStaleLines = 16
 
 // staleFrames counts the frames that were dropped because they waited too long for their
 // connection, by receiver and kind, and logs a bounded number of lines on them.
@@ -35,15 +35,15 @@
 type staleSum struct {
 	staleKind
 	frames, bytes int
-	longest       time.Duration
+	longestWait   time.Duration
 }
 
 func newStaleFrames(node *Node) *staleFrames {
 	return &staleFrames{node: node, waiting: map[staleKind]staleSum{}}
 }
 
-// note counts one frame for the next summary.
-func (s *staleFrames) note(to string, frame []byte, waited time.Duration) {
+// record counts one frame for the next summary.
+func (s *staleFrames) record(to string, frame []byte, waited time.Duration) {
 	envelope, err := peer.Decode(frame)
 	if err != nil {
 		s.node.log.Error().Str("event", "own_frame_unreadable").Str("peer", to).Err(err).Send()
@@ -55,29 +55,29 @@
 	key := staleKind{peer: to, kind: envelope.Kind}
 	sum := s.waiting[key]
 	s.waiting[key] = staleSum{
-		staleKind: key, frames: sum.frames + 1, bytes: sum.bytes + len(frame), longest: max(sum.longest, waited),
+		staleKind: key, frames: sum.frames + 1, bytes: sum.bytes + len(frame), longestWait: max(sum.longestWait, waited),
 	}
 }
 
-// summarize logs a line for each of the staleLines pairs of receiver and kind with the most frames
-// since the last call, and one line for all others together.
+// summarize logs a line for each of the maximumStaleLines pairs of receiver and kind with the most
+// frames since the last call, and one line for all others together.
 func (s *staleFrames) summarize() {
 	sums := s.take()
-	for _, sum := range sums[:min(len(sums), staleLines)] {
+	for _, sum := range sums[:min(len(sums), maximumStaleLines)] {
 		s.node.log.Warn().Str("event", "peer_frames_stale").Str("peer", sum.peer).Stringer("kind", sum.kind).
-			Int("frames", sum.frames).Int("bytes", sum.bytes).Int64("longest_wait_ms", sum.longest.Milliseconds()).Send()
+			Int("frames", sum.frames).Int("bytes", sum.bytes).Int64("longest_wait_ms", sum.longestWait.Milliseconds()).Send()
 	}
-	if len(sums) <= staleLines {
+	if len(sums) <= maximumStaleLines {
 		return
 	}
 	var others staleSum
-	for _, sum := range sums[staleLines:] {
+	for _, sum := range sums[maximumStaleLines:] {
 		others.frames += sum.frames
 		others.bytes += sum.bytes
-		others.longest = max(others.longest, sum.longest)
+		others.longestWait = max(others.longestWait, sum.longestWait)
 	}
-	s.node.log.Warn().Str("event", "peer_frames_stale_others").Int("receivers_and_kinds", len(sums)-staleLines).
-		Int("frames", others.frames).Int("bytes", others.bytes).Int64("longest_wait_ms", others.longest.Milliseconds()).Send()
+	s.node.log.Warn().Str("event", "peer_frames_stale_others").Int("receivers_and_kinds", len(sums)-maximumStaleLines).
+		Int("frames", others.frames).Int("bytes", others.bytes).Int64("longest_wait_ms", others.longestWait.Milliseconds()).Send()
 }
 
 // take returns the sums since the last call, those with the most frames first.
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// listedWait is how long the platform may continue to send callers to a node that reports
+	// notReadyWait is how long the platform may continue to send callers to a node that reports
 	// itself not ready.
-	listedWait = 3200 * time.Millisecond
-	// handOverWait is the time that a control node needs to transfer its leadership.
-	handOverWait = 600 * time.Millisecond
-	// returnWait is the maximum time for the return of unspent tokens.
-	returnWait = 500 * time.Millisecond
-	// requestsWait is the maximum wait for requests in flight if the context has no deadline.
-	requestsWait = time.Minute
-	// stopPoll is the interval at which the number of requests in flight is checked.
-	stopPoll = 20 * time.Millisecond
+	notReadyWait = 3200 * time.Millisecond
+	// leadershipTransferWait is the time that a control node needs to transfer its leadership.
+	leadershipTransferWait = 600 * time.Millisecond
+	// returnTimeout is the maximum time for the return of unspent tokens.
+	returnTimeout = 500 * time.Millisecond
+	// defaultRequestsWait is the maximum wait for requests in flight if the context has no
+	// deadline.
+	defaultRequestsWait = time.Minute
+	// stopPollInterval is the interval at which the number of requests in flight is checked.
+	stopPollInterval = 20 * time.Millisecond
 )
 
 // plannedStop is a planned stop that has begun.
 type plannedStop struct {
-	// began is when the stop began, and cutsAt when requests still in flight are aborted. Both are
-	// on the clock of Node.now.
-	began, cutsAt time.Duration
+	// began is when the stop began, and abortsAt when requests still in flight are aborted. Both
+	// are on the clock of Node.now.
+	began, abortsAt time.Duration
 }
 
 func (n *Node) isStopping() bool { return n.stop.Load() != nil }
@@ -34,19 +35,19 @@
 // arrive, waits for the requests in flight as long as the context allows, and returns the tokens
 // that it holds. It returns the number of requests that are aborted.
 func (n *Node) Stop(ctx context.Context) int64 {
-	began := n.now()
-	n.stop.Store(&plannedStop{began: began, cutsAt: began + time.Until(n.endOfRequests(ctx))})
+	startedAt := n.now()
+	n.stop.Store(&plannedStop{began: startedAt, abortsAt: startedAt + time.Until(n.requestsDeadline(ctx))})
 	n.log.Info().Str("event", "stopping").Int64("requests", n.active()).Send()
-	n.fleet.duty.Offer(n.fleet.hello)
+	n.fleet.duty.Offer(n.fleet.sendHelloToAll)
 	if n.replica != nil {
-		n.handOver()
+		n.handOverLeadership()
 	}
 	if n.pipeline != nil {
-		n.tokens.stopping()
+		n.tokens.setStopping()
 		n.drain(ctx)
 	}
 	cut := n.active()
-	n.log.Info().Str("event", "stopped").Int64("requests_cut", cut).Int64("elapsed_ms", (n.now() - began).Milliseconds()).Send()
+	n.log.Info().Str("event", "stopped").Int64("requests_cut", cut).Int64("elapsed_ms", (n.now() - startedAt).Milliseconds()).Send()
 	return cut
 }
 
@@ -62,30 +63,31 @@
 // platform may have no other node to send them to. The tokens are returned last, because a request
 // that still arrives must be able to reserve some.
 func (n *Node) drain(ctx context.Context) {
-	serving, cancel := context.WithDeadline(ctx, n.endOfRequests(ctx))
+	serving, cancel := context.WithDeadline(ctx, n.requestsDeadline(ctx))
 	defer cancel()
-	pause.For(serving, listedWait)
-	for n.active() > 0 && pause.For(serving, stopPoll) {
+	pause.For(serving, notReadyWait)
+	for n.active() > 0 && pause.For(serving, stopPollInterval) {
 	}
 	n.callers.shutdown(serving)
-	returning, cancelReturning := context.WithTimeout(ctx, returnWait)
+	returning, cancelReturning := context.WithTimeout(ctx, returnTimeout)
 	defer cancelReturning()
-	if err := n.tokens.giveAway(returning); err != nil {
+	if err := n.tokens.returnOrHandOver(returning); err != nil {
 		n.log.Warn().Str("event", "tokens_not_given_away").Err(err).Send()
 	}
 }
 
-// endOfRequests is the deadline for requests in flight. It leaves time for the return of the
+// requestsDeadline is the deadline for requests in flight. It leaves time for the return of the
 // tokens.
-func (n *Node) endOfRequests(ctx context.Context) time.Time {
+func (n *Node) requestsDeadline(ctx context.Context) time.Time {
 	if deadline, found := ctx.Deadline(); found {
-		return deadline.Add(-returnWait)
+		return deadline.Add(-returnTimeout)
 	}
-	return time.Now().Add(requestsWait)
+	return time.Now().Add(defaultRequestsWait)
 }
 
-// handOver transfers leadership to another voter, so that no work has to wait for an election.
-func (n *Node) handOver() {
+// handOverLeadership transfers leadership to another voter, so that no work has to wait for an
+// election.
+func (n *Node) handOverLeadership() {
 	n.replica.duty.Offer(func() {
 		if !n.replica.leading() {
 			return
@@ -102,5 +104,5 @@
 			}
 		}
 	})
-	time.Sleep(handOverWait)
+	time.Sleep(leadershipTransferWait)
 }
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -15,12 +15,12 @@
 
 const (
 	tokensTick = 40 * time.Millisecond
-	// rootTimeout is the time without a response from the root after which tokens are requested
-	// from neighbours.
-	rootTimeout = 50 * time.Millisecond
-	// onlyLife is the incarnation number of all holders of a node: each incarnation of a node
-	// already has a unique name.
-	onlyLife = 1
+	// rootResponseTimeout is the time without a response from the root after which tokens are
+	// requested from neighbours.
+	rootResponseTimeout = 50 * time.Millisecond
+	// onlyIncarnation is the incarnation number of all holders of a node: each incarnation of a
+	// node already has a unique name.
+	onlyIncarnation = 1
 )
 
 // tokensDuty owns the prepaid tokens that are granted to this node.
@@ -28,19 +28,19 @@
 	node   *Node
 	duty   *duty.Duty
 	holder *escrow.Holder
-	// lenders is the generation of the neighbours from which the holder may borrow, and pools
-	// determines the pool holders among them.
-	lenders uint64
-	pools   *tokenPools
+	// lenderGeneration is the generation of the neighbours from which the holder may borrow, and
+	// pools determines the pool holders among them.
+	lenderGeneration uint64
+	pools            *tokenPools
 }
 
 func newTokensDuty(node *Node) *tokensDuty {
 	tokens := &tokensDuty{node: node, duty: duty.New("tokens", tokensTick), pools: newTokenPools(node.address, node.settings.Load().Node.Zone, nil)}
 	tokens.holder = escrow.NewHolder(escrow.HolderOptions{
-		ID: accounts.HolderID{Node: holderName(node.address, node.life), Incarnation: onlyLife}, AnswerTimeout: rootTimeout,
-		RootReachable: node.hearsRoot, Allowances: true,
-		Pool:     func(budget string) []string { return tokens.pools.before(budget) },
-		FarPools: func(budget string) []string { return tokens.pools.far(budget) },
+		ID: accounts.HolderID{Node: holderName(node.address, node.incarnation), Incarnation: onlyIncarnation}, AnswerTimeout: rootResponseTimeout,
+		RootReachable: node.isRootReachable, Allowances: true,
+		Pool:     func(budget string) []string { return tokens.pools.precedingHolders(budget) },
+		FarPools: func(budget string) []string { return tokens.pools.remoteHolders(budget) },
 	})
 	tokens.duty.Tick = tokens.tick
 	tokens.duty.Flush = tokens.flush
@@ -64,9 +64,9 @@
 }
 
 func (t *tokensDuty) tick() {
-	if neighbours := &t.node.fleet.view.Load().neighbours; neighbours.generation != t.lenders {
+	if neighbours := &t.node.fleet.view.Load().neighbours; neighbours.generation != t.lenderGeneration {
 		t.holder.SetLenders(neighbours.lenders)
-		t.lenders = neighbours.generation
+		t.lenderGeneration = neighbours.generation
 		t.pools = newTokenPools(t.node.address, t.node.settings.Load().Node.Zone, neighbours.nodes)
 	}
 	t.holder.Tick(t.node.now())
@@ -85,55 +85,55 @@
 	})
 }
 
-type reserved struct {
+type reservationResult struct {
 	held escrow.Reservation
 	err  error
 }
 
-// reserve reserves tokens for a request. It waits at most patience for the root or a neighbour.
-func (t *tokensDuty) reserve(ctx context.Context, tenant string, amount uint64, patience time.Duration) (forward.Reservation, error) {
-	ended, err := duty.Ask(ctx, t.duty, func(answer func(reserved)) {
-		deadline := t.node.now() + patience
-		t.holder.Reserve(t.node.now(), deadline, tenant, amount, escrow.Policy{}, func(held escrow.Reservation, err error) {
+// reserve reserves tokens for a request. It waits at most maximumWait for the root or a neighbour.
+func (t *tokensDuty) reserve(ctx context.Context, tenant string, amount uint64, maximumWait time.Duration) (forward.Reservation, error) {
+	result, err := duty.Ask(ctx, t.duty, func(respond func(reservationResult)) {
+		deadline := t.node.now() + maximumWait
+		t.holder.Reserve(t.node.now(), deadline, tenant, amount, escrow.Policy{}, func(reserved escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
 				// The caller has given up waiting, so the tokens are released.
-				t.holder.Settle(t.node.now(), held, 0)
+				t.holder.Settle(t.node.now(), reserved, 0)
 			}
-			answer(reserved{held: held, err: err})
+			respond(reservationResult{held: reserved, err: err})
 		})
 	})
 	if err == nil {
-		err = ended.err
+		err = result.err
 	}
 	if err == nil {
-		return &reservation{tokens: t, held: ended.held}, nil
+		return &reservation{tokens: t, held: result.held}, nil
 	}
 	var exhausted *escrow.ExhaustedError
 	if errors.As(err, &exhausted) && exhausted.IsFinal(amount) {
 		return nil, errors.Join(forward.ErrSpent, err)
 	}
-	if !errors.Is(err, escrow.ErrExhausted) && t.node.rootMayComeBack() {
+	if !errors.Is(err, escrow.ErrExhausted) && t.node.expectsRootSoon() {
 		return nil, errors.Join(forward.ErrNotReservedYet, err)
 	}
 	return nil, errors.Join(forward.ErrNotReserved, err)
 }
 
-func (t *tokensDuty) takeAnswer(message escrow.AnswerMessage) {
+func (t *tokensDuty) handleResponse(message escrow.AnswerMessage) {
 	t.duty.Offer(func() { t.holder.Take(t.node.now(), message) })
 }
 
-func (t *tokensDuty) takeRecall(message escrow.RecallMessage) {
+func (t *tokensDuty) handleRecall(message escrow.RecallMessage) {
 	t.duty.Offer(func() { t.holder.Recall(message) })
 }
 
-func (t *tokensDuty) takeStandings(message escrow.StandingsMessage) {
+func (t *tokensDuty) handleSummaries(message escrow.StandingsMessage) {
 	t.duty.Offer(func() { t.holder.TakeStandings(message) })
 }
 
-// takeLend handles one step of a loan. A loan stays charged to its lender's grant permanently: when
-// an incarnation ends, all that it was granted is charged, so a loan that no node knows of any more
-// can't be spent twice.
-func (t *tokensDuty) takeLend(message escrow.LendMessage) {
+// handleLend handles one step of a loan. A loan stays charged to its lender's grant permanently:
+// when an incarnation ends, all that it was granted is charged, so a loan that no node knows of any
+// more can't be spent twice.
+func (t *tokensDuty) handleLend(message escrow.LendMessage) {
 	t.duty.Offer(func() {
 		now := t.node.now()
 		switch {
@@ -154,8 +154,8 @@
 	})
 }
 
-// takePool handles another node's request for pooled tokens, or the refusal of such a request.
-func (t *tokensDuty) takePool(message escrow.PoolMessage) {
+// handlePool handles another node's request for pooled tokens, or the refusal of such a request.
+func (t *tokensDuty) handlePool(message escrow.PoolMessage) {
 	t.duty.Offer(func() {
 		if refusal := message.Refusal; refusal != nil {
 			t.node.log.Info().Str("event", "pool_refused").Str("tenant", refusal.Budget).Bool("stopping", refusal.Stopping).
@@ -167,30 +167,30 @@
 
 func neverFenced(accounts.HolderID) bool { return false }
 
-// stopping makes the holder hold no more tokens ahead of demand.
-func (t *tokensDuty) stopping() { t.duty.Offer(t.holder.SetStopping) }
+// setStopping makes the holder hold no more tokens ahead of demand.
+func (t *tokensDuty) setStopping() { t.duty.Offer(t.holder.SetStopping) }
 
 const (
-	// rootSilence is the time without contact with a control node that has a quorum after which the
-	// root counts as unreachable.
-	rootSilence = time.Second
-	// handOverTry is how long one neighbour may take to accept tokens.
-	handOverTry = 150 * time.Millisecond
+	// rootContactTimeout is the time without contact with a control node that has a quorum after
+	// which the root counts as unreachable.
+	rootContactTimeout = time.Second
+	// handOverTimeout is how long one neighbour may take to accept tokens.
+	handOverTimeout = 150 * time.Millisecond
 )
 
-// giveAway gives up the tokens that this node holds, for a planned stop: to the root, or if that is
-// unreachable to neighbours, which can spend them.
-func (t *tokensDuty) giveAway(ctx context.Context) error {
-	if t.node.hearsRoot() {
+// returnOrHandOver gives up the tokens that this node holds, for a planned stop: to the root, or if
+// that is unreachable to neighbours, which can spend them.
+func (t *tokensDuty) returnOrHandOver(ctx context.Context) error {
+	if t.node.isRootReachable() {
 		return t.returnAll(ctx)
 	}
 	for _, neighbour := range t.node.fleet.view.Load().neighbours.lenders {
-		offered, err := duty.Ask(ctx, t.duty, func(answer func(bool)) { answer(t.holder.Offer(neighbour)) })
+		offered, err := duty.Ask(ctx, t.duty, func(respond func(bool)) { respond(t.holder.Offer(neighbour)) })
 		if err != nil || !offered {
 			return err
 		}
-		pause.For(ctx, handOverTry)
-		taken, err := duty.Ask(ctx, t.duty, func(answer func(bool)) { answer(t.holder.LoansTaken()) })
+		pause.For(ctx, handOverTimeout)
+		taken, err := duty.Ask(ctx, t.duty, func(respond func(bool)) { respond(t.holder.LoansTaken()) })
 		if err != nil {
 			return err
 		}
@@ -206,9 +206,9 @@
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, t.duty, func(answer func(bool)) {
+		unreported, err := duty.Ask(ctx, t.duty, func(respond func(bool)) {
 			t.holder.ReportAgain()
-			answer(t.holder.Unreported())
+			respond(t.holder.Unreported())
 		})
 		if err != nil || !unreported {
 			return err
--- a/internal/gateway/traffic.go
+++ b/internal/gateway/traffic.go
@@ -14,22 +14,22 @@
 type traffic struct {
 	frames []*metrics.Counter
 	bytes  []*metrics.Counter
-	// logged are the byte counts at the last log line, by kind.
-	logged []uint64
+	// loggedBytes are the byte counts at the last log line, by kind.
+	loggedBytes []uint64
 }
 
 func newTraffic(direction string) *traffic {
-	made := &traffic{}
+	counters := &traffic{}
 	for kind := peer.Kind(0); int(kind) <= len(peer.Kinds()); kind++ {
 		labels := fmt.Sprintf("{direction=%q,kind=%q}", direction, kind)
-		made.frames = append(made.frames, metrics.GetOrCreateCounter("ravenway_peer_frames_total"+labels))
-		made.bytes = append(made.bytes, metrics.GetOrCreateCounter("ravenway_peer_bytes_total"+labels))
-		made.logged = append(made.logged, 0)
+		counters.frames = append(counters.frames, metrics.GetOrCreateCounter("ravenway_peer_frames_total"+labels))
+		counters.bytes = append(counters.bytes, metrics.GetOrCreateCounter("ravenway_peer_bytes_total"+labels))
+		counters.loggedBytes = append(counters.loggedBytes, 0)
 	}
-	return made
+	return counters
 }
 
-func (t *traffic) note(kind peer.Kind, size int) {
+func (t *traffic) record(kind peer.Kind, size int) {
 	if int(kind) < len(t.frames) {
 		t.frames[kind].Inc()
 		t.bytes[kind].Add(size)
@@ -41,10 +41,10 @@
 	line := zerolog.Dict()
 	for kind := range t.bytes {
 		now := t.bytes[kind].Get()
-		if grown := now - t.logged[kind]; grown > 0 {
+		if grown := now - t.loggedBytes[kind]; grown > 0 {
 			line = line.Uint64(peer.Kind(kind).String(), grown)
 		}
-		t.logged[kind] = now
+		t.loggedBytes[kind] = now
 	}
 	return line
 }
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -23,7 +23,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/quarantine"
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 	"github.com/ravenway/ravenway/internal/coordination/registry"
-	judging "github.com/ravenway/ravenway/internal/coordination/rollout"
+	canary "github.com/ravenway/ravenway/internal/coordination/rollout"
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 	"github.com/ravenway/ravenway/internal/settings"
 	"github.com/ravenway/ravenway/internal/state/accounts"
@@ -61,7 +61,7 @@
 			Nodes:     []peer.NodeEntry{{Address: "10.1.0.43:7340", Zone: "a", Control: true}, {Address: "10.1.0.40:7340", Zone: "a", Entry: true}},
 			Evacuated: evacuation.Zones{Revision: 4, Names: []string{"b"}},
 		}},
-		{"instances", peer.KindInstances, &instancesMessage{Answer: true, Instances: []registry.Instance{
+		{"instances", peer.KindInstances, &instancesMessage{Request: true, Instances: []registry.Instance{
 			{ID: "i-1", Service: "huvo11a", Address: "10.8.0.1:8080", Zone: "a", Version: "v1", Slots: 64, State: registry.Ready, Sequence: 12, ColdLeft: 5e9},
 			{ID: "i-2", Service: "wuno96b", Address: "10.8.0.2:8080", Zone: "b", Version: "v2", Slots: 6, State: registry.Draining, Sequence: 300},
 		}}},
@@ -95,8 +95,8 @@
 		{"pool asked", peer.KindPool, &escrow.PoolMessage{Request: &escrow.PoolRequest{Borrower: sampleHolder, Budget: "hule930", Need: 70, Number: 2, PatienceMS: 100}}},
 		{"pool refused", peer.KindPool, &escrow.PoolMessage{Refusal: &escrow.PoolRefusal{Borrower: sampleHolder, Budget: "hule930", Number: 2, Stopping: true, Exhausted: &escrow.ExhaustedError{Limit: 9, Spent: 8, Left: 1, Outstanding: 1}}}},
 		{"loads", peer.KindLoads, &balance.LoadReport{Scope: balance.ZoneLoads, Zone: "a", Loads: []byte("loads"), Parts: []byte("parts"), AgeMS: 20000}},
-		{"call", peer.KindCall, &peer.Call{ID: 9, Method: peer.MethodReadDocument, Body: mustMarshal(&readQuestion{Have: 77})}},
-		{"reply", peer.KindReply, &peer.Reply{ID: 9, Code: peer.CodeNotLeader, Detail: "it leads no more", Body: mustMarshal(&readAnswer{Raw: []byte("raw"), Same: true})}},
+		{"call", peer.KindCall, &peer.Call{ID: 9, Method: peer.MethodReadDocument, Body: mustMarshal(&readDocumentRequest{Have: 77})}},
+		{"reply", peer.KindReply, &peer.Reply{ID: 9, Code: peer.CodeNotLeader, Detail: "it leads no more", Body: mustMarshal(&readDocumentResponse{Raw: []byte("raw"), Same: true})}},
 	}
 }
 
@@ -128,12 +128,12 @@
 			body.Limits = []ratelimit.Word{{Life: registry.Life{ID: "i-1", Born: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
 		}
 	}
-	evidence := judging.Evidence{
-		Service: "huvo11a", Rollout: 9, Routes: []judging.RouteCounts{{Route: "r", New: judging.Counts{Answers: 5, Bad: 1}, Old: judging.Counts{Answers: 50, Bad: 2}}},
-		Instances: []judging.InstanceCounts{{Instance: "i-1", Counts: judging.Counts{Answers: 5, Bad: 1}}}, Stage: rollout.Moving, OldUnderWay: 3,
+	sample := canary.Evidence{
+		Service: "huvo11a", Rollout: 9, Routes: []canary.RouteCounts{{Route: "r", New: canary.Counts{Answers: 5, Bad: 1}, Old: canary.Counts{Answers: 50, Bad: 2}}},
+		Instances: []canary.InstanceCounts{{Instance: "i-1", Counts: canary.Counts{Answers: 5, Bad: 1}}}, Stage: rollout.Moving, OldUnderWay: 3,
 	}
-	all = append(all, wireSample{"rollouts", peer.KindRollouts, &evidenceMessage{Life: "0123456789abcdef", Evidence: []judging.Evidence{evidence}}})
-	return append(all, wireSample{"quarantine", peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(2)}, Digest: 4, IsList: true, Answer: true}})
+	all = append(all, wireSample{"rollouts", peer.KindRollouts, &samplesMessage{Incarnation: "0123456789abcdef", Samples: []canary.Evidence{sample}}})
+	return append(all, wireSample{"quarantine", peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(2)}, Digest: 4, IsList: true, Request: true}})
 }
 
 // decodeInto decodes a frame as this build does.
@@ -171,8 +171,8 @@
 		return decodedBody[peer.Reply](envelope)
 	case *quarantineMessage:
 		return decodedBody[quarantineMessage](envelope)
-	case *evidenceMessage:
-		return decodedBody[evidenceMessage](envelope)
+	case *samplesMessage:
+		return decodedBody[samplesMessage](envelope)
 	}
 	return nil, fmt.Errorf("messages of type %T are not decoded here", like)
 }
@@ -245,10 +245,10 @@
 			assert.Equal(t, before.(*helloBeforeQuarantine).Address, sample.body.(*peer.Hello).Address)
 			assert.DeepEqual(t, before.(*helloBeforeQuarantine).Nodes, sample.body.(*peer.Hello).Nodes)
 		case *instancesMessage:
-			before, err := decodeStrictly(frame, &instancesBeforeLives{})
+			before, err := decodeStrictly(frame, &instancesBeforeIncarnations{})
 			assert.NilError(t, err)
-			assert.Equal(t, before.(*instancesBeforeLives).Instances[1].Address, "10.8.0.2:8080")
-			assert.Equal(t, before.(*instancesBeforeLives).Instances[1].Sequence, uint64(300))
+			assert.Equal(t, before.(*instancesBeforeIncarnations).Instances[1].Address, "10.8.0.2:8080")
+			assert.Equal(t, before.(*instancesBeforeIncarnations).Instances[1].Sequence, uint64(300))
 		}
 	}
 }
@@ -260,8 +260,8 @@
 	Nodes   []peer.NodeEntry `msgpack:"m,omitempty"`
 }
 
-// instancesBeforeLives has some fields of 2b8f16a's list of instances.
-type instancesBeforeLives struct {
+// instancesBeforeIncarnations has some fields of 2b8f16a's list of instances.
+type instancesBeforeIncarnations struct {
 	Instances []struct {
 		ID       string `msgpack:"i"`
 		Address  string `msgpack:"a"`
@@ -290,7 +290,7 @@
 			}
 		}
 	}
-	for _, body := range []any{takeQuestion{}, readQuestion{}, readAnswer{}, rolloutQuestion{}, rolloutAnswer{}, machine.DocumentOutcome{}, machine.ZoneCommand{}, ratelimit.Ask{}, ratelimit.Answer{}} {
+	for _, body := range []any{commitDocumentRequest{}, readDocumentRequest{}, readDocumentResponse{}, readRolloutRequest{}, rolloutResponse{}, machine.DocumentOutcome{}, machine.ZoneCommand{}, ratelimit.Ask{}, ratelimit.Answer{}} {
 		for _, line := range peer.Shape(reflect.TypeOf(body)) {
 			if !slices.Contains(lines, line) {
 				lines = append(lines, line)
@@ -303,7 +303,7 @@
 // A changed message affects fleets that run two builds. This test makes each change of a message
 // visible, and checks that the fields of an earlier build stay at the positions where that build
 // expects them.
-func TestShapesOfMessagesChangeOnlyByFieldsBehindTheOthers(t *testing.T) {
+func TestMessagesChangeOnlyByAppendedFields(t *testing.T) {
 	today := shapes()
 	if *writeShapes {
 		assert.NilError(t, os.WriteFile(filepath.Join("testdata", "shapes.txt"), []byte(strings.Join(today, "\n")+"\n"), 0o600))
@@ -402,20 +402,20 @@
 
 // The protocol versions of nodes are learnt from their hellos, and those of entry nodes from the
 // control nodes' lists.
-func TestDialectsAreKnownFromHellosAndLists(t *testing.T) {
+func TestProtocolVersionsAreLearntFromHellosAndLists(t *testing.T) {
 	node := newIdleNode(t, benchEntry(0), benchZone(0), settings.RoleEntry)
 	hello := controlHello(0, 3, 1, true)
-	assert.Equal(t, node.dialects.reader(hello.Address), peer.DialectStrict, "an unknown node")
+	assert.Equal(t, node.protocols.versionOf(hello.Address), peer.DialectStrict, "an unknown node")
 	hello.Dialect, hello.OlderNodes = peer.OwnDialect, map[string]peer.Dialect{benchEntry(2): peer.DialectStrict}
-	node.fleet.takeHello(hello.Address, hello)
-	assert.Equal(t, node.dialects.reader(hello.Address), peer.OwnDialect)
-	assert.Equal(t, node.dialects.reader(benchEntry(1)), peer.OwnDialect)
-	assert.Equal(t, node.dialects.reader(benchEntry(2)), peer.DialectStrict)
+	node.fleet.handleHello(hello.Address, hello)
+	assert.Equal(t, node.protocols.versionOf(hello.Address), peer.OwnDialect)
+	assert.Equal(t, node.protocols.versionOf(benchEntry(1)), peer.OwnDialect)
+	assert.Equal(t, node.protocols.versionOf(benchEntry(2)), peer.DialectStrict)
 	// The node is downgraded to the earlier build, which can't report the other nodes' versions.
 	earlier := controlHello(0, 3, 1, true)
 	earlier.Dialect = peer.DialectStrict
-	node.fleet.takeHello(hello.Address, earlier)
+	node.fleet.handleHello(hello.Address, earlier)
 	for _, address := range []string{hello.Address, benchEntry(1), benchEntry(2)} {
-		assert.Equal(t, node.dialects.reader(address), peer.DialectStrict)
+		assert.Equal(t, node.protocols.versionOf(address), peer.DialectStrict)
 	}
 }
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -26,15 +26,15 @@
 
 func newZoneStore(node *Node) *zoneStore { return &zoneStore{node: node} }
 
-// inForce are the evacuated zones in effect at this node.
-func (z *zoneStore) inForce() evacuation.Zones {
+// current are the evacuated zones in effect at this node.
+func (z *zoneStore) current() evacuation.Zones {
 	z.mutex.Lock()
 	defer z.mutex.Unlock()
 	return z.held
 }
 
-// hear accepts the evacuated zones in a control node's hello.
-func (z *zoneStore) hear(hello peer.Hello) {
+// handleHello accepts the evacuated zones in a control node's hello.
+func (z *zoneStore) handleHello(hello peer.Hello) {
 	if z.node.replica == nil {
 		z.put(hello.Address, hello.Evacuated)
 	}
@@ -56,16 +56,16 @@
 	}
 	z.node.log.Info().Str("event", "zones_evacuated").Uint64("revision", zones.Revision).Strs("zones", zones.Names).Str("from", from).Send()
 	if z.node.replica != nil {
-		z.node.fleet.duty.Offer(z.node.fleet.hello)
+		z.node.fleet.duty.Offer(z.node.fleet.sendHelloToAll)
 	}
 }
 
 // EvacuatedZones are the evacuated zones in effect at this node.
-func (n *Node) EvacuatedZones() evacuation.Zones { return n.zones.inForce() }
+func (n *Node) EvacuatedZones() evacuation.Zones { return n.zones.current() }
 
 // OrderZone implements Control.
 func (n *Node) OrderZone(ctx context.Context, zone string, evacuated bool) (evacuation.Zones, error) {
-	if !n.knowsZone(zone) {
+	if !n.isKnownZone(zone) {
 		return evacuation.Zones{}, fmt.Errorf("%w: %q", ErrUnknownZone, zone)
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
@@ -93,9 +93,9 @@
 	return *result.Zones, nil
 }
 
-// knowsZone reports whether a zone belongs to the fleet: one that the settings name, or where they
-// name none, one in which a node or an instance is known.
-func (n *Node) knowsZone(zone string) bool {
+// isKnownZone reports whether a zone belongs to the fleet: one that the settings name, or where
+// they name none, one in which a node or an instance is known.
+func (n *Node) isKnownZone(zone string) bool {
 	current := n.settings.Load()
 	if len(current.Fleet.Zones) > 0 {
 		return slices.Contains(current.Fleet.Zones, zone)
