--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -114,7 +114,7 @@
 		changed, err := settings.Load(path)
 		if err != nil {
 			// The settings in force stay; a half-written file is read again.
-			node.Refuse(err)
+			node.ReloadRefused(err)
 			continue
 		}
 		node.Reload(changed)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -48,8 +48,8 @@
 	return n.fleet.leave(ctx, incarnation)
 }
 
-// TakeDocument implements Control.
-func (n *Node) TakeDocument(ctx context.Context, taken *document.Document, raw []byte) (uint64, error) {
+// CommitDocument implements Control.
+func (n *Node) CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (uint64, error) {
 	if heldVersion := n.documents.version(); taken.Version <= heldVersion {
 		// This version comes from the log, so an equal or higher version is already committed.
 		return heldVersion, nil
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -59,9 +59,9 @@
 	// Leave accepts an instance's notice that one of its incarnations is ending; if the start time
 	// is missing, the notice applies to the known incarnation.
 	Leave(ctx context.Context, incarnation registry.Life) error
-	// TakeDocument commits a validated configuration to the log. It returns the version held
+	// CommitDocument commits a validated configuration to the log. It returns the version held
 	// afterwards, which is higher than the given one if a higher one was already committed.
-	TakeDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
+	CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
 	// ReadDocument returns the newest configuration in the form in which it was received; nil if
 	// there is none yet.
 	ReadDocument(ctx context.Context) (raw []byte, err error)
@@ -320,8 +320,8 @@
 	n.log.Info().Str("event", "reloaded").Strs("seeds", changed.Fleet.Seeds).Send()
 }
 
-// Refuse logs that changed settings were not applied; the current ones stay in effect.
-func (n *Node) Refuse(err error) {
+// ReloadRefused logs that changed settings were not applied; the current ones stay in effect.
+func (n *Node) ReloadRefused(err error) {
 	n.log.Warn().Str("event", "reload_refused").Err(err).Send()
 }
 
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -83,7 +83,7 @@
 		return nil, connect.NewError(connect.CodeNotFound, err)
 	case errors.Is(err, ErrRolloutDuration):
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
-	case errors.Is(err, ErrRolloutUnderWay), errors.Is(err, ErrVersionRuns):
+	case errors.Is(err, ErrRolloutInProgress), errors.Is(err, ErrVersionAlreadyRunning):
 		return nil, connect.NewError(connect.CodeAlreadyExists, err)
 	case errors.Is(err, ErrOtherRollout):
 		return nil, connect.NewError(connect.CodeFailedPrecondition, err)
@@ -283,7 +283,7 @@
 		return nil, connect.NewError(connect.CodeInvalidArgument, err)
 	}
 	switch err := o.node.quarantine.release(ctx, fingerprint); {
-	case errors.Is(err, ErrNotHeld):
+	case errors.Is(err, ErrNotRecorded):
 		return nil, connect.NewError(connect.CodeNotFound, err)
 	case err != nil:
 		return nil, connect.NewError(connect.CodeUnavailable, err)
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -247,8 +247,8 @@
 	q.sendTo([]string{from}, request)
 }
 
-// ErrNotHeld says that no crash is recorded against a request.
-var ErrNotHeld = errors.New("gateway: nothing is held against the request")
+// ErrNotRecorded says that no crash is recorded against a request.
+var ErrNotRecorded = errors.New("gateway: nothing is held against the request")
 
 // summaries lists the summaries of the requests with recorded crashes: those in quarantine first,
 // then those with the most crashes.
@@ -260,7 +260,7 @@
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
 	wasHeld, err := duty.Ask(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
 	if err == nil && !wasHeld {
-		err = ErrNotHeld
+		err = ErrNotRecorded
 	}
 	return err
 }
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -21,13 +21,13 @@
 var (
 	// ErrUnknownService says that the configuration has no such service.
 	ErrUnknownService = errors.New("gateway: no such service")
-	// ErrRolloutUnderWay says that the same order was accepted before and its rollout is in
+	// ErrRolloutInProgress says that the same order was accepted before and its rollout is in
 	// progress.
-	ErrRolloutUnderWay = errors.New("gateway: the rollout is under way")
+	ErrRolloutInProgress = errors.New("gateway: the rollout is under way")
 	// ErrOtherRollout says that another rollout of the service is running.
 	ErrOtherRollout = errors.New("gateway: another rollout of the service is running")
-	// ErrVersionRuns says that all of the service's instances already run the version.
-	ErrVersionRuns = errors.New("gateway: the version runs already")
+	// ErrVersionAlreadyRunning says that all of the service's instances already run the version.
+	ErrVersionAlreadyRunning = errors.New("gateway: the version runs already")
 	// ErrRolloutDuration says that an order's duration is out of range.
 	ErrRolloutDuration = errors.New("gateway: a rollout can't take that time")
 	// ErrNoRollout says that no rollout of the service was ordered.
@@ -85,11 +85,11 @@
 	case a.Refusal == refusedUnknownService:
 		return fmt.Errorf("%w: %q", ErrUnknownService, order.Service)
 	case a.Refusal == refusedVersionRuns:
-		return fmt.Errorf("%w: %q of service %q", ErrVersionRuns, order.Version, order.Service)
+		return fmt.Errorf("%w: %q of service %q", ErrVersionAlreadyRunning, order.Version, order.Service)
 	case a.Refusal == refusedOlderNodes:
 		return fmt.Errorf("%w: %w", ErrUnavailable, errOlderNodes)
 	case a.Response == rollout.UnderWay:
-		return fmt.Errorf("%w: to %q since entry %d, now %s", ErrRolloutUnderWay, a.Rollout.Version, a.Rollout.Revision, a.Rollout.Stage)
+		return fmt.Errorf("%w: to %q since entry %d, now %s", ErrRolloutInProgress, a.Rollout.Version, a.Rollout.Revision, a.Rollout.Stage)
 	case a.Response == rollout.OtherUnderWay:
 		return fmt.Errorf("%w: to %q", ErrOtherRollout, a.Rollout.Version)
 	}
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -393,7 +393,7 @@
 		return err
 	}
 	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
-		_, err := node.TakeDocument(ctx, sent, raw)
+		_, err := node.CommitDocument(ctx, sent, raw)
 		return err
 	})
 }
--- a/internal/lab/openfleet/rollout_test.go
+++ b/internal/lab/openfleet/rollout_test.go
@@ -31,7 +31,7 @@
 func orderRollout(f *Fleet, patience time.Duration) error {
 	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
 		err := node.OrderRollout(ctx, "app", newVersion, rolloutTime)
-		if errors.Is(err, gateway.ErrRolloutUnderWay) {
+		if errors.Is(err, gateway.ErrRolloutInProgress) {
 			return nil
 		}
 		return err
@@ -157,7 +157,7 @@
 		taker := f.Machine("control-0").running()
 		assert.NilError(t, f.WaitFor(3*time.Second, "an acknowledgement", func() bool {
 			err := taker.OrderRollout(f.ctx, "app", newVersion, rolloutTime)
-			return err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
+			return err == nil || errors.Is(err, gateway.ErrRolloutInProgress)
 		}))
 		f.PowerOff("control-0")
 		f.Wipe("control-0")
@@ -169,7 +169,7 @@
 			if errors.Is(err, gateway.ErrUnavailable) {
 				return err
 			}
-			assert.Check(t, errors.Is(err, gateway.ErrRolloutUnderWay), "%v", err)
+			assert.Check(t, errors.Is(err, gateway.ErrRolloutInProgress), "%v", err)
 			return nil
 		})
 		assert.NilError(t, err)
@@ -212,12 +212,12 @@
 		}
 		assert.ErrorIs(t, answer("nowhere", newVersion, rolloutTime), gateway.ErrUnknownService)
 		assert.ErrorIs(t, answer("app", newVersion, time.Second), gateway.ErrRolloutDuration)
-		assert.ErrorIs(t, answer("app", "", rolloutTime), gateway.ErrVersionRuns)
+		assert.ErrorIs(t, answer("app", "", rolloutTime), gateway.ErrVersionAlreadyRunning)
 		_, err := f.Machine("control-0").running().Rollout(f.ctx, "app")
 		assert.Assert(t, errors.Is(err, gateway.ErrNoRollout), "%v", err)
 		assert.NilError(t, answer("app", newVersion, rolloutTime))
 		assert.ErrorIs(t, answer("app", "v3", rolloutTime), gateway.ErrOtherRollout)
-		assert.ErrorIs(t, answer("app", newVersion, rolloutTime), gateway.ErrRolloutUnderWay)
+		assert.ErrorIs(t, answer("app", newVersion, rolloutTime), gateway.ErrRolloutInProgress)
 	})
 }
 
@@ -295,7 +295,7 @@
 			for _, name := range f.Names(true) {
 				err := f.Machine(name).running().OrderRollout(f.ctx, "app", newVersion, rolloutTime)
 				assert.Assert(t, !errors.Is(err, gateway.ErrUnknownService), "%s: %v", name, err)
-				taken = taken || err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
+				taken = taken || err == nil || errors.Is(err, gateway.ErrRolloutInProgress)
 			}
 		}
 		assert.Assert(t, taken)
