--- a/internal/gateway/canary.go
+++ b/internal/gateway/canary.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	// analysisTick is the interval at which the leader analyses the samples of running rollouts.
+	// analysisTick is the interval of the leader's analysis of the samples of running rollouts.
 	analysisTick = 100 * time.Millisecond
 	// sampleInterval is the minimum time between a node's reports of its samples.
 	// sampleIntervalPerNode is the minimum for each entry node of the fleet, so that the leader
@@ -93,7 +93,8 @@
 	})
 }
 
-// analyze analyses the running rollouts and proposes their next stages if this node leads.
+// analyze runs the canary analysis of the running rollouts and proposes their next stages if this
+// node leads.
 func (d *canaryDuty) analyze() {
 	if !d.node.replica.shared.Load().leading {
 		clear(d.analyzers)
--- a/internal/gateway/incarnations.go
+++ b/internal/gateway/incarnations.go
@@ -57,13 +57,13 @@
 		}
 		// The successor has been running for this long, so the incarnation ended before.
 		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Steady - successor.At
-		silence, known := clocks.Silence(r.machine.Accounts().LastContact(holder), reading, sinceOver)
+		sinceContact, known := clocks.Silence(r.machine.Accounts().LastContact(holder), reading, sinceOver)
 		if !known && r.node.now()-r.leaderSince < clockTimeout {
 			continue
 		}
-		command.Lives, command.Silences = append(command.Lives, holder), append(command.Silences, silence)
+		command.Lives, command.Silences = append(command.Lives, holder), append(command.Silences, sinceContact)
 		r.node.log.Info().Str("event", "life_over").Str("node", successor.Node).Str("life", incarnation).
-			Bool("silence_known", known).Int64("silence_ms", silence.Milliseconds()).Send()
+			Bool("silence_known", known).Int64("silence_ms", sinceContact.Milliseconds()).Send()
 	}
 	return command
 }
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -22,8 +22,8 @@
 	// instances registered.
 	repairInterval = time.Second
 	// batchTime is how long a change that is not urgent waits to be batched with others after the
-	// last batch was sent or took effect on this node. With 3,000 instances that register within 10
-	// s at 300 nodes it saves nine tenths of an entry node's processing time for them
+	// last batch was sent or took effect on this node. With 3,000 instances that register in 10
+	// seconds at 300 nodes it saves nine tenths of an entry node's processing time for them
 	// (BenchmarkRegistering).
 	batchTime = 50 * time.Millisecond
 	// batchTimePerControl is the batching time for each control node: each batches and sends its
@@ -101,7 +101,7 @@
 	// Request requests the receiver's full registry, or if Sums is set only the instances that
 	// differ.
 	Request bool `msgpack:"a,omitempty"`
-	// Sums are the digests of the sender's buckets. With Answer they are the state before the
+	// Sums are the digests of the sender's buckets. With Request they are the state before the
 	// exchange; without it the receiver sends back what still differs.
 	Sums []uint64 `msgpack:"s,omitempty"`
 }
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -5,7 +5,10 @@
 // An entry node serves callers. A control node holds a replica of the durable state, accepts
 // configurations and registrations, and distributes them to all entry nodes. Each duty is a
 // goroutine that owns its state: the fleet (known nodes and instances), the replica, and the
-// prepaid tokens that are held here.
+// prepaid tokens that are held here. An incarnation is one run of a process between its start and
+// its end. The root is the leader's side of the escrow: it grants prepaid tokens to holders, which
+// are incarnations of entry nodes. A hello is the periodic message in which a node describes itself
+// to other nodes.
 package gateway
 
 import (
@@ -66,8 +69,8 @@
 	// there is none yet.
 	ReadDocument(ctx context.Context) (raw []byte, err error)
 	// OrderRollout orders that a service's requests move to instances of a version, and returns
-	// once the order is committed. The errors are ErrUnknownService, ErrRolloutUnderWay,
-	// ErrOtherRollout, ErrVersionRuns, ErrRolloutDuration and ErrUnavailable.
+	// once the order is committed. The errors are ErrUnknownService, ErrRolloutInProgress,
+	// ErrOtherRollout, ErrVersionAlreadyRunning, ErrRolloutDuration and ErrUnavailable.
 	OrderRollout(ctx context.Context, service, version string, duration time.Duration) error
 	// Rollout returns a service's newest rollout. It returns ErrNoRollout if there is none.
 	Rollout(ctx context.Context, service string) (rollout.Rollout, error)
@@ -126,7 +129,8 @@
 	publisher *documentPublisher
 	zones     *zoneStore
 	rollouts  *rolloutStore
-	// canary reports samples of rollouts to the leader, or analyses them if this node leads.
+	// canary reports samples of rollouts to the leader, or runs the canary analysis if this node
+	// leads.
 	canary *canaryDuty
 	// quarantine holds the requests that crash their engines.
 	quarantine *quarantineDuty
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -51,7 +51,7 @@
 	}
 	if node.replica != nil {
 		replica := node.replica.shared.Load()
-		response.Term, response.QuorumAgeMilliseconds = replica.term, uint64(replica.quorumSilence.Milliseconds())
+		response.Term, response.QuorumAgeMilliseconds = replica.term, uint64(replica.quorumAge.Milliseconds())
 		response.Voters, response.CaughtUpVoters = uint32(replica.voters), uint32(replica.caughtUpVoters)
 		response.LogVersion, response.NewestLogVersion = uint32(replica.logVersion), uint32(machine.OwnLogVersion)
 		response.LogVersionWaitsFor = replica.waitsFor
--- a/internal/gateway/pools_test.go
+++ b/internal/gateway/pools_test.go
@@ -60,8 +60,8 @@
 	nodes := entryNodes(map[string]int{"a": 60})
 	for number := range 40 {
 		budget := fmt.Sprint("tenant-", number)
-		asking := newTokenPools("b-1", "b", nodes)
-		first := asking.holders("a", budget)
+		before := newTokenPools("b-1", "b", nodes)
+		first := before.holders("a", budget)
 		after := newTokenPools("b-1", "b", withoutNode(nodes, first[0]))
 		assert.Equal(t, after.holders("a", budget)[0], first[1])
 	}
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -29,9 +29,9 @@
 	quarantineHintTicks = 3
 )
 
-// quarantineMessage carries the records of crashes that a node holds against requests. Entry nodes
-// send their own crash reports to the control nodes. Control nodes send changes that all nodes need
-// to the entry nodes of their zone, and the full list to any node that requests it.
+// quarantineMessage carries the crashes that a node has recorded against requests. Entry nodes send
+// their own crash reports to the control nodes. Control nodes send changes that all nodes need to
+// the entry nodes of their zone, and the full list to any node that requests it.
 type quarantineMessage struct {
 	Records []quarantine.Record `msgpack:"r"`
 	// Digest is the digest of the sender's list if IsList is set, which only control nodes do.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -32,7 +32,7 @@
 	for crashes, maximum := range map[int]int{1: 90, 3: 150, 8: 300} {
 		frame, err := peer.Encode(peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(crashes)}})
 		assert.NilError(t, err)
-		t.Logf("%d ends: %d bytes", crashes, len(frame))
-		assert.Assert(t, len(frame) <= maximum, "%d ends: %d bytes", crashes, len(frame))
+		t.Logf("%d crashes: %d bytes", crashes, len(frame))
+		assert.Assert(t, len(frame) <= maximum, "%d crashes: %d bytes", crashes, len(frame))
 	}
 }
--- a/internal/gateway/relay_test.go
+++ b/internal/gateway/relay_test.go
@@ -17,8 +17,8 @@
 func setClock(node *Node, to time.Duration) { node.started = time.Now().Add(-to) }
 
 // framesOfInstances counts the frames with instances that a control node sends for one change that
-// it learns itself (own) and for one that another control node sends it (told).
-func framesOfInstances(t *testing.T, entries, controls int, state registry.State) (own, told uint64) {
+// it learns itself (own) and for one that another control node sends it (relayed).
+func framesOfInstances(t *testing.T, entries, controls int, state registry.State) (own, relayed uint64) {
 	t.Helper()
 	node := newIdleNode(t, benchControl(0), benchZone(0), settings.RoleControl)
 	size := registrationWave{nodes: entries, controls: controls}
@@ -41,9 +41,9 @@
 	own = after(func() { node.fleet.announce([]registry.Instance{instance}) })
 	instance = newlyRegistered(2)
 	instance.State = state
-	told = after(func() { node.fleet.mergeInstances([]registry.Instance{instance}, true) })
+	relayed = after(func() { node.fleet.mergeInstances([]registry.Instance{instance}, true) })
 	dropFrames(node, entries)
-	return own, told
+	return own, relayed
 }
 
 // With many control nodes, a change reaches each entry node through one of them. The number of
@@ -52,16 +52,16 @@
 func TestChangesReachEntryNodesThroughOneControlNode(t *testing.T) {
 	for _, entries := range []int{100, 300, 1000} {
 		t.Run(fmt.Sprint(entries), func(t *testing.T) {
-			own, told := framesOfInstances(t, entries, 25, registry.Ready)
+			own, relayed := framesOfInstances(t, entries, 25, registry.Ready)
 			maximum := uint64(24 + 2*entries/25 + 10)
-			assert.Assert(t, own <= maximum && told <= maximum, "%d and %d frames", own, told)
-			assert.Assert(t, told > 0)
+			assert.Assert(t, own <= maximum && relayed <= maximum, "%d and %d frames", own, relayed)
+			assert.Assert(t, relayed > 0)
 			own, _ = framesOfInstances(t, entries, 25, registry.Draining)
 			assert.Assert(t, own >= uint64(entries), "an instance that accepts no more work is sent to all nodes immediately: %d frames", own)
 		})
 	}
-	own, told := framesOfInstances(t, 100, 5, registry.Ready)
-	assert.Assert(t, own >= 100 && told == 0, "with few control nodes each sends its changes to all nodes itself: %d and %d frames", own, told)
+	own, relayed := framesOfInstances(t, 100, 5, registry.Ready)
+	assert.Assert(t, own >= 100 && relayed == 0, "with few control nodes each sends its changes to all nodes itself: %d and %d frames", own, relayed)
 }
 
 // A node that lacks a change must be sent only the instances of the bucket that differs, not all
@@ -94,7 +94,7 @@
 		node.fleet.recordHello(hello)
 	}
 	node.fleet.publishView()
-	lastHello := map[string]int{}
+	lastHelloRound := map[string]int{}
 	hellos := 0
 	for round := range rounds {
 		node.fleet.helloRounds++
@@ -107,8 +107,8 @@
 				continue
 			}
 			hellos++
-			assert.Assert(t, round-lastHello[address] <= reducedHelloRounds, "%s was sent no hello for %d rounds", address, round-lastHello[address])
-			lastHello[address] = round
+			assert.Assert(t, round-lastHelloRound[address] <= reducedHelloRounds, "%s was sent no hello for %d rounds", address, round-lastHelloRound[address])
+			lastHelloRound[address] = round
 		}
 	}
 	maximum := rounds * (replicas + listSenderCount + (controls-replicas+reducedHelloRounds-1)/reducedHelloRounds + 1)
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -78,12 +78,12 @@
 
 // replicaView is an immutable snapshot of the replica's state for other goroutines.
 type replicaView struct {
-	leader        string
-	leading       bool
-	term          uint64
-	quorumSilence time.Duration
-	hasGroup      bool
-	replica       consensus.ReplicaID
+	leader    string
+	leading   bool
+	term      uint64
+	quorumAge time.Duration
+	hasGroup  bool
+	replica   consensus.ReplicaID
 	// voters is the number of the group's voters, and caughtUpVoters that of the voters that hold
 	// every committed entry on disk. Only the leader knows them.
 	voters, caughtUpVoters int
@@ -95,7 +95,7 @@
 
 func newReplicaDuty(node *Node) *replicaDuty {
 	owner := &replicaDuty{node: node, duty: duty.New("replica", replicaTick)}
-	owner.shared.Store(&replicaView{quorumSilence: time.Hour})
+	owner.shared.Store(&replicaView{quorumAge: time.Hour})
 	owner.duty.Tick = owner.tick
 	owner.duty.Flush = owner.flush
 	owner.reopen()
@@ -352,11 +352,11 @@
 }
 
 func (r *replicaDuty) publishView() {
-	view := &replicaView{quorumSilence: time.Hour}
+	view := &replicaView{quorumAge: time.Hour}
 	if r.replica != nil {
 		core := r.replica.Core()
 		view.leading, view.term, view.replica = r.leading(), core.Term(), r.id
-		view.quorumSilence = time.Duration(core.QuorumSilence()) * replicaTick
+		view.quorumAge = time.Duration(core.QuorumSilence()) * replicaTick
 		view.hasGroup = r.hasGroup()
 		view.logVersion, view.waitsFor = r.machine.LogVersion(), r.raise.WaitsFor()
 		if member, found := core.Configuration().Member(core.Leader()); found {
@@ -384,7 +384,7 @@
 	view := r.shared.Load()
 	hello.Replica, hello.HasGroup = uint64(view.replica), view.hasGroup
 	hello.Leader, hello.Term = view.leader, view.term
-	hello.QuorumSilenceMS = uint64(view.quorumSilence.Milliseconds())
+	hello.QuorumSilenceMS = uint64(view.quorumAge.Milliseconds())
 	hello.WallMS = time.Now().UnixMilli()
 	hello.LogVersion = uint32(machine.OwnLogVersion)
 }
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// minimumRollout is the shortest time in which a version can be analysed and all requests
-	// moved. maximumRollout prevents a mistyped duration from staying in effect for weeks.
+	// minimumRollout is the shortest time in which the canary analysis can decide on a version and
+	// all requests can move. maximumRollout prevents a mistyped duration from staying in effect for
+	// weeks.
 	minimumRollout, maximumRollout = 3 * time.Second, 24 * time.Hour
 )
 
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -46,9 +46,9 @@
 		n.tokens.setStopping()
 		n.drain(ctx)
 	}
-	cut := n.active()
-	n.log.Info().Str("event", "stopped").Int64("requests_cut", cut).Int64("elapsed_ms", (n.now() - startedAt).Milliseconds()).Send()
-	return cut
+	aborted := n.active()
+	n.log.Info().Str("event", "stopped").Int64("requests_cut", aborted).Int64("elapsed_ms", (n.now() - startedAt).Milliseconds()).Send()
+	return aborted
 }
 
 func (n *Node) active() int64 {
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -23,7 +23,8 @@
 	onlyIncarnation = 1
 )
 
-// tokensDuty owns the prepaid tokens that are granted to this node.
+// tokensDuty owns the prepaid tokens that are granted to this node. A loan passes part of one
+// node's grant to another node without the root.
 type tokensDuty struct {
 	node   *Node
 	duty   *duty.Duty
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -369,11 +369,11 @@
 
 		read, err = decodeInto(withFields(t, frame, -1), sample.body)
 		assert.NilError(t, err, sample.name)
-		whole, cut := reflect.ValueOf(sample.body).Elem(), reflect.ValueOf(read).Elem()
+		whole, shortened := reflect.ValueOf(sample.body).Elem(), reflect.ValueOf(read).Elem()
 		last := whole.NumField() - 1
-		assert.Assert(t, cut.Field(last).IsZero(), "%s: %v", sample.name, read)
+		assert.Assert(t, shortened.Field(last).IsZero(), "%s: %v", sample.name, read)
 		for position := range last {
-			assert.DeepEqual(t, cut.Field(position).Interface(), whole.Field(position).Interface())
+			assert.DeepEqual(t, shortened.Field(position).Interface(), whole.Field(position).Interface())
 		}
 	}
 }
