--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -20,10 +20,12 @@
 
 const (
 	replicaTick = 50 * time.Millisecond
-	// electionTicks is the election timeout in ticks, randomized between 0.5 and 1 second.
+	// electionTicks is the shortest election timeout in ticks; the timeout is randomized between
+	// 0.5 and 1 second.
 	electionTicks = 10
-	// startElectionTicks is the election timeout after a start, randomized between 0.1 and 0.2
-	// seconds: about the difference between the start times of the processes on the machines.
+	// startElectionTicks is the shortest election timeout after a start; the timeout is randomized
+	// between 0.1 and 0.2 seconds: about the difference between the start times of the processes on
+	// the machines.
 	startElectionTicks = 2
 	// heartbeatTicks is the interval of the leader's heartbeats, 150 milliseconds.
 	heartbeatTicks = 3
