--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -23,7 +23,7 @@
 	// ErrUnknownService says that the configuration has no such service.
 	ErrUnknownService = errors.New("gateway: no such service")
 	// ErrRolloutInProgress says that the same order was accepted before: its rollout is running, or
-	// ended so recently that the order counts as a repetition.
+	// was ordered so recently that the new order counts as a repetition.
 	ErrRolloutInProgress = errors.New("gateway: the rollout is under way")
 	// ErrOtherRollout says that another rollout of the service is running.
 	ErrOtherRollout = errors.New("gateway: another rollout of the service is running")
