--- a/internal/coordination/balance/backoff.go
+++ b/internal/coordination/balance/backoff.go
@@ -10,41 +10,41 @@
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 )
 
-// Errors of Admit. All are ErrNotAdmitted.
+// Errors of Admit. Each of them wraps ErrNotAdmitted.
 var (
-	// ErrNotAdmitted says that an instance takes no request of this node now.
-	ErrNotAdmitted = errors.New("balance: the instance takes no request")
-	// ErrPaused says that it has asked for a pause.
-	ErrPaused = fmt.Errorf("%w: it has asked for a pause", ErrNotAdmitted)
-	// ErrLeaving says that it has said that it leaves.
-	ErrLeaving = fmt.Errorf("%w: it has said that it leaves", ErrNotAdmitted)
-	// ErrWithdrawn says that it is not offered any more: it leaves, has ended, its zone is
-	// evacuated, or its version was rolled back.
-	ErrWithdrawn = fmt.Errorf("%w: it is withdrawn", ErrNotAdmitted)
+	// ErrNotAdmitted is returned when an instance accepts no request from this node now.
+	ErrNotAdmitted = errors.New("balance: the instance accepts no request from this node now")
+	// ErrPaused is returned when the instance has requested a pause that has not expired.
+	ErrPaused = fmt.Errorf("%w: it requested a pause", ErrNotAdmitted)
+	// ErrLeaving is returned when the instance has signalled that it leaves the service.
+	ErrLeaving = fmt.Errorf("%w: it signalled that it leaves the service", ErrNotAdmitted)
+	// ErrWithdrawn is returned when the instance is no longer offered: it drains, has ended, its
+	// zone is evacuated, or its version was rolled back.
+	ErrWithdrawn = fmt.Errorf("%w: it was withdrawn from the service", ErrNotAdmitted)
 )
 
-// SetBackoff tells the table who knows what instances ask this node for.
+// SetBackoff sets the tracker of the pauses that instances request from this node.
 func (t *Table) SetBackoff(tracker *backoff.Tracker) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.backoff = tracker
 }
 
-// isTried tells whether an instance that may be on its way back from a pause counts as
-// healthy for a request: few at a time show whether it takes work, and none that could not
-// go on to another instance.
+// isTried reports whether an instance that may be recovering from a pause counts as healthy for a
+// request. Only a few trial requests at a time probe whether the instance accepts work again, and
+// a request that could not be retried at another instance is never one of them.
 func isTried(standing backoff.Standing, request Request) bool {
 	return standing.Phase != backoff.Returning || standing.HasTrial && !request.IsLastAttempt
 }
 
-// Admit tells whether a request may still be written to a chosen instance: it may have
-// asked for a pause or been withdrawn while the request waited for its connection.
+// Admit returns nil if a request may still be written to a chosen instance. The instance may have
+// requested a pause or have been withdrawn while the request waited for its connection.
 func (t *Table) Admit(now time.Duration, choice Choice) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	switch standing := t.backoff.Standing(now, choice.Life()); standing.Phase {
 	case backoff.Paused:
-		return fmt.Errorf("%w, %d ms of it are left", ErrPaused, standing.Wait.Milliseconds())
+		return fmt.Errorf("%w, which ends in %d ms", ErrPaused, standing.Wait.Milliseconds())
 	case backoff.Leaving:
 		return ErrLeaving
 	case backoff.Open, backoff.Returning:
@@ -56,19 +56,21 @@
 	return nil
 }
 
-// Availability is when a service takes a request that none of its instances takes now.
+// Availability describes when a service accepts a request that none of its instances accepts now.
 type Availability struct {
-	// Wait is how long it is until the first of them does.
+	// Wait is the time until the first instance accepts it.
 	Wait time.Duration
-	// IsPause tells that the first one's pause ends then, and not that its limit has room.
+	// IsPause reports whether Wait is the remainder of that instance's pause, and not the time
+	// until its rate limit has headroom.
 	IsPause bool
-	// PerSecond is what the limits of the instances add up to that are full.
+	// PerSecond is the sum of the exhausted rate limits, in requests per second.
 	PerSecond float64
 }
 
-// NextAvailable tells when an instance takes the request that pauses or limits keep it from;
-// false if there is none. A pause counts only where no instance is open, those included
-// that the request was tried at: they may take it sooner.
+// NextAvailable returns when the first instance accepts a request that is held back by pauses or
+// rate limits, and false if there is no such instance. A pause counts only if no instance is
+// open. Instances that the request was already tried at count as open too, because they may accept
+// it before the pause ends.
 func (t *Table) NextAvailable(now time.Duration, request Request) (Availability, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/coordination/balance/backoff_test.go
+++ b/internal/coordination/balance/backoff_test.go
@@ -13,10 +13,11 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// exactEnd ends pauses when they were asked to end.
+// exactEnd ends pauses exactly at the requested time.
 var exactEnd = backoff.ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
 
-// pausedTable has some ready instances of the service s, of which a tracker knows pauses.
+// pausedTable returns a table with ready instances of the service s, and the tracker of their
+// pauses.
 func pausedTable(ids ...string) (*Table, *backoff.Tracker) {
 	table, tracker := NewTable("a"), backoff.NewTracker(exactEnd)
 	table.SetBackoff(tracker)
@@ -45,8 +46,8 @@
 	assert.Assert(t, !found)
 }
 
-// Guards against a pause that ends with the instance's entry: a lease that ran out, a word
-// that the instance drains and one that it doesn't, come and go within one life.
+// Guards against a pause that is lost when the registry entry changes: within one incarnation the
+// lease can expire, and the instance can switch between draining and ready.
 func TestPauseOutlivesTheInstancesEntry(t *testing.T) {
 	table, tracker := pausedTable("i-0")
 	pauseInstance(tracker, "i-0", 0, 3*time.Second)
@@ -60,7 +61,7 @@
 func TestInstanceComingBackIsTriedByFewAndByNoLastAttempt(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	pauseInstance(tracker, "i-0", 0, time.Second)
-	// i-1 is far busier.
+	// i-1 has far more requests in flight.
 	for range 20 {
 		_, _ = table.Choose(0, Request{Service: "s"})
 	}
@@ -70,9 +71,9 @@
 	first, _ := table.Choose(now, Request{Service: "s"})
 	assert.Equal(t, first.ID, "i-0")
 	second, _ := table.Choose(now, Request{Service: "s"})
-	assert.Equal(t, second.ID, "i-1", "one trial at a time")
+	assert.Equal(t, second.ID, "i-1", "only one trial at a time")
 	only, _ := table.Choose(now, Request{Service: "s", Exclude: []string{"i-1"}, IsLastAttempt: true})
-	assert.Equal(t, only.ID, "i-0", "where nothing else is left")
+	assert.Equal(t, only.ID, "i-0", "no other instance is left")
 	table.Done(now, first, Abandoned)
 	table.Done(now, only, Abandoned)
 	third, _ := table.Choose(now, Request{Service: "s"})
@@ -120,23 +121,23 @@
 	assert.Equal(t, back.Wait, 2*time.Second)
 }
 
-// Guards against a heartbeat on its way, which still says ready, that brings an instance
-// back which has said that it leaves.
+// Guards against a delayed heartbeat with state ready that makes an instance eligible again after
+// it signalled that it leaves.
 func TestLeavingInstanceIsNotChosenWhateverTheRegistrySays(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	choice, _ := table.Choose(0, Request{Service: "s", Exclude: []string{"i-1"}})
 	tracker.Learn(0, registry.Life{ID: "i-0"}, backoff.Request{ID: "r"}, backoff.Said{IsLeaving: true})
 	assert.ErrorIs(t, table.Admit(0, choice), ErrLeaving)
-	assert.Assert(t, table.IsLeaving(registry.Life{ID: "i-0"}), "its end is nobody's fault")
+	assert.Assert(t, table.IsLeaving(registry.Life{ID: "i-0"}), "a planned exit is not a crash")
 	table.Apply([]registry.Instance{{ID: "i-0", Service: "s", Zone: "a", State: registry.Ready, Slots: 4, Sequence: 9}})
 	_, found := table.Choose(time.Hour, Request{Service: "s", Exclude: []string{"i-1"}})
 	assert.Assert(t, !found)
 	_, found = table.NextAvailable(time.Hour, Request{Service: "s"})
-	assert.Assert(t, !found, "nobody waits for it to come back")
+	assert.Assert(t, !found, "a leaving instance does not become available again")
 }
 
-// BenchmarkChooseAmongManyPaused chooses among 1,000 instances of a service, of which none or
-// a third has asked for a pause.
+// BenchmarkChooseAmongManyPaused chooses among 1,000 instances of a service, of which none or a
+// third has requested a pause.
 func BenchmarkChooseAmongManyPaused(b *testing.B) {
 	for name, isPaused := range map[string]func(number int) bool{
 		"none": func(int) bool { return false }, "a_third": func(number int) bool { return number%3 == 0 },
@@ -160,8 +161,8 @@
 	}
 }
 
-// Guards against a rollout's ways around the pauses of its versions: a canary, all that moves
-// to the new version, and a version that was rolled back while the old one is in a pause.
+// Guards against rollout stages that bypass pauses: requests of the canary share, requests that
+// move to the new version, and requests after a rollback while the old version is paused.
 func TestPausesAreKeptInEveryStageOfARollout(t *testing.T) {
 	for stage, want := range map[rollout.Stage]string{rollout.Canary: "v1", rollout.Moving: "v1", rollout.Done: "v1", rollout.RolledBack: "v1"} {
 		table, tracker := NewTable("zone-0"), backoff.NewTracker(exactEnd)
@@ -181,8 +182,8 @@
 	}
 }
 
-// Guards against callers who are told to come back soon for engines of a version that was
-// rolled back.
+// Guards against a retry time for callers that is too early because it counts instances of a
+// version that was rolled back.
 func TestRolledBackVersionMakesAServiceNoSoonerAvailable(t *testing.T) {
 	table, tracker := NewTable("zone-0"), backoff.NewTracker(exactEnd)
 	table.SetBackoff(tracker)
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -93,9 +93,8 @@
 	assert.Equal(t, chosen, 0)
 }
 
-// The finding of the drukwacht incident inc-1cdb, seconds 34 to 40: in the cut of
-// a zone each of its engines was tried by each node, and each try took the time
-// of a connection that does not come up.
+// Guards against the fault of the drukwacht incident inc-1cdb, seconds 34 to 40: after a zone was
+// partitioned, every node tried each of its engines, and each attempt took a full connect timeout.
 func TestZoneThatIsCutOffIsLearnedFromTwoOfItsInstances(t *testing.T) {
 	table := tableOf("a", instances(12))
 	now, lost := time.Duration(0), 0
@@ -109,7 +108,7 @@
 		}
 		table.Done(now, choice, outcome)
 	}
-	assert.Assert(t, lost <= 6, "%d requests were lost to the zone", lost)
+	assert.Assert(t, lost <= 6, "%d requests failed at the partitioned zone", lost)
 	table.Done(now, Choice{Instance: instances(2)[1]}, Served)
 	back := 0
 	for turn := range 60 {
@@ -140,8 +139,8 @@
 	assert.Assert(t, budget.Take(12*time.Second, "llm", policy))
 }
 
-// The finding of zhf scale-1: five engines crashed and began anew, and until the
-// registry forgot their old incarnations each node tried these again and again.
+// Guards against the fault of zhf scale-1: five engines crashed and restarted, and every node kept
+// trying their old incarnations until the registry removed them.
 func TestInstanceWhoseAddressHasAnotherIsNeverTriedAgain(t *testing.T) {
 	table := tableOf("a", instances(2))
 	choice, _ := table.Choose(0, Request{Service: "llm"})
--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -11,86 +11,87 @@
 )
 
 const (
-	// MiddleTokens is the work of a request of middle size, in tokens.
+	// MiddleTokens is the work of a medium-sized request, in tokens.
 	MiddleTokens = 8000
-	// blindFactor is how much more than its own a node takes to be under way at
-	// an instance while it does not hear from the others.
+	// blindFactor scales a node's own load at an instance to an estimate of the total load there
+	// while the loads of the other nodes are unknown.
 	blindFactor = 2
-	// tokensOverSlots is what each request beyond an instance's slots counts for.
+	// tokensOverSlots is the cost of each request beyond an instance's slots, in tokens.
 	tokensOverSlots = 4000
-	// tokensPerFarByte is what a byte of a body to another zone counts for.
+	// tokensPerFarByte is the cost of each body byte that is sent to another zone, in tokens.
 	tokensPerFarByte = 0.15
-	// scatterTokens is the most that is drawn on top for an instance that holds
-	// nothing of the request: nodes with the same knowledge would else all choose
-	// the same one.
+	// scatterTokens is the maximum random cost, in tokens, that is added to an instance that holds
+	// no part of the request. Without it, nodes with the same data would all choose the same
+	// instance.
 	scatterTokens = 600
-	// rereadWeight is what a shared token counts for, beyond its reading, where it
-	// would be read again though another instance holds it: that takes time and
-	// memory from all other requests too.
+	// rereadWeight is the extra cost, beyond reading it, of a shared token that would be read again
+	// although another instance holds it. Reading it again takes time and memory from all other
+	// requests at the instance.
 	rereadWeight = 1.5
-	// otherZonePenalty is how many more requests in flight the own zone's
-	// instances may have before a request without a part leaves the zone.
+	// otherZonePenalty is the difference in load score up to which a request without a prompt part
+	// stays in the node's own zone. The score is requests in flight per 8 slots.
 	otherZonePenalty = 2.0
 )
 
-// Request is what a choice is made for.
+// Request describes the request that an instance is chosen for.
 type Request struct {
 	Service string
-	// Part is the shared prompt part, or "".
+	// Part identifies the shared prompt part; "" if there is none.
 	Part string
-	// Cost is the work in requests of middle size.
+	// Cost is the work in units of a medium-sized request.
 	Cost float64
-	// Tokens is the prompt, SharedTokens the part of it that lives at the part's
-	// home; 0 if they are not known.
+	// Tokens is the length of the prompt in tokens, and SharedTokens that of its shared part, which
+	// is cached at the part's home; 0 if not known.
 	Tokens, SharedTokens int
-	// Gap is the longest pause between events.
+	// Gap is the maximum time between two events of the response stream.
 	Gap time.Duration
-	// Bytes is the length of the body.
+	// Bytes is the length of the request body.
 	Bytes int
-	// Exclude are instances that were tried already.
+	// Exclude holds the IDs of the instances that were already tried.
 	Exclude []string
-	// MaxInFlight is the most requests that this node may have at one
+	// MaxInFlight is the maximum number of requests that this node may have in flight at one
 	// instance; 0 means no bound.
 	MaxInFlight int
-	// Cold is what the service's instances bear while they are cold.
+	// Cold limits the requests to the service's cold instances.
 	Cold ColdPolicy
-	// Regions are where the request may be served.
+	// Regions are the regions in which the request may be served.
 	Regions Regions
-	// PermitPatience is how long the request may wait for a permit of an instance that
-	// names a limit.
+	// PermitPatience is the maximum time that the request may wait for a permit of an instance with
+	// a rate limit.
 	PermitPatience time.Duration
-	// IsLastAttempt tells that the request can't go on to another instance.
+	// IsLastAttempt reports whether the request can't be retried at another instance.
 	IsLastAttempt bool
 }
 
 // Choice is a chosen instance.
 type Choice struct {
 	registry.Instance
-	// pending are the tokens that the instance has to read first.
+	// pending is the number of prompt tokens that the instance has to read for this request.
 	pending int
-	// isTrial tells that it counts as one of those that show that a pause is really over.
+	// isTrial reports whether the request counts as a trial that probes whether the instance has
+	// recovered from its pause.
 	isTrial bool
 	// Candidates is the number of instances that could have been chosen.
 	Candidates int
-	// Spilled tells that the part's home was too busy.
+	// Spilled reports whether the request goes to an instance other than the part's home, because
+	// the home was too busy.
 	Spilled bool
-	// Ahead are the tokens of other requests that are expected to be read first,
-	// Unread those of this one, and AheadKnown tells that other nodes' requests
-	// are among them.
+	// Ahead is the number of tokens of other requests that the instance is expected to read first,
+	// and Unread that of this request. AheadKnown reports whether Ahead includes the requests of
+	// other nodes.
 	Ahead, Unread int
 	AheadKnown    bool
-	// Reread is the weight of shared tokens read again, Far that of bytes to
-	// another zone, in tokens. Streams are the requests under way there.
+	// Reread is the cost of shared tokens that are read again, and Far that of bytes sent to another
+	// zone, both in tokens. Streams is the number of requests in flight at the instance.
 	Reread, Far, Streams int
-	// Paused is the weight of the streams there that the prompt's reading would
-	// hold up, in tokens.
+	// Paused is the cost of the streams there that reading the prompt would stall, in tokens.
 	Paused int
-	// Permit is the weight of the permit that the instance's limit asks for, in tokens.
+	// Permit is the cost of the permit that the instance's rate limit requires, in tokens.
 	Permit int
 }
 
-// Choose picks an instance and counts the request as in flight there until
-// Done. It returns false if there is none.
+// Choose picks an instance and counts the request as in flight there until Done. It returns false
+// if no instance can be chosen.
 func (t *Table) Choose(now time.Duration, request Request) (Choice, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -117,16 +118,17 @@
 	return choice, true
 }
 
-// candidateSet are the instances that a choice is made among.
+// candidateSet holds the instances that a choice is made among.
 type candidateSet struct {
-	// open may be chosen now.
+	// open are the instances that may be chosen now.
 	open []*member
-	// limited have no permit for the request soon enough. They keep the prompt parts that
-	// live there: their limits have room again in a moment.
+	// limited are the instances whose rate limit grants no permit within the request's maximum
+	// wait. They stay the homes of their prompt parts, because their limits have headroom again
+	// shortly.
 	limited []*member
 }
 
-// all goes through both kinds.
+// all iterates over the open and the limited instances.
 func (s candidateSet) all(yield func(*member) bool) {
 	for _, one := range s.open {
 		if !yield(one) {
@@ -140,7 +142,7 @@
 	}
 }
 
-// add puts an instance where it belongs.
+// add adds an instance to the limited or to the open ones.
 func (s *candidateSet) add(one *member, isLimited bool) {
 	if isLimited {
 		s.limited = append(s.limited, one)
@@ -149,7 +151,8 @@
 	s.open = append(s.open, one)
 }
 
-// allCandidates returns the instances that may be chosen.
+// allCandidates returns the instances that may be chosen, according to the service's rollout if
+// there is one.
 func (t *Table) allCandidates(now time.Duration, request Request) candidateSet {
 	if running := t.rollouts[request.Service]; running != nil {
 		return t.candidatesInRollout(now, request, running)
@@ -159,10 +162,10 @@
 
 func anyMember(*member) bool { return true }
 
-// candidates returns those of some instances that may be chosen: the healthy ones, or if
-// there is none, all that were not tried. None is in an evacuated zone, in a region that
-// the request is not allowed in, has asked for a pause that lasts, leaves, or bears no
-// request of this node now, whatever that leaves.
+// candidates returns those instances among isAmong that may be chosen: the healthy ones, or if
+// there is none, all that were not tried. Instances are always excluded if they are in an evacuated
+// zone or in a region that is not allowed for the request, are paused or leaving, or are cold and
+// accept no request from this node now, even if no candidate remains.
 func (t *Table) candidates(now time.Duration, request Request, isAmong func(*member) bool) candidateSet {
 	healthy, others := t.sortCandidates(now, request, isAmong)
 	if len(healthy.open) > 0 {
@@ -191,22 +194,23 @@
 	return healthy, others
 }
 
-// mayServe tells whether a request may go to an instance that it was not offered to yet, as
-// far as the instance's place matters.
+// mayServe reports whether the request was not yet tried at an instance and whether the instance's
+// zone and region are allowed.
 func (t *Table) mayServe(one *member, request Request) bool {
 	return !slices.Contains(request.Exclude, one.ID) && t.isAllowed(one, request)
 }
 
-// isAllowed tells whether a request may go to where an instance stands.
+// isAllowed reports whether a request may go to the zone and region of an instance.
 func (t *Table) isAllowed(one *member, request Request) bool {
 	return !t.evacuated.Contains(one.Zone) && request.Regions.Contains(t.regionOfZone[one.Zone])
 }
 
-// expected is what a choice weighs for one instance, in tokens.
+// expected holds the expected cost of a request at one instance, in tokens; requests is the number
+// of requests in flight there.
 type expected struct {
 	ahead, unread, requests      int
 	reread, far, scatter, paused float64
-	// permit is the weight of the permit that the instance's limit asks for.
+	// permit is the cost of the permit that the instance's rate limit requires.
 	permit float64
 }
 
@@ -214,7 +218,7 @@
 	return float64(e.ahead+e.unread) + e.reread + e.far + e.scatter + e.paused + e.permit
 }
 
-// chooseSoonest takes the instance at which the first token is expected first.
+// chooseSoonest picks the instance at which the first token is expected earliest.
 func (t *Table) chooseSoonest(now time.Duration, candidates candidateSet, request Request, choice *Choice) (*member, bool) {
 	home := homeOf(candidates, request.Part)
 	var chosen *member
@@ -267,7 +271,8 @@
 	return expects
 }
 
-// homeOf returns the instance at which a part lives: all nodes name the same.
+// homeOf returns the home of a prompt part: the instance that rendezvous hashing of the part over
+// the candidates selects. All nodes with the same candidates select the same one.
 func homeOf(candidates candidateSet, part string) *member {
 	var home *member
 	var homeWeight uint64
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -7,37 +7,40 @@
 	"github.com/ravenway/ravenway/internal/coordination/membership"
 )
 
-// A cold instance bears few requests a second from all nodes together, and falls over
-// at well above that. The nodes share them without any talk: for each cold instance
-// rendezvous hashing names as many senders as it bears requests a second, and each of
-// them sends one a second at most. All others take the instance for absent. So the sum
-// holds in each second whatever the nodes know of each other's requests, and where
-// nodes disagree for a moment on who is there, only the few senders that differ add to it.
+// A cold instance has just started or was idle. It supports only a few requests per second from all
+// nodes together, and fails well above that. The nodes share this rate without communicating:
+// rendezvous hashing selects, for each cold instance, as many sender nodes as it supports requests
+// per second, and each sender sends at most one request per second. All other nodes treat the
+// instance as absent. The total rate is therefore bounded regardless of what the nodes know of each
+// other's requests. While nodes disagree on the set of live nodes, only the few senders in which
+// they differ add to it.
 
-// coldInterval is the least time between two requests of one sender to a cold instance.
+// coldInterval is the minimum time between two requests of one sender to a cold instance that
+// supports at least one request per second.
 const coldInterval = time.Second
 
-// ColdPolicy is what a service's instances bear while they are cold.
+// ColdPolicy limits the requests to a service's instances while they are cold.
 type ColdPolicy struct {
-	// Rate is the requests a second that one instance bears from all nodes; 0 means
-	// that being cold makes no difference.
+	// Rate is the number of requests per second that one cold instance supports from all nodes
+	// together; 0 means no limit.
 	Rate float64
-	// Time is how long an instance is cold after it started.
+	// Time is how long an instance is cold after it started or its zone was restored.
 	Time time.Duration
 }
 
-// coldSenders tells which node may send to which cold instance.
+// coldSenders determines which cold instances this node may send to.
 type coldSenders struct {
 	self string
-	// nodes are all live entry nodes, this one included; none before they are known.
+	// nodes are the addresses of all live entry nodes, including this one; empty until they are
+	// known.
 	nodes []string
-	// ranks are this node's places among the senders of instances, from 0.
+	// ranks caches this node's rank among the senders of each instance, from 0.
 	ranks map[string]int
 }
 
-// SetEntryNodes tells the table who shares the instances: this node and the other
-// live entry nodes. Before it is told, the node sends nothing to cold instances: all
-// nodes may have just started together.
+// SetEntryNodes sets the entry nodes that share the instances: this node and the other live ones.
+// Until it is called, the node sends nothing to cold instances, because all nodes may have just
+// started together.
 func (t *Table) SetEntryNodes(self string, others []EntryNode) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -48,7 +51,7 @@
 	t.senders = coldSenders{self: self, nodes: nodes, ranks: map[string]int{}}
 }
 
-// isSender tells whether this node is one of an instance's senders.
+// isSender reports whether this node is one of an instance's senders.
 func (s *coldSenders) isSender(instance string, rate float64) bool {
 	if len(s.nodes) == 0 {
 		return false
@@ -61,7 +64,7 @@
 	return rank < max(1, int(rate))
 }
 
-// pace is the least time between two requests of one sender.
+// pace returns the minimum time between two requests of one sender to a cold instance.
 func (p ColdPolicy) pace() time.Duration {
 	if p.Rate >= 1 {
 		return coldInterval
@@ -69,8 +72,9 @@
 	return time.Duration(float64(time.Second) / p.Rate)
 }
 
-// isCold tells whether an instance is cold, by its own word or since its zone was
-// restored: its instances were at rest, and their own word may come late.
+// isCold reports whether an instance is cold, either by its own report or because its zone was
+// restored recently. The instances of an evacuated zone were idle, and their own reports may come
+// late.
 func (m *member) isCold(now time.Duration, policy ColdPolicy) bool {
 	if policy.Rate <= 0 {
 		return false
@@ -78,8 +82,8 @@
 	return now < m.ColdUntil || m.isRestored && now < m.restoredAt+policy.Time
 }
 
-// bears tells whether a request of this node may go to an instance now, as far as
-// its being cold matters.
+// bears reports whether an instance is not cold, or this node may send it a request now although
+// it is.
 func (t *Table) bears(now time.Duration, one *member, policy ColdPolicy) bool {
 	if !one.isCold(now, policy) {
 		return true
@@ -88,7 +92,7 @@
 	return !isPaced && t.senders.isSender(one.ID, policy.Rate)
 }
 
-// noteSentCold notes that a request goes to a cold instance.
+// noteSentCold records the time of a request if the instance is cold.
 func (m *member) noteSentCold(now time.Duration, policy ColdPolicy) {
 	if m.isCold(now, policy) {
 		m.wasSentCold, m.sentColdAt = true, now
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -13,16 +13,16 @@
 	"github.com/ravenway/ravenway/internal/state/evacuation"
 )
 
-// coldReturn is a load: 85 entry nodes before 38 engines of one zone, which
-// come back at rest, all at the same moment, and others that are at work.
+// coldReturn is a load scenario: 85 entry nodes, 38 engines of one zone that is restored with all
+// of them cold at the same moment, and engines in another zone that are warm.
 type coldReturn struct {
-	// perSecond are the requests of all nodes together.
+	// perSecond is the request rate of all nodes together.
 	perSecond int
-	// policy is what the nodes believe the cold engines to bear.
+	// policy is the cold policy that the nodes apply.
 	policy ColdPolicy
-	// unaware nodes know only some of the others: they have just come back.
+	// unaware is the number of nodes that know only a third of the others, as after a restart.
 	unaware int
-	// warm are the engines that are not cold.
+	// warm is the number of engines that are not cold.
 	warm int
 }
 
@@ -34,8 +34,8 @@
 )
 
 type coldResult struct {
-	// mostInASecond is the most requests that one engine got within a second while it
-	// was cold, refused the requests for which no engine was found.
+	// mostInASecond is the maximum number of requests that one cold engine received within a
+	// second. refused is the number of requests for which no engine was found.
 	mostInASecond, onCold, onWarm, refused int
 }
 
@@ -70,7 +70,7 @@
 		end    time.Duration
 	}
 	var result coldResult
-	// work is in the order of its ends: all requests take as long.
+	// work is ordered by end time, because all requests take equally long.
 	var work []running
 	arrivals := map[string][]time.Duration{}
 	restoredAt := time.Second
@@ -108,7 +108,7 @@
 			continue
 		}
 		result.onCold++
-		// A request is a few milliseconds on its way.
+		// The network delay of a request is below 20 ms.
 		arrivals[choice.ID] = append(arrivals[choice.ID], now+time.Duration(random.IntN(20))*time.Millisecond)
 	}
 	for _, times := range arrivals {
@@ -124,7 +124,7 @@
 	return result
 }
 
-// exchangeLoads tells each node of all others' requests.
+// exchangeLoads gives each node the loads of all others.
 func exchangeLoads(tables []*Table) {
 	sum := Loads{}
 	own := make([]Loads, len(tables))
@@ -142,8 +142,8 @@
 	}
 }
 
-// An engine falls over at well above 6.6 requests a second; 14.9 in a second is what
-// the users allow.
+// A cold engine fails well above 6.6 requests per second. The requirement allows 14.9 requests
+// within a second.
 const (
 	coldRate     = 6.6
 	coldMostEver = 14
@@ -155,7 +155,7 @@
 		{perSecond: 400, policy: policy, warm: warmEngines},
 		{perSecond: 3000, policy: policy, warm: warmEngines},
 		{perSecond: 1200, policy: policy, warm: warmEngines, unaware: 8},
-		// The cold ones have to do nearly all.
+		// The cold engines have to serve nearly all requests.
 		{perSecond: 150, policy: policy, warm: 2},
 	} {
 		got := load.run(1)
@@ -164,7 +164,7 @@
 		assert.Equal(t, got.refused, 0)
 		assert.Assert(t, got.onCold > 0)
 	}
-	// Without the bound a burst is too much for them.
+	// Without the bound the same burst overloads them.
 	unbound := coldReturn{perSecond: 3000, warm: warmEngines}.run(0)
 	t.Logf("without a bound: %+v", unbound)
 	assert.Assert(t, unbound.mostInASecond > coldMostEver)
@@ -186,7 +186,7 @@
 		sent[choice.ID]++
 	}
 	assert.DeepEqual(t, sent, map[string]int{"i-0": 1, "i-1": 3})
-	// A service whose instances bear all their work at once is not bound.
+	// A service without a cold rate is not limited.
 	choice, _ := table.Choose(0, Request{Service: "llm"})
 	assert.Equal(t, choice.ID, "i-0")
 }
--- a/internal/coordination/balance/greetings.go
+++ b/internal/coordination/balance/greetings.go
@@ -8,20 +8,20 @@
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 )
 
-// mostAsks is how often a node that has started asks for the limits in force: its
-// connections come up meanwhile.
+// mostAsks is the maximum number of times that a node requests the active limits after it started.
+// Its connections are established during that time.
 const mostAsks = 20
 
-// greetings have a node that has started told the limits that instances named before. It
-// asks one node: the other one of its zone with the lowest address, or if it is alone
-// there the other one of all.
+// greetings is the initial exchange of a node that has just started: the node requests the rate
+// limits that instances named before its start. It sends the request to one node, the one with the
+// lowest address in its own zone, or if it is alone there, in all zones.
 type greetings struct {
 	self EntryNode
-	// greeter is the node to ask, "" if there is no other, and asks how often it is still
-	// asked.
+	// greeter is the address of the node that the request goes to, "" if there is no other node.
+	// asks is the number of requests left.
 	greeter string
 	asks    int
-	// asked are the nodes that have asked this one.
+	// asked holds the addresses of the nodes whose requests await a response from this node.
 	asked map[string]bool
 }
 
@@ -29,7 +29,7 @@
 	return greetings{self: self, asks: mostAsks, asked: map[string]bool{}}
 }
 
-// setNodes takes the other entry nodes.
+// setNodes replaces the other entry nodes.
 func (g *greetings) setNodes(others []EntryNode) {
 	g.greeter = ""
 	if len(others) > 0 {
@@ -37,7 +37,7 @@
 	}
 }
 
-// compare orders nodes of the own zone before others, and then by their addresses.
+// compare orders nodes of the own zone before others, and nodes of the same group by address.
 func (g *greetings) compare(one, other EntryNode) int {
 	isNear, isOtherNear := one.Zone == g.self.Zone, other.Zone == g.self.Zone
 	switch {
@@ -49,7 +49,8 @@
 	return 1
 }
 
-// step returns the question of this node, and its answers to others.
+// step returns this node's request for the active limits, if one is due, and its responses to the
+// requests of others.
 func (g *greetings) step(now time.Duration, inForce func() []ratelimit.Word) []OutgoingReport {
 	var reports []OutgoingReport
 	if g.asks > 0 && g.greeter != "" {
--- a/internal/coordination/balance/greetings_test.go
+++ b/internal/coordination/balance/greetings_test.go
@@ -10,13 +10,13 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// limitsFleet are nodes that exchange limits, each with what it knows.
+// limitsFleet is a set of nodes that exchange rate limits, each with the limits that it knows.
 type limitsFleet struct {
 	exchanges map[string]*LoadExchange
 	limits    map[string]*ratelimit.Limits
 }
 
-// round lets each node report once.
+// round runs one step of each node and delivers its reports.
 func (f *limitsFleet) round(now time.Duration) {
 	for address, exchange := range f.exchanges {
 		limits := f.limits[address]
@@ -28,7 +28,7 @@
 	}
 }
 
-// start starts a node that knows nothing.
+// start starts a node that knows no limits.
 func (f *limitsFleet) start(self EntryNode, all []EntryNode) {
 	f.exchanges[self.Address], f.limits[self.Address] = NewLoadExchange(self, testInterval), ratelimit.New(self.Address)
 	var others []EntryNode
@@ -40,9 +40,9 @@
 	f.exchanges[self.Address].SetNodes(others, testInterval)
 }
 
-// A limit was told as it began, and never to a node that started later. It is told now
-// whatever place it has in the exchange, and whether or not the others had noticed that it
-// was away.
+// Guards against a node that starts later and never learns a limit, because limits are sent only
+// when they begin. The restarted node receives it regardless of its role in the exchange, and
+// whether or not the others had noticed its absence.
 func TestNodeThatStartsAgainIsToldTheLimitsInForce(t *testing.T) {
 	engine := registry.Life{ID: "i-1", Born: 5}
 	for name, all := range map[string][]EntryNode{
@@ -62,14 +62,14 @@
 				fleet.round(now)
 			}
 			for _, node := range all {
-				assert.Assert(t, fleet.limits[node.Address].Any(), "%s: %s was not told", name, node.Address)
+				assert.Assert(t, fleet.limits[node.Address].Any(), "%s: %s did not receive the limit", name, node.Address)
 			}
 			fleet.start(restarted, all)
 			for range 4 {
 				now += testInterval
 				fleet.round(now)
 			}
-			assert.Assert(t, fleet.limits[restarted.Address].Any(), "%s: %s was not told after it started", name, restarted.Address)
+			assert.Assert(t, fleet.limits[restarted.Address].Any(), "%s: %s did not receive the limit after it started", name, restarted.Address)
 		}
 	}
 }
--- a/internal/coordination/balance/health.go
+++ b/internal/coordination/balance/health.go
@@ -7,52 +7,53 @@
 )
 
 const (
-	// The pause after a failure to connect doubles from the first to the last.
+	// The backoff after a failure to connect doubles from firstPause up to lastPause.
 	firstPause = 250 * time.Millisecond
 	lastPause  = 2 * time.Second
-	// A zone with this many instances that can't be reached within zoneWindow is
-	// taken for cut off: its other instances get a request each zoneProbe only,
-	// until one of them answers.
+	// A zone counts as partitioned when zoneInstances of its instances were unreachable within
+	// zoneWindow. It is then avoided for zonePause, except for one probe request per zoneProbe,
+	// until one of its instances responds.
 	zoneInstances = 2
 	zoneWindow    = 1500 * time.Millisecond
 	zonePause     = 3 * time.Second
 	zoneProbe     = 400 * time.Millisecond
-	// failureWeight is the weight of one outcome in the smoothed failure rate.
+	// failureWeight is the weight of one outcome in the exponentially smoothed failure rate.
 	failureWeight = 0.15
-	// failureMargin is how far above the others' rate an instance is avoided.
+	// An instance is avoided while its failure rate exceeds the service's average by failureMargin.
 	failureMargin = 0.3
-	// probeEvery lets an avoided instance have a request now and then.
+	// probeEvery is the time between two requests that probe an avoided instance.
 	probeEvery = 1500 * time.Millisecond
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the result of one attempt at an instance.
 type Outcome uint8
 
 const (
-	// Served: the instance answered as it should.
+	// Served means that the instance returned a complete response.
 	Served Outcome = iota
-	// Unreachable: no connection came up.
+	// Unreachable means that no connection could be established.
 	Unreachable
-	// Failed: it answered with a failure of its own, or broke off.
+	// Failed means that the instance returned an error of its own or broke off the response.
 	Failed
-	// Full: it turned the request away.
+	// Full means that the instance rejected the request.
 	Full
-	// Replaced: another instance has its address now, so it is gone for good.
+	// Replaced means that another instance uses its address now, so it is permanently gone.
 	Replaced
-	// Abandoned says nothing about the instance.
+	// Abandoned means that the outcome indicates nothing about the instance.
 	Abandoned
 )
 
-// zoneState is what this node knows of its way to a zone.
+// zoneState is this node's view of whether a zone is reachable.
 type zoneState struct {
-	// unreachable holds when instances could not be reached since one answered.
+	// unreachable holds, by instance ID, the time of the last failure to connect since an instance
+	// of the zone last responded.
 	unreachable map[string]time.Duration
 	pausedUntil time.Duration
 	probedAt    time.Duration
 }
 
-// Started notes that an instance has read a request's prompt, in a time since it
-// was sent there.
+// Started records that an instance has read a request's prompt, and how long that took from the
+// sending of the request.
 func (t *Table) Started(choice *Choice, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -65,7 +66,7 @@
 	choice.pending = 0
 }
 
-// Done ends what Choose began.
+// Done records the outcome of a request and removes it from the requests in flight.
 func (t *Table) Done(now time.Duration, choice Choice, outcome Outcome) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -98,8 +99,8 @@
 	}
 }
 
-// Ended notes that a life of an instance was seen to have ended. The instance may come
-// back under the same id, so it is paused and not forgotten.
+// Ended records that an incarnation of an instance was seen to have ended. The instance may restart
+// under the same ID, so it is avoided for a while and not removed.
 func (t *Table) Ended(now time.Duration, life registry.Life) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -109,14 +110,14 @@
 	}
 }
 
-// zoneIsOpen tells whether a zone's instances may be chosen. A zone that is
-// taken for cut off is open for a moment now and then, to be probed.
+// zoneIsOpen reports whether a zone's instances may be chosen. A zone that counts as partitioned is
+// opened for one probe request at a time.
 func (t *Table) zoneIsOpen(now time.Duration, zone string) bool {
 	state := t.zones[zone]
 	return state == nil || now >= state.pausedUntil || now-state.probedAt >= zoneProbe
 }
 
-// noteZone learns from an outcome of one of a zone's instances.
+// noteZone updates the state of an instance's zone from the outcome of an attempt.
 func (t *Table) noteZone(now time.Duration, of registry.Instance, outcome Outcome) {
 	switch outcome {
 	case Served, Full, Replaced:
--- a/internal/coordination/balance/limited.go
+++ b/internal/coordination/balance/limited.go
@@ -6,23 +6,24 @@
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 )
 
-// permitTokens is what the permit of an instance with a limit counts for once permits are
-// scarce there, in tokens: requests that are read there in no less time go elsewhere before
-// the limit is met, and those whose prompt it holds in large part still come.
+// permitTokens is the cost of a permit, in tokens, at an instance whose permits are scarce. Requests
+// that gain nothing from the instance's cache then go elsewhere before the rate limit is reached,
+// and requests whose prompt it holds in large part still go there.
 const permitTokens = 6000
 
-// NoPermits is the patience of a request that is for instances without a limit only.
+// NoPermits is the maximum permit wait of a request that only goes to instances without a rate
+// limit.
 const NoPermits = time.Duration(-1)
 
-// SetLimits tells the table who knows the limits that instances in need name.
+// SetLimits sets the rate limits that overloaded instances name.
 func (t *Table) SetLimits(limits *ratelimit.Limits) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.limits = limits
 }
 
-// weighPermit weighs what the limit of an instance means for a request, and tells whether
-// the request can't have a permit within its patience.
+// weighPermit sets the permit cost of an instance for a request, and reports whether the request
+// can't get a permit within its maximum wait.
 func (t *Table) weighPermit(now time.Duration, one *member, patience time.Duration) (isLimited bool) {
 	one.permitTokens = 0
 	room, hasLimit := t.limits.Room(now, one.Life())
--- a/internal/coordination/balance/lives.go
+++ b/internal/coordination/balance/lives.go
@@ -4,15 +4,15 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// overLife is a life of an instance that is over, and whether it had said before that it
-// leaves.
+// overLife is an incarnation that has ended. wasLeaving records whether it had signalled before its
+// end that it leaves.
 type overLife struct {
 	registry.Life
 	wasLeaving bool
 }
 
-// overKept bounds the former lives that are remembered: the requests that were at their
-// ends ask for them within moments.
+// overKept bounds the number of ended incarnations that are kept. They are looked up only shortly
+// after their end, by the requests that were in flight there.
 const overKept = 128
 
 func (t *Table) noteOver(one *member) {
@@ -20,7 +20,7 @@
 	t.over = t.over[max(0, len(t.over)-overKept):]
 }
 
-// member returns what is known of a life, nil if it is over or was never heard of.
+// member returns the entry of an incarnation, nil if it has ended or was never known.
 func (t *Table) member(life registry.Life) *member {
 	known := t.members[life.ID]
 	if known == nil || known.Life() != life {
@@ -29,7 +29,8 @@
 	return known
 }
 
-// IsLeaving tells whether a life of an instance had said that it leaves, or is not known.
+// IsLeaving reports whether an incarnation had signalled that it leaves the service, or is not
+// known.
 func (t *Table) IsLeaving(life registry.Life) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -11,23 +11,23 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Load is what nodes have under way at one instance.
+// Load is the work that nodes have in flight at one instance.
 type Load struct {
-	// Tokens of prompts that the instance has yet to read.
+	// Tokens is the number of prompt tokens that the instance has yet to read.
 	Tokens int
-	// Requests that were sent there and have not ended.
+	// Requests is the number of requests that were sent there and have not ended.
 	Requests int
 }
 
-// InstanceKey is a short name of an instance in load reports. Two instances
-// with the same key only look busier than they are.
+// InstanceKey is a 32-bit hash that identifies an incarnation of an instance in load reports. Two
+// instances with the same key appear busier than they are, which is the only effect of a collision.
 type InstanceKey uint32
 
-// KeyOf returns the key of a life of an instance: what is said of one life says nothing
-// of the next.
+// KeyOf returns the key of an incarnation of an instance. Each incarnation has its own key, because
+// the load of one indicates nothing about the next.
 func KeyOf(life registry.Life) InstanceKey { return InstanceKey(xxhash.Sum64String(life.String())) }
 
-// Loads are loads by instance. Absent ones are 0.
+// Loads holds the loads by instance. Absent ones are 0.
 type Loads map[InstanceKey]Load
 
 func (l Loads) add(other Loads) {
@@ -40,17 +40,18 @@
 }
 
 const (
-	// tokenUnit is the step of the tokens in a report.
+	// tokenUnit is the resolution of token counts in a report, in tokens.
 	tokenUnit = 64
-	// encodedLoadBytes is the length of one instance in a report.
+	// encodedLoadBytes is the encoded length of one instance's load.
 	encodedLoadBytes = 7
 	maximumRequests  = 255
 )
 
-// Encode packs loads: 4 bytes of key, 2 of tokens, 1 of requests each.
+// Encode packs the loads in order of their keys, each as 4 bytes of key, 2 of tokens in units of
+// tokenUnit, and 1 of requests.
 func (l Loads) Encode() []byte { return l.encodeBut(l.keys(), nil) }
 
-// keys are the loads' keys in order.
+// keys returns the keys in ascending order.
 func (l Loads) keys() []InstanceKey {
 	keys := make([]InstanceKey, 0, len(l))
 	for key := range l {
@@ -60,8 +61,8 @@
 	return keys
 }
 
-// encodeBut packs loads less a part of them, which may be nil. keys are those of
-// the loads, in order.
+// encodeBut packs the loads after subtracting part, which may be nil. keys are the keys of the
+// loads in ascending order.
 func (l Loads) encodeBut(keys []InstanceKey, part Loads) []byte {
 	encoded := make([]byte, 0, len(l)*encodedLoadBytes)
 	for _, key := range keys {
@@ -81,7 +82,7 @@
 	return encoded
 }
 
-// DecodeLoads reads what Encode wrote; a torn end is passed over.
+// DecodeLoads decodes the output of Encode. An incomplete entry at the end is ignored.
 func DecodeLoads(encoded []byte) Loads {
 	loads := make(Loads, len(encoded)/encodedLoadBytes)
 	for len(encoded) >= encodedLoadBytes {
@@ -93,43 +94,44 @@
 	return loads
 }
 
-// LoadScope tells whose loads a report sums up.
+// LoadScope is the kind of a report: whose loads it sums up, or that it belongs to the initial
+// exchange of limits.
 type LoadScope uint8
 
 // Scopes of a report.
 const (
-	// OwnLoads go from a node to its zone's relay.
+	// OwnLoads reports go from a node to the relay of its zone.
 	OwnLoads LoadScope = iota + 1
-	// ZoneLoads go from a zone's relay to the others.
+	// ZoneLoads reports go from a zone's relay to the other relays.
 	ZoneLoads
-	// AllOtherLoads go from a relay to a node of its zone: all but the node's own.
+	// AllOtherLoads reports go from a relay to a node of its zone and sum up all loads but the
+	// node's own.
 	AllOtherLoads
-	// LimitsWanted is the question of a node that has just started for the limits in
-	// force, LimitsTold the answer.
+	// LimitsWanted is the request of a node that has just started for the active limits, and
+	// LimitsTold is the response.
 	LimitsWanted
 	LimitsTold
 )
 
-// LoadReport is one message of the exchange.
+// LoadReport is one message of the load exchange.
 type LoadReport struct {
 	Scope LoadScope `msgpack:"s"`
 	Zone  string    `msgpack:"z"`
 	Loads []byte    `msgpack:"l"`
-	// Parts are the prompt parts sent elsewhere than to their homes since the
-	// report before.
+	// Parts are the encoded prompt parts that were sent to other instances than their homes since
+	// the previous report.
 	Parts []byte `msgpack:"p,omitempty"`
 	// AgeMS is the time since the sender's process started, in milliseconds.
 	AgeMS uint64 `msgpack:"y,omitempty"`
-	// Limits are the instances' limits that have begun, changed or ended since the report
-	// before.
+	// Limits are the instances' rate limits that began, changed or ended since the previous report.
 	Limits []ratelimit.Word `msgpack:"m,omitempty"`
 }
 
-// News is what happens once and is told once, beside the loads.
+// News holds the events that are sent once, together with the loads.
 type News struct {
-	// Parts are the prompt parts sent elsewhere than to their homes.
+	// Parts are the prompt parts that were sent to other instances than their homes.
 	Parts []HeldPart
-	// Limits are the instances' limits that have begun, changed or ended.
+	// Limits are the instances' rate limits that began, changed or ended.
 	Limits []ratelimit.Word
 }
 
@@ -146,37 +148,37 @@
 	Report LoadReport
 }
 
-// EntryNode is a node that sends requests.
+// EntryNode is a node that sends requests to instances.
 type EntryNode struct{ Address, Zone string }
 
-// reportAge is how many intervals a report counts.
+// reportAge is the number of report intervals after which a received report is dropped.
 const reportAge = 4
 
-// LoadExchange tells the entry nodes what the others have under way, so that a
-// choice of an instance is not blind to all but its own requests. Each zone's
-// node with the lowest address is its relay: it sums up its zone, exchanges the
-// sums with the other relays, and tells its zone's nodes. So a node sends and
-// receives one report an interval whatever the number of nodes, and one report
-// an interval and pair crosses zones. Where the relay does not answer, nodes know
-// their own requests only, as before.
+// LoadExchange shares the entry nodes' loads, so that the choice of an instance accounts for the
+// requests of all nodes. The node with the lowest address in each zone is its relay. A relay sums up
+// the loads of its zone, exchanges the sums with the other relays, and reports the loads of all
+// others to each node of its zone. A node that is not a relay thus sends and receives one report per
+// interval regardless of the number of nodes, and one report per interval crosses zones in each
+// direction between two relays. While the relay is unreachable, the nodes of its zone know only their
+// own requests.
 //
-// It is a pure step and not safe for concurrent use.
+// It has no clock and does no I/O, and it is not safe for concurrent use.
 type LoadExchange struct {
 	self     EntryNode
 	interval time.Duration
 	members  []EntryNode
-	// relays are the relays by zone.
+	// relays holds the address of each zone's relay.
 	relays map[string]string
-	// own are the reports of this zone's nodes, zones those of other relays;
-	// told is the last AllOtherLoads.
+	// own holds the last reports of this zone's nodes, and zones those of the other relays. told is
+	// the last AllOtherLoads report.
 	own   map[string]heardLoads
 	zones map[string]heardLoads
 	told  heardLoads
-	// silent tells that the last own report was empty.
+	// silent reports whether the last report that this node sent had no loads.
 	silent    bool
 	greetings greetings
-	// zoneNews and otherNews are what was heard since the last step: from this zone's
-	// nodes, and from or through other relays.
+	// zoneNews and otherNews are the updates received since the last step: zoneNews from this zone's
+	// nodes, otherNews from or through relays.
 	zoneNews, otherNews News
 }
 
@@ -185,14 +187,14 @@
 	at    time.Duration
 }
 
-// NewLoadExchange makes a node's part of the exchange.
+// NewLoadExchange returns the load exchange of a node without any other entry nodes.
 func NewLoadExchange(self EntryNode, interval time.Duration) *LoadExchange {
 	exchange := &LoadExchange{self: self, greetings: newGreetings(self), relays: map[string]string{}, own: map[string]heardLoads{}, zones: map[string]heardLoads{}}
 	exchange.SetNodes(nil, interval)
 	return exchange
 }
 
-// SetNodes replaces the other entry nodes, and sets the time between reports.
+// SetNodes replaces the other entry nodes and sets the time between reports.
 func (e *LoadExchange) SetNodes(others []EntryNode, interval time.Duration) {
 	e.interval = interval
 	e.greetings.setNodes(others)
@@ -210,7 +212,7 @@
 
 func (e *LoadExchange) isRelay() bool { return e.relays[e.self.Zone] == e.self.Address }
 
-// Take notes another node's report.
+// Take processes a report from another node.
 func (e *LoadExchange) Take(now time.Duration, from string, report LoadReport) {
 	heard := heardLoads{loads: DecodeLoads(report.Loads), at: now}
 	news := News{Parts: decodeParts(report.Parts), Limits: ratelimit.Received(now, report.Limits)}
@@ -232,17 +234,17 @@
 	}
 }
 
-// Known is what a node knows of the others.
+// Known is what a node knows of the other nodes.
 type Known struct {
-	// Loads are what all others have under way; nil if they are not heard.
+	// Loads are the loads of all others; nil if not known.
 	Loads Loads
-	// News is what was heard since the last step.
+	// News holds the updates received since the last step.
 	News
 }
 
-// Step returns the reports that are due, and what is known of all other nodes.
-// happened is this node's own news since the last step, inForce tells the limits for a
-// node that has just started.
+// Step returns the reports that are due and what is known of all other nodes. happened holds this
+// node's own updates since the last step. inForce returns the active limits, which are sent to nodes
+// that have just started.
 func (e *LoadExchange) Step(now time.Duration, own Loads, happened News, inForce func() []ratelimit.Word) ([]OutgoingReport, Known) {
 	reports, known := e.step(now, own, happened)
 	return append(reports, e.greetings.step(now, inForce)...), known
@@ -266,7 +268,7 @@
 	return reports, Known{Loads: others, News: zoneNews}
 }
 
-// encodedNews is news as a report carries it.
+// encodedNews holds updates as they are encoded in a report.
 type encodedNews struct {
 	parts  []byte
 	limits []ratelimit.Word
@@ -278,9 +280,9 @@
 
 func (n encodedNews) isEmpty() bool { return len(n.parts) == 0 && len(n.limits) == 0 }
 
-// stepRelay sums up the zone for the other relays, and all others for each node
-// of the zone. The sum of all is made once and each node's own part taken off it:
-// adding up the others for each would grow with the square of the zone's nodes.
+// stepRelay sums up the loads of the zone for the other relays, and the loads of all others for each
+// node of the zone. It computes the total once and subtracts each node's own loads from it, because
+// summing the others separately for each node takes time quadratic in the number of nodes.
 func (e *LoadExchange) stepRelay(now time.Duration, own Loads, zoneNews, otherNews News) ([]OutgoingReport, Loads) {
 	others, zone, members := Loads{}, Loads{}, Loads{}
 	for _, heard := range e.zones {
@@ -319,7 +321,7 @@
 	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: e.self.Zone, Loads: loads, Parts: news.parts, Limits: news.limits}}
 }
 
-// forget drops reports that are too old to count.
+// forget drops the reports that are older than reportAge intervals.
 func (e *LoadExchange) forget(now time.Duration) {
 	isOld := func(heard heardLoads) bool { return now-heard.at > reportAge*e.interval }
 	for address, heard := range e.own {
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -13,7 +13,7 @@
 
 const testInterval = 50 * time.Millisecond
 
-// exchangeOf makes nodes in three zones that know each other.
+// exchangeOf returns nodes in three zones that know each other.
 func exchangeOf(perZone int) (map[string]*LoadExchange, []EntryNode) {
 	var all []EntryNode
 	for number := range 3 * perZone {
@@ -41,7 +41,8 @@
 
 func noLimits() []ratelimit.Word { return nil }
 
-// runRound lets each node report once; it returns what each knows of the others.
+// runRound runs one step of each node and delivers the reports. It returns the loads that each node
+// knows of the others, and the number of reports.
 func runRound(now time.Duration, exchanges map[string]*LoadExchange, own map[string]Loads) (map[string]Loads, int) {
 	known, sent := map[string]Loads{}, 0
 	type delivery struct {
@@ -82,7 +83,7 @@
 		want := Load{Tokens: tokenUnit * (45 - number - 1), Requests: 8}
 		assert.DeepEqual(t, known[node.Address][KeyOf(registry.Life{ID: "i-0"})], want)
 	}
-	// 6 to the relays, 6 between them, 6 from them: not 72.
+	// 6 to the relays, 6 between them, 6 from them. A full mesh would take 72.
 	assert.Equal(t, sent, 18)
 }
 
@@ -115,15 +116,15 @@
 	assert.Equal(t, len(DecodeLoads(loads.Encode()[:9])), 1)
 }
 
-// The finding of drukwacht quiet-1: a quarter of the long requests came late,
-// behind prompts that other nodes had sent to the same engine.
+// Guards against the fault of drukwacht quiet-1: a quarter of the long requests was late because
+// they waited behind prompts that other nodes had sent to the same engine.
 func TestInstanceThatOthersKeepBusyIsAvoided(t *testing.T) {
 	table := tableOf("a", instances(12))
 	request := Request{Service: "llm", Part: "part", Tokens: 17_000, SharedTokens: 13_000}
 	home, _ := table.Choose(0, request)
 	assert.Assert(t, !home.Spilled)
 	table.Done(0, home, Served)
-	// Some wait at home is better than reading the shared part anew elsewhere.
+	// A short wait at the home costs less than reading the shared part again elsewhere.
 	table.SetOthersLoads(Loads{KeyOf(home.Life()): {Tokens: 20_000, Requests: 2}})
 	patient, _ := table.Choose(0, request)
 	assert.Equal(t, patient.ID, home.ID)
@@ -132,7 +133,7 @@
 	table.SetOthersLoads(Loads{KeyOf(home.Life()): {Tokens: 90_000, Requests: 9}})
 	spilled, _ := table.Choose(0, request)
 	assert.Assert(t, spilled.ID != home.ID && spilled.Spilled)
-	// Where the part was sent it is held now too.
+	// The instance that the part was sent to holds it now too.
 	again, _ := table.Choose(0, request)
 	assert.Equal(t, again.ID, spilled.ID)
 }
@@ -147,8 +148,8 @@
 	assert.Equal(t, len(table.OwnLoads()), 0)
 }
 
-// The finding of lumiere-rx: shared parts were the largest price, and read again
-// where another node had sent them, which only that node knew.
+// Guards against the fault of lumiere-rx: shared parts were the largest cost, and were read again at
+// further instances because only the node that had sent a part to an instance knew of it.
 func TestPartsThatWentElsewhereAreKnownToAllNodes(t *testing.T) {
 	exchanges, all := exchangeOf(3)
 	spilled := HeldPart{Part: keyOfPart("part"), Instance: KeyOf(registry.Life{ID: "i-2"})}
@@ -172,7 +173,7 @@
 		}
 	}
 	for _, node := range all {
-		assert.Assert(t, heard[node.Address] >= 1, "%s was not told", node.Address)
+		assert.Assert(t, heard[node.Address] >= 1, "%s did not receive the part", node.Address)
 	}
 }
 
--- a/internal/coordination/balance/parts.go
+++ b/internal/coordination/balance/parts.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	// maximumHeld is how many parts are remembered for an instance before old
-	// ones are looked for.
+	// maximumHeld is the number of parts recorded for an instance above which expired ones are
+	// removed.
 	maximumHeld = 256
-	// heldFor is how long a part counts as held where it was last sent.
+	// heldFor is how long an instance counts as holding a part after the part was last sent to it.
 	heldFor = 15 * time.Second
-	// maximumSpilled bounds the parts told of in one report, and those that wait
-	// for it.
+	// maximumSpilled bounds the number of parts in one report and of those that wait for the next
+	// one.
 	maximumSpilled = 128
-	// encodedPartBytes is the length of one part in a report.
+	// encodedPartBytes is the encoded length of one part.
 	encodedPartBytes = 8
 )
 
-// PartKey is a short name of a prompt part in reports. Two parts with the same
-// key only look held where one of them is.
+// PartKey is a 32-bit hash that identifies a prompt part in reports. Of two parts with the same key,
+// both appear to be held where one of them is, which is the only effect of a collision.
 type PartKey uint32
 
 func keyOfPart(part string) PartKey { return PartKey(xxhash.Sum64String(part)) }
 
-// HeldPart tells that an instance other than its home was sent a prompt part.
+// HeldPart records that a prompt part was sent to an instance other than its home.
 type HeldPart struct {
 	Part     PartKey
 	Instance InstanceKey
 }
 
-// encodeParts packs parts: 4 bytes of each key.
+// encodeParts packs parts, each as 4 bytes of part key and 4 bytes of instance key.
 func encodeParts(parts []HeldPart) []byte {
 	encoded := make([]byte, 0, len(parts)*encodedPartBytes)
 	for _, one := range parts {
@@ -42,7 +42,7 @@
 	return encoded
 }
 
-// decodeParts reads what encodeParts wrote; a torn end is passed over.
+// decodeParts decodes the output of encodeParts. An incomplete entry at the end is ignored.
 func decodeParts(encoded []byte) []HeldPart {
 	parts := make([]HeldPart, 0, len(encoded)/encodedPartBytes)
 	for len(encoded) >= encodedPartBytes {
@@ -54,14 +54,14 @@
 	return parts
 }
 
-// appendParts keeps the newest parts within the bound.
+// appendParts appends parts and keeps the newest ones, up to maximumSpilled.
 func appendParts(parts, more []HeldPart) []HeldPart {
 	parts = append(parts, more...)
 	return parts[max(0, len(parts)-maximumSpilled):]
 }
 
-// TakeSpilled returns the parts that this node sent elsewhere than to their
-// homes since the last call.
+// TakeSpilled returns the parts that this node sent to other instances than their homes since the
+// last call.
 func (t *Table) TakeSpilled() []HeldPart {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -70,7 +70,7 @@
 	return spilled
 }
 
-// NoteHeld notes parts that other nodes sent elsewhere than to their homes.
+// NoteHeld records parts that other nodes sent to other instances than their homes.
 func (t *Table) NoteHeld(now time.Duration, parts []HeldPart) {
 	if len(parts) == 0 {
 		return
@@ -88,7 +88,7 @@
 	}
 }
 
-// hold notes that a part was sent here, and forgets those of long ago.
+// hold records that a part was sent to the instance, and removes expired parts if there are many.
 func (m *member) hold(now time.Duration, part PartKey) {
 	if len(m.held) > maximumHeld {
 		for known, at := range m.held {
--- a/internal/coordination/balance/pauses_test.go
+++ b/internal/coordination/balance/pauses_test.go
@@ -9,9 +9,8 @@
 
 const testGap = 500 * time.Millisecond
 
-// The finding of lumiere-rx quiet-1 seed 2: 237 of 293 late requests were
-// streams whose pauses were too long, because their engine read a long prompt of
-// another request.
+// Guards against the fault of lumiere-rx quiet-1 seed 2: 237 of 293 late requests were streams that
+// stalled while their engine read a long prompt of another request.
 func TestLongPromptGoesWhereItHoldsUpFewStreams(t *testing.T) {
 	table := tableOf("a", instances(3))
 	table.speedOf("llm").paused = manyPaused
@@ -49,13 +48,13 @@
 	for turn := range 1000 {
 		took := 10_000 / 60 * time.Millisecond
 		if turn%3 == 0 {
-			// Half of it was held, unknown to this node.
+			// Half of the prompt was cached at the instance, unknown to this node.
 			took /= 2
 		}
 		speed.observeRead(10_000, took)
 		speed.observeRead(100, time.Second)
 	}
-	assert.Assert(t, speed.readRate > 50 && speed.readRate < 70, "%f tokens a millisecond", speed.readRate)
+	assert.Assert(t, speed.readRate > 50 && speed.readRate < 70, "%f tokens per millisecond", speed.readRate)
 }
 
 func TestPausesThatAreNotSeenDoNotCount(t *testing.T) {
@@ -76,5 +75,5 @@
 	assert.Equal(t, speed.pausedShare(10_000, testGap), 0.0)
 	assert.Equal(t, speed.pausedShare(40_000, testGap), 1.0)
 	assert.Assert(t, speed.pausedShare(25_000, testGap) > 0.4)
-	assert.Equal(t, speed.pausedShare(40_000, 0), 0.0, "a route without a bound on pauses")
+	assert.Equal(t, speed.pausedShare(40_000, 0), 0.0, "a route without a bound on the event gap")
 }
--- a/internal/coordination/balance/regions.go
+++ b/internal/coordination/balance/regions.go
@@ -4,14 +4,13 @@
 
 // Regions are the regions in which a request may be served.
 type Regions struct {
-	// Names are the regions, in order. IsBound tells that there are no others; without
-	// it the request may be served anywhere.
+	// Names holds the allowed regions in ascending order. IsBound reports whether only these are
+	// allowed; otherwise the request may be served anywhere.
 	Names   []string
 	IsBound bool
 }
 
-// BoundTo returns the regions that all of some lists of regions name. A list without
-// names binds nothing.
+// BoundTo returns the intersection of the lists of regions. An empty list restricts nothing.
 func BoundTo(lists ...[]string) Regions {
 	var bound Regions
 	for _, names := range lists {
@@ -27,21 +26,21 @@
 	return bound
 }
 
-// Contains tells whether a request may be served in a region. One that is not known, "",
-// is in no list.
+// Contains reports whether a request may be served in a region. An unknown region, "", is in no
+// list.
 func (r Regions) Contains(region string) bool {
 	return !r.IsBound || region != "" && slices.Contains(r.Names, region)
 }
 
-// SetRegions tells in which region each zone stands.
+// SetRegions sets the region of each zone.
 func (t *Table) SetRegions(regionOfZone map[string]string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.regionOfZone = regionOfZone
 }
 
-// HasInRegions tells whether a service has an instance in some regions, whatever its
-// state: where there is none, a request that is bound to them can't be served.
+// HasInRegions reports whether a service offers an instance in the given regions, regardless of its
+// health or load. If it has none, a request that is restricted to them can't be served.
 func (t *Table) HasInRegions(service string, regions Regions) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/coordination/balance/regions_test.go
+++ b/internal/coordination/balance/regions_test.go
@@ -24,8 +24,8 @@
 	assert.Assert(t, BoundTo().Contains(""))
 }
 
-// Whatever the fleet, the state of its instances and the order of the choices, no step of
-// a request leaves its regions: neither its first choice nor a further one.
+// Neither the first choice of a request nor a later one is outside its regions, regardless of the
+// fleet, the state of its instances and the order of the choices.
 func TestNoChoiceLeavesTheAllowedRegions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		regionOfZone, regionNames := map[string]string{}, []string{"north", "south", "west"}
@@ -59,7 +59,7 @@
 					assert.Assert(t, !allowed || len(request.Exclude) > 0)
 					break
 				}
-				assert.Assert(t, regions.Contains(regionOfZone[choice.Zone]), "%s stands in %q", choice.ID, regionOfZone[choice.Zone])
+				assert.Assert(t, regions.Contains(regionOfZone[choice.Zone]), "%s is in region %q", choice.ID, regionOfZone[choice.Zone])
 				outcome := Outcome(random.IntN(int(Replaced)))
 				table.Done(now, choice, outcome)
 				request.Exclude = append(request.Exclude, choice.ID)
--- a/internal/coordination/balance/retries.go
+++ b/internal/coordination/balance/retries.go
@@ -5,35 +5,34 @@
 	"time"
 )
 
-// RetryPolicy bounds how often requests are sent to a second instance, over
-// all nodes together: in each window at most Ratio of the service's requests,
-// plus Slack.
+// RetryPolicy bounds how many requests all nodes together retry at another instance: in each window,
+// at most Ratio of the service's requests plus Slack.
 type RetryPolicy struct {
 	Window time.Duration
 	Ratio  float64
 	Slack  float64
-	// Nodes is the number of nodes that share the slack.
+	// Nodes is the number of nodes that share Slack.
 	Nodes int
 }
 
-// safetyShare keeps a node's part below what the policy gives it: nodes
-// disagree for a moment on how many they are.
+// safetyShare is the fraction of its part of the policy that a node uses. It is below 1 because
+// nodes can temporarily disagree on the number of nodes.
 const safetyShare = 0.7
 
-// RetryBudget is one node's part of a retry policy, for each service. It is
-// safe for concurrent use.
+// RetryBudget tracks one node's part of the retry policy of each service. It is safe for concurrent
+// use.
 type RetryBudget struct {
 	mutex    sync.Mutex
 	services map[string]*retryWindow
 }
 
-// retryWindow holds the times of what happened in the last window.
+// retryWindow holds the times of the requests and retries in the current window.
 type retryWindow struct {
 	requests []time.Duration
 	retries  []time.Duration
 }
 
-// NewRetryBudget makes an unused budget.
+// NewRetryBudget returns an unused budget.
 func NewRetryBudget() *RetryBudget {
 	return &RetryBudget{services: map[string]*retryWindow{}}
 }
@@ -57,7 +56,7 @@
 	return append(times[:0], times[first:]...)
 }
 
-// Request notes a caller's request for a service.
+// Request records a caller's request for a service.
 func (b *RetryBudget) Request(now time.Duration, service string, policy RetryPolicy) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -65,7 +64,7 @@
 	window.requests = append(window.requests, now)
 }
 
-// Take tells whether a request may be sent once more, and counts it.
+// Take reports whether a request may be retried, and counts the retry if so.
 func (b *RetryBudget) Take(now time.Duration, service string, policy RetryPolicy) bool {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/coordination/balance/rollout.go
+++ b/internal/coordination/balance/rollout.go
@@ -11,38 +11,39 @@
 )
 
 const (
-	// canaryInstances is the part of a new version's instances in each zone that get the
-	// canary's requests. It is near the part of the requests, so that each of them has the
-	// load of any other instance: a version that fails under load shows it.
+	// canaryInstances is the share of the new version's instances in each zone that receive the
+	// canary's requests. It is close to the canary's share of the requests, so that each of these
+	// instances has the same load as any other instance and a version that fails under load is
+	// detected.
 	canaryInstances = 0.1
-	// mostCredit bounds the canary requests that a node may send at once after a time
-	// without an instance for them: the share is to be spent evenly.
+	// mostCredit bounds the number of canary requests that a node may send in a burst after a time
+	// without an instance for them, so that the share is spread evenly over time.
 	mostCredit = 2.0
-	// firstCredits is how many canary requests all nodes together may send before the
-	// requests that they are a share of have come: at a few requests a second each node
-	// would else send its first only after seconds.
+	// firstCredits is the number of canary requests that all nodes together may send before they
+	// have received the requests that earn these credits. Without it, at a few requests per second,
+	// each node would send its first canary request only after seconds.
 	firstCredits = 20.0
 )
 
-// RolloutShare is the part of a service's requests that a canary gets.
+// RolloutShare determines the share of a service's requests that goes to a canary.
 type RolloutShare struct {
-	// Share is the part of all requests that reach the service.
+	// Share is the fraction of the service's requests, from 0 to 1.
 	Share float64
 	// Nodes is the number of nodes that send requests.
 	Nodes int
 }
 
-// serviceRollout is what a table does for a service's rollout.
+// serviceRollout is a table's state of a service's rollout.
 type serviceRollout struct {
 	rollout.Rollout
 	share float64
-	// credit is how many requests the canary may get now.
+	// credit is the number of requests that may go to the canary now.
 	credit float64
-	// canaries are the instances of the new version that get the canary's requests.
+	// canaries holds the IDs of the instances of the new version that receive the canary's requests.
 	canaries map[string]bool
 }
 
-// SetRollouts replaces the rollouts. The share of one that is known goes on.
+// SetRollouts replaces the rollouts. A rollout with an unchanged revision keeps its credit.
 func (t *Table) SetRollouts(rollouts []rollout.Rollout, share RolloutShare) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -59,8 +60,8 @@
 	t.chooseCanaries()
 }
 
-// chooseCanaries names the instances for canaries, the same at all nodes that know the
-// same instances.
+// chooseCanaries selects the canary instances. All nodes that know the same instances select the
+// same ones.
 func (t *Table) chooseCanaries() {
 	for service, one := range t.rollouts {
 		one.canaries = map[string]bool{}
@@ -88,17 +89,16 @@
 	}
 }
 
-// isNew tells whether an instance has the rollout's version.
+// isNew reports whether an instance has the rollout's version.
 func (s *serviceRollout) isNew(one *member) bool { return one.Version == s.Version }
 
-// isRolledBack tells whether an instance has a version that was found to be bad.
+// isRolledBack reports whether an instance has a version that was rolled back.
 func (t *Table) isRolledBack(one *member) bool {
 	running := t.rollouts[one.Service]
 	return running != nil && running.Stage == rollout.RolledBack && running.isNew(one)
 }
 
-// candidatesInRollout returns the instances that may be chosen while a service's version
-// is replaced.
+// candidatesInRollout returns the instances that may be chosen while a service has a rollout.
 func (t *Table) candidatesInRollout(now time.Duration, request Request, running *serviceRollout) candidateSet {
 	isOld := func(one *member) bool { return !running.isNew(one) }
 	switch running.Stage {
@@ -109,7 +109,7 @@
 		if slices.ContainsFunc(t.byService[request.Service], isOld) {
 			return t.candidates(now, request, isOld)
 		}
-		// Nothing is left but the new version: it is not known to be bad.
+		// Only the new version is left, and it is not known to be bad.
 	case rollout.RolledBack:
 		return t.candidates(now, request, isOld)
 	case rollout.Moving, rollout.Done:
@@ -120,8 +120,8 @@
 	return t.candidates(now, request, anyMember)
 }
 
-// canariesFor returns the canary's instances if the request is one of its share. A request
-// that was tried elsewhere is none: what failed once is not risked again.
+// canariesFor returns the canary's instances if the request belongs to the canary's share. A request
+// that already failed at another instance never does, so that it is not put at risk again.
 func (t *Table) canariesFor(now time.Duration, request Request, running *serviceRollout) candidateSet {
 	if len(request.Exclude) > 0 {
 		return candidateSet{}
@@ -137,7 +137,7 @@
 	return healthy
 }
 
-// Versions are those of a service's instances that take new work.
+// Versions returns the versions of a service's instances that accept new work.
 func (t *Table) Versions(service string) []string {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -150,8 +150,8 @@
 	return versions
 }
 
-// OldUnderWay is the number of this node's requests at instances of a service that have
-// not the version of its rollout.
+// OldUnderWay returns the number of this node's requests in flight at instances of a service that
+// do not have the version of its rollout.
 func (t *Table) OldUnderWay(service string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/coordination/balance/rollout_test.go
+++ b/internal/coordination/balance/rollout_test.go
@@ -11,7 +11,7 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// twoVersions are instances of a service before and behind a rollout, in three zones.
+// twoVersions returns instances of a service's old and new version, in three zones.
 func twoVersions(each int) []registry.Instance {
 	var instances []registry.Instance
 	for _, version := range []string{"v1", "v2"} {
@@ -28,7 +28,7 @@
 	return []rollout.Rollout{{Order: rollout.Order{Service: "llm", Version: "v2"}, Revision: 9, Stage: stage}}
 }
 
-// ended are instances whose lives are over.
+// ended marks the instances as gone.
 func ended(instances []registry.Instance) []registry.Instance {
 	for position := range instances {
 		instances[position].State = registry.Gone
@@ -36,7 +36,7 @@
 	return instances
 }
 
-// chosenVersions sends requests through a table and counts them by version and instance.
+// chosenVersions sends requests through a table and counts the choices by version and instance.
 func chosenVersions(t *testing.T, table *Table, requests int) (byVersion, byInstance map[string]int) {
 	t.Helper()
 	byVersion, byInstance = map[string]int{}, map[string]int{}
@@ -54,8 +54,8 @@
 	return byVersion, byInstance
 }
 
-// All nodes together send a canary no more than its share, without a question to any other
-// node, and all to the same few instances.
+// All nodes together send a canary no more than its share, and all to the same few instances,
+// without communicating.
 func TestCanaryGetsItsShareFromAllNodesTogether(t *testing.T) {
 	const nodes, requests, share = 74, 60, 0.08
 	total, instances := 0, map[string]int{}
@@ -95,13 +95,13 @@
 		byVersion, _ := chosenVersions(t, table, 200)
 		assert.Equal(t, byVersion[want], 200, "%s: %v", stage, byVersion)
 	}
-	// What moves has nowhere to go yet: the old version goes on.
+	// The new version has no instances yet, so the old version keeps serving.
 	table := NewTable("zone-0")
 	table.Apply(twoVersions(6)[:6])
 	table.SetRollouts(inStage(rollout.Moving), RolloutShare{Share: 0.1, Nodes: 1})
 	byVersion, _ := chosenVersions(t, table, 20)
 	assert.Equal(t, byVersion["v1"], 20)
-	// What was rolled back gets nothing, whatever that leaves.
+	// A version that was rolled back receives nothing, even if no other instance is left.
 	table.Apply(ended(twoVersions(6)[:6]))
 	table.Apply(twoVersions(6)[6:])
 	table.SetRollouts(inStage(rollout.RolledBack), RolloutShare{Share: 0.1, Nodes: 1})
--- a/internal/coordination/balance/table.go
+++ b/internal/coordination/balance/table.go
@@ -1,12 +1,12 @@
 // Package balance chooses the instance that a request goes to.
 //
-// A request with a prompt goes where its first token is expected soonest: at
-// each instance the prompt tokens that are yet to be read before it, as far as
-// this node knows them, and those of its own that the instance does not hold.
-// Nodes agree without any talk on where a shared prompt part lives: rendezvous
-// hashing of the part over the instances names its home. Bytes to another zone
-// count as some tokens. Requests without a prompt go to the least busy
-// instance, the node's own zone first. Health is the node's own experience.
+// A request with a prompt goes to the instance at which its first token is expected earliest. The
+// expected time is measured in prompt tokens: those that the instance has yet to read before, as far
+// as this node knows them, and those of the request itself that the instance does not hold. All nodes
+// agree without communicating on which instance holds a shared prompt part: rendezvous hashing of the
+// part over the instances selects its home. Bytes sent to another zone are converted to tokens.
+// Requests without a prompt part go to the least loaded instance, with a preference for the node's
+// own zone. Health is judged from the node's own attempts only.
 package balance
 
 import (
@@ -22,30 +22,30 @@
 	"github.com/ravenway/ravenway/internal/state/evacuation"
 )
 
-// member is what this node knows of one life of an instance.
+// member is this node's state of one incarnation of an instance.
 type member struct {
 	registry.Instance
 	inFlight int
-	// pending are the prompt tokens of this node's requests that the instance
-	// has yet to read.
+	// pending is the number of prompt tokens of this node's requests that the instance has yet to
+	// read.
 	pending int
 	key     InstanceKey
-	// held is when each part was last sent here by this node, or by another one
-	// that told of it.
+	// held is when each part was last sent here by this node, or reported as sent here by another
+	// one.
 	held map[PartKey]time.Duration
-	// failures is the smoothed rate of failed requests.
+	// failures is the smoothed rate of failed requests, from 0 to 1.
 	failures float64
-	// pause is the current pause after failures to connect, until its end.
+	// pause is the current backoff after failures to connect, and pausedUntil its end.
 	pause       time.Duration
 	pausedUntil time.Duration
 	probedAt    time.Duration
-	// replaced tells that the instance is gone for good, though the registry
-	// may not know yet.
+	// replaced reports whether the instance is permanently gone, though the registry may not know
+	// yet.
 	replaced bool
-	// isOffered tells that it is among its service's members that take new work.
+	// isOffered reports whether it is among its service's members that accept new work.
 	isOffered bool
-	// hasEnded tells that the registry knows it to have ended; it is forgotten once no
-	// request is at it.
+	// hasEnded reports whether the registry lists it as ended. It is removed once no request is in
+	// flight there.
 	hasEnded bool
 	// restoredAt is when its zone was last restored, if isRestored is set.
 	restoredAt time.Duration
@@ -54,44 +54,47 @@
 	// wasSentCold is set.
 	sentColdAt  time.Duration
 	wasSentCold bool
-	// permitTokens is what the permit that a request needs counts for, as it was weighed
-	// for the choice that is being made.
+	// permitTokens is the cost of the permit that a request requires, in tokens, computed for the
+	// choice in progress.
 	permitTokens float64
 }
 
-// Table is safe for concurrent use. Times are those of a steady clock.
+// Table holds the instances that a node knows, and chooses among them. It is safe for concurrent use.
+// Times are readings of a monotonic clock.
 type Table struct {
 	zone    string
 	mutex   sync.Mutex
 	members map[string]*member
-	// byService are the members that take new work.
+	// byService holds the members that accept new work, ordered by ID.
 	byService map[string][]*member
 	zones     map[string]*zoneState
-	// regionOfZone is the region in which each zone stands, where that is known.
+	// regionOfZone holds the region of each zone whose region is known.
 	regionOfZone map[string]string
-	// speeds are how fast the services' instances were seen to read.
+	// speeds holds the observed read speed of each service.
 	speeds map[string]*readSpeed
-	// spilled are the parts sent elsewhere than to their homes and not told yet.
+	// spilled holds the parts that were sent to other instances than their homes and are not yet
+	// reported.
 	spilled []HeldPart
-	// others are the loads of the other nodes; nil means that they are not heard.
+	// others holds the loads of the other nodes; nil means not known.
 	others Loads
-	// evacuated are the zones whose instances get nothing new.
+	// evacuated holds the zones whose instances receive no new requests.
 	evacuated evacuation.Zones
-	// rollouts are the services' versions that replace others, by service.
+	// rollouts holds the rollout of each service that has one.
 	rollouts map[string]*serviceRollout
-	// senders tells which cold instances this node may send to.
+	// senders determines which cold instances this node may send to.
 	senders coldSenders
-	// over are the latest lives that newer ones have replaced.
+	// over holds the latest incarnations that were replaced by newer ones.
 	over []overLife
-	// limits are the limits that instances in need name; nil means that none does.
+	// limits holds the rate limits that overloaded instances name; nil means that there are none.
 	limits *ratelimit.Limits
-	// backoff are the pauses that instances asked this node for; nil means that none did.
+	// backoff tracks the pauses that instances requested from this node; nil means that there are
+	// none.
 	backoff *backoff.Tracker
-	// random draws a number from 0 to below 1.
+	// random returns a random number in [0, 1).
 	random func() float64
 }
 
-// NewTable makes a table for a node in a zone.
+// NewTable returns an empty table for a node in a zone.
 func NewTable(zone string) *Table {
 	return &Table{
 		zone: zone, members: map[string]*member{}, byService: map[string][]*member{}, zones: map[string]*zoneState{},
@@ -99,11 +102,12 @@
 	}
 }
 
-// SetRandom replaces the source of random numbers from 0 to below 1, before the first use.
+// SetRandom replaces the source of random numbers in [0, 1). It must be called before the table is
+// used.
 func (t *Table) SetRandom(random func() float64) { t.random = random }
 
-// Apply takes changes of the registry. It returns the instances whose lives newer ones
-// have replaced: nothing that was known of them holds any more.
+// Apply applies changes of the registry. It returns the incarnations that were replaced by newer
+// ones; the state that was kept for them is no longer valid.
 func (t *Table) Apply(changes []registry.Instance) (replaced []registry.Instance) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -127,7 +131,7 @@
 	return replaced
 }
 
-// take notes a live instance's state.
+// take updates the member of a live instance; known is nil if it is new.
 func (t *Table) take(known *member, instance registry.Instance) {
 	if known == nil {
 		known = &member{key: KeyOf(instance.Life()), held: map[PartKey]time.Duration{}}
@@ -144,7 +148,7 @@
 	}
 }
 
-// end notes that an instance has ended; nil is one that was never known.
+// end records that an instance has ended; known is nil if it was never known.
 func (t *Table) end(known *member) {
 	if known == nil {
 		return
@@ -161,8 +165,8 @@
 	delete(t.members, known.ID)
 }
 
-// offer lets new work go to an instance; withdraw ends that. A service's instances are in
-// order, so that all nodes see them alike.
+// offer makes an instance eligible for new work, and withdraw reverts that. A service's instances are
+// ordered by ID, so that all nodes process them in the same order.
 func (t *Table) offer(one *member) {
 	members := t.byService[one.Service]
 	place, _ := slices.BinarySearchFunc(members, one.ID, compareID)
@@ -183,7 +187,8 @@
 
 func compareID(one *member, id string) int { return cmp.Compare(one.ID, id) }
 
-// Instance returns what is known of a life; false if it is over or was never heard of.
+// Instance returns the registry's data of an incarnation, or false if it has ended or was never
+// known.
 func (t *Table) Instance(life registry.Life) (registry.Instance, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -194,7 +199,7 @@
 	return known.Instance, true
 }
 
-// HasZone tells whether an instance stands in a zone.
+// HasZone reports whether an instance is in a zone.
 func (t *Table) HasZone(zone string) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -206,14 +211,14 @@
 	return false
 }
 
-// Size returns the number of instances of a service that take new work.
+// Size returns the number of instances of a service that accept new work.
 func (t *Table) Size(service string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return len(t.byService[service])
 }
 
-// InFlight is the number of this node's requests under way at a life of an instance.
+// InFlight returns the number of this node's requests in flight at an incarnation of an instance.
 func (t *Table) InFlight(life registry.Life) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -223,7 +228,7 @@
 	return 0
 }
 
-// OwnLoads are this node's requests under way.
+// OwnLoads returns the loads of this node's requests in flight.
 func (t *Table) OwnLoads() Loads {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -236,16 +241,15 @@
 	return loads
 }
 
-// SetOthersLoads replaces what the other nodes have under way; nil means that
-// it is not known.
+// SetOthersLoads replaces the loads of the other nodes; nil means that they are not known.
 func (t *Table) SetOthersLoads(others Loads) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.others = others
 }
 
-// SetEvacuated replaces the zones whose instances get nothing new. What they have
-// under way ends there; those of a zone that is restored are taken for cold.
+// SetEvacuated replaces the zones whose instances receive no new requests. Requests in flight there
+// run to their end. The instances of a zone that is restored count as cold.
 func (t *Table) SetEvacuated(now time.Duration, zones evacuation.Zones) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
