--- a/internal/coordination/balance/backoff.go
+++ b/internal/coordination/balance/backoff.go
@@ -30,11 +30,11 @@
 	t.backoff = tracker
 }
 
-// isTried reports whether an instance that may be recovering from a pause counts as healthy for a
-// request. Only a few trial requests at a time probe whether the instance accepts work again, and
-// a request that could not be retried at another instance is never one of them.
-func isTried(standing backoff.Standing, request Request) bool {
-	return standing.Phase != backoff.Returning || standing.HasTrial && !request.IsLastAttempt
+// isTrialAllowed reports whether an instance that may be recovering from a pause counts as healthy
+// for a request. Only a few trial requests at a time probe whether the instance accepts work again,
+// and a request that could not be retried at another instance is never one of them.
+func isTrialAllowed(status backoff.Standing, request Request) bool {
+	return status.Phase != backoff.Returning || status.HasTrial && !request.IsLastAttempt
 }
 
 // Admit returns nil if a request may still be written to a chosen instance. The instance may have
@@ -42,9 +42,9 @@
 func (t *Table) Admit(now time.Duration, choice Choice) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	switch standing := t.backoff.Standing(now, choice.Life()); standing.Phase {
+	switch status := t.backoff.Standing(now, choice.Life()); status.Phase {
 	case backoff.Paused:
-		return fmt.Errorf("%w, which ends in %d ms", ErrPaused, standing.Wait.Milliseconds())
+		return fmt.Errorf("%w, which ends in %d ms", ErrPaused, status.Wait.Milliseconds())
 	case backoff.Leaving:
 		return ErrLeaving
 	case backoff.Open, backoff.Returning:
@@ -79,24 +79,24 @@
 	}
 	found, isFirst, isAnyOpen := Availability{}, true, false
 	for _, one := range t.byService[request.Service] {
-		if !t.isAllowed(one, request) || t.isRolledBack(one) {
+		if !t.isPlacementAllowed(one, request) || t.isRolledBack(one) {
 			continue
 		}
-		room, hasLimit := t.limits.Room(now, one.Life())
-		isLimited := hasLimit && room.Wait > request.PermitPatience && !slices.Contains(request.Exclude, one.ID)
-		standing := t.backoff.Standing(now, one.Life())
-		if standing.Phase == backoff.Leaving {
+		headroom, hasLimit := t.limits.Room(now, one.Life())
+		isLimited := hasLimit && headroom.Wait > request.PermitPatience && !slices.Contains(request.Exclude, one.ID)
+		status := t.backoff.Standing(now, one.Life())
+		if status.Phase == backoff.Leaving {
 			continue
 		}
-		isPaused := standing.Phase == backoff.Paused
+		isPaused := status.Phase == backoff.Paused
 		if !isLimited && !isPaused {
 			isAnyOpen = true
 			continue
 		}
 		if isLimited {
-			found.PerSecond += max(room.PerSecond, ratelimit.LeastRate)
+			found.PerSecond += max(headroom.PerSecond, ratelimit.LeastRate)
 		}
-		wait := max(standing.Wait, room.Wait)
+		wait := max(status.Wait, headroom.Wait)
 		if isFirst || wait < found.Wait {
 			found.Wait, found.IsPause, isFirst = wait, isPaused, false
 		}
--- a/internal/coordination/balance/backoff_test.go
+++ b/internal/coordination/balance/backoff_test.go
@@ -13,13 +13,13 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// exactEnd ends pauses exactly at the requested time.
-var exactEnd = backoff.ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
+// exactResume ends pauses exactly at the requested time.
+var exactResume = backoff.ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
 
 // pausedTable returns a table with ready instances of the service s, and the tracker of their
 // pauses.
 func pausedTable(ids ...string) (*Table, *backoff.Tracker) {
-	table, tracker := NewTable("a"), backoff.NewTracker(exactEnd)
+	table, tracker := NewTable("a"), backoff.NewTracker(exactResume)
 	table.SetBackoff(tracker)
 	var instances []registry.Instance
 	for _, id := range ids {
@@ -29,11 +29,11 @@
 	return table, tracker
 }
 
-func pauseInstance(tracker *backoff.Tracker, id string, now, lasting time.Duration) {
-	tracker.Learn(now, registry.Life{ID: id}, backoff.Request{ID: "r", WrittenAt: now}, backoff.Said{Pause: lasting})
+func pauseInstance(tracker *backoff.Tracker, id string, now, duration time.Duration) {
+	tracker.Learn(now, registry.Life{ID: id}, backoff.Request{ID: "r", WrittenAt: now}, backoff.Said{Pause: duration})
 }
 
-func TestPausedInstanceIsNotChosenWhateverElseIsLeft(t *testing.T) {
+func TestPausedInstanceIsNeverChosen(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	pauseInstance(tracker, "i-0", 0, 3*time.Second)
 	for range 20 {
@@ -48,7 +48,7 @@
 
 // Guards against a pause that is lost when the registry entry changes: within one incarnation the
 // lease can expire, and the instance can switch between draining and ready.
-func TestPauseOutlivesTheInstancesEntry(t *testing.T) {
+func TestPauseSurvivesChangesOfTheRegistryEntry(t *testing.T) {
 	table, tracker := pausedTable("i-0")
 	pauseInstance(tracker, "i-0", 0, 3*time.Second)
 	for sequence, state := range []registry.State{registry.Expired, registry.Ready, registry.Draining, registry.Ready} {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestInstanceComingBackIsTriedByFewAndByNoLastAttempt(t *testing.T) {
+func TestRecoveringInstanceGetsFewTrialsAndNoLastAttempt(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	pauseInstance(tracker, "i-0", 0, time.Second)
 	// i-1 has far more requests in flight.
@@ -80,7 +80,7 @@
 	assert.Equal(t, third.ID, "i-0")
 }
 
-func TestInstanceThatWasChosenMayTakeNothingByTheTimeOfWriting(t *testing.T) {
+func TestAdmitRejectsAChosenInstanceThatPausedOrDrained(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	choice, _ := table.Choose(0, Request{Service: "s"})
 	assert.NilError(t, table.Admit(0, choice))
@@ -93,7 +93,7 @@
 	assert.ErrorIs(t, table.Admit(time.Second, choice), ErrWithdrawn)
 }
 
-func TestServiceIsAvailableAsTheFirstPauseEnds(t *testing.T) {
+func TestServiceIsAvailableWhenTheFirstPauseEnds(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	request := Request{Service: "s", Exclude: []string{"i-0"}}
 	_, found := table.NextAvailable(0, request)
@@ -102,12 +102,12 @@
 	_, found = table.NextAvailable(0, request)
 	assert.Assert(t, !found, "i-1 is open")
 	pauseInstance(tracker, "i-1", 0, 5*time.Second)
-	back, found := table.NextAvailable(time.Second, request)
+	availability, found := table.NextAvailable(time.Second, request)
 	assert.Assert(t, found)
-	assert.DeepEqual(t, back, Availability{Wait: 2 * time.Second, IsPause: true})
+	assert.DeepEqual(t, availability, Availability{Wait: 2 * time.Second, IsPause: true})
 }
 
-func TestServiceIsAvailableAsALimitHasRoomBeforeAPauseEnds(t *testing.T) {
+func TestServiceIsAvailableWhenALimitHasHeadroomBeforeAPauseEnds(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	limits := ratelimit.New("node")
 	table.SetLimits(limits)
@@ -115,15 +115,15 @@
 	limited := registry.Life{ID: "i-1"}
 	limits.Learn(0, limited, ratelimit.Said{IsNamed: true, PerSecond: 0.5}, 0)
 	limits.Answered(0, limited, ratelimit.Answer{FreeMS: 2000})
-	back, found := table.NextAvailable(0, Request{Service: "s"})
+	availability, found := table.NextAvailable(0, Request{Service: "s"})
 	assert.Assert(t, found)
-	assert.Equal(t, back.IsPause, false)
-	assert.Equal(t, back.Wait, 2*time.Second)
+	assert.Equal(t, availability.IsPause, false)
+	assert.Equal(t, availability.Wait, 2*time.Second)
 }
 
 // Guards against a delayed heartbeat with state ready that makes an instance eligible again after
 // it signalled that it leaves.
-func TestLeavingInstanceIsNotChosenWhateverTheRegistrySays(t *testing.T) {
+func TestLeavingInstanceIsNotChosenAfterALateReadyHeartbeat(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	choice, _ := table.Choose(0, Request{Service: "s", Exclude: []string{"i-1"}})
 	tracker.Learn(0, registry.Life{ID: "i-0"}, backoff.Request{ID: "r"}, backoff.Said{IsLeaving: true})
@@ -163,9 +163,9 @@
 
 // Guards against rollout stages that bypass pauses: requests of the canary share, requests that
 // move to the new version, and requests after a rollback while the old version is paused.
-func TestPausesAreKeptInEveryStageOfARollout(t *testing.T) {
+func TestPausesApplyInEveryRolloutStage(t *testing.T) {
 	for stage, want := range map[rollout.Stage]string{rollout.Canary: "v1", rollout.Moving: "v1", rollout.Done: "v1", rollout.RolledBack: "v1"} {
-		table, tracker := NewTable("zone-0"), backoff.NewTracker(exactEnd)
+		table, tracker := NewTable("zone-0"), backoff.NewTracker(exactResume)
 		table.SetBackoff(tracker)
 		table.Apply(twoVersions(3))
 		table.SetRollouts(inStage(stage), RolloutShare{Share: 1, Nodes: 1})
@@ -184,8 +184,8 @@
 
 // Guards against a retry time for callers that is too early because it counts instances of a
 // version that was rolled back.
-func TestRolledBackVersionMakesAServiceNoSoonerAvailable(t *testing.T) {
-	table, tracker := NewTable("zone-0"), backoff.NewTracker(exactEnd)
+func TestRolledBackVersionDoesNotAdvanceTheRetryTime(t *testing.T) {
+	table, tracker := NewTable("zone-0"), backoff.NewTracker(exactResume)
 	table.SetBackoff(tracker)
 	table.Apply(twoVersions(3))
 	table.SetRollouts(inStage(rollout.RolledBack), RolloutShare{Share: 1, Nodes: 1})
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -27,7 +27,7 @@
 	return table
 }
 
-func TestNodesAgreeOnAPartsInstanceWithoutTalk(t *testing.T) {
+func TestNodesAgreeOnTheHomeOfAPartWithoutCommunicating(t *testing.T) {
 	one, other := tableOf("a", instances(12)), tableOf("b", instances(12))
 	for number := range 50 {
 		request := Request{Service: "llm", Part: fmt.Sprintf("part-%d", number), Cost: 1}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestBusyInstancesPartSpillsOver(t *testing.T) {
+func TestPartOfABusyInstanceSpillsOver(t *testing.T) {
 	table := tableOf("a", instances(12))
 	request := Request{Service: "llm", Part: "hot", Cost: 1}
 	seen := map[string]int{}
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestUnreachableInstanceRestsAndIsTriedAgain(t *testing.T) {
+func TestUnreachableInstanceIsAvoidedAndTriedAgain(t *testing.T) {
 	table := tableOf("a", instances(2))
 	choice, _ := table.Choose(0, Request{Service: "llm"})
 	table.Done(0, choice, Unreachable)
@@ -95,7 +95,7 @@
 
 // Guards against the fault of the drukwacht incident inc-1cdb, seconds 34 to 40: after a zone was
 // partitioned, every node tried each of its engines, and each attempt took a full connect timeout.
-func TestZoneThatIsCutOffIsLearnedFromTwoOfItsInstances(t *testing.T) {
+func TestPartitionedZoneIsDetectedFromTwoUnreachableInstances(t *testing.T) {
 	table := tableOf("a", instances(12))
 	now, lost := time.Duration(0), 0
 	for turn := range 60 {
@@ -110,19 +110,19 @@
 	}
 	assert.Assert(t, lost <= 6, "%d requests failed at the partitioned zone", lost)
 	table.Done(now, Choice{Instance: instances(2)[1]}, Served)
-	back := 0
+	recovered := 0
 	for turn := range 60 {
 		now += 100 * time.Millisecond
 		choice, _ := table.Choose(now, Request{Service: "llm", Part: fmt.Sprintf("part-%d", turn), Cost: 1})
 		if choice.Zone == "b" {
-			back++
+			recovered++
 		}
 		table.Done(now, choice, Served)
 	}
-	assert.Assert(t, back > 5, "%d", back)
+	assert.Assert(t, recovered > 5, "%d", recovered)
 }
 
-func TestRetriesStayWithinTheNodesPartOfTheWindow(t *testing.T) {
+func TestRetriesStayWithinTheNodesShareOfTheWindow(t *testing.T) {
 	budget := NewRetryBudget()
 	policy := RetryPolicy{Window: 10 * time.Second, Ratio: 0.2, Slack: 14, Nodes: 7}
 	for range 100 {
@@ -141,7 +141,7 @@
 
 // Guards against the fault of zhf scale-1: five engines crashed and restarted, and every node kept
 // trying their old incarnations until the registry removed them.
-func TestInstanceWhoseAddressHasAnotherIsNeverTriedAgain(t *testing.T) {
+func TestReplacedInstanceIsNeverTriedAgain(t *testing.T) {
 	table := tableOf("a", instances(2))
 	choice, _ := table.Choose(0, Request{Service: "llm"})
 	table.Done(0, choice, Replaced)
--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -13,13 +13,13 @@
 const (
 	// MiddleTokens is the work of a medium-sized request, in tokens.
 	MiddleTokens = 8000
-	// blindFactor scales a node's own load at an instance to an estimate of the total load there
-	// while the loads of the other nodes are unknown.
-	blindFactor = 2
-	// tokensOverSlots is the cost of each request beyond an instance's slots, in tokens.
-	tokensOverSlots = 4000
-	// tokensPerFarByte is the cost of each body byte that is sent to another zone, in tokens.
-	tokensPerFarByte = 0.15
+	// unknownLoadFactor scales a node's own load at an instance to an estimate of the total load
+	// there while the loads of the other nodes are unknown.
+	unknownLoadFactor = 2
+	// tokensPerExcessRequest is the cost of each request beyond an instance's slots, in tokens.
+	tokensPerExcessRequest = 4000
+	// tokensPerCrossZoneByte is the cost of each body byte that is sent to another zone, in tokens.
+	tokensPerCrossZoneByte = 0.15
 	// scatterTokens is the maximum random cost, in tokens, that is added to an instance that holds
 	// no part of the request. Without it, nodes with the same data would all choose the same
 	// instance.
@@ -66,8 +66,8 @@
 // Choice is a chosen instance.
 type Choice struct {
 	registry.Instance
-	// pending is the number of prompt tokens that the instance has to read for this request.
-	pending int
+	// pendingTokens is the number of prompt tokens that the instance has to read for this request.
+	pendingTokens int
 	// isTrial reports whether the request counts as a trial that probes whether the instance has
 	// recovered from its pause.
 	isTrial bool
@@ -103,18 +103,18 @@
 	spilled := false
 	choice := Choice{Candidates: len(candidates.open)}
 	if request.Part != "" {
-		chosen, spilled = t.chooseSoonest(now, candidates, request, &choice)
+		chosen, spilled = t.chooseEarliestFirstToken(now, candidates, request, &choice)
 	} else {
-		chosen = t.chooseLeastBusy(candidates.open)
+		chosen = t.chooseLeastLoaded(candidates.open)
 	}
-	if state := t.zones[chosen.Zone]; state != nil && now < state.pausedUntil {
+	if state := t.zones[chosen.Zone]; state != nil && now < state.avoidedUntil {
 		state.probedAt = now
 	}
-	chosen.noteSentCold(now, request.Cold)
+	chosen.noteColdRequest(now, request.Cold)
 	choice.isTrial = t.backoff.BeginTrial(now, chosen.Life())
 	chosen.inFlight++
-	chosen.pending += choice.Unread
-	choice.Instance, choice.Spilled, choice.pending = chosen.Instance, spilled, choice.Unread
+	chosen.pendingTokens += choice.Unread
+	choice.Instance, choice.Spilled, choice.pendingTokens = chosen.Instance, spilled, choice.Unread
 	return choice, true
 }
 
@@ -167,25 +167,25 @@
 // zone or in a region that is not allowed for the request, are paused or leaving, or are cold and
 // accept no request from this node now, even if no candidate remains.
 func (t *Table) candidates(now time.Duration, request Request, isAmong func(*member) bool) candidateSet {
-	healthy, others := t.sortCandidates(now, request, isAmong)
+	healthy, others := t.classifyCandidates(now, request, isAmong)
 	if len(healthy.open) > 0 {
 		return healthy
 	}
 	return others
 }
 
-func (t *Table) sortCandidates(now time.Duration, request Request, isAmong func(*member) bool) (healthy, others candidateSet) {
-	average := t.averageFailures(request.Service)
+func (t *Table) classifyCandidates(now time.Duration, request Request, isAmong func(*member) bool) (healthy, others candidateSet) {
+	average := t.averageFailureRate(request.Service)
 	for _, one := range t.byService[request.Service] {
-		if !isAmong(one) || !t.mayServe(one, request) || request.MaxInFlight > 0 && one.inFlight >= request.MaxInFlight || !t.bears(now, one, request.Cold) {
+		if !isAmong(one) || !t.mayServe(one, request) || request.MaxInFlight > 0 && one.inFlight >= request.MaxInFlight || !t.acceptsWhileCold(now, one, request.Cold) {
 			continue
 		}
-		standing := t.backoff.Standing(now, one.Life())
-		if standing.Phase == backoff.Paused || standing.Phase == backoff.Leaving {
+		status := t.backoff.Standing(now, one.Life())
+		if status.Phase == backoff.Paused || status.Phase == backoff.Leaving {
 			continue
 		}
 		isLimited := t.weighPermit(now, one, request.PermitPatience)
-		if isTried(standing, request) && one.isHealthy(now, average) && t.zoneIsOpen(now, one.Zone) {
+		if isTrialAllowed(status, request) && one.isHealthy(now, average) && t.isZoneOpen(now, one.Zone) {
 			healthy.add(one, isLimited)
 			continue
 		}
@@ -197,78 +197,78 @@
 // mayServe reports whether the request was not yet tried at an instance and whether the instance's
 // zone and region are allowed.
 func (t *Table) mayServe(one *member, request Request) bool {
-	return !slices.Contains(request.Exclude, one.ID) && t.isAllowed(one, request)
+	return !slices.Contains(request.Exclude, one.ID) && t.isPlacementAllowed(one, request)
 }
 
-// isAllowed reports whether a request may go to the zone and region of an instance.
-func (t *Table) isAllowed(one *member, request Request) bool {
+// isPlacementAllowed reports whether a request may go to the zone and region of an instance.
+func (t *Table) isPlacementAllowed(one *member, request Request) bool {
 	return !t.evacuated.Contains(one.Zone) && request.Regions.Contains(t.regionOfZone[one.Zone])
 }
 
-// expected holds the expected cost of a request at one instance, in tokens; requests is the number
-// of requests in flight there.
-type expected struct {
-	ahead, unread, requests      int
-	reread, far, scatter, paused float64
+// expectedCost holds the expected cost of a request at one instance, in tokens; requests is the
+// number of requests in flight there.
+type expectedCost struct {
+	ahead, unread, requests            int
+	reread, crossZone, scatter, stalls float64
 	// permit is the cost of the permit that the instance's rate limit requires.
 	permit float64
 }
 
-func (e expected) total() float64 {
-	return float64(e.ahead+e.unread) + e.reread + e.far + e.scatter + e.paused + e.permit
+func (e expectedCost) total() float64 {
+	return float64(e.ahead+e.unread) + e.reread + e.crossZone + e.scatter + e.stalls + e.permit
 }
 
-// chooseSoonest picks the instance at which the first token is expected earliest.
-func (t *Table) chooseSoonest(now time.Duration, candidates candidateSet, request Request, choice *Choice) (*member, bool) {
+// chooseEarliestFirstToken picks the instance at which the first token is expected earliest.
+func (t *Table) chooseEarliestFirstToken(now time.Duration, candidates candidateSet, request Request, choice *Choice) (*member, bool) {
 	home := homeOf(candidates, request.Part)
 	var chosen *member
-	var best expected
+	var best expectedCost
 	for _, one := range candidates.open {
-		expects := t.expect(now, one, request, one == home)
-		if chosen == nil || expects.total() < best.total() {
-			chosen, best = one, expects
+		cost := t.expect(now, one, request, one == home)
+		if chosen == nil || cost.total() < best.total() {
+			chosen, best = one, cost
 		}
 	}
 	choice.Ahead, choice.Unread, choice.AheadKnown = best.ahead, best.unread, t.others != nil
-	choice.Reread, choice.Far, choice.Streams = int(best.reread), int(best.far), best.requests
-	choice.Paused, choice.Permit = int(best.paused), int(best.permit)
+	choice.Reread, choice.Far, choice.Streams = int(best.reread), int(best.crossZone), best.requests
+	choice.Paused, choice.Permit = int(best.stalls), int(best.permit)
 	part := keyOfPart(request.Part)
-	chosen.hold(now, part)
+	chosen.noteHeld(now, part)
 	if chosen != home && request.SharedTokens > 0 {
 		t.spilled = appendParts(t.spilled, []HeldPart{{Part: part, Instance: chosen.key}})
 	}
 	return chosen, chosen != home
 }
 
-func (t *Table) expect(now time.Duration, one *member, request Request, isHome bool) expected {
-	expects := expected{ahead: one.pending, unread: request.Tokens, permit: one.permitTokens}
+func (t *Table) expect(now time.Duration, one *member, request Request, isHome bool) expectedCost {
+	cost := expectedCost{ahead: one.pendingTokens, unread: request.Tokens, permit: one.permitTokens}
 	requests := one.inFlight
 	if request.Tokens == 0 {
-		expects.unread = int(request.Cost * MiddleTokens)
+		cost.unread = int(request.Cost * MiddleTokens)
 	}
 	if t.others != nil {
 		others := t.others[one.key]
-		expects.ahead += others.Tokens
+		cost.ahead += others.Tokens
 		requests += others.Requests
 	} else {
-		expects.ahead *= blindFactor
-		requests *= blindFactor
+		cost.ahead *= unknownLoadFactor
+		requests *= unknownLoadFactor
 	}
-	expects.requests = requests
+	cost.requests = requests
 	if one.Slots > 0 {
-		expects.ahead += max(0, requests+1-one.Slots) * tokensOverSlots
+		cost.ahead += max(0, requests+1-one.Slots) * tokensPerExcessRequest
 	}
 	if isHome || one.holds(now, keyOfPart(request.Part)) {
-		expects.unread = max(0, expects.unread-request.SharedTokens)
+		cost.unread = max(0, cost.unread-request.SharedTokens)
 	} else {
-		expects.reread = rereadWeight * float64(request.SharedTokens)
-		expects.scatter = t.random() * scatterTokens
+		cost.reread = rereadWeight * float64(request.SharedTokens)
+		cost.scatter = t.random() * scatterTokens
 	}
-	expects.paused = t.speedOf(one.Service).pausedTokens(requests, expects.ahead, expects.unread, request.Gap)
+	cost.stalls = t.speedOf(one.Service).stallCost(requests, cost.ahead, cost.unread, request.Gap)
 	if one.Zone != t.zone {
-		expects.far = float64(request.Bytes) * tokensPerFarByte
+		cost.crossZone = float64(request.Bytes) * tokensPerCrossZoneByte
 	}
-	return expects
+	return cost
 }
 
 // homeOf returns the home of a prompt part: the instance that rendezvous hashing of the part over
@@ -284,7 +284,7 @@
 	return home
 }
 
-func (t *Table) chooseLeastBusy(candidates []*member) *member {
+func (t *Table) chooseLeastLoaded(candidates []*member) *member {
 	var best *member
 	bestScore := math.Inf(1)
 	for _, one := range candidates {
@@ -292,7 +292,7 @@
 		if one.Zone != t.zone {
 			score += otherZonePenalty
 		}
-		score += one.permitTokens / tokensOverSlots
+		score += one.permitTokens / tokensPerExcessRequest
 		if score < bestScore {
 			best, bestScore = one, score
 		}
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -64,8 +64,8 @@
 	return rank < max(1, int(rate))
 }
 
-// pace returns the minimum time between two requests of one sender to a cold instance.
-func (p ColdPolicy) pace() time.Duration {
+// requestInterval returns the minimum time between two requests of one sender to a cold instance.
+func (p ColdPolicy) requestInterval() time.Duration {
 	if p.Rate >= 1 {
 		return coldInterval
 	}
@@ -82,19 +82,19 @@
 	return now < m.ColdUntil || m.isRestored && now < m.restoredAt+policy.Time
 }
 
-// bears reports whether an instance is not cold, or this node may send it a request now although
+// acceptsWhileCold reports whether an instance is not cold, or this node may send it a request now although
 // it is.
-func (t *Table) bears(now time.Duration, one *member, policy ColdPolicy) bool {
+func (t *Table) acceptsWhileCold(now time.Duration, one *member, policy ColdPolicy) bool {
 	if !one.isCold(now, policy) {
 		return true
 	}
-	isPaced := one.wasSentCold && now-one.sentColdAt < policy.pace()
+	isPaced := one.hasColdRequest && now-one.coldRequestAt < policy.requestInterval()
 	return !isPaced && t.senders.isSender(one.ID, policy.Rate)
 }
 
-// noteSentCold records the time of a request if the instance is cold.
-func (m *member) noteSentCold(now time.Duration, policy ColdPolicy) {
+// noteColdRequest records the time of a request if the instance is cold.
+func (m *member) noteColdRequest(now time.Duration, policy ColdPolicy) {
 	if m.isCold(now, policy) {
-		m.wasSentCold, m.sentColdAt = true, now
+		m.hasColdRequest, m.coldRequestAt = true, now
 	}
 }
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -13,9 +13,9 @@
 	"github.com/ravenway/ravenway/internal/state/evacuation"
 )
 
-// coldReturn is a load scenario: 85 entry nodes, 38 engines of one zone that is restored with all
+// coldRestore is a load scenario: 85 entry nodes, 38 engines of one zone that is restored with all
 // of them cold at the same moment, and engines in another zone that are warm.
-type coldReturn struct {
+type coldRestore struct {
 	// perSecond is the request rate of all nodes together.
 	perSecond int
 	// policy is the cold policy that the nodes apply.
@@ -34,12 +34,12 @@
 )
 
 type coldResult struct {
-	// mostInASecond is the maximum number of requests that one cold engine received within a
+	// maximumPerSecond is the maximum number of requests that one cold engine received within a
 	// second. refused is the number of requests for which no engine was found.
-	mostInASecond, onCold, onWarm, refused int
+	maximumPerSecond, onCold, onWarm, refused int
 }
 
-func (c coldReturn) run(seed uint64) coldResult {
+func (c coldRestore) run(seed uint64) coldResult {
 	random := rand.New(rand.NewPCG(seed, 1))
 	var all []registry.Instance
 	for number := range coldEngines + c.warm {
@@ -76,8 +76,8 @@
 	restoredAt := time.Second
 	isRestored := false
 	nextLoads := time.Duration(0)
-	pause := time.Second / time.Duration(c.perSecond)
-	for now := time.Duration(0); now < restoredAt+coldFor; now += pause {
+	interval := time.Second / time.Duration(c.perSecond)
+	for now := time.Duration(0); now < restoredAt+coldFor; now += interval {
 		if !isRestored && now >= restoredAt {
 			isRestored = true
 			for _, table := range tables {
@@ -118,7 +118,7 @@
 			for last < len(times) && times[last] < times[first]+time.Second {
 				last++
 			}
-			result.mostInASecond = max(result.mostInASecond, last-first)
+			result.maximumPerSecond = max(result.maximumPerSecond, last-first)
 		}
 	}
 	return result
@@ -145,13 +145,13 @@
 // A cold engine fails well above 6.6 requests per second. The requirement allows 14.9 requests
 // within a second.
 const (
-	coldRate     = 6.6
-	coldMostEver = 14
+	coldRate            = 6.6
+	maximumColdRequests = 14
 )
 
-func TestColdEnginesGetWhatTheyBearWhenAZoneComesBackAtOnce(t *testing.T) {
+func TestColdEnginesAreNotOverloadedWhenAZoneIsRestored(t *testing.T) {
 	policy := ColdPolicy{Rate: coldRate, Time: coldFor}
-	for _, load := range []coldReturn{
+	for _, load := range []coldRestore{
 		{perSecond: 400, policy: policy, warm: warmEngines},
 		{perSecond: 3000, policy: policy, warm: warmEngines},
 		{perSecond: 1200, policy: policy, warm: warmEngines, unaware: 8},
@@ -160,17 +160,17 @@
 	} {
 		got := load.run(1)
 		t.Logf("%d a second, %d warm, %d unaware: %+v", load.perSecond, load.warm, load.unaware, got)
-		assert.Assert(t, got.mostInASecond <= coldMostEver)
+		assert.Assert(t, got.maximumPerSecond <= maximumColdRequests)
 		assert.Equal(t, got.refused, 0)
 		assert.Assert(t, got.onCold > 0)
 	}
 	// Without the bound the same burst overloads them.
-	unbound := coldReturn{perSecond: 3000, warm: warmEngines}.run(0)
+	unbound := coldRestore{perSecond: 3000, warm: warmEngines}.run(0)
 	t.Logf("without a bound: %+v", unbound)
-	assert.Assert(t, unbound.mostInASecond > coldMostEver)
+	assert.Assert(t, unbound.maximumPerSecond > maximumColdRequests)
 }
 
-func TestNodeThatKnowsNoOthersSendsNothingToColdInstances(t *testing.T) {
+func TestNodeSendsNothingToColdInstancesBeforeItKnowsTheOthers(t *testing.T) {
 	all := instances(2)
 	all[0].ColdUntil = time.Second
 	table := tableOf("a", all)
--- a/internal/coordination/balance/health.go
+++ b/internal/coordination/balance/health.go
@@ -7,22 +7,23 @@
 )
 
 const (
-	// The backoff after a failure to connect doubles from firstPause up to lastPause.
-	firstPause = 250 * time.Millisecond
-	lastPause  = 2 * time.Second
-	// A zone counts as partitioned when zoneInstances of its instances were unreachable within
-	// zoneWindow. It is then avoided for zonePause, except for one probe request per zoneProbe,
-	// until one of its instances responds.
-	zoneInstances = 2
-	zoneWindow    = 1500 * time.Millisecond
-	zonePause     = 3 * time.Second
-	zoneProbe     = 400 * time.Millisecond
+	// The backoff after a failure to connect doubles from initialConnectBackoff up to
+	// maximumConnectBackoff.
+	initialConnectBackoff = 250 * time.Millisecond
+	maximumConnectBackoff = 2 * time.Second
+	// A zone counts as partitioned when zoneUnreachableInstances of its instances were unreachable
+	// within zoneFailureWindow. It is then avoided for zoneAvoidTime, except for one probe request
+	// per zoneProbeInterval, until one of its instances responds.
+	zoneUnreachableInstances = 2
+	zoneFailureWindow        = 1500 * time.Millisecond
+	zoneAvoidTime            = 3 * time.Second
+	zoneProbeInterval        = 400 * time.Millisecond
 	// failureWeight is the weight of one outcome in the exponentially smoothed failure rate.
 	failureWeight = 0.15
 	// An instance is avoided while its failure rate exceeds the service's average by failureMargin.
 	failureMargin = 0.3
-	// probeEvery is the time between two requests that probe an avoided instance.
-	probeEvery = 1500 * time.Millisecond
+	// probeInterval is the time between two requests that probe an avoided instance.
+	probeInterval = 1500 * time.Millisecond
 )
 
 // Outcome is the result of one attempt at an instance.
@@ -47,9 +48,9 @@
 type zoneState struct {
 	// unreachable holds, by instance ID, the time of the last failure to connect since an instance
 	// of the zone last responded.
-	unreachable map[string]time.Duration
-	pausedUntil time.Duration
-	probedAt    time.Duration
+	unreachable  map[string]time.Duration
+	avoidedUntil time.Duration
+	probedAt     time.Duration
 }
 
 // Started records that an instance has read a request's prompt, and how long that took from the
@@ -57,13 +58,13 @@
 func (t *Table) Started(choice *Choice, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if choice.Ahead == 0 && choice.AheadKnown && choice.pending > 0 {
-		t.speedOf(choice.Service).observeRead(choice.pending, took)
+	if choice.Ahead == 0 && choice.AheadKnown && choice.pendingTokens > 0 {
+		t.speedOf(choice.Service).observeRead(choice.pendingTokens, took)
 	}
 	if known := t.member(choice.Life()); known != nil {
-		known.pending -= choice.pending
+		known.pendingTokens -= choice.pendingTokens
 	}
-	choice.pending = 0
+	choice.pendingTokens = 0
 }
 
 // Done records the outcome of a request and removes it from the requests in flight.
@@ -77,23 +78,23 @@
 	if known == nil {
 		return
 	}
-	t.noteZone(now, known.Instance, outcome)
+	t.noteZoneOutcome(now, known.Instance, outcome)
 	known.inFlight--
-	known.pending -= choice.pending
+	known.pendingTokens -= choice.pendingTokens
 	if known.hasEnded && known.inFlight == 0 {
 		delete(t.members, known.ID)
 	}
 	switch outcome {
 	case Served:
-		known.pause = 0
-		known.failures -= known.failures * failureWeight
+		known.connectBackoff = 0
+		known.failureRate -= known.failureRate * failureWeight
 	case Failed:
-		known.failures += (1 - known.failures) * failureWeight
+		known.failureRate += (1 - known.failureRate) * failureWeight
 	case Unreachable:
-		known.pause = min(max(2*known.pause, firstPause), lastPause)
-		known.pausedUntil = now + known.pause
+		known.connectBackoff = min(max(2*known.connectBackoff, initialConnectBackoff), maximumConnectBackoff)
+		known.avoidedUntil = now + known.connectBackoff
 	case Replaced:
-		known.replaced = true
+		known.isReplaced = true
 		t.withdraw(known)
 	case Full, Abandoned:
 	}
@@ -105,62 +106,62 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.member(life); known != nil {
-		known.pause = lastPause
-		known.pausedUntil = now + lastPause
+		known.connectBackoff = maximumConnectBackoff
+		known.avoidedUntil = now + maximumConnectBackoff
 	}
 }
 
-// zoneIsOpen reports whether a zone's instances may be chosen. A zone that counts as partitioned is
+// isZoneOpen reports whether a zone's instances may be chosen. A zone that counts as partitioned is
 // opened for one probe request at a time.
-func (t *Table) zoneIsOpen(now time.Duration, zone string) bool {
+func (t *Table) isZoneOpen(now time.Duration, zone string) bool {
 	state := t.zones[zone]
-	return state == nil || now >= state.pausedUntil || now-state.probedAt >= zoneProbe
+	return state == nil || now >= state.avoidedUntil || now-state.probedAt >= zoneProbeInterval
 }
 
-// noteZone updates the state of an instance's zone from the outcome of an attempt.
-func (t *Table) noteZone(now time.Duration, of registry.Instance, outcome Outcome) {
+// noteZoneOutcome updates the state of an instance's zone from the outcome of an attempt.
+func (t *Table) noteZoneOutcome(now time.Duration, instance registry.Instance, outcome Outcome) {
 	switch outcome {
 	case Served, Full, Replaced:
-		delete(t.zones, of.Zone)
+		delete(t.zones, instance.Zone)
 	case Unreachable:
-		state := t.zones[of.Zone]
+		state := t.zones[instance.Zone]
 		if state == nil {
 			state = &zoneState{unreachable: map[string]time.Duration{}}
-			t.zones[of.Zone] = state
+			t.zones[instance.Zone] = state
 		}
-		state.unreachable[of.ID] = now
+		state.unreachable[instance.ID] = now
 		for id, at := range state.unreachable {
-			if now-at > zoneWindow {
+			if now-at > zoneFailureWindow {
 				delete(state.unreachable, id)
 			}
 		}
-		if len(state.unreachable) >= zoneInstances || now < state.pausedUntil {
-			state.pausedUntil = now + zonePause
+		if len(state.unreachable) >= zoneUnreachableInstances || now < state.avoidedUntil {
+			state.avoidedUntil = now + zoneAvoidTime
 		}
 	case Failed, Abandoned:
 	}
 }
 
-func (t *Table) averageFailures(service string) float64 {
+func (t *Table) averageFailureRate(service string) float64 {
 	members := t.byService[service]
 	if len(members) == 0 {
 		return 0
 	}
 	total := 0.0
 	for _, one := range members {
-		total += one.failures
+		total += one.failureRate
 	}
 	return total / float64(len(members))
 }
 
 func (m *member) isHealthy(now time.Duration, average float64) bool {
-	if now < m.pausedUntil {
+	if now < m.avoidedUntil {
 		return false
 	}
-	if m.failures <= average+failureMargin {
+	if m.failureRate <= average+failureMargin {
 		return true
 	}
-	if now-m.probedAt >= probeEvery {
+	if now-m.probedAt >= probeInterval {
 		m.probedAt = now
 		return true
 	}
--- a/internal/coordination/balance/lives.go
+++ b/internal/coordination/balance/incarnations.go
@@ -4,20 +4,20 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// overLife is an incarnation that has ended. wasLeaving records whether it had signalled before its
+// endedIncarnation is an incarnation that has ended. wasLeaving records whether it had signalled before its
 // end that it leaves.
-type overLife struct {
+type endedIncarnation struct {
 	registry.Life
 	wasLeaving bool
 }
 
-// overKept bounds the number of ended incarnations that are kept. They are looked up only shortly
+// maximumEndedIncarnations bounds the number of ended incarnations that are kept. They are looked up only shortly
 // after their end, by the requests that were in flight there.
-const overKept = 128
+const maximumEndedIncarnations = 128
 
-func (t *Table) noteOver(one *member) {
-	t.over = append(t.over, overLife{Life: one.Life(), wasLeaving: !one.TakesWork()})
-	t.over = t.over[max(0, len(t.over)-overKept):]
+func (t *Table) noteEnded(one *member) {
+	t.ended = append(t.ended, endedIncarnation{Life: one.Life(), wasLeaving: !one.TakesWork()})
+	t.ended = t.ended[max(0, len(t.ended)-maximumEndedIncarnations):]
 }
 
 // member returns the entry of an incarnation, nil if it has ended or was never known.
@@ -40,7 +40,7 @@
 	if known := t.member(life); known != nil {
 		return !known.TakesWork()
 	}
-	for _, one := range t.over {
+	for _, one := range t.ended {
 		if one.Life == life {
 			return one.wasLeaving
 		}
--- a/internal/coordination/balance/greetings_test.go
+++ b/internal/coordination/balance/initial_exchange_test.go
@@ -16,8 +16,8 @@
 	limits    map[string]*ratelimit.Limits
 }
 
-// round runs one step of each node and delivers its reports.
-func (f *limitsFleet) round(now time.Duration) {
+// runRound runs one step of each node and delivers its reports.
+func (f *limitsFleet) runRound(now time.Duration) {
 	for address, exchange := range f.exchanges {
 		limits := f.limits[address]
 		reports, known := exchange.Step(now, nil, News{Limits: limits.TakeNews()}, limits.InForce)
@@ -43,7 +43,7 @@
 // Guards against a node that starts later and never learns a limit, because limits are sent only
 // when they begin. The restarted node receives it regardless of its role in the exchange, and
 // whether or not the others had noticed its absence.
-func TestNodeThatStartsAgainIsToldTheLimitsInForce(t *testing.T) {
+func TestRestartedNodeReceivesTheActiveLimits(t *testing.T) {
 	engine := registry.Life{ID: "i-1", Born: 5}
 	for name, all := range map[string][]EntryNode{
 		"three zones": {{"a-0", "a"}, {"a-1", "a"}, {"a-2", "a"}, {"b-0", "b"}, {"b-1", "b"}, {"c-0", "c"}},
@@ -59,7 +59,7 @@
 			fleet.limits[all[0].Address].Learn(now, engine, ratelimit.Said{IsNamed: true, PerSecond: 2}, now)
 			for range 4 {
 				now += testInterval
-				fleet.round(now)
+				fleet.runRound(now)
 			}
 			for _, node := range all {
 				assert.Assert(t, fleet.limits[node.Address].Any(), "%s: %s did not receive the limit", name, node.Address)
@@ -67,7 +67,7 @@
 			fleet.start(restarted, all)
 			for range 4 {
 				now += testInterval
-				fleet.round(now)
+				fleet.runRound(now)
 			}
 			assert.Assert(t, fleet.limits[restarted.Address].Any(), "%s: %s did not receive the limit after it started", name, restarted.Address)
 		}
--- a/internal/coordination/balance/limited.go
+++ b/internal/coordination/balance/limited.go
@@ -24,13 +24,13 @@
 
 // weighPermit sets the permit cost of an instance for a request, and reports whether the request
 // can't get a permit within its maximum wait.
-func (t *Table) weighPermit(now time.Duration, one *member, patience time.Duration) (isLimited bool) {
+func (t *Table) weighPermit(now time.Duration, one *member, maximumWait time.Duration) (isLimited bool) {
 	one.permitTokens = 0
-	room, hasLimit := t.limits.Room(now, one.Life())
+	headroom, hasLimit := t.limits.Room(now, one.Life())
 	if !hasLimit {
 		return false
 	}
-	wait := float64(room.Wait) / float64(time.Millisecond) * t.speedOf(one.Service).readRate
-	one.permitTokens = wait + room.Pressure*permitTokens
-	return room.Wait > patience
+	wait := float64(headroom.Wait) / float64(time.Millisecond) * t.speedOf(one.Service).readRate
+	one.permitTokens = wait + headroom.Pressure*permitTokens
+	return headroom.Wait > maximumWait
 }
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -49,7 +49,7 @@
 
 // Encode packs the loads in order of their keys, each as 4 bytes of key, 2 of tokens in units of
 // tokenUnit, and 1 of requests.
-func (l Loads) Encode() []byte { return l.encodeBut(l.keys(), nil) }
+func (l Loads) Encode() []byte { return l.encodeWithout(l.keys(), nil) }
 
 // keys returns the keys in ascending order.
 func (l Loads) keys() []InstanceKey {
@@ -61,9 +61,9 @@
 	return keys
 }
 
-// encodeBut packs the loads after subtracting part, which may be nil. keys are the keys of the
+// encodeWithout packs the loads after subtracting part, which may be nil. keys are the keys of the
 // loads in ascending order.
-func (l Loads) encodeBut(keys []InstanceKey, part Loads) []byte {
+func (l Loads) encodeWithout(keys []InstanceKey, part Loads) []byte {
 	encoded := make([]byte, 0, len(l)*encodedLoadBytes)
 	for _, key := range keys {
 		load := l[key]
@@ -151,45 +151,45 @@
 // EntryNode is a node that sends requests to instances.
 type EntryNode struct{ Address, Zone string }
 
-// reportAge is the number of report intervals after which a received report is dropped.
-const reportAge = 4
+// maximumReportIntervals is the number of report intervals after which a received report is dropped.
+const maximumReportIntervals = 4
 
 // LoadExchange shares the entry nodes' loads, so that the choice of an instance accounts for the
 // requests of all nodes. The node with the lowest address in each zone is its relay. A relay sums up
 // the loads of its zone, exchanges the sums with the other relays, and reports the loads of all
 // others to each node of its zone. A node that is not a relay thus sends and receives one report per
 // interval regardless of the number of nodes, and one report per interval crosses zones in each
-// direction between two relays. While the relay is unreachable, the nodes of its zone know only their
-// own requests.
+// direction between two relays. While the relay is unreachable, the nodes of its zone know only
+// their own requests.
 //
 // It has no clock and does no I/O, and it is not safe for concurrent use.
 type LoadExchange struct {
-	self     EntryNode
-	interval time.Duration
-	members  []EntryNode
+	self      EntryNode
+	interval  time.Duration
+	zonePeers []EntryNode
 	// relays holds the address of each zone's relay.
 	relays map[string]string
-	// own holds the last reports of this zone's nodes, and zones those of the other relays. told is
-	// the last AllOtherLoads report.
-	own   map[string]heardLoads
-	zones map[string]heardLoads
-	told  heardLoads
-	// silent reports whether the last report that this node sent had no loads.
-	silent    bool
-	greetings greetings
-	// zoneNews and otherNews are the updates received since the last step: zoneNews from this zone's
-	// nodes, otherNews from or through relays.
-	zoneNews, otherNews News
+	// zoneReports holds the last reports of this zone's nodes, and relayReports those of the other
+	// relays. fromRelay is the last AllOtherLoads report.
+	zoneReports  map[string]receivedLoads
+	relayReports map[string]receivedLoads
+	fromRelay    receivedLoads
+	// wasEmpty reports whether the last report that this node sent had no loads.
+	wasEmpty        bool
+	initialExchange initialExchange
+	// zoneUpdates and otherUpdates are the updates received since the last step: zoneUpdates from
+	// this zone's nodes, otherUpdates from or through relays.
+	zoneUpdates, otherUpdates News
 }
 
-type heardLoads struct {
-	loads Loads
-	at    time.Duration
+type receivedLoads struct {
+	loads      Loads
+	receivedAt time.Duration
 }
 
 // NewLoadExchange returns the load exchange of a node without any other entry nodes.
 func NewLoadExchange(self EntryNode, interval time.Duration) *LoadExchange {
-	exchange := &LoadExchange{self: self, greetings: newGreetings(self), relays: map[string]string{}, own: map[string]heardLoads{}, zones: map[string]heardLoads{}}
+	exchange := &LoadExchange{self: self, initialExchange: newInitialExchange(self), relays: map[string]string{}, zoneReports: map[string]receivedLoads{}, relayReports: map[string]receivedLoads{}}
 	exchange.SetNodes(nil, interval)
 	return exchange
 }
@@ -197,15 +197,15 @@
 // SetNodes replaces the other entry nodes and sets the time between reports.
 func (e *LoadExchange) SetNodes(others []EntryNode, interval time.Duration) {
 	e.interval = interval
-	e.greetings.setNodes(others)
-	e.members = e.members[:0]
+	e.initialExchange.setNodes(others)
+	e.zonePeers = e.zonePeers[:0]
 	clear(e.relays)
 	for _, node := range append(slices.Clone(others), e.self) {
 		if relay, found := e.relays[node.Zone]; !found || node.Address < relay {
 			e.relays[node.Zone] = node.Address
 		}
 		if node.Zone == e.self.Zone && node.Address != e.self.Address {
-			e.members = append(e.members, node)
+			e.zonePeers = append(e.zonePeers, node)
 		}
 	}
 }
@@ -214,23 +214,23 @@
 
 // Take processes a report from another node.
 func (e *LoadExchange) Take(now time.Duration, from string, report LoadReport) {
-	heard := heardLoads{loads: DecodeLoads(report.Loads), at: now}
-	news := News{Parts: decodeParts(report.Parts), Limits: ratelimit.Received(now, report.Limits)}
+	received := receivedLoads{loads: DecodeLoads(report.Loads), receivedAt: now}
+	updates := News{Parts: decodeParts(report.Parts), Limits: ratelimit.Received(now, report.Limits)}
 	switch report.Scope {
 	case OwnLoads:
-		e.own[from] = heard
-		e.zoneNews.add(news)
+		e.zoneReports[from] = received
+		e.zoneUpdates.add(updates)
 	case ZoneLoads:
-		e.zones[report.Zone] = heard
-		e.otherNews.add(news)
+		e.relayReports[report.Zone] = received
+		e.otherUpdates.add(updates)
 	case AllOtherLoads:
-		e.told = heard
-		e.otherNews.add(news)
+		e.fromRelay = received
+		e.otherUpdates.add(updates)
 	case LimitsWanted:
-		e.greetings.asked[from] = true
+		e.initialExchange.requesters[from] = true
 	case LimitsTold:
-		e.greetings.asks = 0
-		e.otherNews.add(news)
+		e.initialExchange.requestsLeft = 0
+		e.otherUpdates.add(updates)
 	}
 }
 
@@ -242,99 +242,99 @@
 	News
 }
 
-// Step returns the reports that are due and what is known of all other nodes. happened holds this
-// node's own updates since the last step. inForce returns the active limits, which are sent to nodes
-// that have just started.
-func (e *LoadExchange) Step(now time.Duration, own Loads, happened News, inForce func() []ratelimit.Word) ([]OutgoingReport, Known) {
-	reports, known := e.step(now, own, happened)
-	return append(reports, e.greetings.step(now, inForce)...), known
+// Step returns the reports that are due and what is known of all other nodes. ownUpdates holds this
+// node's own updates since the last step. activeLimits returns the limits that are sent to nodes that
+// have just started.
+func (e *LoadExchange) Step(now time.Duration, own Loads, ownUpdates News, activeLimits func() []ratelimit.Word) ([]OutgoingReport, Known) {
+	reports, known := e.step(now, own, ownUpdates)
+	return append(reports, e.initialExchange.step(now, activeLimits)...), known
 }
 
-func (e *LoadExchange) step(now time.Duration, own Loads, happened News) ([]OutgoingReport, Known) {
-	e.forget(now)
-	zoneNews, otherNews := e.zoneNews, e.otherNews
-	e.zoneNews, e.otherNews = News{}, News{}
+func (e *LoadExchange) step(now time.Duration, own Loads, ownUpdates News) ([]OutgoingReport, Known) {
+	e.dropExpiredReports(now)
+	zoneUpdates, otherUpdates := e.zoneUpdates, e.otherUpdates
+	e.zoneUpdates, e.otherUpdates = News{}, News{}
 	if !e.isRelay() {
 		var reports []OutgoingReport
-		if len(own) > 0 || !happened.isEmpty() || !e.silent {
-			reports = append(reports, e.report(e.relays[e.self.Zone], OwnLoads, own.Encode(), encodeNews(now, happened)))
+		if len(own) > 0 || !ownUpdates.isEmpty() || !e.wasEmpty {
+			reports = append(reports, e.report(e.relays[e.self.Zone], OwnLoads, own.Encode(), encodeUpdates(now, ownUpdates)))
 		}
-		e.silent = len(own) == 0
-		return reports, Known{Loads: e.told.loads, News: otherNews}
+		e.wasEmpty = len(own) == 0
+		return reports, Known{Loads: e.fromRelay.loads, News: otherUpdates}
 	}
-	zoneNews.add(happened)
-	reports, others := e.stepRelay(now, own, zoneNews, otherNews)
-	zoneNews.add(otherNews)
-	return reports, Known{Loads: others, News: zoneNews}
+	zoneUpdates.add(ownUpdates)
+	reports, others := e.stepRelay(now, own, zoneUpdates, otherUpdates)
+	zoneUpdates.add(otherUpdates)
+	return reports, Known{Loads: others, News: zoneUpdates}
 }
 
-// encodedNews holds updates as they are encoded in a report.
-type encodedNews struct {
+// encodedUpdates holds updates as they are encoded in a report.
+type encodedUpdates struct {
 	parts  []byte
 	limits []ratelimit.Word
 }
 
-func encodeNews(now time.Duration, news News) encodedNews {
-	return encodedNews{parts: encodeParts(news.Parts), limits: ratelimit.ForSending(now, news.Limits)}
+func encodeUpdates(now time.Duration, updates News) encodedUpdates {
+	return encodedUpdates{parts: encodeParts(updates.Parts), limits: ratelimit.ForSending(now, updates.Limits)}
 }
 
-func (n encodedNews) isEmpty() bool { return len(n.parts) == 0 && len(n.limits) == 0 }
+func (n encodedUpdates) isEmpty() bool { return len(n.parts) == 0 && len(n.limits) == 0 }
 
 // stepRelay sums up the loads of the zone for the other relays, and the loads of all others for each
 // node of the zone. It computes the total once and subtracts each node's own loads from it, because
 // summing the others separately for each node takes time quadratic in the number of nodes.
-func (e *LoadExchange) stepRelay(now time.Duration, own Loads, zoneNews, otherNews News) ([]OutgoingReport, Loads) {
+func (e *LoadExchange) stepRelay(now time.Duration, own Loads, zoneUpdates, otherUpdates News) ([]OutgoingReport, Loads) {
 	others, zone, members := Loads{}, Loads{}, Loads{}
-	for _, heard := range e.zones {
-		others.add(heard.loads)
+	for _, received := range e.relayReports {
+		others.add(received.loads)
 	}
-	for _, heard := range e.own {
-		members.add(heard.loads)
+	for _, received := range e.zoneReports {
+		members.add(received.loads)
 	}
 	zone.add(own)
 	zone.add(members)
 	var reports []OutgoingReport
-	encodedZone, encodedZoneNews := zone.Encode(), encodeNews(now, zoneNews)
+	encodedZone, encodedZoneUpdates := zone.Encode(), encodeUpdates(now, zoneUpdates)
 	for name, relay := range e.relays {
-		if name != e.self.Zone && (len(zone) > 0 || !zoneNews.isEmpty() || !e.silent) {
-			reports = append(reports, e.report(relay, ZoneLoads, encodedZone, encodedZoneNews))
+		if name != e.self.Zone && (len(zone) > 0 || !zoneUpdates.isEmpty() || !e.wasEmpty) {
+			reports = append(reports, e.report(relay, ZoneLoads, encodedZone, encodedZoneUpdates))
 		}
 	}
-	e.silent = len(zone) == 0
+	e.wasEmpty = len(zone) == 0
 	all := Loads{}
 	all.add(others)
 	all.add(zone)
-	var allNews News
-	allNews.add(zoneNews)
-	allNews.add(otherNews)
-	keys, news := all.keys(), encodeNews(now, allNews)
-	for _, member := range e.members {
-		if loads := all.encodeBut(keys, e.own[member.Address].loads); len(loads) > 0 || !news.isEmpty() {
-			reports = append(reports, e.report(member.Address, AllOtherLoads, loads, news))
+	var allUpdates News
+	allUpdates.add(zoneUpdates)
+	allUpdates.add(otherUpdates)
+	keys, updates := all.keys(), encodeUpdates(now, allUpdates)
+	for _, member := range e.zonePeers {
+		if loads := all.encodeWithout(keys, e.zoneReports[member.Address].loads); len(loads) > 0 || !updates.isEmpty() {
+			reports = append(reports, e.report(member.Address, AllOtherLoads, loads, updates))
 		}
 	}
 	others.add(members)
 	return reports, others
 }
 
-func (e *LoadExchange) report(to string, scope LoadScope, loads []byte, news encodedNews) OutgoingReport {
-	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: e.self.Zone, Loads: loads, Parts: news.parts, Limits: news.limits}}
+func (e *LoadExchange) report(to string, scope LoadScope, loads []byte, updates encodedUpdates) OutgoingReport {
+	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: e.self.Zone, Loads: loads, Parts: updates.parts, Limits: updates.limits}}
 }
 
-// forget drops the reports that are older than reportAge intervals.
-func (e *LoadExchange) forget(now time.Duration) {
-	isOld := func(heard heardLoads) bool { return now-heard.at > reportAge*e.interval }
-	for address, heard := range e.own {
-		if isOld(heard) {
-			delete(e.own, address)
+// dropExpiredReports drops the reports that are older than maximumReportIntervals.
+func (e *LoadExchange) dropExpiredReports(now time.Duration) {
+	isOld := func(received receivedLoads) bool { return now-received.receivedAt > maximumReportIntervals*e.interval }
+	for address, received := range e.zoneReports {
+		if isOld(received) {
+			delete(e.zoneReports, address)
 		}
 	}
-	for zone, heard := range e.zones {
-		if isOld(heard) {
-			delete(e.zones, zone)
+	for zone, received := range e.relayReports {
+		if isOld(received) {
+			delete(e.relayReports, zone)
 		}
 	}
-	if isOld(e.told) {
-		e.told = heardLoads{}
+	if isOld(e.fromRelay) {
+		e.fromRelay = receivedLoads{}
 	}
 }
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -23,11 +23,11 @@
 	for _, node := range all {
 		exchanges[node.Address] = NewLoadExchange(node, testInterval)
 	}
-	meet(exchanges, all)
+	connectNodes(exchanges, all)
 	return exchanges, all
 }
 
-func meet(exchanges map[string]*LoadExchange, all []EntryNode) {
+func connectNodes(exchanges map[string]*LoadExchange, all []EntryNode) {
 	for address, exchange := range exchanges {
 		var others []EntryNode
 		for _, node := range all {
@@ -87,7 +87,7 @@
 	assert.Equal(t, sent, 18)
 }
 
-func TestNodeOfASilentRelayKnowsNothingOfOthersUntilTheNextOne(t *testing.T) {
+func TestOthersLoadsAreUnknownAfterTheRelayFailsUntilTheNextOne(t *testing.T) {
 	exchanges, all := exchangeOf(3)
 	own := map[string]Loads{}
 	for _, node := range all {
@@ -106,11 +106,11 @@
 	assert.Assert(t, exchanges[relay].isRelay())
 	delete(exchanges, relay)
 	assert.Assert(t, rounds(8)[member] == nil)
-	meet(exchanges, all)
+	connectNodes(exchanges, all)
 	assert.Equal(t, rounds(5)[member][KeyOf(registry.Life{ID: "i-0"})].Requests, 7)
 }
 
-func TestLoadsAreReadAsWritten(t *testing.T) {
+func TestEncodedLoadsDecodeToTheSameLoads(t *testing.T) {
 	loads := Loads{1: {Tokens: 128, Requests: 3}, 1 << 31: {Tokens: tokenUnit * 65535, Requests: 255}}
 	assert.DeepEqual(t, DecodeLoads(loads.Encode()), loads)
 	assert.Equal(t, len(DecodeLoads(loads.Encode()[:9])), 1)
@@ -126,10 +126,10 @@
 	table.Done(0, home, Served)
 	// A short wait at the home costs less than reading the shared part again elsewhere.
 	table.SetOthersLoads(Loads{KeyOf(home.Life()): {Tokens: 20_000, Requests: 2}})
-	patient, _ := table.Choose(0, request)
-	assert.Equal(t, patient.ID, home.ID)
-	assert.Assert(t, patient.AheadKnown && patient.Ahead == 20_000 && patient.Unread == 4_000)
-	table.Done(0, patient, Served)
+	queued, _ := table.Choose(0, request)
+	assert.Equal(t, queued.ID, home.ID)
+	assert.Assert(t, queued.AheadKnown && queued.Ahead == 20_000 && queued.Unread == 4_000)
+	table.Done(0, queued, Served)
 	table.SetOthersLoads(Loads{KeyOf(home.Life()): {Tokens: 90_000, Requests: 9}})
 	spilled, _ := table.Choose(0, request)
 	assert.Assert(t, spilled.ID != home.ID && spilled.Spilled)
@@ -138,7 +138,7 @@
 	assert.Equal(t, again.ID, spilled.ID)
 }
 
-func TestReadPromptsAreNotAheadOfOthers(t *testing.T) {
+func TestPromptsAlreadyReadDoNotCountAsAhead(t *testing.T) {
 	table := tableOf("a", instances(3))
 	choice, _ := table.Choose(0, Request{Service: "llm", Part: "part", Tokens: 5_000})
 	assert.Equal(t, table.OwnLoads()[KeyOf(choice.Life())], Load{Tokens: 5_000, Requests: 1})
@@ -150,10 +150,10 @@
 
 // Guards against the fault of lumiere-rx: shared parts were the largest cost, and were read again at
 // further instances because only the node that had sent a part to an instance knew of it.
-func TestPartsThatWentElsewhereAreKnownToAllNodes(t *testing.T) {
+func TestSpilledPartsAreReportedToAllNodes(t *testing.T) {
 	exchanges, all := exchangeOf(3)
 	spilled := HeldPart{Part: keyOfPart("part"), Instance: KeyOf(registry.Life{ID: "i-2"})}
-	heard := map[string]int{}
+	received := map[string]int{}
 	now := time.Duration(0)
 	for round := range 5 {
 		now += testInterval
@@ -165,7 +165,7 @@
 			reports, known := exchange.Step(now, nil, News{Parts: own}, noLimits)
 			for _, part := range known.Parts {
 				assert.Equal(t, part, spilled)
-				heard[address]++
+				received[address]++
 			}
 			for _, one := range reports {
 				exchanges[one.To].Take(now, address, one.Report)
@@ -173,11 +173,11 @@
 		}
 	}
 	for _, node := range all {
-		assert.Assert(t, heard[node.Address] >= 1, "%s did not receive the part", node.Address)
+		assert.Assert(t, received[node.Address] >= 1, "%s did not receive the part", node.Address)
 	}
 }
 
-func TestPartThatAnotherNodeSentElsewhereIsHeldThere(t *testing.T) {
+func TestReportedSpilledPartCountsAsHeld(t *testing.T) {
 	one, other := tableOf("a", instances(6)), tableOf("b", instances(6))
 	request := Request{Service: "llm", Part: "hot", Cost: 1, Tokens: 30_000, SharedTokens: 20_000}
 	var spilled []HeldPart
--- a/internal/coordination/balance/parts.go
+++ b/internal/coordination/balance/parts.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	// maximumHeld is the number of parts recorded for an instance above which expired ones are
+	// maximumHeldParts is the number of parts recorded for an instance above which expired ones are
 	// removed.
-	maximumHeld = 256
-	// heldFor is how long an instance counts as holding a part after the part was last sent to it.
-	heldFor = 15 * time.Second
-	// maximumSpilled bounds the number of parts in one report and of those that wait for the next
+	maximumHeldParts = 256
+	// heldPartLifetime is how long an instance counts as holding a part after the part was last sent to it.
+	heldPartLifetime = 15 * time.Second
+	// maximumSpilledParts bounds the number of parts in one report and of those that wait for the next
 	// one.
-	maximumSpilled = 128
+	maximumSpilledParts = 128
 	// encodedPartBytes is the encoded length of one part.
 	encodedPartBytes = 8
 )
@@ -54,10 +54,10 @@
 	return parts
 }
 
-// appendParts appends parts and keeps the newest ones, up to maximumSpilled.
+// appendParts appends parts and keeps the newest ones, up to maximumSpilledParts.
 func appendParts(parts, more []HeldPart) []HeldPart {
 	parts = append(parts, more...)
-	return parts[max(0, len(parts)-maximumSpilled):]
+	return parts[max(0, len(parts)-maximumSpilledParts):]
 }
 
 // TakeSpilled returns the parts that this node sent to other instances than their homes since the
@@ -82,25 +82,25 @@
 		byKey[one.key] = one
 	}
 	for _, part := range parts {
-		if holder := byKey[part.Instance]; holder != nil {
-			holder.hold(now, part.Part)
+		if instance := byKey[part.Instance]; instance != nil {
+			instance.noteHeld(now, part.Part)
 		}
 	}
 }
 
-// hold records that a part was sent to the instance, and removes expired parts if there are many.
-func (m *member) hold(now time.Duration, part PartKey) {
-	if len(m.held) > maximumHeld {
-		for known, at := range m.held {
-			if now-at > heldFor {
-				delete(m.held, known)
+// noteHeld records that a part was sent to the instance, and removes expired parts if there are many.
+func (m *member) noteHeld(now time.Duration, part PartKey) {
+	if len(m.heldParts) > maximumHeldParts {
+		for known, at := range m.heldParts {
+			if now-at > heldPartLifetime {
+				delete(m.heldParts, known)
 			}
 		}
 	}
-	m.held[part] = now
+	m.heldParts[part] = now
 }
 
 func (m *member) holds(now time.Duration, part PartKey) bool {
-	at, found := m.held[part]
-	return found && now-at <= heldFor
+	at, found := m.heldParts[part]
+	return found && now-at <= heldPartLifetime
 }
--- a/internal/coordination/balance/regions_test.go
+++ b/internal/coordination/balance/regions_test.go
@@ -13,7 +13,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-func TestRegionsOfRouteAndTenantBothBind(t *testing.T) {
+func TestRegionsOfRouteAndTenantBothApply(t *testing.T) {
 	assert.Assert(t, !BoundTo(nil, nil).IsBound)
 	assert.DeepEqual(t, BoundTo([]string{"b", "a", "b"}), Regions{Names: []string{"a", "b"}, IsBound: true})
 	assert.DeepEqual(t, BoundTo(nil, []string{"a"}), Regions{Names: []string{"a"}, IsBound: true})
--- a/internal/coordination/balance/rollout.go
+++ b/internal/coordination/balance/rollout.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	// canaryInstances is the share of the new version's instances in each zone that receive the
+	// canaryInstanceShare is the share of the new version's instances in each zone that receive the
 	// canary's requests. It is close to the canary's share of the requests, so that each of these
 	// instances has the same load as any other instance and a version that fails under load is
 	// detected.
-	canaryInstances = 0.1
-	// mostCredit bounds the number of canary requests that a node may send in a burst after a time
+	canaryInstanceShare = 0.1
+	// maximumCredit bounds the number of canary requests that a node may send in a burst after a time
 	// without an instance for them, so that the share is spread evenly over time.
-	mostCredit = 2.0
-	// firstCredits is the number of canary requests that all nodes together may send before they
+	maximumCredit = 2.0
+	// initialCredits is the number of canary requests that all nodes together may send before they
 	// have received the requests that earn these credits. Without it, at a few requests per second,
 	// each node would send its first canary request only after seconds.
-	firstCredits = 20.0
+	initialCredits = 20.0
 )
 
 // RolloutShare determines the share of a service's requests that goes to a canary.
@@ -51,7 +51,7 @@
 	for _, one := range rollouts {
 		known := t.rollouts[one.Service]
 		if known == nil || known.Revision != one.Revision {
-			known = &serviceRollout{credit: t.random() * min(1, firstCredits/float64(max(1, share.Nodes)))}
+			known = &serviceRollout{credit: t.random() * min(1, initialCredits/float64(max(1, share.Nodes)))}
 		}
 		known.Rollout, known.share = one, share.Share
 		kept[one.Service] = known
@@ -74,15 +74,15 @@
 				byZone[known.Zone] = append(byZone[known.Zone], known)
 			}
 		}
-		draw := strconv.FormatUint(one.Revision, 10)
+		seed := strconv.FormatUint(one.Revision, 10)
 		for _, members := range byZone {
 			slices.SortFunc(members, func(a, b *member) int {
-				if pairhash.Of(draw, a.ID) > pairhash.Of(draw, b.ID) {
+				if pairhash.Of(seed, a.ID) > pairhash.Of(seed, b.ID) {
 					return -1
 				}
 				return 1
 			})
-			for _, chosen := range members[:int(math.Ceil(canaryInstances*float64(len(members))))] {
+			for _, chosen := range members[:int(math.Ceil(canaryInstanceShare*float64(len(members))))] {
 				one.canaries[chosen.ID] = true
 			}
 		}
@@ -126,11 +126,11 @@
 	if len(request.Exclude) > 0 {
 		return candidateSet{}
 	}
-	running.credit = min(running.credit+running.share, mostCredit)
+	running.credit = min(running.credit+running.share, maximumCredit)
 	if running.credit < 1 {
 		return candidateSet{}
 	}
-	healthy, _ := t.sortCandidates(now, request, func(one *member) bool { return running.canaries[one.ID] })
+	healthy, _ := t.classifyCandidates(now, request, func(one *member) bool { return running.canaries[one.ID] })
 	if len(healthy.open) > 0 {
 		running.credit--
 	}
@@ -159,11 +159,11 @@
 	if running == nil {
 		return 0
 	}
-	underWay := 0
+	inFlight := 0
 	for _, one := range t.members {
 		if one.Service == service && !running.isNew(one) {
-			underWay += one.inFlight
+			inFlight += one.inFlight
 		}
 	}
-	return underWay
+	return inFlight
 }
--- a/internal/coordination/balance/rollout_test.go
+++ b/internal/coordination/balance/rollout_test.go
@@ -71,7 +71,7 @@
 			}
 		}
 	}
-	assert.Assert(t, float64(total) <= share*nodes*requests+firstCredits, "%d of %d", total, nodes*requests)
+	assert.Assert(t, float64(total) <= share*nodes*requests+initialCredits, "%d of %d", total, nodes*requests)
 	assert.Assert(t, float64(total) >= share*nodes*requests/2, "%d of %d", total, nodes*requests)
 	assert.Assert(t, len(instances) <= 6, "%v", instances)
 }
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestStagesOfARolloutSayWhereRequestsGo(t *testing.T) {
+func TestRolloutStageDeterminesTheVersion(t *testing.T) {
 	for stage, want := range map[rollout.Stage]string{rollout.Moving: "v2", rollout.Done: "v2", rollout.RolledBack: "v1"} {
 		table := NewTable("zone-0")
 		table.Apply(twoVersions(6))
@@ -109,7 +109,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestOldRequestsUnderWayAreCounted(t *testing.T) {
+func TestRequestsInFlightAtTheOldVersionAreCounted(t *testing.T) {
 	table := NewTable("zone-0")
 	table.Apply(twoVersions(6))
 	first, _ := table.Choose(0, Request{Service: "llm"})
--- a/internal/coordination/balance/pauses_test.go
+++ b/internal/coordination/balance/stalls_test.go
@@ -11,9 +11,9 @@
 
 // Guards against the fault of lumiere-rx quiet-1 seed 2: 237 of 293 late requests were streams that
 // stalled while their engine read a long prompt of another request.
-func TestLongPromptGoesWhereItHoldsUpFewStreams(t *testing.T) {
+func TestLongPromptGoesWhereItStallsFewStreams(t *testing.T) {
 	table := tableOf("a", instances(3))
-	table.speedOf("llm").paused = manyPaused
+	table.speedOf("llm").stalled = highStalledShare
 	homes := map[string]int{}
 	for range 12 {
 		choice, _ := table.Choose(0, Request{Service: "llm", Part: "small", Cost: 1, Tokens: 200, SharedTokens: 100, Gap: testGap})
@@ -31,7 +31,7 @@
 	assert.Assert(t, long.ID != busiest, "%v", homes)
 }
 
-func TestShortPromptStaysAtItsHomeThoughStreamsRunThere(t *testing.T) {
+func TestShortPromptStaysAtItsHomeDespiteRunningStreams(t *testing.T) {
 	table := tableOf("a", instances(3))
 	request := Request{Service: "llm", Part: "small", Cost: 1, Tokens: 3000, SharedTokens: 2500, Gap: testGap}
 	first, _ := table.Choose(0, request)
@@ -43,8 +43,8 @@
 	}
 }
 
-func TestReadRateFollowsWhatIsObservedAndNotPromptsThatSeemFast(t *testing.T) {
-	speed := &readSpeed{readRate: startReadRate}
+func TestReadRateIsRobustAgainstPromptsThatAreCached(t *testing.T) {
+	speed := &readSpeed{readRate: initialReadRate}
 	for turn := range 1000 {
 		took := 10_000 / 60 * time.Millisecond
 		if turn%3 == 0 {
@@ -57,23 +57,23 @@
 	assert.Assert(t, speed.readRate > 50 && speed.readRate < 70, "%f tokens per millisecond", speed.readRate)
 }
 
-func TestPausesThatAreNotSeenDoNotCount(t *testing.T) {
+func TestStallsThatAreNotObservedDoNotCount(t *testing.T) {
 	table := tableOf("a", instances(3))
-	assert.Assert(t, table.speedOf("llm").pauseWeight() < 0.5)
+	assert.Assert(t, table.speedOf("llm").stallWeight() < 0.5)
 	for range 100 {
 		table.StreamEnded("llm", true)
 	}
-	assert.Equal(t, table.speedOf("llm").pauseWeight(), 1.0)
+	assert.Equal(t, table.speedOf("llm").stallWeight(), 1.0)
 	for range 1000 {
 		table.StreamEnded("llm", false)
 	}
-	assert.Equal(t, table.speedOf("llm").pauseWeight(), 0.0)
+	assert.Equal(t, table.speedOf("llm").stallWeight(), 0.0)
 }
 
-func TestPausesGrowWithTheTimeOfReading(t *testing.T) {
+func TestStalledShareGrowsWithTheReadTime(t *testing.T) {
 	speed := &readSpeed{readRate: 50}
-	assert.Equal(t, speed.pausedShare(10_000, testGap), 0.0)
-	assert.Equal(t, speed.pausedShare(40_000, testGap), 1.0)
-	assert.Assert(t, speed.pausedShare(25_000, testGap) > 0.4)
-	assert.Equal(t, speed.pausedShare(40_000, 0), 0.0, "a route without a bound on the event gap")
+	assert.Equal(t, speed.stalledShare(10_000, testGap), 0.0)
+	assert.Equal(t, speed.stalledShare(40_000, testGap), 1.0)
+	assert.Assert(t, speed.stalledShare(25_000, testGap) > 0.4)
+	assert.Equal(t, speed.stalledShare(40_000, 0), 0.0, "a route without a bound on the event gap")
 }
--- a/internal/coordination/balance/table.go
+++ b/internal/coordination/balance/table.go
@@ -26,22 +26,22 @@
 type member struct {
 	registry.Instance
 	inFlight int
-	// pending is the number of prompt tokens of this node's requests that the instance has yet to
+	// pendingTokens is the number of prompt tokens of this node's requests that the instance has yet to
 	// read.
-	pending int
-	key     InstanceKey
-	// held is when each part was last sent here by this node, or reported as sent here by another
+	pendingTokens int
+	key           InstanceKey
+	// heldParts is when each part was last sent here by this node, or reported as sent here by another
 	// one.
-	held map[PartKey]time.Duration
-	// failures is the smoothed rate of failed requests, from 0 to 1.
-	failures float64
-	// pause is the current backoff after failures to connect, and pausedUntil its end.
-	pause       time.Duration
-	pausedUntil time.Duration
-	probedAt    time.Duration
-	// replaced reports whether the instance is permanently gone, though the registry may not know
+	heldParts map[PartKey]time.Duration
+	// failureRate is the smoothed rate of failed requests, from 0 to 1.
+	failureRate float64
+	// connectBackoff is the current backoff after failures to connect, and avoidedUntil its end.
+	connectBackoff time.Duration
+	avoidedUntil   time.Duration
+	probedAt       time.Duration
+	// isReplaced reports whether the instance is permanently gone, though the registry may not know
 	// yet.
-	replaced bool
+	isReplaced bool
 	// isOffered reports whether it is among its service's members that accept new work.
 	isOffered bool
 	// hasEnded reports whether the registry lists it as ended. It is removed once no request is in
@@ -50,17 +50,17 @@
 	// restoredAt is when its zone was last restored, if isRestored is set.
 	restoredAt time.Duration
 	isRestored bool
-	// sentColdAt is when this node last sent it a request while it was cold, if
-	// wasSentCold is set.
-	sentColdAt  time.Duration
-	wasSentCold bool
+	// coldRequestAt is when this node last sent it a request while it was cold, if
+	// hasColdRequest is set.
+	coldRequestAt  time.Duration
+	hasColdRequest bool
 	// permitTokens is the cost of the permit that a request requires, in tokens, computed for the
 	// choice in progress.
 	permitTokens float64
 }
 
-// Table holds the instances that a node knows, and chooses among them. It is safe for concurrent use.
-// Times are readings of a monotonic clock.
+// Table holds the instances that a node knows, and chooses among them. It is safe for concurrent
+// use. Times are readings of a monotonic clock.
 type Table struct {
 	zone    string
 	mutex   sync.Mutex
@@ -83,8 +83,8 @@
 	rollouts map[string]*serviceRollout
 	// senders determines which cold instances this node may send to.
 	senders coldSenders
-	// over holds the latest incarnations that were replaced by newer ones.
-	over []overLife
+	// ended holds the latest incarnations that were replaced by newer ones.
+	ended []endedIncarnation
 	// limits holds the rate limits that overloaded instances name; nil means that there are none.
 	limits *ratelimit.Limits
 	// backoff tracks the pauses that instances requested from this node; nil means that there are
@@ -115,15 +115,15 @@
 		known := t.members[instance.ID]
 		if known != nil && known.Life() != instance.Life() {
 			replaced = append(replaced, known.Instance)
-			t.noteOver(known)
-			t.forget(known)
+			t.noteEnded(known)
+			t.remove(known)
 			known = nil
 		}
 		if instance.HasEnded() {
-			t.end(known)
+			t.markEnded(known)
 			continue
 		}
-		t.take(known, instance)
+		t.update(known, instance)
 	}
 	if len(t.rollouts) > 0 {
 		t.chooseCanaries()
@@ -131,10 +131,10 @@
 	return replaced
 }
 
-// take updates the member of a live instance; known is nil if it is new.
-func (t *Table) take(known *member, instance registry.Instance) {
+// update updates the member of a live instance; known is nil if it is new.
+func (t *Table) update(known *member, instance registry.Instance) {
 	if known == nil {
-		known = &member{key: KeyOf(instance.Life()), held: map[PartKey]time.Duration{}}
+		known = &member{key: KeyOf(instance.Life()), heldParts: map[PartKey]time.Duration{}}
 		t.members[instance.ID] = known
 	}
 	wasOffered := known.isOffered
@@ -143,13 +143,13 @@
 		wasOffered = false
 	}
 	known.Instance, known.hasEnded = instance, false
-	if !wasOffered && instance.TakesWork() && !known.replaced {
+	if !wasOffered && instance.TakesWork() && !known.isReplaced {
 		t.offer(known)
 	}
 }
 
-// end records that an instance has ended; known is nil if it was never known.
-func (t *Table) end(known *member) {
+// markEnded records that an instance has ended; known is nil if it was never known.
+func (t *Table) markEnded(known *member) {
 	if known == nil {
 		return
 	}
@@ -160,13 +160,13 @@
 	}
 }
 
-func (t *Table) forget(known *member) {
+func (t *Table) remove(known *member) {
 	t.withdraw(known)
 	delete(t.members, known.ID)
 }
 
-// offer makes an instance eligible for new work, and withdraw reverts that. A service's instances are
-// ordered by ID, so that all nodes process them in the same order.
+// offer makes an instance eligible for new work, and withdraw reverts that. A service's instances
+// are ordered by ID, so that all nodes process them in the same order.
 func (t *Table) offer(one *member) {
 	members := t.byService[one.Service]
 	place, _ := slices.BinarySearchFunc(members, one.ID, compareID)
@@ -235,7 +235,7 @@
 	loads := Loads{}
 	for _, one := range t.members {
 		if one.inFlight > 0 {
-			loads[one.key] = Load{Tokens: one.pending, Requests: one.inFlight}
+			loads[one.key] = Load{Tokens: one.pendingTokens, Requests: one.inFlight}
 		}
 	}
 	return loads
