--- a/internal/coordination/registry/lives.go
+++ b/internal/coordination/registry/lives.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// lateHeartbeat is how long after the word that an unknown instance ends a heartbeat
-	// of it is taken to be an older one: heartbeats come seconds late at times, and an
-	// instance that starts again takes longer.
+	// lateHeartbeat is how long after the end of an unknown instance was reported its heartbeats
+	// count as older than that report. Heartbeats are sometimes delayed by seconds, and an instance
+	// takes longer than that to restart.
 	lateHeartbeat = 5 * time.Second
-	// livesKept bounds the former lives that are remembered of one instance.
+	// livesKept bounds the number of past incarnations that are recorded for each instance.
 	livesKept = 4
 )
 
-// Life names one life of an instance: one run of its process, from a start to its end.
-// An instance that starts again holds and knows nothing of its life before.
+// Life identifies an incarnation of an instance: one run of its process, from its start to its end.
+// An instance that restarts has none of the state of its previous incarnation.
 type Life struct {
 	ID string `msgpack:"i"`
-	// Born is when it started, in milliseconds since 1970 as the instance itself says;
-	// 0 if it does not say.
+	// Born is the start time that the instance reports, in milliseconds since 1970 (Unix
+	// time); 0 if it reports none.
 	Born int64 `msgpack:"b"`
 }
 
-// String returns "id@born", or the id alone.
+// String returns the ID and the start time, separated by "@", or only the ID if the start time is
+// not known.
 func (l Life) String() string {
 	if l.Born == 0 {
 		return l.ID
@@ -33,40 +34,43 @@
 	return l.ID + "@" + strconv.FormatInt(l.Born, 10)
 }
 
-// Life names the instance's life.
+// Life returns the identity of the instance's incarnation.
 func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
 
-// compareLives orders two lives of one instance, the newer one higher. What the instances
-// say of their births decides, never the order in which it is heard: the word of an older
-// life may be any time late. Only where a life is over and one born before it is heard, as
-// after the instance's clock was set back, a control node writes down a higher epoch.
+// compareLives orders two incarnations of one instance, the newer one higher. The start times that
+// the instances report decide, and never the order in which messages arrive, because a message of an
+// older incarnation can be delayed for any time. If an incarnation with an earlier start time appears
+// after a later one has ended, for example because the instance's clock was set back, a control node
+// assigns it a higher epoch.
 func compareLives(one, other Instance) int {
 	return cmp.Or(cmp.Compare(one.Epoch, other.Epoch), cmp.Compare(one.Born, other.Born))
 }
 
-// endsAnyLife tells whether a word says that whichever life of the instance is known ends:
-// the one who says it knew of none.
+// endsAnyLife reports whether a message ends the instance regardless of its incarnation. A node
+// that did not know the instance creates such a message when the instance leaves.
 func (i Instance) endsAnyLife() bool { return i.State == Gone && i.Born == 0 && i.Sequence == 0 }
 
-// isReplacedBy tells whether a heartbeat is the first of a newer life, whose epoch it sets.
+// isReplacedBy reports whether a heartbeat is the first one of a newer incarnation. If so, it also
+// sets the heartbeat's epoch where a new one is required.
 func (e *entry) isReplacedBy(now time.Duration, heard *Instance) bool {
 	switch {
 	case slices.Contains(e.over, heard.Born):
 		return false
 	case e.endsAnyLife():
-		// It may be of the life that has said that it ends.
+		// The heartbeat may be a late one of the incarnation that has left.
 		return now-e.ended > lateHeartbeat
 	case heard.Born > e.Born:
 		return true
 	case e.State == Expired:
-		// Its clock was set back: the life held here has been silent for a lease.
+		// The instance's clock was set back. The incarnation known here has sent no heartbeat for a
+		// lease.
 		heard.Epoch = e.Epoch + 1
 		return true
 	}
 	return false
 }
 
-// begin replaces the entry by a new life's first word.
+// begin replaces the entry's data by the first message of a new incarnation.
 func (e *entry) begin(now time.Duration, first Instance) {
 	if e.Born != 0 {
 		e.over = append(e.over, e.Born)
--- a/internal/coordination/registry/lives_test.go
+++ b/internal/coordination/registry/lives_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// word is something that a registry may be told of an instance.
+// word is a message about an instance that a registry may receive.
 type word struct {
 	name string
 	say  func(r *Registry, now time.Duration)
@@ -23,7 +23,7 @@
 }
 
 func merged(born int64, sequence uint64, state State) word {
-	return word{name: fmt.Sprintf("word %d of %d, %s", sequence, born, state), say: func(r *Registry, now time.Duration) {
+	return word{name: fmt.Sprintf("update %d of %d, %s", sequence, born, state), say: func(r *Registry, now time.Duration) {
 		instance := ready("i", sequence)
 		instance.Born, instance.State = born, state
 		r.Merge(now, []Instance{instance})
@@ -34,7 +34,7 @@
 	return word{name: fmt.Sprintf("leave of %d", born), say: func(r *Registry, now time.Duration) { r.Leave(now, Life{ID: "i", Born: born}) }}
 }
 
-// permutations calls with each order of some words.
+// permutations calls the function with each permutation of the messages.
 func permutations(words []word, call func([]word)) {
 	if len(words) == 0 {
 		call(nil)
@@ -45,9 +45,9 @@
 	}
 }
 
-// An engine that starts again under its id counts its heartbeats anew, so that the
-// higher counts of its life before come late. Whatever comes in which order and by
-// which way, the newer life holds with its newest word.
+// Guards against an engine that restarts under its ID and is shadowed by its previous incarnation,
+// whose late heartbeats have higher sequence numbers. The newest message of the newer incarnation
+// takes effect regardless of the order and the path of the messages.
 func TestNewerLifeHoldsInEachOrderOfTheWordsOfTwoLives(t *testing.T) {
 	for name, words := range map[string][]word{
 		"crash":        {heartbeat(100, 7, Ready), heartbeat(100, 8, Ready), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Draining)},
@@ -62,7 +62,8 @@
 				text := ""
 				for position, one := range order {
 					text += "; " + one.name
-					// Farther apart than heartbeats come late after the word of an unknown end.
+					// The messages are further apart than heartbeats can be delayed after the end of
+					// an unknown incarnation.
 					one.say(registry, time.Duration(position)*2*lateHeartbeat)
 				}
 				live := registry.Live()
@@ -75,8 +76,8 @@
 	}
 }
 
-// Its clock was set back while it was away: the life held is silent for a lease first,
-// then the other one is written down as the newer, and stays so.
+// The instance's clock was set back between two incarnations. The known incarnation first has to
+// miss heartbeats for a lease. Then the other one is recorded as the newer one, and stays so.
 func TestLifeBornBeforeTheOneHeldHoldsOnlyOnceThatIsOver(t *testing.T) {
 	control, other := New(10*time.Second), New(10*time.Second)
 	heartbeat(200, 50, Ready).say(control, 0)
@@ -88,7 +89,7 @@
 	assert.Equal(t, control.Live()[0].Born, int64(100))
 	other.Merge(12*time.Second, control.Instances(12*time.Second))
 	assert.Equal(t, other.Live()[0].Born, int64(100))
-	// Late words of the other life don't swap them back, at either node.
+	// Late messages of the other incarnation don't revert this, at either node.
 	for _, one := range []*Registry{control, other} {
 		heartbeat(200, 60, Ready).say(one, 13*time.Second)
 		merged(200, 61, Ready).say(one, 13*time.Second)
@@ -97,8 +98,8 @@
 	assert.Equal(t, control.Digest(), other.Digest())
 }
 
-// An end of which nothing else was ever heard holds against the heartbeats that were on
-// their way, and not against the life that starts seconds later.
+// The reported end of an unknown instance overrides heartbeats that were still in transit, and not
+// an incarnation that starts seconds later.
 func TestEndOfAnUnknownInstanceHoldsAgainstLateHeartbeatsOnly(t *testing.T) {
 	registry := New(0)
 	leaving(0).say(registry, 0)
@@ -108,7 +109,8 @@
 	assert.Equal(t, registry.Live()[0].Born, int64(200))
 }
 
-// A control node that starts from what it remembered of an earlier life.
+// A control node that restarts from remembered data must not replace a newer incarnation by an older
+// one.
 func TestRememberedInstanceOfAnEarlierLifeChangesNothing(t *testing.T) {
 	registry := New(0)
 	heartbeat(200, 1, Ready).say(registry, 0)
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -1,11 +1,10 @@
-// Package registry keeps the instances of services: who they are, where they
-// listen, and whether they take new work.
+// Package registry keeps the instances of services: their identity, their address, and whether they
+// accept new work.
 //
-// Every node holds the whole registry and merges what others say, in any
-// order and any number of times, with the same end: of one instance's lives the
-// newest holds, see lives.go; of one life the change with the highest heartbeat
-// sequence, and "gone" over everything. Absence says nothing: a node that lost
-// its memory takes nothing away from others.
+// Every node holds the whole registry and merges the updates of others. Merging is commutative and
+// idempotent: of the incarnations of one instance the newest wins, see lives.go; of one incarnation
+// the change with the highest heartbeat sequence wins, and "gone" wins over everything. The absence
+// of an instance has no meaning: a node that lost its state removes nothing from other nodes.
 package registry
 
 import (
@@ -19,31 +18,30 @@
 )
 
 const (
-	// DefaultLease is the silence after which an instance is taken for lost.
-	// It is long: who sends requests notices a dead instance much sooner, and
-	// an instance that merely can't reach the control nodes still works.
+	// DefaultLease is the time since the last heartbeat after which an instance expires. It is long
+	// because nodes that send requests detect a dead instance much sooner, and because an instance
+	// that merely can't reach the control nodes still works.
 	DefaultLease = 20 * time.Second
-	// tombstoneAge is how long an instance that is gone is remembered, so that
-	// late messages don't bring it back.
+	// tombstoneAge is how long an instance that has ended is kept, so that late messages don't
+	// restore it.
 	tombstoneAge = 2 * time.Minute
 )
 
-// State tells whether an instance takes new work.
+// State is the state of an instance, which determines whether it accepts new work.
 type State uint8
 
 const (
-	// Ready instances take new work.
+	// Ready instances accept new work.
 	Ready State = iota + 1
-	// Draining instances finish what they have.
+	// Draining instances finish their requests in flight and accept no new work.
 	Draining
-	// Expired instances sent no heartbeat for a lease. A newer one brings them
-	// back.
+	// Expired instances sent no heartbeat for a lease. A newer heartbeat restores them.
 	Expired
-	// Gone instances have left for good.
+	// Gone instances have left permanently.
 	Gone
 )
 
-// String names the state.
+// String returns the name of the state.
 func (s State) String() string {
 	names := [...]string{"none", "ready", "draining", "expired", "gone"}
 	if int(s) < len(names) {
@@ -52,33 +50,34 @@
 	return "unknown"
 }
 
-// Instance is one life of a server of a service.
+// Instance is one incarnation of a server of a service.
 type Instance struct {
 	ID string `msgpack:"i"`
-	// Born is when this life began, see Life, and Epoch orders lives whose Born can't.
+	// Born is when this incarnation started, see Life. Epoch orders incarnations whose start times
+	// do not.
 	Born    int64  `msgpack:"b"`
 	Epoch   uint32 `msgpack:"e"`
 	Service string `msgpack:"s"`
-	// Address is host:port. Addresses are used again, so the id goes with it.
+	// Address is host:port. Addresses are reused, so only the ID identifies the instance.
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
 	Version string `msgpack:"v"`
-	// Slots is the number of requests that it works on at once.
+	// Slots is the number of requests that it processes concurrently.
 	Slots int   `msgpack:"l"`
 	State State `msgpack:"t"`
-	// Sequence is that of the heartbeat that brought this change.
+	// Sequence is the sequence number of the heartbeat that made this change.
 	Sequence uint64 `msgpack:"q"`
-	// ColdLeft is how much longer it is cold, from the moment of the word on it: it
-	// has just started or was at rest, and bears few requests.
+	// ColdLeft is how much longer the instance is cold, counted from the moment the message was
+	// sent. A cold instance has just started or was idle, and supports only few requests.
 	ColdLeft time.Duration `msgpack:"c"`
-	// ColdUntil is that moment's end by this node's clock; only a registry sets it.
+	// ColdUntil is the end of that time on this node's clock. Only a registry sets it.
 	ColdUntil time.Duration `msgpack:"-"`
 }
 
-// fieldsBeforeLives is the number of fields that builds without lives of instances write.
+// fieldsBeforeLives is the number of fields that builds without incarnations of instances encode.
 const fieldsBeforeLives = 9
 
-// OlderFields implements peer.OlderFields: Born and Epoch came to stand behind the ID.
+// OlderFields implements peer.OlderFields: Born and Epoch were inserted after ID.
 func (Instance) OlderFields(count int) []string {
 	if count != fieldsBeforeLives {
 		return nil
@@ -86,16 +85,16 @@
 	return []string{"i", "s", "a", "z", "v", "l", "t", "q", "c"}
 }
 
-// TakesWork tells whether new work may be sent to the instance.
+// TakesWork reports whether new work may be sent to the instance.
 func (i Instance) TakesWork() bool { return i.State == Ready }
 
-// ErrIncomplete says that a heartbeat lacks something.
+// ErrIncomplete is returned for a heartbeat without an ID, a service or an address.
 var ErrIncomplete = errors.New("registry: a heartbeat needs an id, a service and an address")
 
-// coldStep is the difference in the end of being cold from which others are told.
+// coldStep is the minimum difference between two ends of the cold time that is sent to other nodes.
 const coldStep = 300 * time.Millisecond
 
-// noteCold sets the end of being cold from a word that came now.
+// noteCold sets ColdUntil from the ColdLeft of a message that was received now.
 func (i *Instance) noteCold(now time.Duration) {
 	i.ColdUntil = 0
 	if i.ColdLeft > 0 {
@@ -103,7 +102,8 @@
 	}
 }
 
-// coldChanged tells whether a word says another end of being cold than the one known.
+// coldChanged reports whether the end of the cold time in a message differs from the known one by
+// more than coldStep.
 func coldChanged(now time.Duration, known, said Instance) bool {
 	difference := max(known.ColdUntil, now) - max(said.ColdUntil, now)
 	return difference.Abs() > coldStep
@@ -111,37 +111,39 @@
 
 type entry struct {
 	Instance
-	// newest is the highest heartbeat sequence seen, heard the time of it.
+	// newest is the highest heartbeat sequence received. heard is the time of the last contact,
+	// directly or through another control node.
 	newest uint64
 	heard  time.Duration
-	// ended is when the instance was found gone or expired.
+	// ended is when the instance became gone or expired.
 	ended time.Duration
-	// over are the Born of its latest lives before this one.
+	// over holds the start times of its latest incarnations before this one.
 	over []int64
-	// hash is its part of the registry's digest; 0 if it has ended.
+	// hash is its contribution to the registry's digest; 0 if it has ended.
 	hash uint64
 }
 
-// Registry is one node's view. It is not safe for concurrent use. Times are
-// those of a steady clock.
+// Registry is one node's view of all instances. It is not safe for concurrent use. Times are readings
+// of a monotonic clock.
 type Registry struct {
 	lease     time.Duration
 	instances map[string]*entry
-	// heardHere are the instances that sent heartbeats to this node of late.
+	// heardHere holds the IDs of the instances that sent heartbeats to this node since the last call
+	// of TakeHeardHere.
 	heardHere map[string]struct{}
-	// digest is the sum of the live instances' hashes, live their number. Each change adds
-	// to them: made anew from all of 10,000 instances at each of 40 hellos a second, the
-	// digest was most of what a node did while they registered.
+	// digest is the sum of the live instances' hashes, and live is their number. Both are updated
+	// incrementally: computing the digest from all of 10,000 instances at each of 40 hellos per
+	// second took most of a node's processor time while they registered.
 	digest uint64
 	live   int
-	// sums are the parts of digest by instances' buckets.
+	// sums holds the digest of each bucket of instances.
 	sums [Buckets]uint64
-	// orderedDigest is the digest of builds that tell it in order, while isOrderedKnown.
+	// orderedDigest caches the result of OrderedDigest. It is valid while isOrderedKnown is set.
 	orderedDigest  uint64
 	isOrderedKnown bool
 }
 
-// New makes an empty registry; a lease of 0 means the default.
+// New returns an empty registry. A lease of 0 means DefaultLease.
 func New(lease time.Duration) *Registry {
 	if lease == 0 {
 		lease = DefaultLease
@@ -149,8 +151,8 @@
 	return &Registry{lease: lease, instances: map[string]*entry{}, heardHere: map[string]struct{}{}}
 }
 
-// Heartbeat takes an instance's own word. It returns whether others should be
-// told.
+// Heartbeat applies a heartbeat that an instance sent to this node. It reports whether other nodes
+// should receive the change.
 func (r *Registry) Heartbeat(now time.Duration, instance Instance) (changed bool, err error) {
 	if instance.ID == "" || instance.Service == "" || instance.Address == "" {
 		return false, ErrIncomplete
@@ -174,7 +176,7 @@
 		return true, nil
 	}
 	if known.State == Gone || instance.Sequence <= known.newest {
-		// A late heartbeat says what was, not what is.
+		// A late heartbeat describes a past state.
 		return false, nil
 	}
 	known.newest, known.heard = instance.Sequence, now
@@ -187,13 +189,13 @@
 	return true, nil
 }
 
-// noteBegun notes that an instance began a life that this node was the first to hear.
+// noteBegun records a new incarnation whose first heartbeat was received by this node.
 func (r *Registry) noteBegun(begun *entry) {
 	r.heardHere[begun.ID] = struct{}{}
 	r.noteChanged(begun)
 }
 
-// noteChanged keeps the digest right.
+// noteChanged updates the digests, and the number of live instances, after a change of an entry.
 func (r *Registry) noteChanged(changed *entry) {
 	r.isOrderedKnown = false
 	bucket := bucketOf(changed.ID)
@@ -211,18 +213,18 @@
 	}
 }
 
-// Buckets is the number of parts in which two nodes compare their registries, so that
-// they exchange only those that differ: one change that was lost among 10,000 instances
-// then costs a list of 40 and not of all.
+// Buckets is the number of parts in which two nodes compare their registries, so that they exchange
+// only the parts that differ. A change that was lost among 10,000 instances then takes a list of 40
+// instances and not of all.
 const Buckets = 256
 
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % Buckets) }
 
-// Sums are the digests of all buckets.
+// Sums returns the digests of all buckets.
 func (r *Registry) Sums() []uint64 { return slices.Clone(r.sums[:]) }
 
-// Differing returns the instances in the buckets whose digests are others than some, those
-// that ended included, as another node may be told of them now.
+// Differing returns the instances in the buckets whose digests differ from the given ones, including
+// those that have ended, in the form in which they are sent to another node now.
 func (r *Registry) Differing(now time.Duration, sums []uint64) []Instance {
 	if len(sums) != Buckets {
 		return r.Instances(now)
@@ -233,14 +235,15 @@
 	})
 }
 
-// hashState is the instance's part of a digest, never 0.
+// hashState returns the instance's contribution to a digest, which is never 0.
 func (i *Instance) hashState() uint64 {
 	digest := xxhash.New()
 	i.writeState(digest)
 	return max(1, digest.Sum64())
 }
 
-// writeState writes what nodes that hold the same registry know of the instance.
+// writeState writes the part of the instance's state that is equal on all nodes with the same
+// registry.
 func (i *Instance) writeState(digest *xxhash.Digest) {
 	var number [8]byte
 	_, _ = digest.WriteString(i.ID)
@@ -250,19 +253,18 @@
 	}
 }
 
-// sameState compares all but the sequence and the times of being cold.
+// sameState reports whether two instances are equal except for their sequences and cold times.
 func sameState(one, other Instance) bool {
 	one.Sequence, one.ColdLeft, one.ColdUntil = other.Sequence, other.ColdLeft, other.ColdUntil
 	return one == other
 }
 
-// Leave takes an instance's word that a life of it ends; without Born it is the one
-// known here. It returns whether others should be told.
+// Leave applies an instance's report that an incarnation of it ends. Without a start time it means
+// the incarnation known here. It reports whether other nodes should receive the change.
 func (r *Registry) Leave(now time.Duration, life Life) bool {
 	known := r.instances[life.ID]
 	if known == nil {
-		// Not heard of yet: a heartbeat that is still on its way must not
-		// bring it back.
+		// The instance is not known yet. A heartbeat that is still in transit must not restore it.
 		known = &entry{Instance: Instance{ID: life.ID, Born: life.Born}}
 		r.instances[life.ID] = known
 	}
@@ -274,7 +276,7 @@
 	return true
 }
 
-// Get returns what is known of an instance.
+// Get returns an instance, or false if it is not known.
 func (r *Registry) Get(id string) (Instance, bool) {
 	known := r.instances[id]
 	if known == nil {
@@ -283,7 +285,7 @@
 	return known.Instance, true
 }
 
-// Merge takes what another node says and returns what was new in it.
+// Merge applies the instances of another node and returns those that changed this registry.
 func (r *Registry) Merge(now time.Duration, others []Instance) []Instance {
 	var news []Instance
 	for _, other := range others {
@@ -317,10 +319,10 @@
 
 func (i Instance) alive() bool { return i.State == Ready || i.State == Draining }
 
-// HasEnded tells whether the instance's life is over.
+// HasEnded reports whether the instance has expired or has left.
 func (i Instance) HasEnded() bool { return !i.alive() }
 
-// supersedes tells whether a word on an instance is newer than another one.
+// supersedes reports whether a message about an instance is newer than the known state.
 func supersedes(other, known Instance) bool {
 	if order := compareLives(other, known); order != 0 && !other.endsAnyLife() {
 		return order > 0
@@ -334,7 +336,7 @@
 	return other.State > known.State
 }
 
-// Heard takes another control node's word that instances sent it heartbeats.
+// Heard renews the leases of instances that sent heartbeats to another control node.
 func (r *Registry) Heard(now time.Duration, ids []string) {
 	for _, id := range ids {
 		if known := r.instances[id]; known != nil && known.alive() {
@@ -343,8 +345,8 @@
 	}
 }
 
-// TakeHeardHere returns the instances that sent heartbeats to this node since
-// the last call, in order.
+// TakeHeardHere returns the IDs of the instances that sent heartbeats to this node since the last
+// call, in ascending order.
 func (r *Registry) TakeHeardHere() []string {
 	ids := make([]string, 0, len(r.heardHere))
 	for id := range r.heardHere {
@@ -355,16 +357,16 @@
 	return ids
 }
 
-// Expire ends the leases of silent instances and returns them; it forgets
-// those that ended long ago.
+// Expire expires the instances whose lease has run out and returns them. It removes those that ended
+// more than tombstoneAge ago.
 func (r *Registry) Expire(now time.Duration) []Instance {
 	var expired []Instance
 	for id, known := range r.instances {
 		switch {
 		case known.alive() && now-known.heard > r.lease:
 			known.State, known.ended = Expired, now
-			// It supersedes the state that it ends, and any later heartbeat
-			// supersedes it.
+			// With this sequence, the expiry supersedes the previous state, and any later heartbeat
+			// supersedes the expiry.
 			known.Sequence = known.newest
 			r.noteChanged(known)
 			expired = append(expired, known.Instance)
@@ -376,8 +378,8 @@
 	return expired
 }
 
-// Instances returns all instances in order, those that ended included, as another
-// node may be told of them now.
+// Instances returns all instances ordered by ID, including those that have ended, in the form in
+// which they are sent to another node now.
 func (r *Registry) Instances(now time.Duration) []Instance {
 	all := r.all()
 	for position := range all {
@@ -395,7 +397,7 @@
 	return all
 }
 
-// Live returns the instances that have not ended, in order.
+// Live returns the instances that have not ended, ordered by ID.
 func (r *Registry) Live() []Instance {
 	all := r.all()
 	return slices.DeleteFunc(all, func(instance Instance) bool { return !instance.alive() })
@@ -405,14 +407,14 @@
 	slices.SortFunc(instances, func(a, b Instance) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// LiveCount is the number of instances that have not ended.
+// LiveCount returns the number of instances that have not ended.
 func (r *Registry) LiveCount() int { return r.live }
 
-// Digest is equal on nodes that hold the same live instances in the same state.
+// Digest returns a hash that is equal on nodes that hold the same live instances in the same state.
 func (r *Registry) Digest() uint64 { return r.digest }
 
-// OrderedDigest is the digest that builds compare which know no other one. It is made
-// anew from all instances after each change.
+// OrderedDigest returns the digest for older builds that compare no other one. It hashes the live
+// instances in order and is computed from all of them after each change.
 func (r *Registry) OrderedDigest() uint64 {
 	if !r.isOrderedKnown {
 		digest := xxhash.New()
--- a/internal/coordination/registry/registry_test.go
+++ b/internal/coordination/registry/registry_test.go
@@ -98,12 +98,12 @@
 	assert.NilError(t, err)
 	assert.Assert(t, changed)
 	changed, _ = control.Heartbeat(time.Second, cold(2, 2*time.Second))
-	assert.Assert(t, !changed, "the same end")
-	// It is told two seconds later to a node whose clock reads another time.
+	assert.Assert(t, !changed, "the end of the cold time is unchanged")
+	// It is sent two seconds later to a node with a different clock reading.
 	entry.Merge(50*time.Second, control.Instances(2*time.Second))
 	assert.Equal(t, entry.Live()[0].ColdUntil, 51*time.Second)
 	changed, _ = control.Heartbeat(9*time.Second, cold(3, 0))
-	assert.Assert(t, !changed, "it ended when it was to end")
+	assert.Assert(t, !changed, "the cold time ended as reported before")
 	changed, _ = control.Heartbeat(10*time.Second, cold(4, 3*time.Second))
-	assert.Assert(t, changed, "cold again")
+	assert.Assert(t, changed, "the instance is cold again")
 }
