--- a/internal/coordination/registry/lives.go
+++ b/internal/coordination/registry/incarnations.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	// lateHeartbeat is how long after the end of an unknown instance was reported its heartbeats
+	// maximumHeartbeatDelay is how long after the end of an unknown instance was reported its heartbeats
 	// count as older than that report. Heartbeats are sometimes delayed by seconds, and an instance
 	// takes longer than that to restart.
-	lateHeartbeat = 5 * time.Second
-	// livesKept bounds the number of past incarnations that are recorded for each instance.
-	livesKept = 4
+	maximumHeartbeatDelay = 5 * time.Second
+	// maximumPastIncarnations bounds the number of past incarnations that are recorded for each instance.
+	maximumPastIncarnations = 4
 )
 
 // Life identifies an incarnation of an instance: one run of its process, from its start to its end.
@@ -37,46 +37,46 @@
 // Life returns the identity of the instance's incarnation.
 func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
 
-// compareLives orders two incarnations of one instance, the newer one higher. The start times that
+// compareIncarnations orders two incarnations of one instance, the newer one higher. The start times that
 // the instances report decide, and never the order in which messages arrive, because a message of an
 // older incarnation can be delayed for any time. If an incarnation with an earlier start time appears
 // after a later one has ended, for example because the instance's clock was set back, a control node
 // assigns it a higher epoch.
-func compareLives(one, other Instance) int {
+func compareIncarnations(one, other Instance) int {
 	return cmp.Or(cmp.Compare(one.Epoch, other.Epoch), cmp.Compare(one.Born, other.Born))
 }
 
-// endsAnyLife reports whether a message ends the instance regardless of its incarnation. A node
+// endsAnyIncarnation reports whether a message ends the instance regardless of its incarnation. A node
 // that did not know the instance creates such a message when the instance leaves.
-func (i Instance) endsAnyLife() bool { return i.State == Gone && i.Born == 0 && i.Sequence == 0 }
+func (i Instance) endsAnyIncarnation() bool { return i.State == Gone && i.Born == 0 && i.Sequence == 0 }
 
 // isReplacedBy reports whether a heartbeat is the first one of a newer incarnation. If so, it also
 // sets the heartbeat's epoch where a new one is required.
-func (e *entry) isReplacedBy(now time.Duration, heard *Instance) bool {
+func (e *entry) isReplacedBy(now time.Duration, heartbeat *Instance) bool {
 	switch {
-	case slices.Contains(e.over, heard.Born):
+	case slices.Contains(e.pastStartTimes, heartbeat.Born):
 		return false
-	case e.endsAnyLife():
+	case e.endsAnyIncarnation():
 		// The heartbeat may be a late one of the incarnation that has left.
-		return now-e.ended > lateHeartbeat
-	case heard.Born > e.Born:
+		return now-e.endedAt > maximumHeartbeatDelay
+	case heartbeat.Born > e.Born:
 		return true
 	case e.State == Expired:
 		// The instance's clock was set back. The incarnation known here has sent no heartbeat for a
 		// lease.
-		heard.Epoch = e.Epoch + 1
+		heartbeat.Epoch = e.Epoch + 1
 		return true
 	}
 	return false
 }
 
-// begin replaces the entry's data by the first message of a new incarnation.
-func (e *entry) begin(now time.Duration, first Instance) {
+// startIncarnation replaces the entry's data by the first message of a new incarnation.
+func (e *entry) startIncarnation(now time.Duration, first Instance) {
 	if e.Born != 0 {
-		e.over = append(e.over, e.Born)
-		e.over = e.over[max(0, len(e.over)-livesKept):]
+		e.pastStartTimes = append(e.pastStartTimes, e.Born)
+		e.pastStartTimes = e.pastStartTimes[max(0, len(e.pastStartTimes)-maximumPastIncarnations):]
 	}
 	e.Instance = first
-	e.noteCold(now)
-	e.newest, e.heard, e.ended = first.Sequence, now, 0
+	e.setColdUntil(now)
+	e.latestSequence, e.lastContact, e.endedAt = first.Sequence, now, 0
 }
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -2,9 +2,10 @@
 // accept new work.
 //
 // Every node holds the whole registry and merges the updates of others. Merging is commutative and
-// idempotent: of the incarnations of one instance the newest wins, see lives.go; of one incarnation
-// the change with the highest heartbeat sequence wins, and "gone" wins over everything. The absence
-// of an instance has no meaning: a node that lost its state removes nothing from other nodes.
+// idempotent: of the incarnations of one instance the newest wins, see incarnations.go; of one
+// incarnation the change with the highest heartbeat sequence wins, and "gone" wins over everything.
+// The absence of an instance has no meaning: a node that lost its state removes nothing from other
+// nodes.
 package registry
 
 import (
@@ -74,12 +75,12 @@
 	ColdUntil time.Duration `msgpack:"-"`
 }
 
-// fieldsBeforeLives is the number of fields that builds without incarnations of instances encode.
-const fieldsBeforeLives = 9
+// fieldsBeforeIncarnations is the number of fields that builds without incarnations of instances encode.
+const fieldsBeforeIncarnations = 9
 
 // OlderFields implements peer.OlderFields: Born and Epoch were inserted after ID.
 func (Instance) OlderFields(count int) []string {
-	if count != fieldsBeforeLives {
+	if count != fieldsBeforeIncarnations {
 		return nil
 	}
 	return []string{"i", "s", "a", "z", "v", "l", "t", "q", "c"}
@@ -91,34 +92,34 @@
 // ErrIncomplete is returned for a heartbeat without an ID, a service or an address.
 var ErrIncomplete = errors.New("registry: a heartbeat needs an id, a service and an address")
 
-// coldStep is the minimum difference between two ends of the cold time that is sent to other nodes.
-const coldStep = 300 * time.Millisecond
+// coldTolerance is the minimum difference between two ends of the cold time that is sent to other nodes.
+const coldTolerance = 300 * time.Millisecond
 
-// noteCold sets ColdUntil from the ColdLeft of a message that was received now.
-func (i *Instance) noteCold(now time.Duration) {
+// setColdUntil sets ColdUntil from the ColdLeft of a message that was received now.
+func (i *Instance) setColdUntil(now time.Duration) {
 	i.ColdUntil = 0
 	if i.ColdLeft > 0 {
 		i.ColdUntil = now + i.ColdLeft
 	}
 }
 
-// coldChanged reports whether the end of the cold time in a message differs from the known one by
-// more than coldStep.
-func coldChanged(now time.Duration, known, said Instance) bool {
-	difference := max(known.ColdUntil, now) - max(said.ColdUntil, now)
-	return difference.Abs() > coldStep
+// isColdChanged reports whether the end of the cold time in a message differs from the known one by
+// more than coldTolerance.
+func isColdChanged(now time.Duration, known, received Instance) bool {
+	difference := max(known.ColdUntil, now) - max(received.ColdUntil, now)
+	return difference.Abs() > coldTolerance
 }
 
 type entry struct {
 	Instance
-	// newest is the highest heartbeat sequence received. heard is the time of the last contact,
-	// directly or through another control node.
-	newest uint64
-	heard  time.Duration
-	// ended is when the instance became gone or expired.
-	ended time.Duration
-	// over holds the start times of its latest incarnations before this one.
-	over []int64
+	// latestSequence is the highest heartbeat sequence received. lastContact is when the instance
+	// was last known to be in contact with this node or another control node.
+	latestSequence uint64
+	lastContact    time.Duration
+	// endedAt is when the instance became gone or expired.
+	endedAt time.Duration
+	// pastStartTimes holds the start times of its latest incarnations before this one.
+	pastStartTimes []int64
 	// hash is its contribution to the registry's digest; 0 if it has ended.
 	hash uint64
 }
@@ -128,9 +129,9 @@
 type Registry struct {
 	lease     time.Duration
 	instances map[string]*entry
-	// heardHere holds the IDs of the instances that sent heartbeats to this node since the last call
+	// contactedHere holds the IDs of the instances that sent heartbeats to this node since the last call
 	// of TakeHeardHere.
-	heardHere map[string]struct{}
+	contactedHere map[string]struct{}
 	// digest is the sum of the live instances' hashes, and live is their number. Both are updated
 	// incrementally: computing the digest from all of 10,000 instances at each of 40 hellos per
 	// second took most of a node's processor time while they registered.
@@ -148,7 +149,7 @@
 	if lease == 0 {
 		lease = DefaultLease
 	}
-	return &Registry{lease: lease, instances: map[string]*entry{}, heardHere: map[string]struct{}{}}
+	return &Registry{lease: lease, instances: map[string]*entry{}, contactedHere: map[string]struct{}{}}
 }
 
 // Heartbeat applies a heartbeat that an instance sent to this node. It reports whether other nodes
@@ -157,13 +158,13 @@
 	if instance.ID == "" || instance.Service == "" || instance.Address == "" {
 		return false, ErrIncomplete
 	}
-	instance.noteCold(now)
+	instance.setColdUntil(now)
 	known := r.instances[instance.ID]
 	if known == nil {
 		known = &entry{}
 		r.instances[instance.ID] = known
-		known.begin(now, instance)
-		r.noteBegun(known)
+		known.startIncarnation(now, instance)
+		r.noteStarted(known)
 		return true, nil
 	}
 	instance.Epoch = known.Epoch
@@ -171,32 +172,32 @@
 		if !known.isReplacedBy(now, &instance) {
 			return false, nil
 		}
-		known.begin(now, instance)
-		r.noteBegun(known)
+		known.startIncarnation(now, instance)
+		r.noteStarted(known)
 		return true, nil
 	}
-	if known.State == Gone || instance.Sequence <= known.newest {
+	if known.State == Gone || instance.Sequence <= known.latestSequence {
 		// A late heartbeat describes a past state.
 		return false, nil
 	}
-	known.newest, known.heard = instance.Sequence, now
-	r.heardHere[instance.ID] = struct{}{}
-	if sameState(known.Instance, instance) && !coldChanged(now, known.Instance, instance) {
+	known.latestSequence, known.lastContact = instance.Sequence, now
+	r.contactedHere[instance.ID] = struct{}{}
+	if isSameState(known.Instance, instance) && !isColdChanged(now, known.Instance, instance) {
 		return false, nil
 	}
 	known.Instance = instance
-	r.noteChanged(known)
+	r.updateDigest(known)
 	return true, nil
 }
 
-// noteBegun records a new incarnation whose first heartbeat was received by this node.
-func (r *Registry) noteBegun(begun *entry) {
-	r.heardHere[begun.ID] = struct{}{}
-	r.noteChanged(begun)
+// noteStarted records a new incarnation whose first heartbeat was received by this node.
+func (r *Registry) noteStarted(begun *entry) {
+	r.contactedHere[begun.ID] = struct{}{}
+	r.updateDigest(begun)
 }
 
-// noteChanged updates the digests, and the number of live instances, after a change of an entry.
-func (r *Registry) noteChanged(changed *entry) {
+// updateDigest updates the digests, and the number of live instances, after a change of an entry.
+func (r *Registry) updateDigest(changed *entry) {
 	r.isOrderedKnown = false
 	bucket := bucketOf(changed.ID)
 	if changed.hash != 0 {
@@ -205,7 +206,7 @@
 		r.live--
 	}
 	changed.hash = 0
-	if changed.alive() {
+	if changed.isLive() {
 		changed.hash = changed.hashState()
 		r.digest += changed.hash
 		r.sums[bucket] += changed.hash
@@ -253,26 +254,26 @@
 	}
 }
 
-// sameState reports whether two instances are equal except for their sequences and cold times.
-func sameState(one, other Instance) bool {
+// isSameState reports whether two instances are equal except for their sequences and cold times.
+func isSameState(one, other Instance) bool {
 	one.Sequence, one.ColdLeft, one.ColdUntil = other.Sequence, other.ColdLeft, other.ColdUntil
 	return one == other
 }
 
 // Leave applies an instance's report that an incarnation of it ends. Without a start time it means
 // the incarnation known here. It reports whether other nodes should receive the change.
-func (r *Registry) Leave(now time.Duration, life Life) bool {
-	known := r.instances[life.ID]
+func (r *Registry) Leave(now time.Duration, incarnation Life) bool {
+	known := r.instances[incarnation.ID]
 	if known == nil {
 		// The instance is not known yet. A heartbeat that is still in transit must not restore it.
-		known = &entry{Instance: Instance{ID: life.ID, Born: life.Born}}
-		r.instances[life.ID] = known
+		known = &entry{Instance: Instance{ID: incarnation.ID, Born: incarnation.Born}}
+		r.instances[incarnation.ID] = known
 	}
-	if known.State == Gone || life.Born != 0 && life.Born != known.Born {
+	if known.State == Gone || incarnation.Born != 0 && incarnation.Born != known.Born {
 		return false
 	}
-	known.State, known.ended = Gone, now
-	r.noteChanged(known)
+	known.State, known.endedAt = Gone, now
+	r.updateDigest(known)
 	return true
 }
 
@@ -287,7 +288,7 @@
 
 // Merge applies the instances of another node and returns those that changed this registry.
 func (r *Registry) Merge(now time.Duration, others []Instance) []Instance {
-	var news []Instance
+	var changed []Instance
 	for _, other := range others {
 		known := r.instances[other.ID]
 		if known != nil && !supersedes(other, known.Instance) {
@@ -297,34 +298,34 @@
 		case known == nil:
 			known = &entry{}
 			r.instances[other.ID] = known
-			known.begin(now, other)
-		case other.endsAnyLife():
+			known.startIncarnation(now, other)
+		case other.endsAnyIncarnation():
 			known.State = Gone
 		case other.Born != known.Born:
-			known.begin(now, other)
+			known.startIncarnation(now, other)
 		default:
 			known.Instance = other
-			known.noteCold(now)
-			known.newest = max(known.newest, other.Sequence)
+			known.setColdUntil(now)
+			known.latestSequence = max(known.latestSequence, other.Sequence)
 		}
-		known.heard = now
-		if !other.alive() {
-			known.ended = now
+		known.lastContact = now
+		if !other.isLive() {
+			known.endedAt = now
 		}
-		r.noteChanged(known)
-		news = append(news, other)
+		r.updateDigest(known)
+		changed = append(changed, other)
 	}
-	return news
+	return changed
 }
 
-func (i Instance) alive() bool { return i.State == Ready || i.State == Draining }
+func (i Instance) isLive() bool { return i.State == Ready || i.State == Draining }
 
 // HasEnded reports whether the instance has expired or has left.
-func (i Instance) HasEnded() bool { return !i.alive() }
+func (i Instance) HasEnded() bool { return !i.isLive() }
 
 // supersedes reports whether a message about an instance is newer than the known state.
 func supersedes(other, known Instance) bool {
-	if order := compareLives(other, known); order != 0 && !other.endsAnyLife() {
+	if order := compareIncarnations(other, known); order != 0 && !other.endsAnyIncarnation() {
 		return order > 0
 	}
 	if known.State == Gone || other.State == Gone {
@@ -339,8 +340,8 @@
 // Heard renews the leases of instances that sent heartbeats to another control node.
 func (r *Registry) Heard(now time.Duration, ids []string) {
 	for _, id := range ids {
-		if known := r.instances[id]; known != nil && known.alive() {
-			known.heard = now
+		if known := r.instances[id]; known != nil && known.isLive() {
+			known.lastContact = now
 		}
 	}
 }
@@ -348,12 +349,12 @@
 // TakeHeardHere returns the IDs of the instances that sent heartbeats to this node since the last
 // call, in ascending order.
 func (r *Registry) TakeHeardHere() []string {
-	ids := make([]string, 0, len(r.heardHere))
-	for id := range r.heardHere {
+	ids := make([]string, 0, len(r.contactedHere))
+	for id := range r.contactedHere {
 		ids = append(ids, id)
 	}
 	slices.Sort(ids)
-	clear(r.heardHere)
+	clear(r.contactedHere)
 	return ids
 }
 
@@ -363,14 +364,14 @@
 	var expired []Instance
 	for id, known := range r.instances {
 		switch {
-		case known.alive() && now-known.heard > r.lease:
-			known.State, known.ended = Expired, now
+		case known.isLive() && now-known.lastContact > r.lease:
+			known.State, known.endedAt = Expired, now
 			// With this sequence, the expiry supersedes the previous state, and any later heartbeat
 			// supersedes the expiry.
-			known.Sequence = known.newest
-			r.noteChanged(known)
+			known.Sequence = known.latestSequence
+			r.updateDigest(known)
 			expired = append(expired, known.Instance)
-		case !known.alive() && now-known.ended > tombstoneAge:
+		case !known.isLive() && now-known.endedAt > tombstoneAge:
 			delete(r.instances, id)
 		}
 	}
@@ -400,7 +401,7 @@
 // Live returns the instances that have not ended, ordered by ID.
 func (r *Registry) Live() []Instance {
 	all := r.all()
-	return slices.DeleteFunc(all, func(instance Instance) bool { return !instance.alive() })
+	return slices.DeleteFunc(all, func(instance Instance) bool { return !instance.isLive() })
 }
 
 func sortByID(instances []Instance) {
--- a/internal/coordination/registry/registry_test.go
+++ b/internal/coordination/registry/registry_test.go
@@ -31,7 +31,7 @@
 	assert.Equal(t, registry.Live()[0].State, Draining)
 }
 
-func TestHeartbeatAfterLeavingDoesNotBringBack(t *testing.T) {
+func TestHeartbeatAfterLeavingDoesNotRestoreTheInstance(t *testing.T) {
 	registry := New(0)
 	assert.Assert(t, registry.Leave(0, Life{ID: "i"}))
 	_, err := registry.Heartbeat(1, ready("i", 9))
@@ -45,7 +45,7 @@
 	assert.ErrorIs(t, err, ErrIncomplete)
 }
 
-func TestSilentInstanceExpiresAndItsNextHeartbeatBringsItBack(t *testing.T) {
+func TestInstanceExpiresWithoutHeartbeatsAndTheNextOneRestoresIt(t *testing.T) {
 	registry := New(time.Second)
 	_, _ = registry.Heartbeat(0, ready("i", 1))
 	registry.Heard(900*time.Millisecond, []string{"i"})
@@ -57,7 +57,7 @@
 	assert.Equal(t, len(registry.Live()), 1)
 }
 
-func TestNodeThatLostItsMemoryTakesNothingAway(t *testing.T) {
+func TestNodeThatLostItsStateRemovesNothingElsewhere(t *testing.T) {
 	front, restarted := New(0), New(0)
 	_, _ = front.Heartbeat(0, ready("i", 1))
 	assert.Equal(t, len(front.Merge(1, restarted.Instances(1))), 0)
@@ -65,9 +65,9 @@
 	assert.Equal(t, front.Digest(), restarted.Digest())
 }
 
-func TestMergesInAnyOrderEndAlike(t *testing.T) {
+func TestMergesInAnyOrderConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		words := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Instance {
+		messages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Instance {
 			instance := ready(rapid.SampledFrom([]string{"i", "j"}).Draw(t, "id"), rapid.Uint64Range(1, 4).Draw(t, "sequence"))
 			instance.State = State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state"))
 			instance.Born = rapid.Int64Range(1, 3).Draw(t, "born")
@@ -76,18 +76,18 @@
 		}), 1, 8).Draw(t, "words")
 		seed := rapid.Uint64().Draw(t, "seed")
 		one, other := New(0), New(0)
-		for _, word := range words {
-			one.Merge(0, []Instance{word})
+		for _, message := range messages {
+			one.Merge(0, []Instance{message})
 		}
 		random := rand.New(rand.NewPCG(seed, 1))
-		for _, position := range random.Perm(len(words)) {
-			other.Merge(0, []Instance{words[position], words[position]})
+		for _, position := range random.Perm(len(messages)) {
+			other.Merge(0, []Instance{messages[position], messages[position]})
 		}
 		assert.Equal(t, one.Digest(), other.Digest())
 	})
 }
 
-func TestColdInstanceIsToldOnceAndIsColdUntilTheSameMomentElsewhere(t *testing.T) {
+func TestColdTimeIsSentOnceAndEndsAtTheSameMomentOnOtherNodes(t *testing.T) {
 	control, entry := New(0), New(0)
 	cold := func(sequence uint64, left time.Duration) Instance {
 		instance := ready("i", sequence)
