--- a/internal/coordination/rollout/judge.go
+++ b/internal/coordination/rollout/judge.go
@@ -10,64 +10,67 @@
 )
 
 const (
-	// harm is the part of answers, beyond the old version's, from which a version is taken
-	// for bad.
+	// harm is the share of bad responses, in excess of the old version's, that the test assumes of a
+	// bad version.
 	harm = 0.08
-	// verdictBar is the logarithm of the likelihood ratio from which a version is bad. Of
-	// good ones at most e^-verdictBar for each answer reach it by chance.
+	// verdictBar is the log likelihood ratio from which a version counts as bad. A good version
+	// reaches it by chance with a probability of at most e^-verdictBar per response.
 	verdictBar = 14.0
-	// doubtBar is that from which a version does not move on at the deadline: by chance one
-	// of some hundred good ones is there.
+	// doubtBar is the log likelihood ratio from which a version is not moved to when the time to
+	// move has come. By chance, about one in a hundred good versions reaches it.
 	doubtBar = 6.0
-	// The old version's part of bad answers is the higher one of that of the last seconds
-	// and that of this moment, each with some answers of which few are bad: what harms both
-	// versions shows in the old one's at once.
+	// The old version's share of bad responses is the higher one of two exponentially decayed
+	// averages, with time constants memory and moment. Each starts from priorAnswers responses, of
+	// which priorBad are bad, and the result is at least leastBad. The short average reacts
+	// immediately to a fault that affects both versions.
 	memory, moment = 3 * time.Second, 300 * time.Millisecond
 	priorAnswers   = 20.0
 	priorBad       = 0.01
 	leastBad       = 0.004
-	// A verdict needs evidence, of a likelihood ratio with this logarithm, from what is left
-	// without the worst third of the new instances: an instance that ends or is ill says
-	// little of its version, however many answers it takes along.
+	// A rollback also requires a log likelihood ratio of restBar from the new instances without the
+	// worst third of them. An instance that crashes or is unhealthy indicates little about its
+	// version, regardless of how many responses fail with it.
 	worstInstances = 1.0 / 3
 	restBar        = 4.0
-	// In doubt at the deadline less is enough: what harms one route of many is thin at each
-	// instance.
+	// doubtRestBar is the lower requirement for a version in doubt at the time to move: a fault on
+	// one of many routes causes only few bad responses at each instance.
 	doubtRestBar = 1.0
-	// leastAnswers of the new version are needed to move on.
+	// leastAnswers is the minimum number of responses of the new version before traffic moves to it.
 	leastAnswers = 10
-	// The rollout moves in the last part of its time: so that old requests have ended
-	// before the old version may end, and as late as that allows, since a version may
-	// turn bad at any time.
+	// The rollout moves in the last moveShare of its duration, for at least leastMove and at most
+	// mostMove. The old requests then have ended before the old version may be stopped. The move
+	// starts as late as that allows, because a version may turn bad at any time.
 	moveShare           = 0.3
 	leastMove, mostMove = 1500 * time.Millisecond, 5 * time.Second
-	// doneMargin is how long before the deadline the rollout is done, whatever is under way:
-	// the word of it takes a quorum's disks and a hello.
+	// doneMargin is how long before the deadline the rollout is done regardless of the requests in
+	// flight. The decision has to be written to the disks of a quorum and to reach the nodes with a
+	// hello.
 	doneMargin = 700 * time.Millisecond
-	// hearTime is how long a judge that begins late, as a new leader's does, waits for nodes
-	// to tell it what they have recorded: some reports of each.
+	// hearTime is how long an analysis that starts late, such as that of a new leader, waits for the
+	// samples of all nodes. Each node sends several reports in that time.
 	hearTime = 1500 * time.Millisecond
-	// settleTime is how long after a move began no node's word counts that nothing is under
-	// way: it may be from before.
+	// settleTime is how long after the start of the move a node's report of no requests in flight is
+	// ignored, because it may date from before the move.
 	settleTime = 700 * time.Millisecond
 )
 
-// Judge weighs a rollout's evidence. It is not safe for concurrent use.
+// Judge is the canary analysis of a rollout: it compares the responses of the new version with those
+// of the old one and decides on the rollout's stage. It is not safe for concurrent use.
 type Judge struct {
 	duration time.Duration
-	// nodes is the newest evidence of each node, by a name that is another one for each
-	// life of the node: counts begin anew then.
+	// nodes holds the newest samples of each node incarnation. The key differs between incarnations
+	// of a node, because each starts its counts from 0.
 	nodes  map[string]Evidence
 	routes map[string]*routeTest
 	all    cusum
-	// old is how the old version answers on all routes.
+	// old holds the old version's shares of bad responses on all routes together.
 	old                 rates
 	seenOld             Counts
 	instances           map[string]*instanceTest
 	answers             Counts
 	steppedAt, movingAt time.Duration
 	isMoving            bool
-	// begunAt is the time since the order at its first step.
+	// begunAt is the time of its first step, counted from the order.
 	begunAt  time.Duration
 	hasBegun bool
 }
@@ -80,32 +83,33 @@
 	evidence cusum
 }
 
-// instanceTest holds one of the new instances against the old version.
+// instanceTest compares one instance of the new version with the old version.
 type instanceTest struct {
 	seen     Counts
 	evidence cusum
 }
 
-// rates are the old version's parts of bad answers of late and at this moment.
+// rates holds the old version's shares of bad responses: late decays with the time constant memory,
+// and now with the time constant moment.
 type rates struct{ late, now decayed }
 
-// decayed are counts of which older ones weigh less.
+// decayed holds exponentially decayed counts of responses.
 type decayed struct{ answers, bad float64 }
 
-// cusum is a sum of log likelihood ratios that does not fall below 0: a version that was
-// good for a time does not make up for what it does from then on.
+// cusum is a cumulative sum of log likelihood ratios that does not fall below 0 (a CUSUM test). A
+// version that was good for some time therefore gains no credit against later failures.
 type cusum struct{ sum float64 }
 
 func (c *cusum) add(ratio float64) { c.sum = max(0, c.sum+ratio) }
 
-// NewJudge makes a judge of a rollout of some duration.
+// NewJudge returns the canary analysis of a rollout with a duration.
 func NewJudge(duration time.Duration) *Judge {
 	return &Judge{
 		duration: duration, nodes: map[string]Evidence{}, routes: map[string]*routeTest{}, instances: map[string]*instanceTest{},
 	}
 }
 
-// Take takes a node's evidence. One that has overtaken a newer one changes nothing.
+// Take replaces a node's samples. Older samples that arrive after newer ones are ignored.
 func (j *Judge) Take(node string, evidence Evidence) {
 	if known, found := j.nodes[node]; found && evidence.answers() < known.answers() {
 		return
@@ -113,14 +117,14 @@
 	j.nodes[node] = evidence
 }
 
-// Decision is the stage that a rollout is to be in, and why.
+// Decision is the stage that a rollout should be in, and the reason.
 type Decision struct {
 	Stage  state.Stage
 	Reason string
 }
 
-// Step weighs what has come, some time after the order. live are the names of the nodes
-// that send requests now.
+// Step analyses the samples received so far and returns the decision. elapsed is the time since the
+// order, and live holds the names of the nodes that send requests now.
 func (j *Judge) Step(elapsed time.Duration, stage state.Stage, live []string) Decision {
 	bad := j.weigh(elapsed)
 	if bad != "" {
@@ -135,14 +139,14 @@
 	return j.decideOnEnd(elapsed, live)
 }
 
-// decideOnMove tells whether a canary that has shown no harm moves on.
+// decideOnMove decides whether a canary that has shown no harm so far stays, moves or is rolled back.
 func (j *Judge) decideOnMove(elapsed time.Duration, live []string) Decision {
 	move := min(max(time.Duration(moveShare*float64(j.duration)), leastMove), mostMove)
 	if elapsed < j.duration-move {
 		return Decision{Stage: state.Canary}
 	}
 	if elapsed-j.begunAt < hearTime && elapsed < j.duration-doneMargin && !j.hasHeard(live) {
-		// A new leader: nodes tell it what they have recorded within moments.
+		// After a change of leader, the samples of all nodes arrive within hearTime.
 		return Decision{Stage: state.Canary}
 	}
 	text := fmt.Sprintf("%d answers, %d bad, evidence of harm %.1f", j.answers.Answers, j.answers.Bad, j.all.sum)
@@ -155,7 +159,7 @@
 	return Decision{Stage: state.Moving, Reason: "as good as the old version: " + text}
 }
 
-// hasHeard tells whether all nodes have told what they have recorded.
+// hasHeard reports whether samples of all live nodes were received.
 func (j *Judge) hasHeard(live []string) bool {
 	return !slices.ContainsFunc(live, func(node string) bool {
 		_, found := j.nodes[node]
@@ -163,8 +167,8 @@
 	})
 }
 
-// decideOnEnd tells whether a rollout that moves is done: nothing is under way at the old
-// version, or there is no more time.
+// decideOnEnd decides whether a rollout that moves is done: either no request is in flight at the old
+// version, or the deadline is near.
 func (j *Judge) decideOnEnd(elapsed time.Duration, live []string) Decision {
 	if !j.isMoving {
 		j.isMoving, j.movingAt = true, elapsed
@@ -195,8 +199,8 @@
 	return highest
 }
 
-// weigh adds what is new in the evidence to the tests, and returns why the version is bad,
-// or "".
+// weigh adds the responses since the last step to the tests, and returns why the version is bad, or
+// "" if it is not.
 func (j *Judge) weigh(elapsed time.Duration) string {
 	since := elapsed - j.steppedAt
 	j.steppedAt = elapsed
@@ -235,7 +239,7 @@
 	}
 }
 
-// rest is the evidence without that of the worst instances.
+// rest returns the sum of the instances' log likelihood ratios without those of the worst instances.
 func (j *Judge) rest() float64 {
 	sums := make([]float64, 0, len(j.instances))
 	for _, test := range j.instances {
@@ -253,7 +257,7 @@
 	return rest
 }
 
-// describe tells what a verdict rests on.
+// describe returns the reason for a rollback.
 func (j *Judge) describe() string {
 	text := fmt.Sprintf("bad answers of the new version on all routes together: %d of %d", j.answers.Bad, j.answers.Answers)
 	for route, test := range j.routes {
@@ -264,7 +268,7 @@
 	return fmt.Sprintf("%s; evidence %.1f, %.1f without the worst of %d instances", text, j.highest(), j.rest(), len(j.instances))
 }
 
-// routeTotals adds up what all nodes have recorded.
+// routeTotals sums the counts of all nodes by route.
 func (j *Judge) routeTotals() map[string]RouteCounts {
 	totals := map[string]RouteCounts{}
 	for _, evidence := range j.nodes {
@@ -290,12 +294,13 @@
 	return totals
 }
 
-// since returns what came behind earlier counts.
+// since returns the difference to earlier counts.
 func (c Counts) since(earlier Counts) Counts {
 	return Counts{Answers: c.Answers - earlier.Answers, Bad: c.Bad - earlier.Bad}
 }
 
-// step returns the likelihood ratio of the new version's answers that have come, and these.
+// step returns the log likelihood ratio of the new version's responses since the last step, and the
+// counts of these responses.
 func (t *routeTest) step(since time.Duration, counts RouteCounts) (ratio float64, news Counts) {
 	t.old.add(since, counts.Old.since(t.seen.Old))
 	news = counts.New.since(t.seen.New)
@@ -304,8 +309,8 @@
 	return t.old.likelihoodRatio(news), news
 }
 
-// likelihoodRatio is the logarithm of how much more likely answers are of a version that is
-// worse by harm than of one that is as good as the old one.
+// likelihoodRatio returns the log likelihood ratio of responses: how much more likely they are for a
+// version that is worse by harm than for one that is as good as the old version.
 func (r *rates) likelihoodRatio(news Counts) float64 {
 	if news.Answers == 0 {
 		return 0
@@ -320,7 +325,7 @@
 	r.now.add(since, moment, news)
 }
 
-// rate is the part of bad answers that is believed.
+// rate returns the assumed share of bad responses.
 func (r *rates) rate() float64 { return max(leastBad, r.late.rate(), r.now.rate()) }
 
 func (d *decayed) add(since, remembered time.Duration, news Counts) {
--- a/internal/coordination/rollout/recorder.go
+++ b/internal/coordination/rollout/recorder.go
@@ -1,11 +1,11 @@
-// Package rollout decides whether a service's work moves to a new version of its
-// instances. Entry nodes record how the instances of both versions answer; the leading
-// control node judges what they record.
+// Package rollout implements the canary analysis that decides whether a service's requests move to a
+// new version of its instances. Entry nodes record the responses of the instances of both versions.
+// The leading control node analyses these samples.
 //
-// Old and new are compared at the same moment, route by route: what harms both, such as
-// a cut, a burst or an ill zone, is no verdict on the new one. An answer counts as bad
-// if the instance failed it, or if it was slow beside what the same node has from the
-// old version on the same route.
+// The old and the new version are compared at the same time and route by route, so that a fault that
+// affects both, such as a partition, a burst or an unhealthy zone, does not count against the new
+// one. A response is bad if the instance failed it, or if it was slow in comparison with those that
+// the same node received from the old version on the same route.
 package rollout
 
 import (
@@ -17,39 +17,40 @@
 )
 
 const (
-	// baselineWeight is the weight of one answer in what a node takes for usual on a
-	// route: some 30 answers are remembered.
+	// baselineWeight is the minimum weight of one response in a node's baseline of a route. The
+	// baseline covers about 30 responses.
 	baselineWeight = 1.0 / 30
-	// baselineAnswers are needed before an answer can be called slow.
+	// baselineAnswers is the number of responses in a baseline that is required before a response
+	// can count as slow.
 	baselineAnswers = 10
-	// An answer is slow if it took slowRatio times what is usual, and slowDeviations
-	// standard deviations more, of the logarithm: bad versions are several times slower.
+	// A response is slow if it took more than slowRatio times the baseline, and more than
+	// slowDeviations standard deviations of the logarithm above it. Bad versions are several times
+	// slower.
 	slowRatio      = 1.8
 	slowDeviations = 2.5
-	// leastDeviation is the least standard deviation of the logarithm of a time that is
-	// believed.
+	// leastDeviation is the minimum standard deviation assumed for the logarithm of a time.
 	leastDeviation = 0.15
-	// routesKept bounds the routes of which it is known what is usual, at some 100 bytes each:
-	// configurations come and go with their routes.
+	// routesKept bounds the number of baselines, at about 100 bytes each. Routes are added and
+	// removed with changes of the configuration.
 	routesKept = 4096
-	// baseTokens are added to the tokens that an instance has to read before an answer:
-	// what an answer takes that reads none.
+	// baseTokens is added to the tokens that an instance has to read before a response. It accounts
+	// for the time of a response for which nothing has to be read.
 	baseTokens = 1500
 )
 
-// Answer is how an instance answered one request.
+// Answer describes the response of an instance to one request.
 type Answer struct {
 	Service, Version, Instance, Route string
-	// IsFailed tells that the instance failed it or broke it off.
+	// IsFailed reports whether the instance failed the request or broke off the response.
 	IsFailed bool
-	// First is the time from the sending to a stream's first event, or to a whole answer;
-	// Pace the mean time between events. 0 means that there was none.
+	// First is the time from the sending of the request to the first event of a stream, or to a whole
+	// response. Pace is the mean time between events. 0 means that there was none.
 	First, Pace time.Duration
-	// Tokens were expected to be read before the first event.
+	// Tokens is the number of tokens that were expected to be read before the first event.
 	Tokens int
 }
 
-// Counts are answers, and those of them that were bad.
+// Counts holds the number of responses, and of those that were bad.
 type Counts struct {
 	Answers uint32 `msgpack:"a"`
 	Bad     uint32 `msgpack:"b"`
@@ -67,34 +68,34 @@
 	}
 }
 
-// RouteCounts are the answers on one route by version.
+// RouteCounts holds the counts of the responses on one route by version.
 type RouteCounts struct {
 	Route string `msgpack:"r"`
 	New   Counts `msgpack:"n"`
 	Old   Counts `msgpack:"o"`
 }
 
-// InstanceCounts are the answers of one instance of the new version.
+// InstanceCounts holds the counts of the responses of one instance of the new version.
 type InstanceCounts struct {
 	Instance string `msgpack:"i"`
 	Counts   Counts `msgpack:"c"`
 }
 
-// Evidence is all that one node has recorded of one rollout since it heard of it.
+// Evidence holds all samples that one node has recorded of one rollout since it learned of it.
 type Evidence struct {
 	Service string `msgpack:"s"`
 	// Rollout is the revision of the rollout.
 	Rollout uint64        `msgpack:"r"`
 	Routes  []RouteCounts `msgpack:"o"`
-	// Instances are those of the new version.
+	// Instances holds the counts of each instance of the new version.
 	Instances []InstanceCounts `msgpack:"i"`
-	// Stage is the stage that the node keeps to, OldUnderWay the number of its requests at
-	// instances of the old version.
+	// Stage is the stage that the node applies. OldUnderWay is the number of its requests in flight
+	// at instances of the old version.
 	Stage       state.Stage `msgpack:"g"`
 	OldUnderWay int         `msgpack:"u"`
 }
 
-// answers is the number of all answers that the evidence holds, which only rises.
+// answers returns the total number of responses, which never decreases.
 func (e *Evidence) answers() uint32 {
 	total := uint32(0)
 	for _, one := range e.Routes {
@@ -103,22 +104,21 @@
 	return total
 }
 
-// Recorder records how instances answer one node's requests. It is safe for concurrent
-// use.
+// Recorder records the responses of instances to one node's requests. It is safe for concurrent use.
 type Recorder struct {
 	mutex   sync.Mutex
 	usual   map[string]*routeTimes
 	watched map[string]*watched
 }
 
-// watched is what is recorded of a running rollout.
+// watched holds the counts of a running rollout.
 type watched struct {
 	state.Rollout
 	routes    map[string]*RouteCounts
 	instances map[string]*InstanceCounts
 }
 
-// routeTimes is what is usual on a route, of the logarithms of times.
+// routeTimes is the baseline of a route, computed on the logarithms of the times.
 type routeTimes struct{ first, pace times }
 
 type times struct {
@@ -126,12 +126,13 @@
 	mean, squaredDeviance float64
 }
 
-// NewRecorder makes an empty recorder.
+// NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
 	return &Recorder{usual: map[string]*routeTimes{}, watched: map[string]*watched{}}
 }
 
-// Watch replaces the rollouts that are recorded; of one that goes on nothing is lost.
+// Watch replaces the rollouts that are recorded. A rollout with an unchanged revision keeps its
+// counts.
 func (r *Recorder) Watch(rollouts []state.Rollout) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -150,7 +151,7 @@
 	r.watched = kept
 }
 
-// Note records an answer.
+// Note records a response.
 func (r *Recorder) Note(answer Answer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -164,8 +165,8 @@
 	}
 	running := r.watched[answer.Service]
 	isNew := running != nil && answer.Version == running.Version
-	// While all work moves the new version has another load than the old one had: that it is
-	// slower then says nothing.
+	// While all work moves, the new version has a different load than the old one had, so slower
+	// responses indicate nothing.
 	isMoving := running != nil && running.Stage == state.Moving
 	isBad := answer.IsFailed || !isMoving && usual.isSlow(answer)
 	if !answer.IsFailed && !isNew {
@@ -198,7 +199,7 @@
 	instance.Counts.note(isBad)
 }
 
-// Evidence returns what was recorded of all running rollouts.
+// Evidence returns the samples of all running rollouts.
 func (r *Recorder) Evidence() []Evidence {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -216,8 +217,8 @@
 	return all
 }
 
-// firstOf is the logarithm of the time to an answer's first event, for each token that
-// was to be read: an instance whose cache is cold reads more and is not slower for that.
+// firstOf returns the logarithm of the time to a response's first event per token to be read. An
+// instance whose cache is cold reads more tokens, and does not count as slower for that.
 func firstOf(answer Answer) float64 {
 	return math.Log(float64(answer.First)) - math.Log(float64(answer.Tokens+baseTokens))
 }
--- a/internal/coordination/rollout/recorder_test.go
+++ b/internal/coordination/rollout/recorder_test.go
@@ -20,7 +20,7 @@
 	return Answer{Service: "llm", Version: version, Instance: version + "-1", Route: "r", First: first, Tokens: 500}
 }
 
-// learn gives a recorder what is usual on the route: answers within 80 to 120 ms.
+// learn records a baseline for the route: responses within 80 to 120 ms.
 func learn(recorder *Recorder) {
 	for number := range 40 {
 		recorder.Note(answerOf("v1", time.Duration(80+number)*time.Millisecond))
@@ -32,7 +32,7 @@
 func TestAnswerIsSlowBesideTheOldVersionsOnItsRoute(t *testing.T) {
 	recorder := watching(state.Canary)
 	recorder.Note(answerOf("v2", time.Second))
-	assert.Equal(t, newCounts(recorder).Bad, uint32(0), "nothing is usual yet")
+	assert.Equal(t, newCounts(recorder).Bad, uint32(0), "there is no baseline yet")
 	learn(recorder)
 	for _, first := range []time.Duration{50 * time.Millisecond, 150 * time.Millisecond} {
 		recorder.Note(answerOf("v2", first))
@@ -40,19 +40,19 @@
 	assert.Equal(t, newCounts(recorder).Bad, uint32(0))
 	recorder.Note(answerOf("v2", 400*time.Millisecond))
 	assert.Equal(t, newCounts(recorder).Bad, uint32(1))
-	// It reads ten times as much before its first event: its cache is cold.
+	// With a cold cache, the instance reads 24 times as many tokens before its first event.
 	cold := answerOf("v2", 400*time.Millisecond)
 	cold.Tokens = 12_000
 	recorder.Note(cold)
 	assert.Equal(t, newCounts(recorder).Bad, uint32(1))
-	// What a bad version does is not usual, however long it lasts.
+	// A bad version never changes the baseline, regardless of how long it is slow.
 	for range 200 {
 		recorder.Note(answerOf("v2", 400*time.Millisecond))
 	}
 	assert.Equal(t, newCounts(recorder).Bad, uint32(201))
 }
 
-// All work comes to the new version at once, with cold caches: it is slower for that.
+// All work moves to the new version at the same time and finds cold caches, which makes it slower.
 func TestSlowAnswersAreNotHeldAgainstAVersionWhileAllWorkMoves(t *testing.T) {
 	recorder := watching(state.Moving)
 	learn(recorder)
@@ -77,8 +77,7 @@
 	assert.Assert(t, len(recorder.usual) <= routesKept)
 }
 
-// A node's evidence is whole counts: what overtakes a newer one, or comes twice, changes
-// nothing.
+// A node's samples are cumulative counts, so outdated or repeated ones must change nothing.
 func TestJudgeCountsEvidenceOnce(t *testing.T) {
 	judge := NewJudge(12 * time.Second)
 	recorder := watching(state.Canary)
