--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -81,8 +81,8 @@
 	// other nodes.
 	Ahead, Unread int
 	AheadKnown    bool
-	// Reread is the cost of shared tokens that are read again, and Far that of bytes sent to another
-	// zone, both in tokens. Streams is the number of requests in flight at the instance.
+	// Reread is the cost of shared tokens that are read again, and Far that of bytes sent to
+	// another zone, both in tokens. Streams is the number of requests in flight at the instance.
 	Reread, Far, Streams int
 	// Paused is the cost of the streams there that reading the prompt would stall, in tokens.
 	Paused int
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -82,8 +82,8 @@
 	return now < m.ColdUntil || m.isRestored && now < m.restoredAt+policy.Time
 }
 
-// acceptsWhileCold reports whether an instance is not cold, or this node may send it a request now although
-// it is.
+// acceptsWhileCold reports whether an instance is not cold, or this node may send it a request now
+// although it is.
 func (t *Table) acceptsWhileCold(now time.Duration, one *member, policy ColdPolicy) bool {
 	if !one.isCold(now, policy) {
 		return true
--- a/internal/coordination/balance/incarnations.go
+++ b/internal/coordination/balance/incarnations.go
@@ -4,15 +4,15 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// endedIncarnation is an incarnation that has ended. wasLeaving records whether it had signalled before its
-// end that it leaves.
+// endedIncarnation is an incarnation that has ended. wasLeaving records whether it had signalled
+// before its end that it leaves.
 type endedIncarnation struct {
 	registry.Life
 	wasLeaving bool
 }
 
-// maximumEndedIncarnations bounds the number of ended incarnations that are kept. They are looked up only shortly
-// after their end, by the requests that were in flight there.
+// maximumEndedIncarnations bounds the number of ended incarnations that are kept. They are looked
+// up only shortly after their end, by the requests that were in flight there.
 const maximumEndedIncarnations = 128
 
 func (t *Table) noteEnded(one *member) {
--- a/internal/coordination/balance/initial_exchange.go
+++ b/internal/coordination/balance/initial_exchange.go
@@ -8,13 +8,13 @@
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 )
 
-// maximumLimitRequests is the maximum number of times that a node requests the active limits after it started.
-// Its connections are established during that time.
+// maximumLimitRequests is the maximum number of times that a node requests the active limits after
+// it started. Its connections are established during that time.
 const maximumLimitRequests = 20
 
-// initialExchange is the initial exchange of a node that has just started: the node requests the rate
-// limits that instances named before its start. It sends the request to one node, the one with the
-// lowest address in its own zone, or if it is alone there, in all zones.
+// initialExchange is the initial exchange of a node that has just started: the node requests the
+// rate limits that instances named before its start. It sends the request to one node, the one with
+// the lowest address in its own zone, or if it is alone there, in all zones.
 type initialExchange struct {
 	self EntryNode
 	// responder is the address of the node that the request goes to, "" if there is no other node.
--- a/internal/coordination/balance/limited.go
+++ b/internal/coordination/balance/limited.go
@@ -6,9 +6,9 @@
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 )
 
-// permitTokens is the cost of a permit, in tokens, at an instance whose permits are scarce. Requests
-// that gain nothing from the instance's cache then go elsewhere before the rate limit is reached,
-// and requests whose prompt it holds in large part still go there.
+// permitTokens is the cost of a permit, in tokens, at an instance whose permits are scarce.
+// Requests that gain nothing from the instance's cache then go elsewhere before the rate limit is
+// reached, and requests whose prompt it holds in large part still go there.
 const permitTokens = 6000
 
 // NoPermits is the maximum permit wait of a request that only goes to instances without a rate
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -151,14 +151,15 @@
 // EntryNode is a node that sends requests to instances.
 type EntryNode struct{ Address, Zone string }
 
-// maximumReportIntervals is the number of report intervals after which a received report is dropped.
+// maximumReportIntervals is the number of report intervals after which a received report is
+// dropped.
 const maximumReportIntervals = 4
 
 // LoadExchange shares the entry nodes' loads, so that the choice of an instance accounts for the
-// requests of all nodes. The node with the lowest address in each zone is its relay. A relay sums up
-// the loads of its zone, exchanges the sums with the other relays, and reports the loads of all
-// others to each node of its zone. A node that is not a relay thus sends and receives one report per
-// interval regardless of the number of nodes, and one report per interval crosses zones in each
+// requests of all nodes. The node with the lowest address in each zone is its relay. A relay sums
+// up the loads of its zone, exchanges the sums with the other relays, and reports the loads of all
+// others to each node of its zone. A node that is not a relay thus sends and receives one report
+// per interval regardless of the number of nodes, and one report per interval crosses zones in each
 // direction between two relays. While the relay is unreachable, the nodes of its zone know only
 // their own requests.
 //
@@ -243,8 +244,8 @@
 }
 
 // Step returns the reports that are due and what is known of all other nodes. ownUpdates holds this
-// node's own updates since the last step. activeLimits returns the limits that are sent to nodes that
-// have just started.
+// node's own updates since the last step. activeLimits returns the limits that are sent to nodes
+// that have just started.
 func (e *LoadExchange) Step(now time.Duration, own Loads, ownUpdates News, activeLimits func() []ratelimit.Word) ([]OutgoingReport, Known) {
 	reports, known := e.step(now, own, ownUpdates)
 	return append(reports, e.initialExchange.step(now, activeLimits)...), known
@@ -280,9 +281,9 @@
 
 func (n encodedUpdates) isEmpty() bool { return len(n.parts) == 0 && len(n.limits) == 0 }
 
-// stepRelay sums up the loads of the zone for the other relays, and the loads of all others for each
-// node of the zone. It computes the total once and subtracts each node's own loads from it, because
-// summing the others separately for each node takes time quadratic in the number of nodes.
+// stepRelay sums up the loads of the zone for the other relays, and the loads of all others for
+// each node of the zone. It computes the total once and subtracts each node's own loads from it,
+// because summing the others separately for each node takes time quadratic in the number of nodes.
 func (e *LoadExchange) stepRelay(now time.Duration, own Loads, zoneUpdates, otherUpdates News) ([]OutgoingReport, Loads) {
 	others, zone, members := Loads{}, Loads{}, Loads{}
 	for _, received := range e.relayReports {
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -148,8 +148,8 @@
 	assert.Equal(t, len(table.OwnLoads()), 0)
 }
 
-// Guards against the fault of lumiere-rx: shared parts were the largest cost, and were read again at
-// further instances because only the node that had sent a part to an instance knew of it.
+// Guards against the fault of lumiere-rx: shared parts were the largest cost, and were read again
+// at further instances because only the node that had sent a part to an instance knew of it.
 func TestSpilledPartsAreReportedToAllNodes(t *testing.T) {
 	exchanges, all := exchangeOf(3)
 	spilled := HeldPart{Part: keyOfPart("part"), Instance: KeyOf(registry.Life{ID: "i-2"})}
--- a/internal/coordination/balance/parts.go
+++ b/internal/coordination/balance/parts.go
@@ -11,17 +11,18 @@
 	// maximumHeldParts is the number of parts recorded for an instance above which expired ones are
 	// removed.
 	maximumHeldParts = 256
-	// heldPartLifetime is how long an instance counts as holding a part after the part was last sent to it.
+	// heldPartLifetime is how long an instance counts as holding a part after the part was last
+	// sent to it.
 	heldPartLifetime = 15 * time.Second
-	// maximumSpilledParts bounds the number of parts in one report and of those that wait for the next
-	// one.
+	// maximumSpilledParts bounds the number of parts in one report and of those that wait for the
+	// next one.
 	maximumSpilledParts = 128
 	// encodedPartBytes is the encoded length of one part.
 	encodedPartBytes = 8
 )
 
-// PartKey is a 32-bit hash that identifies a prompt part in reports. Of two parts with the same key,
-// both appear to be held where one of them is, which is the only effect of a collision.
+// PartKey is a 32-bit hash that identifies a prompt part in reports. Of two parts with the same
+// key, both appear to be held where one of them is, which is the only effect of a collision.
 type PartKey uint32
 
 func keyOfPart(part string) PartKey { return PartKey(xxhash.Sum64String(part)) }
@@ -88,7 +89,8 @@
 	}
 }
 
-// noteHeld records that a part was sent to the instance, and removes expired parts if there are many.
+// noteHeld records that a part was sent to the instance, and removes expired parts if there are
+// many.
 func (m *member) noteHeld(now time.Duration, part PartKey) {
 	if len(m.heldParts) > maximumHeldParts {
 		for known, at := range m.heldParts {
--- a/internal/coordination/balance/retries.go
+++ b/internal/coordination/balance/retries.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// RetryPolicy bounds how many requests all nodes together retry at another instance: in each window,
-// at most Ratio of the service's requests plus Slack.
+// RetryPolicy bounds how many requests all nodes together retry at another instance: in each
+// window, at most Ratio of the service's requests plus Slack.
 type RetryPolicy struct {
 	Window time.Duration
 	Ratio  float64
--- a/internal/coordination/balance/rollout.go
+++ b/internal/coordination/balance/rollout.go
@@ -16,8 +16,8 @@
 	// instances has the same load as any other instance and a version that fails under load is
 	// detected.
 	canaryInstanceShare = 0.1
-	// maximumCredit bounds the number of canary requests that a node may send in a burst after a time
-	// without an instance for them, so that the share is spread evenly over time.
+	// maximumCredit bounds the number of canary requests that a node may send in a burst after a
+	// time without an instance for them, so that the share is spread evenly over time.
 	maximumCredit = 2.0
 	// initialCredits is the number of canary requests that all nodes together may send before they
 	// have received the requests that earn these credits. Without it, at a few requests per second,
@@ -39,7 +39,8 @@
 	share float64
 	// credit is the number of requests that may go to the canary now.
 	credit float64
-	// canaries holds the IDs of the instances of the new version that receive the canary's requests.
+	// canaries holds the IDs of the instances of the new version that receive the canary's
+	// requests.
 	canaries map[string]bool
 }
 
@@ -120,8 +121,8 @@
 	return t.candidates(now, request, anyMember)
 }
 
-// canariesFor returns the canary's instances if the request belongs to the canary's share. A request
-// that already failed at another instance never does, so that it is not put at risk again.
+// canariesFor returns the canary's instances if the request belongs to the canary's share. A
+// request that already failed at another instance never does, so that it is not put at risk again.
 func (t *Table) canariesFor(now time.Duration, request Request, running *serviceRollout) candidateSet {
 	if len(request.Exclude) > 0 {
 		return candidateSet{}
--- a/internal/coordination/balance/stalls.go
+++ b/internal/coordination/balance/stalls.go
@@ -6,19 +6,19 @@
 	// initialReadRate is the assumed read rate in prompt tokens per millisecond until one was
 	// observed. It is that of a large model on current accelerators.
 	initialReadRate = 45.0
-	// minimumReadTokens is the minimum prompt length, in tokens, for an observation of the read rate.
-	// With shorter prompts, most of the time is spent on generating the first token.
+	// minimumReadTokens is the minimum prompt length, in tokens, for an observation of the read
+	// rate. With shorter prompts, most of the time is spent on generating the first token.
 	minimumReadTokens = 4000
-	// The rate tracks the readRateQuantile of the observed rates, in relative steps of readRateStep.
-	// The quantile is low because a prompt that the instance holds in part, unknown to this node,
-	// appears to be read fast.
+	// The rate tracks the readRateQuantile of the observed rates, in relative steps of
+	// readRateStep. The quantile is low because a prompt that the instance holds in part, unknown
+	// to this node, appears to be read fast.
 	readRateQuantile = 0.3
 	readRateStep     = 0.03
 	// An instance reads prompts in chunks between the tokens of its streams. If it reads for less
 	// than stallFrom of the maximum event gap that a stream's objective allows, no stream exceeds
-	// that gap. From stallTo on, all of its streams exceed it. The chunks take most, but not all, of
-	// the time between two events, so the share of stalled streams is assumed to grow linearly in
-	// between.
+	// that gap. From stallTo on, all of its streams exceed it. The chunks take most, but not all,
+	// of the time between two events, so the share of stalled streams is assumed to grow linearly
+	// in between.
 	stallFrom = 0.7
 	stallTo   = 1.3
 	// stalledStreamTokens is the cost of one stalled stream, in tokens read. Measurements with 0,
--- a/internal/coordination/balance/table.go
+++ b/internal/coordination/balance/table.go
@@ -1,12 +1,12 @@
 // Package balance chooses the instance that a request goes to.
 //
 // A request with a prompt goes to the instance at which its first token is expected earliest. The
-// expected time is measured in prompt tokens: those that the instance has yet to read before, as far
-// as this node knows them, and those of the request itself that the instance does not hold. All nodes
-// agree without communicating on which instance holds a shared prompt part: rendezvous hashing of the
-// part over the instances selects its home. Bytes sent to another zone are converted to tokens.
-// Requests without a prompt part go to the least loaded instance, with a preference for the node's
-// own zone. Health is judged from the node's own attempts only.
+// expected time is measured in prompt tokens: those that the instance has yet to read before, as
+// far as this node knows them, and those of the request itself that the instance does not hold. All
+// nodes agree without communicating on which instance holds a shared prompt part: rendezvous
+// hashing of the part over the instances selects its home. Bytes sent to another zone are converted
+// to tokens. Requests without a prompt part go to the least loaded instance, with a preference for
+// the node's own zone. Health is judged from the node's own attempts only.
 package balance
 
 import (
@@ -26,12 +26,12 @@
 type member struct {
 	registry.Instance
 	inFlight int
-	// pendingTokens is the number of prompt tokens of this node's requests that the instance has yet to
-	// read.
+	// pendingTokens is the number of prompt tokens of this node's requests that the instance has
+	// yet to read.
 	pendingTokens int
 	key           InstanceKey
-	// heldParts is when each part was last sent here by this node, or reported as sent here by another
-	// one.
+	// heldParts is when each part was last sent here by this node, or reported as sent here by
+	// another one.
 	heldParts map[PartKey]time.Duration
 	// failureRate is the smoothed rate of failed requests, from 0 to 1.
 	failureRate float64
