--- a/internal/coordination/registry/incarnations.go
+++ b/internal/coordination/registry/incarnations.go
@@ -8,11 +8,12 @@
 )
 
 const (
-	// maximumHeartbeatDelay is how long after the end of an unknown instance was reported its heartbeats
-	// count as older than that report. Heartbeats are sometimes delayed by seconds, and an instance
-	// takes longer than that to restart.
+	// maximumHeartbeatDelay is how long after the end of an unknown instance was reported its
+	// heartbeats count as older than that report. Heartbeats are sometimes delayed by seconds, and
+	// an instance takes longer than that to restart.
 	maximumHeartbeatDelay = 5 * time.Second
-	// maximumPastIncarnations bounds the number of past incarnations that are recorded for each instance.
+	// maximumPastIncarnations bounds the number of past incarnations that are recorded for each
+	// instance.
 	maximumPastIncarnations = 4
 )
 
@@ -37,17 +38,17 @@
 // Life returns the identity of the instance's incarnation.
 func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
 
-// compareIncarnations orders two incarnations of one instance, the newer one higher. The start times that
-// the instances report decide, and never the order in which messages arrive, because a message of an
-// older incarnation can be delayed for any time. If an incarnation with an earlier start time appears
-// after a later one has ended, for example because the instance's clock was set back, a control node
-// assigns it a higher epoch.
+// compareIncarnations orders two incarnations of one instance, the newer one higher. The start
+// times that the instances report decide, and never the order in which messages arrive, because a
+// message of an older incarnation can be delayed for any time. If an incarnation with an earlier
+// start time appears after a later one has ended, for example because the instance's clock was set
+// back, a control node assigns it a higher epoch.
 func compareIncarnations(one, other Instance) int {
 	return cmp.Or(cmp.Compare(one.Epoch, other.Epoch), cmp.Compare(one.Born, other.Born))
 }
 
-// endsAnyIncarnation reports whether a message ends the instance regardless of its incarnation. A node
-// that did not know the instance creates such a message when the instance leaves.
+// endsAnyIncarnation reports whether a message ends the instance regardless of its incarnation. A
+// node that did not know the instance creates such a message when the instance leaves.
 func (i Instance) endsAnyIncarnation() bool { return i.State == Gone && i.Born == 0 && i.Sequence == 0 }
 
 // isReplacedBy reports whether a heartbeat is the first one of a newer incarnation. If so, it also
--- a/internal/coordination/registry/incarnations_test.go
+++ b/internal/coordination/registry/incarnations_test.go
@@ -62,8 +62,8 @@
 				text := ""
 				for position, one := range order {
 					text += "; " + one.name
-					// The messages are further apart than heartbeats can be delayed after the end of
-					// an unknown incarnation.
+					// The messages are further apart than heartbeats can be delayed after the end
+					// of an unknown incarnation.
 					one.send(registry, time.Duration(position)*2*maximumHeartbeatDelay)
 				}
 				live := registry.Live()
@@ -109,8 +109,8 @@
 	assert.Equal(t, registry.Live()[0].Born, int64(200))
 }
 
-// A control node that restarts from remembered data must not replace a newer incarnation by an older
-// one.
+// A control node that restarts from remembered data must not replace a newer incarnation by an
+// older one.
 func TestRememberedInstanceOfAnEarlierIncarnationChangesNothing(t *testing.T) {
 	registry := New(0)
 	heartbeat(200, 1, Ready).send(registry, 0)
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -75,7 +75,8 @@
 	ColdUntil time.Duration `msgpack:"-"`
 }
 
-// fieldsBeforeIncarnations is the number of fields that builds without incarnations of instances encode.
+// fieldsBeforeIncarnations is the number of fields that builds without incarnations of instances
+// encode.
 const fieldsBeforeIncarnations = 9
 
 // OlderFields implements peer.OlderFields: Born and Epoch were inserted after ID.
@@ -92,7 +93,8 @@
 // ErrIncomplete is returned for a heartbeat without an ID, a service or an address.
 var ErrIncomplete = errors.New("registry: a heartbeat needs an id, a service and an address")
 
-// coldTolerance is the minimum difference between two ends of the cold time that is sent to other nodes.
+// coldTolerance is the minimum difference between two ends of the cold time that is sent to other
+// nodes.
 const coldTolerance = 300 * time.Millisecond
 
 // setColdUntil sets ColdUntil from the ColdLeft of a message that was received now.
@@ -124,13 +126,13 @@
 	hash uint64
 }
 
-// Registry is one node's view of all instances. It is not safe for concurrent use. Times are readings
-// of a monotonic clock.
+// Registry is one node's view of all instances. It is not safe for concurrent use. Times are
+// readings of a monotonic clock.
 type Registry struct {
 	lease     time.Duration
 	instances map[string]*entry
-	// contactedHere holds the IDs of the instances that sent heartbeats to this node since the last call
-	// of TakeHeardHere.
+	// contactedHere holds the IDs of the instances that sent heartbeats to this node since the last
+	// call of TakeHeardHere.
 	contactedHere map[string]struct{}
 	// digest is the sum of the live instances' hashes, and live is their number. Both are updated
 	// incrementally: computing the digest from all of 10,000 instances at each of 40 hellos per
@@ -224,8 +226,8 @@
 // Sums returns the digests of all buckets.
 func (r *Registry) Sums() []uint64 { return slices.Clone(r.sums[:]) }
 
-// Differing returns the instances in the buckets whose digests differ from the given ones, including
-// those that have ended, in the form in which they are sent to another node now.
+// Differing returns the instances in the buckets whose digests differ from the given ones,
+// including those that have ended, in the form in which they are sent to another node now.
 func (r *Registry) Differing(now time.Duration, sums []uint64) []Instance {
 	if len(sums) != Buckets {
 		return r.Instances(now)
@@ -358,8 +360,8 @@
 	return ids
 }
 
-// Expire expires the instances whose lease has run out and returns them. It removes those that ended
-// more than tombstoneAge ago.
+// Expire expires the instances whose lease has run out and returns them. It removes those that
+// ended more than tombstoneAge ago.
 func (r *Registry) Expire(now time.Duration) []Instance {
 	var expired []Instance
 	for id, known := range r.instances {
