--- a/internal/coordination/rollout/recorder.go
+++ b/internal/coordination/rollout/recorder.go
@@ -1,11 +1,11 @@
-// Package rollout implements the canary analysis that decides whether a service's requests move to a
-// new version of its instances. Entry nodes record the responses of the instances of both versions.
-// The leading control node analyses these samples.
+// Package rollout implements the canary analysis that decides whether a service's requests move to
+// a new version of its instances. Entry nodes record the responses of the instances of both
+// versions. The leading control node analyses these samples.
 //
-// The old and the new version are compared at the same time and route by route, so that a fault that
-// affects both, such as a partition, a burst or an unhealthy zone, does not count against the new
-// one. A response is bad if the instance failed it, or if it was slow in comparison with those that
-// the same node received from the old version on the same route.
+// The old and the new version are compared at the same time and route by route, so that a fault
+// that affects both, such as a partition, a burst or an unhealthy zone, does not count against the
+// new one. A response is bad if the instance failed it, or if it was slow in comparison with those
+// that the same node received from the old version on the same route.
 package rollout
 
 import (
@@ -20,19 +20,19 @@
 	// baselineWeight is the minimum weight of one response in a node's baseline of a route. The
 	// baseline covers about 30 responses.
 	baselineWeight = 1.0 / 30
-	// baselineAnswers is the number of responses in a baseline that is required before a response
+	// minimumBaselineResponses is the number of responses in a baseline that is required before a response
 	// can count as slow.
-	baselineAnswers = 10
+	minimumBaselineResponses = 10
 	// A response is slow if it took more than slowRatio times the baseline, and more than
 	// slowDeviations standard deviations of the logarithm above it. Bad versions are several times
 	// slower.
 	slowRatio      = 1.8
 	slowDeviations = 2.5
-	// leastDeviation is the minimum standard deviation assumed for the logarithm of a time.
-	leastDeviation = 0.15
-	// routesKept bounds the number of baselines, at about 100 bytes each. Routes are added and
-	// removed with changes of the configuration.
-	routesKept = 4096
+	// minimumDeviation is the minimum standard deviation assumed for the logarithm of a time.
+	minimumDeviation = 0.15
+	// maximumBaselines bounds the number of baselines, at about 100 bytes each. Routes are added
+	// and removed with changes of the configuration.
+	maximumBaselines = 4096
 	// baseTokens is added to the tokens that an instance has to read before a response. It accounts
 	// for the time of a response for which nothing has to be read.
 	baseTokens = 1500
@@ -43,8 +43,8 @@
 	Service, Version, Instance, Route string
 	// IsFailed reports whether the instance failed the request or broke off the response.
 	IsFailed bool
-	// First is the time from the sending of the request to the first event of a stream, or to a whole
-	// response. Pace is the mean time between events. 0 means that there was none.
+	// First is the time from the sending of the request to the first event of a stream, or to a
+	// whole response. Pace is the mean time between events. 0 means that there was none.
 	First, Pace time.Duration
 	// Tokens is the number of tokens that were expected to be read before the first event.
 	Tokens int
@@ -95,8 +95,8 @@
 	OldUnderWay int         `msgpack:"u"`
 }
 
-// answers returns the total number of responses, which never decreases.
-func (e *Evidence) answers() uint32 {
+// responseCount returns the total number of responses, which never decreases.
+func (e *Evidence) responseCount() uint32 {
 	total := uint32(0)
 	for _, one := range e.Routes {
 		total += one.New.Answers + one.Old.Answers
@@ -104,31 +104,32 @@
 	return total
 }
 
-// Recorder records the responses of instances to one node's requests. It is safe for concurrent use.
+// Recorder records the responses of instances to one node's requests. It is safe for concurrent
+// use.
 type Recorder struct {
-	mutex   sync.Mutex
-	usual   map[string]*routeTimes
-	watched map[string]*watched
+	mutex     sync.Mutex
+	baselines map[string]*routeBaseline
+	watched   map[string]*watchedRollout
 }
 
-// watched holds the counts of a running rollout.
-type watched struct {
+// watchedRollout holds the counts of a running rollout.
+type watchedRollout struct {
 	state.Rollout
 	routes    map[string]*RouteCounts
 	instances map[string]*InstanceCounts
 }
 
-// routeTimes is the baseline of a route, computed on the logarithms of the times.
-type routeTimes struct{ first, pace times }
+// routeBaseline is the baseline of a route, computed on the logarithms of the times.
+type routeBaseline struct{ first, pace timeBaseline }
 
-type times struct {
-	count                 int
-	mean, squaredDeviance float64
+type timeBaseline struct {
+	count          int
+	mean, variance float64
 }
 
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder {
-	return &Recorder{usual: map[string]*routeTimes{}, watched: map[string]*watched{}}
+	return &Recorder{baselines: map[string]*routeBaseline{}, watched: map[string]*watchedRollout{}}
 }
 
 // Watch replaces the rollouts that are recorded. A rollout with an unchanged revision keeps its
@@ -136,14 +137,14 @@
 func (r *Recorder) Watch(rollouts []state.Rollout) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	kept := map[string]*watched{}
+	kept := map[string]*watchedRollout{}
 	for _, one := range rollouts {
 		if !one.Stage.IsRunning() {
 			continue
 		}
 		known := r.watched[one.Service]
 		if known == nil || known.Revision != one.Revision {
-			known = &watched{routes: map[string]*RouteCounts{}, instances: map[string]*InstanceCounts{}}
+			known = &watchedRollout{routes: map[string]*RouteCounts{}, instances: map[string]*InstanceCounts{}}
 		}
 		known.Rollout = one
 		kept[one.Service] = known
@@ -152,36 +153,36 @@
 }
 
 // Note records a response.
-func (r *Recorder) Note(answer Answer) {
+func (r *Recorder) Note(response Answer) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	usual := r.usual[answer.Route]
-	if usual == nil {
-		if len(r.usual) >= routesKept {
-			clear(r.usual)
+	baseline := r.baselines[response.Route]
+	if baseline == nil {
+		if len(r.baselines) >= maximumBaselines {
+			clear(r.baselines)
 		}
-		usual = &routeTimes{}
-		r.usual[answer.Route] = usual
+		baseline = &routeBaseline{}
+		r.baselines[response.Route] = baseline
 	}
-	running := r.watched[answer.Service]
-	isNew := running != nil && answer.Version == running.Version
+	running := r.watched[response.Service]
+	isNew := running != nil && response.Version == running.Version
 	// While all work moves, the new version has a different load than the old one had, so slower
 	// responses indicate nothing.
 	isMoving := running != nil && running.Stage == state.Moving
-	isBad := answer.IsFailed || !isMoving && usual.isSlow(answer)
-	if !answer.IsFailed && !isNew {
-		usual.learn(answer)
+	isBad := response.IsFailed || !isMoving && baseline.isSlow(response)
+	if !response.IsFailed && !isNew {
+		baseline.learn(response)
 	}
 	if running != nil {
-		running.note(answer, isNew, isBad)
+		running.note(response, isNew, isBad)
 	}
 }
 
-func (w *watched) note(answer Answer, isNew, isBad bool) {
-	route := w.routes[answer.Route]
+func (w *watchedRollout) note(response Answer, isNew, isBad bool) {
+	route := w.routes[response.Route]
 	if route == nil {
-		route = &RouteCounts{Route: answer.Route}
-		w.routes[answer.Route] = route
+		route = &RouteCounts{Route: response.Route}
+		w.routes[response.Route] = route
 	}
 	if isNew {
 		route.New.note(isBad)
@@ -191,10 +192,10 @@
 	if !isNew {
 		return
 	}
-	instance := w.instances[answer.Instance]
+	instance := w.instances[response.Instance]
 	if instance == nil {
-		instance = &InstanceCounts{Instance: answer.Instance}
-		w.instances[answer.Instance] = instance
+		instance = &InstanceCounts{Instance: response.Instance}
+		w.instances[response.Instance] = instance
 	}
 	instance.Counts.note(isBad)
 }
@@ -205,46 +206,46 @@
 	defer r.mutex.Unlock()
 	var all []Evidence
 	for _, one := range r.watched {
-		evidence := Evidence{Service: one.Service, Rollout: one.Revision, Stage: one.Stage}
+		samples := Evidence{Service: one.Service, Rollout: one.Revision, Stage: one.Stage}
 		for _, route := range one.routes {
-			evidence.Routes = append(evidence.Routes, *route)
+			samples.Routes = append(samples.Routes, *route)
 		}
 		for _, instance := range one.instances {
-			evidence.Instances = append(evidence.Instances, *instance)
+			samples.Instances = append(samples.Instances, *instance)
 		}
-		all = append(all, evidence)
+		all = append(all, samples)
 	}
 	return all
 }
 
-// firstOf returns the logarithm of the time to a response's first event per token to be read. An
-// instance whose cache is cold reads more tokens, and does not count as slower for that.
-func firstOf(answer Answer) float64 {
-	return math.Log(float64(answer.First)) - math.Log(float64(answer.Tokens+baseTokens))
+// firstEventLog returns the logarithm of the time to a response's first event per token to be read.
+// An instance whose cache is cold reads more tokens, and does not count as slower for that.
+func firstEventLog(response Answer) float64 {
+	return math.Log(float64(response.First)) - math.Log(float64(response.Tokens+baseTokens))
 }
 
-func (u *routeTimes) isSlow(answer Answer) bool {
-	return answer.First > 0 && u.first.isSlow(firstOf(answer)) || answer.Pace > 0 && u.pace.isSlow(math.Log(float64(answer.Pace)))
+func (u *routeBaseline) isSlow(response Answer) bool {
+	return response.First > 0 && u.first.isSlow(firstEventLog(response)) || response.Pace > 0 && u.pace.isSlow(math.Log(float64(response.Pace)))
 }
 
-func (u *routeTimes) learn(answer Answer) {
-	if answer.First > 0 {
-		u.first.learn(firstOf(answer))
+func (u *routeBaseline) learn(response Answer) {
+	if response.First > 0 {
+		u.first.learn(firstEventLog(response))
 	}
-	if answer.Pace > 0 {
-		u.pace.learn(math.Log(float64(answer.Pace)))
+	if response.Pace > 0 {
+		u.pace.learn(math.Log(float64(response.Pace)))
 	}
 }
 
-func (t *times) isSlow(value float64) bool {
-	if t.count < baselineAnswers {
+func (t *timeBaseline) isSlow(value float64) bool {
+	if t.count < minimumBaselineResponses {
 		return false
 	}
-	deviation := max(leastDeviation, math.Sqrt(t.squaredDeviance))
+	deviation := max(minimumDeviation, math.Sqrt(t.variance))
 	return value > t.mean+max(math.Log(slowRatio), slowDeviations*deviation)
 }
 
-func (t *times) learn(value float64) {
+func (t *timeBaseline) learn(value float64) {
 	t.count++
 	if t.count == 1 {
 		t.mean = value
@@ -253,5 +254,5 @@
 	weight := max(baselineWeight, 1/float64(t.count))
 	difference := value - t.mean
 	t.mean += weight * difference
-	t.squaredDeviance += weight * (difference*difference - t.squaredDeviance)
+	t.variance += weight * (difference*difference - t.variance)
 }
--- a/internal/coordination/rollout/recorder_test.go
+++ b/internal/coordination/rollout/recorder_test.go
@@ -16,80 +16,80 @@
 	return recorder
 }
 
-func answerOf(version string, first time.Duration) Answer {
+func responseOf(version string, first time.Duration) Answer {
 	return Answer{Service: "llm", Version: version, Instance: version + "-1", Route: "r", First: first, Tokens: 500}
 }
 
-// learn records a baseline for the route: responses within 80 to 120 ms.
-func learn(recorder *Recorder) {
+// recordBaseline records a baseline for the route: responses within 80 to 120 ms.
+func recordBaseline(recorder *Recorder) {
 	for number := range 40 {
-		recorder.Note(answerOf("v1", time.Duration(80+number)*time.Millisecond))
+		recorder.Note(responseOf("v1", time.Duration(80+number)*time.Millisecond))
 	}
 }
 
 func newCounts(recorder *Recorder) Counts { return recorder.Evidence()[0].Routes[0].New }
 
-func TestAnswerIsSlowBesideTheOldVersionsOnItsRoute(t *testing.T) {
+func TestResponseIsSlowInComparisonWithTheOldVersion(t *testing.T) {
 	recorder := watching(state.Canary)
-	recorder.Note(answerOf("v2", time.Second))
+	recorder.Note(responseOf("v2", time.Second))
 	assert.Equal(t, newCounts(recorder).Bad, uint32(0), "there is no baseline yet")
-	learn(recorder)
+	recordBaseline(recorder)
 	for _, first := range []time.Duration{50 * time.Millisecond, 150 * time.Millisecond} {
-		recorder.Note(answerOf("v2", first))
+		recorder.Note(responseOf("v2", first))
 	}
 	assert.Equal(t, newCounts(recorder).Bad, uint32(0))
-	recorder.Note(answerOf("v2", 400*time.Millisecond))
+	recorder.Note(responseOf("v2", 400*time.Millisecond))
 	assert.Equal(t, newCounts(recorder).Bad, uint32(1))
 	// With a cold cache, the instance reads 24 times as many tokens before its first event.
-	cold := answerOf("v2", 400*time.Millisecond)
+	cold := responseOf("v2", 400*time.Millisecond)
 	cold.Tokens = 12_000
 	recorder.Note(cold)
 	assert.Equal(t, newCounts(recorder).Bad, uint32(1))
 	// A bad version never changes the baseline, regardless of how long it is slow.
 	for range 200 {
-		recorder.Note(answerOf("v2", 400*time.Millisecond))
+		recorder.Note(responseOf("v2", 400*time.Millisecond))
 	}
 	assert.Equal(t, newCounts(recorder).Bad, uint32(201))
 }
 
 // All work moves to the new version at the same time and finds cold caches, which makes it slower.
-func TestSlowAnswersAreNotHeldAgainstAVersionWhileAllWorkMoves(t *testing.T) {
+func TestSlowResponsesDoNotCountWhileAllWorkMoves(t *testing.T) {
 	recorder := watching(state.Moving)
-	learn(recorder)
-	recorder.Note(answerOf("v2", 2*time.Second))
-	failed := answerOf("v2", 0)
+	recordBaseline(recorder)
+	recorder.Note(responseOf("v2", 2*time.Second))
+	failed := responseOf("v2", 0)
 	failed.IsFailed = true
 	recorder.Note(failed)
 	assert.Equal(t, newCounts(recorder), Counts{Answers: 2, Bad: 1})
 }
 
-func TestRecordsOfARolloutEndWithIt(t *testing.T) {
+func TestSamplesOfARolloutAreDroppedAfterItsEnd(t *testing.T) {
 	recorder := watching(state.Canary)
-	learn(recorder)
+	recordBaseline(recorder)
 	assert.Equal(t, len(recorder.Evidence()), 1)
 	recorder.Watch([]state.Rollout{{Order: state.Order{Service: "llm", Version: "v2"}, Revision: 9, Stage: state.RolledBack}})
 	assert.Equal(t, len(recorder.Evidence()), 0)
-	for number := range 2 * routesKept {
-		one := answerOf("v1", time.Millisecond)
+	for number := range 2 * maximumBaselines {
+		one := responseOf("v1", time.Millisecond)
 		one.Route = fmt.Sprint("route-", number)
 		recorder.Note(one)
 	}
-	assert.Assert(t, len(recorder.usual) <= routesKept)
+	assert.Assert(t, len(recorder.baselines) <= maximumBaselines)
 }
 
 // A node's samples are cumulative counts, so outdated or repeated ones must change nothing.
-func TestJudgeCountsEvidenceOnce(t *testing.T) {
-	judge := NewJudge(12 * time.Second)
+func TestOutdatedAndRepeatedSamplesAreCountedOnce(t *testing.T) {
+	analyzer := NewJudge(12 * time.Second)
 	recorder := watching(state.Canary)
-	learn(recorder)
+	recordBaseline(recorder)
 	earlier := recorder.Evidence()[0]
 	for range 30 {
-		recorder.Note(answerOf("v2", 100*time.Millisecond))
+		recorder.Note(responseOf("v2", 100*time.Millisecond))
 	}
 	later := recorder.Evidence()[0]
-	for _, evidence := range []Evidence{earlier, later, earlier, later} {
-		judge.Take("node", evidence)
-		judge.Step(time.Second, state.Canary, nil)
+	for _, samples := range []Evidence{earlier, later, earlier, later} {
+		analyzer.Take("node", samples)
+		analyzer.Step(time.Second, state.Canary, nil)
 	}
-	assert.Equal(t, judge.answers.Answers, uint32(30))
+	assert.Equal(t, analyzer.newCounts.Answers, uint32(30))
 }
