--- a/internal/coordination/routing/limit.go
+++ b/internal/coordination/routing/limit.go
@@ -6,21 +6,22 @@
 )
 
 const (
-	// minimumLimit is the least that a back end is tried with.
+	// minimumLimit is the minimum number of concurrent requests at a back end.
 	minimumLimit = 1.0
-	// limitDecrease is the factor after a refusal, applied once in
-	// limitDecreaseInterval at most: refusals close together are one event.
+	// limitDecrease is the factor that the limit is multiplied by after a rejection. It is applied
+	// at most once per limitDecreaseInterval, because rejections close together are one event.
 	limitDecrease         = 0.5
 	limitDecreaseInterval = time.Second
-	// breakerFailures in a row open the breaker, for breakerFirstOpen at first
-	// and twice as long after each failed trial, up to breakerMaximumOpen.
+	// breakerFailures consecutive failures open the breaker, for breakerFirstOpen at first and
+	// twice as long after each failed trial, up to breakerMaximumOpen.
 	breakerFailures    = 5
 	breakerFirstOpen   = 500 * time.Millisecond
 	breakerMaximumOpen = 10 * time.Second
 )
 
-// limiter is the number of requests that one node keeps at a back end: it
-// halves on refusals and grows by one for each limit's worth of successes.
+// limiter bounds the number of requests that one node keeps in flight at a back end, by additive
+// increase and multiplicative decrease: the limit is halved after rejections and grows by one for
+// each limit's worth of successes.
 type limiter struct {
 	limit        float64
 	maximum      float64
@@ -52,8 +53,8 @@
 	}
 }
 
-// breaker keeps requests away from a back end that fails, and lets one through
-// at a time to see whether it is back.
+// breaker is a circuit breaker: it keeps requests away from a back end that fails, and allows one
+// trial request at a time to find out whether the back end has recovered.
 type breaker struct {
 	failures int
 	open     bool
@@ -77,7 +78,7 @@
 	case Failed:
 		b.fail(now)
 	case Succeeded, Overloaded:
-		// A refusal proves that the back end lives.
+		// A rejection proves that the back end is alive.
 		*b = breaker{}
 	case Neutral:
 		b.trial = false
--- a/internal/coordination/routing/pause_test.go
+++ b/internal/coordination/routing/pause_test.go
@@ -19,7 +19,7 @@
 	table.Pause(0, "b0", 3*time.Second)
 	table.Pause(time.Second, "b0", time.Second)
 	table.Pause(0, "gone", time.Second)
-	// A new revision of the catalog keeps it.
+	// The pause survives a new revision of the catalog.
 	table.SetBackends([]Backend{{Name: "b0", Service: "s", Zone: "a"}, {Name: "b1", Service: "s", Zone: "a"}})
 	for range 20 {
 		choice, found := table.Choose(3*time.Second-1, Request{Service: "s"})
@@ -43,5 +43,5 @@
 	assert.Equal(t, opensAt, 3*time.Second)
 	table.MarkLeaving("b0")
 	opensAt, _ = table.OpensAt(0, "s")
-	assert.Equal(t, opensAt, 5*time.Second, "one that leaves does not come back")
+	assert.Equal(t, opensAt, 5*time.Second, "a leaving back end does not become available again")
 }
--- a/internal/coordination/routing/prefix.go
+++ b/internal/coordination/routing/prefix.go
@@ -1,28 +1,28 @@
 package routing
 
-// maximumIndexedBlocks bounds the prefix index; the oldest blocks go first.
+// maximumIndexedBlocks bounds the prefix index; the oldest blocks are removed first.
 const maximumIndexedBlocks = 1 << 18
 
-// CacheEvent says that a prompt block entered or left a back end's cache.
+// CacheEvent reports that a prompt block entered or left a back end's cache.
 type CacheEvent struct {
-	// Sequence has no gaps at the back end.
+	// Sequence numbers the events of a back end without gaps.
 	Sequence uint64
 	Block    uint64
 	Evicted  bool
 }
 
-// cacheView is how far a back end's cache events have been followed.
+// cacheView is the position in a back end's cache events; next is the sequence of the next event.
 type cacheView struct {
 	next uint64
 }
 
-// prefixIndex knows which back ends are expected to have which prompt blocks
-// cached: from this node's own dispatches and from cache events.
+// prefixIndex records which back ends are expected to have which prompt blocks cached, according to
+// this node's own dispatches and to cache events.
 type prefixIndex struct {
 	holders map[uint64]map[string]struct{}
-	// byBackend lists each back end's blocks, to drop them all.
+	// byBackend holds each back end's blocks, for the removal of all of them.
 	byBackend map[string]map[uint64]struct{}
-	// order holds the blocks by age, as a ring.
+	// order is a ring buffer of the blocks, oldest at first.
 	order []uint64
 	first int
 }
@@ -79,8 +79,8 @@
 	delete(p.byBackend, backend)
 }
 
-// longestMatches returns, for each back end with a cached prefix, how many
-// leading blocks it has.
+// longestMatches returns, for each back end with a cached prefix, the number of leading blocks that
+// it has cached.
 func (p *prefixIndex) longestMatches(blocks []uint64) map[string]int {
 	if len(blocks) == 0 {
 		return nil
@@ -101,9 +101,8 @@
 	return matches
 }
 
-// TakeCacheEvents follows a back end's events. A gap means that events were
-// lost: what is known of the back end's cache is then doubtful and dropped,
-// rather than believed.
+// TakeCacheEvents applies a back end's cache events. A gap in the sequence means that events were
+// lost. What is known of the back end's cache is then unreliable and is dropped.
 func (t *Table) TakeCacheEvents(name string, events []CacheEvent) {
 	state := t.backends[name]
 	if state == nil {
@@ -125,7 +124,7 @@
 	}
 }
 
-// NextCacheEvent is the sequence from which a back end's events are needed.
+// NextCacheEvent returns the sequence from which a back end's cache events are required.
 func (t *Table) NextCacheEvent(name string) uint64 {
 	if state := t.backends[name]; state != nil {
 		return max(1, state.cache.next)
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -1,10 +1,9 @@
-// Package routing chooses the back end for a request from what a node knows of
-// them: its own work in flight, their lagging load reports, which prompt
-// prefixes they have cached, their zone, and whether they are leaving.
+// Package routing chooses the back end for a request from what a node knows of the back ends: its
+// own requests in flight there, their delayed load reports, the prompt prefixes that they have
+// cached, their zone, and whether they are leaving.
 //
-// The table is a pure step: no clock, no network. Choose may be called again
-// at the moment of dispatch, so that a back end that began to leave while a
-// request waited gets nothing new.
+// The table has no clock and does no I/O. Choose may be called again at the time of dispatch, so
+// that a back end that began to leave while a request waited receives no new request.
 package routing
 
 import (
@@ -15,34 +14,34 @@
 )
 
 const (
-	// reportHalfLife is the age at which a load report counts half.
+	// reportHalfLife is the age at which a load report has half its weight.
 	reportHalfLife = 2 * time.Second
-	// maximumReportAge is the age at which a load report counts nothing.
+	// maximumReportAge is the age above which a load report is ignored.
 	maximumReportAge = 10 * time.Second
-	// sampleAbove is the number of candidates above which only a sample is
-	// scored: two at random besides those that have the prefix cached.
+	// sampleAbove is the number of candidates above which only a sample is scored: sampledAtRandom
+	// random ones, in addition to those that have a prefix of the prompt cached.
 	sampleAbove     = 16
 	sampledAtRandom = 2
-	// otherZoneCost is the cost of leaving the zone, in milliseconds.
+	// otherZoneCost is the cost of a back end in another zone, in milliseconds.
 	otherZoneCost = 40
-	// prefillCost is the cost of a prompt token that is not cached, in
-	// milliseconds; occupancyCost that of a full batch.
+	// prefillCost is the cost of a prompt token that is not cached, and occupancyCost that of a
+	// full batch, both in milliseconds.
 	prefillCost   = 0.01
 	occupancyCost = 100.0
-	// defaultCapacity of a back end that gives none.
+	// defaultCapacity is the capacity of a back end for which the catalog gives none.
 	defaultCapacity = 16
-	// ownWeight and reportWeight blend two estimates of a back end's work: this
-	// node's own there times the nodes that share it, which is exact but small,
-	// and the last report, which is whole but old. Reports that weigh more make
-	// all nodes run to the same back end (docs/MEASUREMENTS.md).
+	// ownWeight and reportWeight blend two estimates of a back end's load. One is this node's own
+	// requests there times the number of nodes that share it, which is current but covers only one
+	// node. The other is the last report, which covers all nodes but is old. A higher weight of the
+	// reports makes all nodes choose the same back end (docs/MEASUREMENTS.md).
 	ownWeight    = 0.9
 	reportWeight = 0.1
-	// queueAllowance is how far beyond its capacity a back end may be filled,
-	// as a share of it: its next batch slot never waits for the network.
+	// queueAllowance is the share of its capacity by which a back end may be filled beyond it, so
+	// that a free batch slot never waits for the network.
 	queueAllowance = 0.125
 )
 
-// Backend is what the catalog says of a back end.
+// Backend is the catalog's entry of a back end.
 type Backend struct {
 	Name     string
 	Service  string
@@ -52,59 +51,61 @@
 	Draining bool
 }
 
-// Request is what a choice is made for.
+// Request describes the request that a back end is chosen for.
 type Request struct {
 	Service string
-	// Blocks are the chained hashes of the prompt's prefix blocks.
+	// Blocks holds the chained hashes of the prompt's prefix blocks.
 	Blocks []uint64
-	// PromptTokens is a bound.
+	// PromptTokens is an upper bound of the prompt's length in tokens.
 	PromptTokens uint64
-	// Exclude are back ends already tried.
+	// Exclude holds the names of the back ends that were already tried.
 	Exclude []string
 }
 
-// Score is one candidate's cost, in milliseconds of expected delay.
+// Score is the cost of one candidate, in milliseconds of expected delay. Cached is the number of
+// the prompt's leading blocks that it has cached.
 type Score struct {
 	Backend string
 	Cost    float64
 	Cached  int
 }
 
-// Choice is a chosen back end and what it was chosen from.
+// Choice is a chosen back end and the candidates that it was chosen from.
 type Choice struct {
 	Backend    Backend
 	Candidates []Score
-	// Considered counts the back ends of the service, usable or not.
+	// Considered is the number of back ends of the service, usable or not.
 	Considered int
 }
 
-// Report is a back end's own word on its load.
+// Report is a back end's own report of its load.
 type Report struct {
 	Running int
 	Queued  int
 	Leaving bool
-	// OwnInFlight is this node's part at the time the report describes.
+	// OwnInFlight is the number of this node's requests in flight there at the time of the report.
 	OwnInFlight int
 }
 
-// Result is how a request ended at a back end.
+// Result is the outcome of a request at a back end.
 type Result int
 
 const (
-	// Succeeded: a whole answer.
+	// Succeeded means that the response was complete.
 	Succeeded Result = iota
-	// Overloaded: it refused for lack of room.
+	// Overloaded means that the back end rejected the request for lack of capacity.
 	Overloaded
-	// Failed: it could not be reached or broke off.
+	// Failed means that the back end was unreachable or broke off the response.
 	Failed
-	// Neutral says nothing about the back end (the caller went away).
+	// Neutral means that the outcome indicates nothing about the back end, for example because the
+	// caller closed the connection.
 	Neutral
 )
 
 // Table is a node's view of all back ends. It is not safe for concurrent use.
 type Table struct {
 	zone string
-	// nodesInZone counts the nodes of each zone.
+	// nodesInZone is the number of nodes in each zone.
 	nodesInZone map[string]int
 	random      *rand.Rand
 	backends    map[string]*backendState
@@ -115,20 +116,21 @@
 type backendState struct {
 	Backend
 	inFlight int
-	// sharers are the nodes that send it most of its work: those of its zone.
+	// sharers is the number of nodes in its zone, which send it most of its work.
 	sharers  int
 	report   Report
 	reportAt time.Duration
-	// listedLeaving is the platform's word, reportedLeaving its own.
+	// listedLeaving reports whether the platform lists the back end as leaving. The back end's own
+	// report is in report.Leaving.
 	listedLeaving bool
-	// pausedUntil is the end of a pause that it asked for.
+	// pausedUntil is the end of the pause that it requested.
 	pausedUntil time.Duration
 	limit       limiter
 	breaker     breaker
 	cache       cacheView
 }
 
-// NewTable makes an empty table of a node in a zone.
+// NewTable returns an empty table for a node in a zone.
 func NewTable(zone string, nodesInZone map[string]int, random *rand.Rand) *Table {
 	return &Table{
 		zone: zone, nodesInZone: nodesInZone, random: random, backends: map[string]*backendState{},
@@ -136,8 +138,8 @@
 	}
 }
 
-// SetBackends takes over the catalog's back ends and keeps what is known of
-// those that stay.
+// SetBackends replaces the back ends by those of the catalog. It keeps the state of those that stay
+// at the same address.
 func (t *Table) SetBackends(backends []Backend) {
 	known := t.backends
 	t.backends = map[string]*backendState{}
@@ -160,7 +162,7 @@
 	}
 }
 
-// Backend returns a back end as the catalog has it.
+// Backend returns the catalog's entry of a back end.
 func (t *Table) Backend(name string) (Backend, bool) {
 	state := t.backends[name]
 	if state == nil {
@@ -169,42 +171,43 @@
 	return state.Backend, true
 }
 
-// SetLeaving takes over the platform's list of leaving machines.
+// SetLeaving replaces the platform's list of leaving back ends.
 func (t *Table) SetLeaving(names []string) {
 	for name, state := range t.backends {
 		state.listedLeaving = slices.Contains(names, name)
 	}
 }
 
-// TakeReport takes a back end's report of its load.
+// TakeReport replaces a back end's load report.
 func (t *Table) TakeReport(now time.Duration, name string, report Report) {
 	if state := t.backends[name]; state != nil {
 		state.report, state.reportAt = report, now
 	}
 }
 
-// MarkLeaving notes a back end's own answer that it is leaving.
+// MarkLeaving records that a back end signalled in a response that it is leaving.
 func (t *Table) MarkLeaving(name string) {
 	if state := t.backends[name]; state != nil {
 		state.report.Leaving = true
 	}
 }
 
-// Pause notes that a back end asked for a pause. None shortens one that lasts longer.
+// Pause records that a back end requested a pause. It never shortens a pause in progress.
 func (t *Table) Pause(now time.Duration, name string, lasting time.Duration) {
 	if state := t.backends[name]; state != nil {
 		state.pausedUntil = max(state.pausedUntil, now+lasting)
 	}
 }
 
-// PausedBackend is a back end in a pause that it asked for.
+// PausedBackend is a back end in a pause that it requested. Left is the remaining time, and
+// InFlight is the number of this node's requests in flight there.
 type PausedBackend struct {
 	Backend
 	Left     time.Duration
 	InFlight int
 }
 
-// Paused returns the back ends in a pause, the longest first.
+// Paused returns the paused back ends, ordered from the longest remaining time to the shortest.
 func (t *Table) Paused(now time.Duration) []PausedBackend {
 	var paused []PausedBackend
 	for _, state := range t.backends {
@@ -218,8 +221,8 @@
 	return paused
 }
 
-// OpensAt is when the first pause of a service's back ends ends, if all of them that take
-// work have asked for one; false if one is open.
+// OpensAt returns when the first pause of a service's back ends ends, if all of them that are not
+// leaving are paused. It returns false if one of them is not paused.
 func (t *Table) OpensAt(now time.Duration, service string) (opensAt time.Duration, areAllPaused bool) {
 	for _, state := range t.services[service] {
 		switch {
@@ -233,7 +236,7 @@
 	return opensAt, areAllPaused
 }
 
-// Usable tells whether a back end may be given new work now, and why not.
+// Usable reports whether a back end may receive new work now, and if not, the reason.
 func (t *Table) Usable(now time.Duration, name string) (bool, string) {
 	state := t.backends[name]
 	if state == nil {
@@ -258,13 +261,13 @@
 	return true, ""
 }
 
-// occupancy is the expected number of requests there.
+// occupancy returns the expected number of requests at the back end.
 func (s *backendState) occupancy(now time.Duration) float64 {
 	return ownWeight*float64(s.inFlight*s.sharers) + reportWeight*s.reported(now)
 }
 
-// reported is this node's own work plus what the last report says of others',
-// discounted by its age.
+// reported returns the number of this node's own requests in flight plus that of others according
+// to the last report, discounted by its age.
 func (s *backendState) reported(now time.Duration) float64 {
 	others := float64(s.report.Running + s.report.Queued - s.report.OwnInFlight)
 	age := now - s.reportAt
@@ -274,8 +277,8 @@
 	return float64(s.inFlight) + others*halfPower(float64(age)/float64(reportHalfLife))
 }
 
-// Choose picks the back end with the lowest expected delay, or returns false
-// if none can take the request now.
+// Choose picks the back end with the lowest expected delay, or returns false if none can accept the
+// request now.
 func (t *Table) Choose(now time.Duration, request Request) (Choice, bool) {
 	all := t.services[request.Service]
 	choice := Choice{Considered: len(all)}
@@ -292,7 +295,7 @@
 	return choice, best.Backend != ""
 }
 
-// candidates returns the usable back ends, or a sample of many.
+// candidates returns the usable back ends, or a sample of them if there are more than sampleAbove.
 func (t *Table) candidates(now time.Duration, all []*backendState, request Request, cached map[string]int) []*backendState {
 	if len(all) <= sampleAbove {
 		return t.usableOf(now, all, request)
@@ -305,8 +308,8 @@
 	}
 	sampled = t.usableOf(now, sampled, request)
 	slices.SortFunc(sampled, func(a, b *backendState) int { return cmp.Compare(a.Name, b.Name) })
-	// A walk from a random start finds usable ones in few steps unless nearly
-	// all are unusable, and then still finds the rest.
+	// Stepping from a random start finds usable back ends in few steps, unless nearly all are
+	// unusable. As the stride is coprime to the length, it visits all of them if necessary.
 	start, wanted := t.random.IntN(len(all)), len(sampled)+sampledAtRandom
 	stride := coprimeStride(t.random, len(all))
 	for step := 0; step < len(all) && len(sampled) < wanted; step++ {
@@ -340,7 +343,7 @@
 	return Score{Backend: state.Name, Cost: cost, Cached: cachedBlocks}
 }
 
-// Begin notes a dispatch.
+// Begin records the dispatch of a request to a back end.
 func (t *Table) Begin(now time.Duration, name string, blocks []uint64) {
 	state := t.backends[name]
 	if state == nil {
@@ -351,7 +354,7 @@
 	t.prefixes.add(name, blocks)
 }
 
-// End notes how a dispatch ended.
+// End records the outcome of a dispatched request.
 func (t *Table) End(now time.Duration, name string, result Result) {
 	state := t.backends[name]
 	if state == nil {
@@ -362,7 +365,7 @@
 	state.limit.end(now, result)
 }
 
-// InFlight is this node's work in flight at a back end.
+// InFlight returns the number of this node's requests in flight at a back end.
 func (t *Table) InFlight(name string) int {
 	if state := t.backends[name]; state != nil {
 		return state.inFlight
--- a/internal/coordination/routing/table_test.go
+++ b/internal/coordination/routing/table_test.go
@@ -105,13 +105,13 @@
 	choose(t, table, breakerFirstOpen, Request{})
 	table.Begin(breakerFirstOpen, "engine-00000", nil)
 	_, found = table.Choose(breakerFirstOpen, Request{Service: "s"})
-	assert.Assert(t, !found, "a second request got through beside the trial")
+	assert.Assert(t, !found, "a second request was allowed during the trial")
 	table.End(breakerFirstOpen, "engine-00000", Succeeded)
 	choose(t, table, breakerFirstOpen, Request{})
 }
 
-// allocationsPerChoice bounds a decision; sampling keeps it flat in the number
-// of engines.
+// allocationsPerChoice bounds the allocations of one choice. Sampling keeps them independent of the
+// number of engines.
 const allocationsPerChoice = 16
 
 func TestCostOfAChoiceDoesNotGrowWithTheNumberOfEngines(t *testing.T) {
