--- a/internal/coordination/routing/limit.go
+++ b/internal/coordination/routing/limit.go
@@ -57,19 +57,19 @@
 // trial request at a time to find out whether the back end has recovered.
 type breaker struct {
 	failures int
-	open     bool
+	isOpen   bool
 	openFor  time.Duration
 	retryAt  time.Duration
-	trial    bool
+	hasTrial bool
 }
 
 func (b *breaker) allows(now time.Duration) bool {
-	return !b.open || (!b.trial && now >= b.retryAt)
+	return !b.isOpen || (!b.hasTrial && now >= b.retryAt)
 }
 
 func (b *breaker) begin(time.Duration) {
-	if b.open {
-		b.trial = true
+	if b.isOpen {
+		b.hasTrial = true
 	}
 }
 
@@ -81,7 +81,7 @@
 		// A rejection proves that the back end is alive.
 		*b = breaker{}
 	case Neutral:
-		b.trial = false
+		b.hasTrial = false
 	}
 }
 
@@ -91,7 +91,7 @@
 		return
 	}
 	b.openFor = min(breakerMaximumOpen, max(breakerFirstOpen, 2*b.openFor))
-	b.open, b.trial = true, false
+	b.isOpen, b.hasTrial = true, false
 	b.retryAt = now + b.openFor
 }
 
--- a/internal/coordination/routing/pause_test.go
+++ b/internal/coordination/routing/pause_test.go
@@ -14,7 +14,7 @@
 	return table
 }
 
-func TestPausedBackEndIsNotUsedAndNoWordShortensItsPause(t *testing.T) {
+func TestPausedBackEndIsNotUsedAndItsPauseIsNeverShortened(t *testing.T) {
 	table := pausedTable()
 	table.Pause(0, "b0", 3*time.Second)
 	table.Pause(time.Second, "b0", time.Second)
@@ -26,13 +26,13 @@
 		assert.Assert(t, found)
 		assert.Equal(t, choice.Backend.Name, "b1")
 	}
-	usable, why := table.Usable(3*time.Second-1, "b0")
-	assert.Assert(t, !usable && why == "paused", why)
+	usable, reason := table.Usable(3*time.Second-1, "b0")
+	assert.Assert(t, !usable && reason == "paused", reason)
 	usable, _ = table.Usable(3*time.Second, "b0")
 	assert.Assert(t, usable)
 }
 
-func TestServiceOpensAsTheFirstPauseEndsIfAllAreInOne(t *testing.T) {
+func TestServiceOpensWhenTheFirstPauseEndsIfAllArePaused(t *testing.T) {
 	table := pausedTable()
 	table.Pause(0, "b0", 3*time.Second)
 	_, areAllPaused := table.OpensAt(0, "s")
--- a/internal/coordination/routing/prefix.go
+++ b/internal/coordination/routing/prefix.go
@@ -11,8 +11,8 @@
 	Evicted  bool
 }
 
-// cacheView is the position in a back end's cache events; next is the sequence of the next event.
-type cacheView struct {
+// cacheCursor is the position in a back end's cache events; next is the sequence of the next event.
+type cacheCursor struct {
 	next uint64
 }
 
@@ -44,13 +44,13 @@
 		own[block] = struct{}{}
 		if p.holders[block] == nil {
 			p.holders[block] = map[string]struct{}{}
-			p.remember(block)
+			p.recordBlock(block)
 		}
 		p.holders[block][backend] = struct{}{}
 	}
 }
 
-func (p *prefixIndex) remember(block uint64) {
+func (p *prefixIndex) recordBlock(block uint64) {
 	if len(p.order) < maximumIndexedBlocks {
 		p.order = append(p.order, block)
 		return
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -18,10 +18,10 @@
 	reportHalfLife = 2 * time.Second
 	// maximumReportAge is the age above which a load report is ignored.
 	maximumReportAge = 10 * time.Second
-	// sampleAbove is the number of candidates above which only a sample is scored: sampledAtRandom
+	// sampleAbove is the number of candidates above which only a sample is scored: randomSamples
 	// random ones, in addition to those that have a prefix of the prompt cached.
-	sampleAbove     = 16
-	sampledAtRandom = 2
+	sampleAbove   = 16
+	randomSamples = 2
 	// otherZoneCost is the cost of a back end in another zone, in milliseconds.
 	otherZoneCost = 40
 	// prefillCost is the cost of a prompt token that is not cached, and occupancyCost that of a
@@ -109,7 +109,7 @@
 	nodesInZone map[string]int
 	random      *rand.Rand
 	backends    map[string]*backendState
-	services    map[string][]*backendState
+	byService   map[string][]*backendState
 	prefixes    *prefixIndex
 }
 
@@ -117,9 +117,9 @@
 	Backend
 	inFlight int
 	// sharers is the number of nodes in its zone, which send it most of its work.
-	sharers  int
-	report   Report
-	reportAt time.Duration
+	sharers    int
+	report     Report
+	reportedAt time.Duration
 	// listedLeaving reports whether the platform lists the back end as leaving. The back end's own
 	// report is in report.Leaving.
 	listedLeaving bool
@@ -127,14 +127,14 @@
 	pausedUntil time.Duration
 	limit       limiter
 	breaker     breaker
-	cache       cacheView
+	cache       cacheCursor
 }
 
 // NewTable returns an empty table for a node in a zone.
 func NewTable(zone string, nodesInZone map[string]int, random *rand.Rand) *Table {
 	return &Table{
 		zone: zone, nodesInZone: nodesInZone, random: random, backends: map[string]*backendState{},
-		services: map[string][]*backendState{}, prefixes: newPrefixIndex(),
+		byService: map[string][]*backendState{}, prefixes: newPrefixIndex(),
 	}
 }
 
@@ -143,7 +143,7 @@
 func (t *Table) SetBackends(backends []Backend) {
 	known := t.backends
 	t.backends = map[string]*backendState{}
-	t.services = map[string][]*backendState{}
+	t.byService = map[string][]*backendState{}
 	for _, backend := range backends {
 		backend.Capacity = cmp.Or(backend.Capacity, defaultCapacity)
 		state := known[backend.Name]
@@ -155,7 +155,7 @@
 		state.sharers = max(1, t.nodesInZone[backend.Zone])
 		state.limit.setMaximum(backend.Capacity)
 		t.backends[backend.Name] = state
-		t.services[backend.Service] = append(t.services[backend.Service], state)
+		t.byService[backend.Service] = append(t.byService[backend.Service], state)
 	}
 	for name := range known {
 		t.prefixes.removeBackend(name)
@@ -181,7 +181,7 @@
 // TakeReport replaces a back end's load report.
 func (t *Table) TakeReport(now time.Duration, name string, report Report) {
 	if state := t.backends[name]; state != nil {
-		state.report, state.reportAt = report, now
+		state.report, state.reportedAt = report, now
 	}
 }
 
@@ -193,9 +193,9 @@
 }
 
 // Pause records that a back end requested a pause. It never shortens a pause in progress.
-func (t *Table) Pause(now time.Duration, name string, lasting time.Duration) {
+func (t *Table) Pause(now time.Duration, name string, duration time.Duration) {
 	if state := t.backends[name]; state != nil {
-		state.pausedUntil = max(state.pausedUntil, now+lasting)
+		state.pausedUntil = max(state.pausedUntil, now+duration)
 	}
 }
 
@@ -224,7 +224,7 @@
 // OpensAt returns when the first pause of a service's back ends ends, if all of them that are not
 // leaving are paused. It returns false if one of them is not paused.
 func (t *Table) OpensAt(now time.Duration, service string) (opensAt time.Duration, areAllPaused bool) {
-	for _, state := range t.services[service] {
+	for _, state := range t.byService[service] {
 		switch {
 		case state.Draining || state.listedLeaving || state.report.Leaving:
 		case now >= state.pausedUntil:
@@ -242,10 +242,10 @@
 	if state == nil {
 		return false, "removed"
 	}
-	return state.usable(now)
+	return state.isUsable(now)
 }
 
-func (s *backendState) usable(now time.Duration) (bool, string) {
+func (s *backendState) isUsable(now time.Duration) (bool, string) {
 	switch {
 	case s.Draining:
 		return false, "draining"
@@ -261,16 +261,16 @@
 	return true, ""
 }
 
-// occupancy returns the expected number of requests at the back end.
-func (s *backendState) occupancy(now time.Duration) float64 {
-	return ownWeight*float64(s.inFlight*s.sharers) + reportWeight*s.reported(now)
+// expectedRequests returns the expected number of requests at the back end.
+func (s *backendState) expectedRequests(now time.Duration) float64 {
+	return ownWeight*float64(s.inFlight*s.sharers) + reportWeight*s.reportedRequests(now)
 }
 
-// reported returns the number of this node's own requests in flight plus that of others according
-// to the last report, discounted by its age.
-func (s *backendState) reported(now time.Duration) float64 {
+// reportedRequests returns the number of this node's own requests in flight plus that of others
+// according to the last report, discounted by its age.
+func (s *backendState) reportedRequests(now time.Duration) float64 {
 	others := float64(s.report.Running + s.report.Queued - s.report.OwnInFlight)
-	age := now - s.reportAt
+	age := now - s.reportedAt
 	if others <= 0 || age > maximumReportAge {
 		return float64(s.inFlight)
 	}
@@ -280,7 +280,7 @@
 // Choose picks the back end with the lowest expected delay, or returns false if none can accept the
 // request now.
 func (t *Table) Choose(now time.Duration, request Request) (Choice, bool) {
-	all := t.services[request.Service]
+	all := t.byService[request.Service]
 	choice := Choice{Considered: len(all)}
 	cached := t.prefixes.longestMatches(request.Blocks)
 	best := Score{}
@@ -298,33 +298,33 @@
 // candidates returns the usable back ends, or a sample of them if there are more than sampleAbove.
 func (t *Table) candidates(now time.Duration, all []*backendState, request Request, cached map[string]int) []*backendState {
 	if len(all) <= sampleAbove {
-		return t.usableOf(now, all, request)
+		return t.usableBackends(now, all, request)
 	}
-	sampled := make([]*backendState, 0, len(cached)+sampledAtRandom)
+	sampled := make([]*backendState, 0, len(cached)+randomSamples)
 	for name := range cached {
 		if state := t.backends[name]; state != nil && state.Service == request.Service {
 			sampled = append(sampled, state)
 		}
 	}
-	sampled = t.usableOf(now, sampled, request)
+	sampled = t.usableBackends(now, sampled, request)
 	slices.SortFunc(sampled, func(a, b *backendState) int { return cmp.Compare(a.Name, b.Name) })
 	// Stepping from a random start finds usable back ends in few steps, unless nearly all are
 	// unusable. As the stride is coprime to the length, it visits all of them if necessary.
-	start, wanted := t.random.IntN(len(all)), len(sampled)+sampledAtRandom
+	start, wanted := t.random.IntN(len(all)), len(sampled)+randomSamples
 	stride := coprimeStride(t.random, len(all))
 	for step := 0; step < len(all) && len(sampled) < wanted; step++ {
 		state := all[(start+step*stride)%len(all)]
-		if usable, _ := state.usable(now); usable && !slices.Contains(request.Exclude, state.Name) && !slices.Contains(sampled, state) {
+		if usable, _ := state.isUsable(now); usable && !slices.Contains(request.Exclude, state.Name) && !slices.Contains(sampled, state) {
 			sampled = append(sampled, state)
 		}
 	}
 	return sampled
 }
 
-func (t *Table) usableOf(now time.Duration, all []*backendState, request Request) []*backendState {
+func (t *Table) usableBackends(now time.Duration, all []*backendState, request Request) []*backendState {
 	var usable []*backendState
 	for _, state := range all {
-		if allowed, _ := state.usable(now); allowed && !slices.Contains(request.Exclude, state.Name) {
+		if allowed, _ := state.isUsable(now); allowed && !slices.Contains(request.Exclude, state.Name) {
 			usable = append(usable, state)
 		}
 	}
@@ -336,7 +336,7 @@
 	if count := len(request.Blocks); count > 0 {
 		uncached *= 1 - float64(cachedBlocks)/float64(count)
 	}
-	cost := uncached*prefillCost + occupancyCost*state.occupancy(now)/float64(state.Capacity)
+	cost := uncached*prefillCost + occupancyCost*state.expectedRequests(now)/float64(state.Capacity)
 	if state.Zone != t.zone {
 		cost += otherZoneCost
 	}
--- a/internal/coordination/routing/table_test.go
+++ b/internal/coordination/routing/table_test.go
@@ -44,7 +44,7 @@
 	assert.Equal(t, choose(t, table, 0, request).Backend.Name, "engine-00000")
 }
 
-func TestOwnZoneIsPreferredAndOthersTakeTheOverflow(t *testing.T) {
+func TestOwnZoneIsPreferredUntilItIsLoaded(t *testing.T) {
 	table := tableOf(3)
 	assert.Equal(t, choose(t, table, 0, Request{}).Backend.Zone, "a")
 	for range 12 {
@@ -63,7 +63,7 @@
 	assert.Equal(t, oldest, 0.0)
 }
 
-func TestLeavingDrainingAndExcludedGetNothing(t *testing.T) {
+func TestLeavingAndExcludedBackEndsReceiveNothing(t *testing.T) {
 	table := tableOf(3)
 	table.SetLeaving([]string{"engine-00000"})
 	table.TakeReport(0, "engine-00001", Report{Leaving: true})
@@ -72,7 +72,7 @@
 	assert.Assert(t, !found)
 }
 
-func TestGapInCacheEventsMakesTheCacheDoubtful(t *testing.T) {
+func TestGapInCacheEventsDropsTheKnownCache(t *testing.T) {
 	table := tableOf(3)
 	request := Request{Blocks: []uint64{1, 2}, PromptTokens: 20000}
 	table.TakeCacheEvents("engine-00002", []CacheEvent{{Sequence: 1, Block: 1}, {Sequence: 2, Block: 2}})
@@ -82,7 +82,7 @@
 	assert.Equal(t, table.NextCacheEvent("engine-00002"), uint64(6))
 }
 
-func TestRefusalsHalveTheLimitOnceASecond(t *testing.T) {
+func TestRejectionsHalveTheLimitAtMostOncePerSecond(t *testing.T) {
 	table := tableOf(1)
 	for range 5 {
 		table.Begin(0, "engine-00000", nil)
@@ -114,7 +114,7 @@
 // number of engines.
 const allocationsPerChoice = 16
 
-func TestCostOfAChoiceDoesNotGrowWithTheNumberOfEngines(t *testing.T) {
+func TestAllocationsOfAChoiceDoNotGrowWithTheNumberOfEngines(t *testing.T) {
 	request := Request{Service: "s", Blocks: []uint64{1, 2, 3}, PromptTokens: 500}
 	for _, count := range []int{12, 400, 11000} {
 		table := tableOf(count)
