--- a/internal/coordination/queueing/queue.go
+++ b/internal/coordination/queueing/queue.go
@@ -1,10 +1,10 @@
-// Package queueing keeps the requests of one service that wait for a back end.
+// Package queueing implements the queue of one service's requests that wait for a back end.
 //
-// Classes come first, with ageing: a request's class counts less the longer it
-// has waited, so that a batch request waits calmly but not forever. Within a
-// class, tenants share by weight: the next request is the oldest one of the
-// tenant that has been given the fewest tokens for its weight. The queue is
-// bounded, and what can't be served by its deadline is given up at once.
+// Requests are ordered by priority class first, with ageing: a request becomes more urgent the
+// longer it waits, so that batch requests are not starved. Within a class, tenants share by weight:
+// the next request is the oldest one of the tenant that has received the fewest tokens in
+// proportion to its weight. The queue is bounded, and a request is dropped as soon as its deadline
+// has passed.
 package queueing
 
 import (
@@ -14,16 +14,16 @@
 	"time"
 )
 
-// DefaultAgeing is the waiting time that makes up for one class.
+// DefaultAgeing is the waiting time that raises a request by one class.
 const DefaultAgeing = 20 * time.Second
 
-// ErrFull says that the queue holds as many requests as it may.
+// ErrFull is returned when the queue holds as many requests as its capacity.
 var ErrFull = errors.New("queueing: the queue is full")
 
 // Class is a priority class; lower ones are more urgent.
 type Class int
 
-// Classes.
+// Priority classes, from the most to the least urgent.
 const (
 	Urgent Class = iota
 	Normal
@@ -34,26 +34,26 @@
 type Item[T any] struct {
 	ID     string
 	Tenant string
-	// Weight is the tenant's share; 0 means 1.
+	// Weight is the tenant's relative share; 0 means 1.
 	Weight uint32
 	Class  Class
-	// Cost is the most it can use, in tokens.
+	// Cost is the maximum number of tokens that the request can use.
 	Cost uint64
-	// Arrived and Deadline are on the queue's clock.
+	// Arrived and Deadline are readings of the queue's clock.
 	Arrived  time.Duration
 	Deadline time.Duration
 	Value    T
 }
 
-// Queue is a pure step: no clock, no goroutine. It is not safe for concurrent
-// use.
+// Queue is a bounded queue with priority classes and weighted fair sharing between tenants. It has
+// no clock and no goroutine, and it is not safe for concurrent use.
 type Queue[T any] struct {
 	capacity int
 	ageing   time.Duration
 	length   int
 	tenants  map[string]*tenantQueue[T]
-	// virtual is the virtual time of the tenant served last: a tenant that
-	// comes back starts there and can't save up a share.
+	// virtual is the highest virtual time at which a tenant was served. A tenant that was idle
+	// starts there again, so that it can't accumulate a share while it is idle.
 	virtual float64
 }
 
@@ -61,20 +61,20 @@
 type tenantQueue[T any] struct {
 	name    string
 	classes [Batch + 1][]*Item[T]
-	// served is the tokens given so far over the weight.
+	// served is the tenant's virtual time: the tokens that it has received, divided by its weight.
 	served float64
 	length int
 }
 
-// New makes a queue for a number of requests.
+// New returns an empty queue with a capacity in requests. An ageing of 0 means DefaultAgeing.
 func New[T any](capacity int, ageing time.Duration) *Queue[T] {
 	return &Queue[T]{capacity: capacity, ageing: cmp.Or(ageing, DefaultAgeing), tenants: map[string]*tenantQueue[T]{}}
 }
 
-// Length is the number of waiting requests.
+// Length returns the number of waiting requests.
 func (q *Queue[T]) Length() int { return q.length }
 
-// Push adds a request, or refuses it with ErrFull.
+// Push adds a request. It returns ErrFull if the queue is full.
 func (q *Queue[T]) Push(item *Item[T]) error {
 	if q.length >= q.capacity {
 		return ErrFull
@@ -96,14 +96,13 @@
 // head is the oldest request of one tenant and class.
 type head[T any] struct {
 	item *Item[T]
-	// class is what is left of the request's class after ageing.
+	// class is the request's class after ageing.
 	class  Class
 	served float64
 }
 
-// Candidates returns the waiting requests in the order in which they should be
-// served, one a tenant and class, so that a request that no back end can take
-// now does not hold up the others.
+// Candidates returns the oldest waiting request of each tenant and class, in the order in which
+// they should be served. A request that no back end can accept now thus does not block the others.
 func (q *Queue[T]) Candidates(now time.Duration) []*Item[T] {
 	var heads []head[T]
 	for _, tenant := range q.tenants {
@@ -128,13 +127,13 @@
 	return items
 }
 
-// agedClass lowers a request's class by one for each ageing time waited.
+// agedClass returns a request's class, lowered by one for each ageing time that it has waited.
 func (q *Queue[T]) agedClass(now time.Duration, item *Item[T]) Class {
 	steps := Class((now - item.Arrived) / q.ageing)
 	return max(Urgent, item.Class-steps)
 }
 
-// Take removes a request that is served and charges its tenant's share.
+// Take removes a request that is served and charges its cost to its tenant.
 func (q *Queue[T]) Take(item *Item[T]) {
 	if !q.Remove(item) {
 		return
@@ -144,7 +143,7 @@
 	tenant.served += float64(item.Cost) / float64(max(1, item.Weight))
 }
 
-// Remove takes out a request that is given up on, and tells whether it waited.
+// Remove removes a request that is abandoned, and reports whether it was waiting.
 func (q *Queue[T]) Remove(item *Item[T]) bool {
 	tenant := q.tenants[item.Tenant]
 	if tenant == nil {
@@ -160,8 +159,8 @@
 	return true
 }
 
-// Expire removes and returns the requests whose deadline has passed, and
-// forgets tenants that have long had none waiting.
+// Expire removes and returns the requests whose deadline has passed. It also removes tenants
+// without waiting requests whose virtual time is no longer ahead of the queue's.
 func (q *Queue[T]) Expire(now time.Duration) []*Item[T] {
 	var expired []*Item[T]
 	for name, tenant := range q.tenants {
--- a/internal/coordination/queueing/queue_test.go
+++ b/internal/coordination/queueing/queue_test.go
@@ -13,7 +13,7 @@
 	return &Item[int]{ID: fmt.Sprintf("%s-%04d", tenant, number), Tenant: tenant, Class: class, Cost: cost, Arrived: arrived, Deadline: arrived + time.Hour}
 }
 
-// serveNext takes the first candidate.
+// serveNext removes the first candidate as served and returns it; nil if there is none.
 func serveNext(queue *Queue[int], now time.Duration) *Item[int] {
 	candidates := queue.Candidates(now)
 	if len(candidates) == 0 {
@@ -76,7 +76,7 @@
 	assert.Equal(t, queue.Length(), 0)
 }
 
-// Whatever is pushed is taken, removed or expired exactly once.
+// Each request that was pushed is served or expires exactly once.
 func TestNothingIsLostOrServedTwice(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		queue := New[int](50, 0)
