--- a/internal/coordination/queueing/queue.go
+++ b/internal/coordination/queueing/queue.go
@@ -52,18 +52,19 @@
 	ageing   time.Duration
 	length   int
 	tenants  map[string]*tenantQueue[T]
-	// virtual is the highest virtual time at which a tenant was served. A tenant that was idle
-	// starts there again, so that it can't accumulate a share while it is idle.
-	virtual float64
+	// latestVirtualTime is the highest virtual time at which a tenant was served. A tenant that was
+	// idle starts there again, so that it can't accumulate a share while it is idle.
+	latestVirtualTime float64
 }
 
 // tenantQueue holds one tenant's requests by class, oldest first.
 type tenantQueue[T any] struct {
 	name    string
 	classes [Batch + 1][]*Item[T]
-	// served is the tenant's virtual time: the tokens that it has received, divided by its weight.
-	served float64
-	length int
+	// virtualTime is the tenant's virtual time: the tokens that it has received, divided by its
+	// weight.
+	virtualTime float64
+	length      int
 }
 
 // New returns an empty queue with a capacity in requests. An ageing of 0 means DefaultAgeing.
@@ -81,11 +82,11 @@
 	}
 	tenant := q.tenants[item.Tenant]
 	if tenant == nil {
-		tenant = &tenantQueue[T]{name: item.Tenant, served: q.virtual}
+		tenant = &tenantQueue[T]{name: item.Tenant, virtualTime: q.latestVirtualTime}
 		q.tenants[item.Tenant] = tenant
 	}
 	if tenant.length == 0 {
-		tenant.served = max(tenant.served, q.virtual)
+		tenant.virtualTime = max(tenant.virtualTime, q.latestVirtualTime)
 	}
 	tenant.classes[item.Class] = append(tenant.classes[item.Class], item)
 	tenant.length++
@@ -97,8 +98,8 @@
 type head[T any] struct {
 	item *Item[T]
 	// class is the request's class after ageing.
-	class  Class
-	served float64
+	class       Class
+	virtualTime float64
 }
 
 // Candidates returns the oldest waiting request of each tenant and class, in the order in which
@@ -108,14 +109,14 @@
 	for _, tenant := range q.tenants {
 		for _, waiting := range tenant.classes {
 			if len(waiting) > 0 {
-				heads = append(heads, head[T]{item: waiting[0], class: q.agedClass(now, waiting[0]), served: tenant.served})
+				heads = append(heads, head[T]{item: waiting[0], class: q.agedClass(now, waiting[0]), virtualTime: tenant.virtualTime})
 			}
 		}
 	}
 	slices.SortFunc(heads, func(a, b head[T]) int {
 		return cmp.Or(
 			cmp.Compare(a.class, b.class),
-			cmp.Compare(a.served, b.served),
+			cmp.Compare(a.virtualTime, b.virtualTime),
 			cmp.Compare(a.item.Arrived, b.item.Arrived),
 			cmp.Compare(a.item.ID, b.item.ID),
 		)
@@ -139,8 +140,8 @@
 		return
 	}
 	tenant := q.tenants[item.Tenant]
-	q.virtual = max(q.virtual, tenant.served)
-	tenant.served += float64(item.Cost) / float64(max(1, item.Weight))
+	q.latestVirtualTime = max(q.latestVirtualTime, tenant.virtualTime)
+	tenant.virtualTime += float64(item.Cost) / float64(max(1, item.Weight))
 }
 
 // Remove removes a request that is abandoned, and reports whether it was waiting.
@@ -171,7 +172,7 @@
 				}
 			}
 		}
-		if tenant.length == 0 && tenant.served <= q.virtual {
+		if tenant.length == 0 && tenant.virtualTime <= q.latestVirtualTime {
 			delete(q.tenants, name)
 		}
 	}
--- a/internal/coordination/queueing/queue_test.go
+++ b/internal/coordination/queueing/queue_test.go
@@ -23,7 +23,7 @@
 	return candidates[0]
 }
 
-func TestShortUrgentRequestPassesLongOnesThatKeepTheirPlace(t *testing.T) {
+func TestUrgentRequestIsServedBeforeOlderBatchRequests(t *testing.T) {
 	queue := New[int](10, 0)
 	assert.NilError(t, queue.Push(item("t", 1, Batch, 1000, 0)))
 	assert.NilError(t, queue.Push(item("t", 2, Batch, 1000, time.Second)))
@@ -77,7 +77,7 @@
 }
 
 // Each request that was pushed is served or expires exactly once.
-func TestNothingIsLostOrServedTwice(t *testing.T) {
+func TestEachRequestIsServedOrExpiresOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		queue := New[int](50, 0)
 		waiting := map[*Item[int]]bool{}
