--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -78,19 +78,19 @@
 // they leave. Safe for concurrent use.
 type Tracker struct {
 	mutex   sync.Mutex
-	entries map[registry.Life]*entry
+	entries map[registry.Incarnation]*entry
 	// known is the number of entries: without any, no request pays for them.
 	known  atomic.Int64
 	policy ReturnPolicy
 	// random draws a number from 0 to below 1.
 	random func() float64
 	// unreadable are the lives that asked for what can't be read, told once each.
-	unreadable *bounded.Set[registry.Life]
+	unreadable *bounded.Set[registry.Incarnation]
 }
 
 // entry is a life that asked for a pause, or leaves.
 type entry struct {
-	life registry.Life
+	life registry.Incarnation
 	// askedAt is when the pause began, askedUntil the end that was asked for, until the
 	// later one that this node keeps.
 	askedAt, askedUntil, until time.Duration
@@ -111,7 +111,7 @@
 // NewTracker makes a tracker that knows of no pause.
 func NewTracker(policy ReturnPolicy) *Tracker {
 	return &Tracker{
-		entries: map[registry.Life]*entry{}, unreadable: bounded.NewSet[registry.Life](unreadableKept), policy: policy, random: rand.Float64,
+		entries: map[registry.Incarnation]*entry{}, unreadable: bounded.NewSet[registry.Incarnation](unreadableKept), policy: policy, random: rand.Float64,
 	}
 }
 
@@ -147,7 +147,7 @@
 // Change is what an answer, or the time, changed.
 type Change struct {
 	Kind ChangeKind
-	Life registry.Life
+	Life registry.Incarnation
 	// Asked is the pause that was asked for, Left what is left of it.
 	Asked, Left time.Duration
 	// Request is the one whose answer began the pause, Answers how many asked for it.
@@ -166,7 +166,7 @@
 
 // Learn takes what an instance's answer to a request asks for, which comes now. No answer
 // shortens a pause, and none takes back that the instance leaves.
-func (t *Tracker) Learn(now time.Duration, life registry.Life, request Request, said Said) []Change {
+func (t *Tracker) Learn(now time.Duration, life registry.Incarnation, request Request, said Said) []Change {
 	if said.Pause == 0 && !said.IsLeaving && said.Fault == nil && t.known.Load() == 0 {
 		return nil
 	}
@@ -192,7 +192,7 @@
 	return changes
 }
 
-func (t *Tracker) noteUnreadable(life registry.Life, fault error) Change {
+func (t *Tracker) noteUnreadable(life registry.Incarnation, fault error) Change {
 	if !t.unreadable.Add(life) {
 		return Change{}
 	}
@@ -200,7 +200,7 @@
 }
 
 // entry returns what is known of a life, made if need be.
-func (t *Tracker) entry(now time.Duration, life registry.Life) *entry {
+func (t *Tracker) entry(now time.Duration, life registry.Incarnation) *entry {
 	known := t.entries[life]
 	if known == nil {
 		known = &entry{life: life, isOver: true, listedAt: now}
@@ -210,7 +210,7 @@
 	return known
 }
 
-func (t *Tracker) leave(now time.Duration, life registry.Life, request string) Change {
+func (t *Tracker) leave(now time.Duration, life registry.Incarnation, request string) Change {
 	known := t.entry(now, life)
 	if known.isLeaving {
 		return Change{}
@@ -219,7 +219,7 @@
 	return Change{Kind: Left, Life: life, Request: request, Answers: 1}
 }
 
-func (t *Tracker) pause(now time.Duration, life registry.Life, request string, asked time.Duration) Change {
+func (t *Tracker) pause(now time.Duration, life registry.Incarnation, request string, asked time.Duration) Change {
 	kind := Extended
 	known := t.entry(now, life)
 	if now >= known.until {
@@ -242,7 +242,7 @@
 
 // accept notes that an instance ran a request. Each one written after its pause lets twice as
 // many come, until it counts as back.
-func (t *Tracker) accept(now time.Duration, life registry.Life, writtenAt time.Duration) Change {
+func (t *Tracker) accept(now time.Duration, life registry.Incarnation, writtenAt time.Duration) Change {
 	known := t.entries[life]
 	if known == nil || known.isLeaving || writtenAt < known.until {
 		return Change{}
@@ -256,7 +256,7 @@
 }
 
 // Standing tells what a life takes from this node.
-func (t *Tracker) Standing(now time.Duration, life registry.Life) Standing {
+func (t *Tracker) Standing(now time.Duration, life registry.Incarnation) Standing {
 	if !t.Any() {
 		return Standing{}
 	}
@@ -282,7 +282,9 @@
 }
 
 // IsLeaving tells whether an instance has said that it leaves.
-func (t *Tracker) IsLeaving(life registry.Life) bool { return t.Standing(0, life).Phase == Leaving }
+func (t *Tracker) IsLeaving(life registry.Incarnation) bool {
+	return t.Standing(0, life).Phase == Leaving
+}
 
 // Any tells whether any instance is not Open.
 func (t *Tracker) Any() bool { return t != nil && t.known.Load() > 0 }
@@ -292,7 +294,7 @@
 
 // BeginTrial notes that a request is chosen for a life, and tells whether EndTrial is due
 // when it is over.
-func (t *Tracker) BeginTrial(now time.Duration, life registry.Life) bool {
+func (t *Tracker) BeginTrial(now time.Duration, life registry.Incarnation) bool {
 	if !t.Any() {
 		return false
 	}
@@ -307,7 +309,7 @@
 }
 
 // EndTrial ends what BeginTrial began.
-func (t *Tracker) EndTrial(life registry.Life) {
+func (t *Tracker) EndTrial(life registry.Incarnation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.entries[life]; known != nil {
@@ -316,14 +318,14 @@
 }
 
 // Forget drops what is known of a life that a newer one has replaced.
-func (t *Tracker) Forget(life registry.Life) {
+func (t *Tracker) Forget(life registry.Incarnation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.drop(life)
 	t.unreadable.Remove(life)
 }
 
-func (t *Tracker) drop(life registry.Life) {
+func (t *Tracker) drop(life registry.Incarnation) {
 	if _, isKnown := t.entries[life]; isKnown {
 		delete(t.entries, life)
 		t.known.Add(-1)
@@ -356,11 +358,11 @@
 
 // Prune drops instances that have not been listed for long. Who lists them may ask the
 // tracker meanwhile.
-func (t *Tracker) Prune(now time.Duration, isListed func(life registry.Life) bool) {
+func (t *Tracker) Prune(now time.Duration, isListed func(life registry.Incarnation) bool) {
 	if !t.Any() {
 		return
 	}
-	listed := slices.DeleteFunc(t.lives(), func(life registry.Life) bool { return !isListed(life) })
+	listed := slices.DeleteFunc(t.lives(), func(life registry.Incarnation) bool { return !isListed(life) })
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	for _, life := range listed {
@@ -377,7 +379,7 @@
 }
 
 // lives returns the lives that are known.
-func (t *Tracker) lives() []registry.Life {
+func (t *Tracker) lives() []registry.Incarnation {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.Collect(maps.Keys(t.entries))
@@ -385,7 +387,7 @@
 
 // Listed is one instance that is not Open, for operators.
 type Listed struct {
-	Life     registry.Life
+	Life     registry.Incarnation
 	Standing Standing
 	// Asked is the latest pause, Request the one whose answer began it, Answers how many
 	// asked for it.
@@ -403,7 +405,7 @@
 		listed = append(listed, Listed{Life: life, Standing: known.standing(now, t.policy.LongestTrials), Asked: known.askedUntil - known.askedAt, Request: known.request, Answers: known.asked})
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
-		return cmp.Or(cmp.Compare(other.Standing.Wait, one.Standing.Wait), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.Born, other.Life.Born))
+		return cmp.Or(cmp.Compare(other.Standing.Wait, one.Standing.Wait), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.StartedAt, other.Life.StartedAt))
 	})
 	return listed
 }
--- a/internal/coordination/backoff/tracker_test.go
+++ b/internal/coordination/backoff/tracker_test.go
@@ -10,13 +10,13 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-var life = registry.Life{ID: "i-1", Born: 1000}
+var life = registry.Incarnation{ID: "i-1", StartedAt: 1000}
 
 // exactEnd ends pauses when they were asked to end.
 var exactEnd = ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
 
 // learn is Learn where one change at most is expected, of an answer that comes at once.
-func learn(tracker *Tracker, now time.Duration, life registry.Life, request string, said Said) Change {
+func learn(tracker *Tracker, now time.Duration, life registry.Incarnation, request string, said Said) Change {
 	changes := tracker.Learn(now, life, Request{ID: request, WrittenAt: now}, said)
 	if len(changes) == 0 {
 		return Change{}
@@ -42,7 +42,7 @@
 func TestPauseBindsTheLifeThatAskedForIt(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, life, "r1", asks(3))
-	newer := registry.Life{ID: life.ID, Born: 2000}
+	newer := registry.Incarnation{ID: life.ID, StartedAt: 2000}
 	assert.Equal(t, tracker.Standing(time.Second, newer).Phase, Open)
 	learn(tracker, time.Second, newer, "r2", asks(1))
 	tracker.Forget(life)
@@ -112,7 +112,7 @@
 	assert.Equal(t, learn(tracker, 0, life, "r1", fault).Kind, Unreadable)
 	assert.Equal(t, learn(tracker, 0, life, "r2", fault).Kind, Unchanged)
 	for number := range 2 * unreadableKept {
-		learn(tracker, 0, registry.Life{ID: fmt.Sprint(number)}, "r", fault)
+		learn(tracker, 0, registry.Incarnation{ID: fmt.Sprint(number)}, "r", fault)
 	}
 	assert.Equal(t, tracker.unreadable.Len(), unreadableKept)
 	assert.Equal(t, tracker.Count(), int64(0))
@@ -120,7 +120,7 @@
 
 func TestListNamesTheLongestPauseFirst(t *testing.T) {
 	tracker := NewTracker(exactEnd)
-	other := registry.Life{ID: "i-0"}
+	other := registry.Incarnation{ID: "i-0"}
 	learn(tracker, 0, life, "r1", asks(3))
 	learn(tracker, 0, other, "r2", asks(1))
 	all := tracker.List(2 * time.Second)
@@ -140,9 +140,9 @@
 // 10,000 instances of which a third ask for a pause.
 func BenchmarkStandingOfAThirdPaused(b *testing.B) {
 	tracker := NewTracker(exactEnd)
-	lives := make([]registry.Life, 10_000)
+	lives := make([]registry.Incarnation, 10_000)
 	for number := range lives {
-		lives[number] = registry.Life{ID: fmt.Sprintf("i-%d", number)}
+		lives[number] = registry.Incarnation{ID: fmt.Sprintf("i-%d", number)}
 		if number%3 == 0 {
 			learn(tracker, 0, lives[number], "r", asks(3))
 		}
@@ -161,8 +161,8 @@
 		learn(tracker, time.Second, life, "r2", said)
 		assert.Equal(t, tracker.Standing(time.Hour, life).Phase, Leaving)
 	}
-	assert.Assert(t, !tracker.Standing(time.Hour, registry.Life{ID: life.ID, Born: 2000}).HasTrial)
-	assert.Equal(t, tracker.Standing(time.Hour, registry.Life{ID: life.ID, Born: 2000}).Phase, Open)
+	assert.Assert(t, !tracker.Standing(time.Hour, registry.Incarnation{ID: life.ID, StartedAt: 2000}).HasTrial)
+	assert.Equal(t, tracker.Standing(time.Hour, registry.Incarnation{ID: life.ID, StartedAt: 2000}).Phase, Open)
 }
 
 // Guards against a word on its way that lists an instance again which has left, and against
@@ -171,8 +171,8 @@
 	for _, said := range []Said{{IsLeaving: true}, {Pause: MaximumPause}} {
 		tracker := NewTracker(exactEnd)
 		learn(tracker, 0, life, "r1", said)
-		tracker.Prune(time.Hour, func(registry.Life) bool { return true })
-		unlisted := func(registry.Life) bool { return false }
+		tracker.Prune(time.Hour, func(registry.Incarnation) bool { return true })
+		unlisted := func(registry.Incarnation) bool { return false }
 		tracker.Prune(time.Hour+unlistedMemory, unlisted)
 		assert.Equal(t, tracker.Count(), int64(1))
 		tracker.Prune(time.Hour+unlistedMemory+1, unlisted)
@@ -186,7 +186,7 @@
 	assert.Equal(t, len(changes), 2)
 	assert.Equal(t, changes[0].Kind, Unreadable)
 	assert.Equal(t, changes[1].Kind, Began)
-	changes = tracker.Learn(0, registry.Life{ID: "i-2"}, Request{ID: "r2"}, ReadPause([]string{"soon"}).WithLeaving([]string{"1"}))
+	changes = tracker.Learn(0, registry.Incarnation{ID: "i-2"}, Request{ID: "r2"}, ReadPause([]string{"soon"}).WithLeaving([]string{"1"}))
 	assert.Equal(t, changes[1].Kind, Left)
 }
 
@@ -214,9 +214,9 @@
 // BenchmarkThirdOfManyAsk has a third of 10,000 instances ask for a pause, and looks at them
 // once.
 func BenchmarkThirdOfManyAsk(b *testing.B) {
-	lives := make([]registry.Life, 10_000/3)
+	lives := make([]registry.Incarnation, 10_000/3)
 	for number := range lives {
-		lives[number] = registry.Life{ID: fmt.Sprintf("i-%d", number)}
+		lives[number] = registry.Incarnation{ID: fmt.Sprintf("i-%d", number)}
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/coordination/balance/backoff.go
+++ b/internal/coordination/balance/backoff.go
@@ -42,14 +42,14 @@
 func (t *Table) Admit(now time.Duration, choice Choice) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	switch status := t.backoff.Standing(now, choice.Life()); status.Phase {
+	switch status := t.backoff.Standing(now, choice.Incarnation()); status.Phase {
 	case backoff.Paused:
 		return fmt.Errorf("%w, which ends in %d ms", ErrPaused, status.Wait.Milliseconds())
 	case backoff.Leaving:
 		return ErrLeaving
 	case backoff.Open, backoff.Returning:
 	}
-	known := t.member(choice.Life())
+	known := t.member(choice.Incarnation())
 	if known == nil || !known.isOffered || t.evacuated.Contains(known.Zone) || t.isRolledBack(known) {
 		return ErrWithdrawn
 	}
@@ -82,9 +82,9 @@
 		if !t.isPlacementAllowed(one, request) || t.isRolledBack(one) {
 			continue
 		}
-		headroom, hasLimit := t.limits.Room(now, one.Life())
-		isLimited := hasLimit && headroom.Wait > request.PermitPatience && !slices.Contains(request.Exclude, one.ID)
-		status := t.backoff.Standing(now, one.Life())
+		headroom, hasLimit := t.limits.Room(now, one.Incarnation())
+		isLimited := hasLimit && headroom.Wait > request.MaximumPermitWait && !slices.Contains(request.Exclude, one.ID)
+		status := t.backoff.Standing(now, one.Incarnation())
 		if status.Phase == backoff.Leaving {
 			continue
 		}
--- a/internal/coordination/balance/backoff_test.go
+++ b/internal/coordination/balance/backoff_test.go
@@ -30,7 +30,7 @@
 }
 
 func pauseInstance(tracker *backoff.Tracker, id string, now, duration time.Duration) {
-	tracker.Learn(now, registry.Life{ID: id}, backoff.Request{ID: "r", WrittenAt: now}, backoff.Said{Pause: duration})
+	tracker.Learn(now, registry.Incarnation{ID: id}, backoff.Request{ID: "r", WrittenAt: now}, backoff.Said{Pause: duration})
 }
 
 func TestPausedInstanceIsNeverChosen(t *testing.T) {
@@ -112,7 +112,7 @@
 	limits := ratelimit.New("node")
 	table.SetLimits(limits)
 	pauseInstance(tracker, "i-0", 0, 5*time.Second)
-	limited := registry.Life{ID: "i-1"}
+	limited := registry.Incarnation{ID: "i-1"}
 	limits.Learn(0, limited, ratelimit.Said{IsNamed: true, PerSecond: 0.5}, 0)
 	limits.Answered(0, limited, ratelimit.Answer{FreeMS: 2000})
 	availability, found := table.NextAvailable(0, Request{Service: "s"})
@@ -126,9 +126,9 @@
 func TestLeavingInstanceIsNotChosenAfterALateReadyHeartbeat(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	choice, _ := table.Choose(0, Request{Service: "s", Exclude: []string{"i-1"}})
-	tracker.Learn(0, registry.Life{ID: "i-0"}, backoff.Request{ID: "r"}, backoff.Said{IsLeaving: true})
+	tracker.Learn(0, registry.Incarnation{ID: "i-0"}, backoff.Request{ID: "r"}, backoff.Said{IsLeaving: true})
 	assert.ErrorIs(t, table.Admit(0, choice), ErrLeaving)
-	assert.Assert(t, table.IsLeaving(registry.Life{ID: "i-0"}), "a planned exit is not a crash")
+	assert.Assert(t, table.IsLeaving(registry.Incarnation{ID: "i-0"}), "a planned exit is not a crash")
 	table.Apply([]registry.Instance{{ID: "i-0", Service: "s", Zone: "a", State: registry.Ready, Slots: 4, Sequence: 9}})
 	_, found := table.Choose(time.Hour, Request{Service: "s", Exclude: []string{"i-1"}})
 	assert.Assert(t, !found)
--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -126,7 +126,7 @@
 	budget := NewRetryBudget()
 	policy := RetryPolicy{Window: 10 * time.Second, Ratio: 0.2, Slack: 14, Nodes: 7}
 	for range 100 {
-		budget.Request(0, "llm", policy)
+		budget.RecordRequest(0, "llm", policy)
 	}
 	taken := 0
 	for range 100 {
--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// MiddleTokens is the work of a medium-sized request, in tokens.
-	MiddleTokens = 8000
+	// TypicalRequestTokens is the work of a medium-sized request, in tokens.
+	TypicalRequestTokens = 8000
 	// unknownLoadFactor scales a node's own load at an instance to an estimate of the total load
 	// there while the loads of the other nodes are unknown.
 	unknownLoadFactor = 2
@@ -43,22 +43,22 @@
 	// Tokens is the length of the prompt in tokens, and SharedTokens that of its shared part, which
 	// is cached at the part's home; 0 if not known.
 	Tokens, SharedTokens int
-	// Gap is the maximum time between two events of the response stream.
-	Gap time.Duration
+	// MaximumEventGap is the maximum time between two events of the response stream.
+	MaximumEventGap time.Duration
 	// Bytes is the length of the request body.
 	Bytes int
 	// Exclude holds the IDs of the instances that were already tried.
 	Exclude []string
-	// MaxInFlight is the maximum number of requests that this node may have in flight at one
+	// MaximumInFlight is the maximum number of requests that this node may have in flight at one
 	// instance; 0 means no bound.
-	MaxInFlight int
+	MaximumInFlight int
 	// Cold limits the requests to the service's cold instances.
 	Cold ColdPolicy
 	// Regions are the regions in which the request may be served.
 	Regions Regions
-	// PermitPatience is the maximum time that the request may wait for a permit of an instance with
+	// MaximumPermitWait is the maximum time that the request may wait for a permit of an instance with
 	// a rate limit.
-	PermitPatience time.Duration
+	MaximumPermitWait time.Duration
 	// IsLastAttempt reports whether the request can't be retried at another instance.
 	IsLastAttempt bool
 }
@@ -83,9 +83,9 @@
 	AheadKnown    bool
 	// Reread is the cost of shared tokens that are read again, and Far that of bytes sent to
 	// another zone, both in tokens. Streams is the number of requests in flight at the instance.
-	Reread, Far, Streams int
-	// Paused is the cost of the streams there that reading the prompt would stall, in tokens.
-	Paused int
+	Reread, CrossZone, Streams int
+	// Stalls is the cost of the streams there that reading the prompt would stall, in tokens.
+	Stalls int
 	// Permit is the cost of the permit that the instance's rate limit requires, in tokens.
 	Permit int
 }
@@ -111,7 +111,7 @@
 		state.probedAt = now
 	}
 	chosen.noteColdRequest(now, request.Cold)
-	choice.isTrial = t.backoff.BeginTrial(now, chosen.Life())
+	choice.isTrial = t.backoff.BeginTrial(now, chosen.Incarnation())
 	chosen.inFlight++
 	chosen.pendingTokens += choice.Unread
 	choice.Instance, choice.Spilled, choice.pendingTokens = chosen.Instance, spilled, choice.Unread
@@ -177,14 +177,14 @@
 func (t *Table) classifyCandidates(now time.Duration, request Request, isAmong func(*member) bool) (healthy, others candidateSet) {
 	average := t.averageFailureRate(request.Service)
 	for _, one := range t.byService[request.Service] {
-		if !isAmong(one) || !t.mayServe(one, request) || request.MaxInFlight > 0 && one.inFlight >= request.MaxInFlight || !t.acceptsWhileCold(now, one, request.Cold) {
+		if !isAmong(one) || !t.mayServe(one, request) || request.MaximumInFlight > 0 && one.inFlight >= request.MaximumInFlight || !t.acceptsWhileCold(now, one, request.Cold) {
 			continue
 		}
-		status := t.backoff.Standing(now, one.Life())
+		status := t.backoff.Standing(now, one.Incarnation())
 		if status.Phase == backoff.Paused || status.Phase == backoff.Leaving {
 			continue
 		}
-		isLimited := t.weighPermit(now, one, request.PermitPatience)
+		isLimited := t.weighPermit(now, one, request.MaximumPermitWait)
 		if isTrialAllowed(status, request) && one.isHealthy(now, average) && t.isZoneOpen(now, one.Zone) {
 			healthy.add(one, isLimited)
 			continue
@@ -230,8 +230,8 @@
 		}
 	}
 	choice.Ahead, choice.Unread, choice.AheadKnown = best.ahead, best.unread, t.others != nil
-	choice.Reread, choice.Far, choice.Streams = int(best.reread), int(best.crossZone), best.requests
-	choice.Paused, choice.Permit = int(best.stalls), int(best.permit)
+	choice.Reread, choice.CrossZone, choice.Streams = int(best.reread), int(best.crossZone), best.requests
+	choice.Stalls, choice.Permit = int(best.stalls), int(best.permit)
 	part := keyOfPart(request.Part)
 	chosen.noteHeld(now, part)
 	if chosen != home && request.SharedTokens > 0 {
@@ -244,7 +244,7 @@
 	cost := expectedCost{ahead: one.pendingTokens, unread: request.Tokens, permit: one.permitTokens}
 	requests := one.inFlight
 	if request.Tokens == 0 {
-		cost.unread = int(request.Cost * MiddleTokens)
+		cost.unread = int(request.Cost * TypicalRequestTokens)
 	}
 	if t.others != nil {
 		others := t.others[one.key]
@@ -264,7 +264,7 @@
 		cost.reread = rereadWeight * float64(request.SharedTokens)
 		cost.scatter = t.random() * scatterTokens
 	}
-	cost.stalls = t.speedOf(one.Service).stallCost(requests, cost.ahead, cost.unread, request.Gap)
+	cost.stalls = t.speedOf(one.Service).stallCost(requests, cost.ahead, cost.unread, request.MaximumEventGap)
 	if one.Zone != t.zone {
 		cost.crossZone = float64(request.Bytes) * tokensPerCrossZoneByte
 	}
--- a/internal/coordination/balance/health.go
+++ b/internal/coordination/balance/health.go
@@ -36,8 +36,8 @@
 	Unreachable
 	// Failed means that the instance returned an error of its own or broke off the response.
 	Failed
-	// Full means that the instance rejected the request.
-	Full
+	// Rejected means that the instance rejected the request.
+	Rejected
 	// Replaced means that another instance uses its address now, so it is permanently gone.
 	Replaced
 	// Abandoned means that the outcome indicates nothing about the instance.
@@ -53,15 +53,15 @@
 	probedAt     time.Duration
 }
 
-// Started records that an instance has read a request's prompt, and how long that took from the
+// PromptRead records that an instance has read a request's prompt, and how long that took from the
 // sending of the request.
-func (t *Table) Started(choice *Choice, took time.Duration) {
+func (t *Table) PromptRead(choice *Choice, took time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if choice.Ahead == 0 && choice.AheadKnown && choice.pendingTokens > 0 {
 		t.speedOf(choice.Service).observeRead(choice.pendingTokens, took)
 	}
-	if known := t.member(choice.Life()); known != nil {
+	if known := t.member(choice.Incarnation()); known != nil {
 		known.pendingTokens -= choice.pendingTokens
 	}
 	choice.pendingTokens = 0
@@ -72,9 +72,9 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if choice.isTrial {
-		t.backoff.EndTrial(choice.Life())
+		t.backoff.EndTrial(choice.Incarnation())
 	}
-	known := t.member(choice.Life())
+	known := t.member(choice.Incarnation())
 	if known == nil {
 		return
 	}
@@ -96,13 +96,13 @@
 	case Replaced:
 		known.isReplaced = true
 		t.withdraw(known)
-	case Full, Abandoned:
+	case Rejected, Abandoned:
 	}
 }
 
-// Ended records that an incarnation of an instance was seen to have ended. The instance may restart
+// IncarnationEnded records that an incarnation of an instance was seen to have ended. The instance may restart
 // under the same ID, so it is avoided for a while and not removed.
-func (t *Table) Ended(now time.Duration, life registry.Life) {
+func (t *Table) IncarnationEnded(now time.Duration, life registry.Incarnation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.member(life); known != nil {
@@ -121,7 +121,7 @@
 // noteZoneOutcome updates the state of an instance's zone from the outcome of an attempt.
 func (t *Table) noteZoneOutcome(now time.Duration, instance registry.Instance, outcome Outcome) {
 	switch outcome {
-	case Served, Full, Replaced:
+	case Served, Rejected, Replaced:
 		delete(t.zones, instance.Zone)
 	case Unreachable:
 		state := t.zones[instance.Zone]
--- a/internal/coordination/balance/incarnations.go
+++ b/internal/coordination/balance/incarnations.go
@@ -7,7 +7,7 @@
 // endedIncarnation is an incarnation that has ended. wasLeaving records whether it had signalled
 // before its end that it leaves.
 type endedIncarnation struct {
-	registry.Life
+	registry.Incarnation
 	wasLeaving bool
 }
 
@@ -16,14 +16,14 @@
 const maximumEndedIncarnations = 128
 
 func (t *Table) noteEnded(one *member) {
-	t.ended = append(t.ended, endedIncarnation{Life: one.Life(), wasLeaving: !one.TakesWork()})
+	t.ended = append(t.ended, endedIncarnation{Incarnation: one.Incarnation(), wasLeaving: !one.AcceptsWork()})
 	t.ended = t.ended[max(0, len(t.ended)-maximumEndedIncarnations):]
 }
 
 // member returns the entry of an incarnation, nil if it has ended or was never known.
-func (t *Table) member(life registry.Life) *member {
+func (t *Table) member(life registry.Incarnation) *member {
 	known := t.members[life.ID]
-	if known == nil || known.Life() != life {
+	if known == nil || known.Incarnation() != life {
 		return nil
 	}
 	return known
@@ -31,17 +31,17 @@
 
 // IsLeaving reports whether an incarnation had signalled that it leaves the service, or is not
 // known.
-func (t *Table) IsLeaving(life registry.Life) bool {
+func (t *Table) IsLeaving(life registry.Incarnation) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if t.backoff.IsLeaving(life) {
 		return true
 	}
 	if known := t.member(life); known != nil {
-		return !known.TakesWork()
+		return !known.AcceptsWork()
 	}
 	for _, one := range t.ended {
-		if one.Life == life {
+		if one.Incarnation == life {
 			return one.wasLeaving
 		}
 	}
--- a/internal/coordination/balance/initial_exchange.go
+++ b/internal/coordination/balance/initial_exchange.go
@@ -55,14 +55,14 @@
 	var reports []OutgoingReport
 	if g.requestsLeft > 0 && g.responder != "" {
 		g.requestsLeft--
-		reports = append(reports, g.report(g.responder, LimitsWanted, nil))
+		reports = append(reports, g.report(g.responder, LimitsRequest, nil))
 	}
 	if len(g.requesters) == 0 {
 		return reports
 	}
 	updates := ratelimit.ForSending(now, activeLimits())
 	for address := range g.requesters {
-		reports = append(reports, g.report(address, LimitsTold, updates))
+		reports = append(reports, g.report(address, LimitsResponse, updates))
 	}
 	clear(g.requesters)
 	return reports
--- a/internal/coordination/balance/initial_exchange_test.go
+++ b/internal/coordination/balance/initial_exchange_test.go
@@ -20,10 +20,10 @@
 func (f *limitsFleet) runRound(now time.Duration) {
 	for address, exchange := range f.exchanges {
 		limits := f.limits[address]
-		reports, known := exchange.Step(now, nil, News{Limits: limits.TakeNews()}, limits.InForce)
+		reports, known := exchange.Step(now, nil, Updates{Limits: limits.TakeNews()}, limits.InForce)
 		limits.Hear(now, known.Limits)
 		for _, one := range reports {
-			f.exchanges[one.To].Take(now, address, one.Report)
+			f.exchanges[one.To].Receive(now, address, one.Report)
 		}
 	}
 }
@@ -44,7 +44,7 @@
 // when they begin. The restarted node receives it regardless of its role in the exchange, and
 // whether or not the others had noticed its absence.
 func TestRestartedNodeReceivesTheActiveLimits(t *testing.T) {
-	engine := registry.Life{ID: "i-1", Born: 5}
+	engine := registry.Incarnation{ID: "i-1", StartedAt: 5}
 	for name, all := range map[string][]EntryNode{
 		"three zones": {{"a-0", "a"}, {"a-1", "a"}, {"a-2", "a"}, {"b-0", "b"}, {"b-1", "b"}, {"c-0", "c"}},
 		"one a zone":  {{"a-0", "a"}, {"b-0", "b"}, {"c-0", "c"}},
--- a/internal/coordination/balance/limited.go
+++ b/internal/coordination/balance/limited.go
@@ -26,7 +26,7 @@
 // can't get a permit within its maximum wait.
 func (t *Table) weighPermit(now time.Duration, one *member, maximumWait time.Duration) (isLimited bool) {
 	one.permitTokens = 0
-	headroom, hasLimit := t.limits.Room(now, one.Life())
+	headroom, hasLimit := t.limits.Room(now, one.Incarnation())
 	if !hasLimit {
 		return false
 	}
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -25,7 +25,9 @@
 
 // KeyOf returns the key of an incarnation of an instance. Each incarnation has its own key, because
 // the load of one indicates nothing about the next.
-func KeyOf(life registry.Life) InstanceKey { return InstanceKey(xxhash.Sum64String(life.String())) }
+func KeyOf(life registry.Incarnation) InstanceKey {
+	return InstanceKey(xxhash.Sum64String(life.String()))
+}
 
 // Loads holds the loads by instance. Absent ones are 0.
 type Loads map[InstanceKey]Load
@@ -107,10 +109,10 @@
 	// AllOtherLoads reports go from a relay to a node of its zone and sum up all loads but the
 	// node's own.
 	AllOtherLoads
-	// LimitsWanted is the request of a node that has just started for the active limits, and
+	// LimitsRequest is the request of a node that has just started for the active limits, and
 	// LimitsTold is the response.
-	LimitsWanted
-	LimitsTold
+	LimitsRequest
+	LimitsResponse
 )
 
 // LoadReport is one message of the load exchange.
@@ -127,20 +129,20 @@
 	Limits []ratelimit.Word `msgpack:"m,omitempty"`
 }
 
-// News holds the events that are sent once, together with the loads.
-type News struct {
+// Updates holds the events that are sent once, together with the loads.
+type Updates struct {
 	// Parts are the prompt parts that were sent to other instances than their homes.
 	Parts []HeldPart
 	// Limits are the instances' rate limits that began, changed or ended.
 	Limits []ratelimit.Word
 }
 
-func (n *News) add(other News) {
+func (n *Updates) add(other Updates) {
 	n.Parts = appendParts(n.Parts, other.Parts)
 	n.Limits = append(n.Limits, other.Limits...)
 }
 
-func (n *News) isEmpty() bool { return len(n.Parts) == 0 && len(n.Limits) == 0 }
+func (n *Updates) isEmpty() bool { return len(n.Parts) == 0 && len(n.Limits) == 0 }
 
 // OutgoingReport is a report and its receiver.
 type OutgoingReport struct {
@@ -180,7 +182,7 @@
 	initialExchange initialExchange
 	// zoneUpdates and otherUpdates are the updates received since the last step: zoneUpdates from
 	// this zone's nodes, otherUpdates from or through relays.
-	zoneUpdates, otherUpdates News
+	zoneUpdates, otherUpdates Updates
 }
 
 type receivedLoads struct {
@@ -213,10 +215,10 @@
 
 func (e *LoadExchange) isRelay() bool { return e.relays[e.self.Zone] == e.self.Address }
 
-// Take processes a report from another node.
-func (e *LoadExchange) Take(now time.Duration, from string, report LoadReport) {
+// Receive processes a report from another node.
+func (e *LoadExchange) Receive(now time.Duration, from string, report LoadReport) {
 	received := receivedLoads{loads: DecodeLoads(report.Loads), receivedAt: now}
-	updates := News{Parts: decodeParts(report.Parts), Limits: ratelimit.Received(now, report.Limits)}
+	updates := Updates{Parts: decodeParts(report.Parts), Limits: ratelimit.Received(now, report.Limits)}
 	switch report.Scope {
 	case OwnLoads:
 		e.zoneReports[from] = received
@@ -227,9 +229,9 @@
 	case AllOtherLoads:
 		e.fromRelay = received
 		e.otherUpdates.add(updates)
-	case LimitsWanted:
+	case LimitsRequest:
 		e.initialExchange.requesters[from] = true
-	case LimitsTold:
+	case LimitsResponse:
 		e.initialExchange.requestsLeft = 0
 		e.otherUpdates.add(updates)
 	}
@@ -240,33 +242,33 @@
 	// Loads are the loads of all others; nil if not known.
 	Loads Loads
 	// News holds the updates received since the last step.
-	News
+	Updates
 }
 
 // Step returns the reports that are due and what is known of all other nodes. ownUpdates holds this
 // node's own updates since the last step. activeLimits returns the limits that are sent to nodes
 // that have just started.
-func (e *LoadExchange) Step(now time.Duration, own Loads, ownUpdates News, activeLimits func() []ratelimit.Word) ([]OutgoingReport, Known) {
+func (e *LoadExchange) Step(now time.Duration, own Loads, ownUpdates Updates, activeLimits func() []ratelimit.Word) ([]OutgoingReport, Known) {
 	reports, known := e.step(now, own, ownUpdates)
 	return append(reports, e.initialExchange.step(now, activeLimits)...), known
 }
 
-func (e *LoadExchange) step(now time.Duration, own Loads, ownUpdates News) ([]OutgoingReport, Known) {
+func (e *LoadExchange) step(now time.Duration, own Loads, ownUpdates Updates) ([]OutgoingReport, Known) {
 	e.dropExpiredReports(now)
 	zoneUpdates, otherUpdates := e.zoneUpdates, e.otherUpdates
-	e.zoneUpdates, e.otherUpdates = News{}, News{}
+	e.zoneUpdates, e.otherUpdates = Updates{}, Updates{}
 	if !e.isRelay() {
 		var reports []OutgoingReport
 		if len(own) > 0 || !ownUpdates.isEmpty() || !e.wasEmpty {
 			reports = append(reports, e.report(e.relays[e.self.Zone], OwnLoads, own.Encode(), encodeUpdates(now, ownUpdates)))
 		}
 		e.wasEmpty = len(own) == 0
-		return reports, Known{Loads: e.fromRelay.loads, News: otherUpdates}
+		return reports, Known{Loads: e.fromRelay.loads, Updates: otherUpdates}
 	}
 	zoneUpdates.add(ownUpdates)
 	reports, others := e.stepRelay(now, own, zoneUpdates, otherUpdates)
 	zoneUpdates.add(otherUpdates)
-	return reports, Known{Loads: others, News: zoneUpdates}
+	return reports, Known{Loads: others, Updates: zoneUpdates}
 }
 
 // encodedUpdates holds updates as they are encoded in a report.
@@ -275,7 +277,7 @@
 	limits []ratelimit.Word
 }
 
-func encodeUpdates(now time.Duration, updates News) encodedUpdates {
+func encodeUpdates(now time.Duration, updates Updates) encodedUpdates {
 	return encodedUpdates{parts: encodeParts(updates.Parts), limits: ratelimit.ForSending(now, updates.Limits)}
 }
 
@@ -284,7 +286,7 @@
 // stepRelay sums up the loads of the zone for the other relays, and the loads of all others for
 // each node of the zone. It computes the total once and subtracts each node's own loads from it,
 // because summing the others separately for each node takes time quadratic in the number of nodes.
-func (e *LoadExchange) stepRelay(now time.Duration, own Loads, zoneUpdates, otherUpdates News) ([]OutgoingReport, Loads) {
+func (e *LoadExchange) stepRelay(now time.Duration, own Loads, zoneUpdates, otherUpdates Updates) ([]OutgoingReport, Loads) {
 	others, zone, members := Loads{}, Loads{}, Loads{}
 	for _, received := range e.relayReports {
 		others.add(received.loads)
@@ -305,7 +307,7 @@
 	all := Loads{}
 	all.add(others)
 	all.add(zone)
-	var allUpdates News
+	var allUpdates Updates
 	allUpdates.add(zoneUpdates)
 	allUpdates.add(otherUpdates)
 	keys, updates := all.keys(), encodeUpdates(now, allUpdates)
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -51,7 +51,7 @@
 	}
 	var deliveries []delivery
 	for address, exchange := range exchanges {
-		reports, others := exchange.Step(now, own[address], News{}, noLimits)
+		reports, others := exchange.Step(now, own[address], Updates{}, noLimits)
 		known[address] = others.Loads
 		for _, one := range reports {
 			deliveries = append(deliveries, delivery{from: address, one: one})
@@ -60,7 +60,7 @@
 	for _, one := range deliveries {
 		sent++
 		if receiver := exchanges[one.one.To]; receiver != nil {
-			receiver.Take(now, one.from, one.one.Report)
+			receiver.Receive(now, one.from, one.one.Report)
 		}
 	}
 	return known, sent
@@ -70,7 +70,7 @@
 	exchanges, all := exchangeOf(3)
 	own := map[string]Loads{}
 	for number, node := range all {
-		own[node.Address] = Loads{KeyOf(registry.Life{ID: "i-0"}): {Tokens: tokenUnit * (number + 1), Requests: 1}}
+		own[node.Address] = Loads{KeyOf(registry.Incarnation{ID: "i-0"}): {Tokens: tokenUnit * (number + 1), Requests: 1}}
 	}
 	now := time.Duration(0)
 	var known map[string]Loads
@@ -81,7 +81,7 @@
 	}
 	for number, node := range all {
 		want := Load{Tokens: tokenUnit * (45 - number - 1), Requests: 8}
-		assert.DeepEqual(t, known[node.Address][KeyOf(registry.Life{ID: "i-0"})], want)
+		assert.DeepEqual(t, known[node.Address][KeyOf(registry.Incarnation{ID: "i-0"})], want)
 	}
 	// 6 to the relays, 6 between them, 6 from them. A full mesh would take 72.
 	assert.Equal(t, sent, 18)
@@ -91,7 +91,7 @@
 	exchanges, all := exchangeOf(3)
 	own := map[string]Loads{}
 	for _, node := range all {
-		own[node.Address] = Loads{KeyOf(registry.Life{ID: "i-0"}): {Tokens: 640, Requests: 1}}
+		own[node.Address] = Loads{KeyOf(registry.Incarnation{ID: "i-0"}): {Tokens: 640, Requests: 1}}
 	}
 	now := time.Duration(0)
 	rounds := func(count int) (known map[string]Loads) {
@@ -107,7 +107,7 @@
 	delete(exchanges, relay)
 	assert.Assert(t, rounds(8)[member] == nil)
 	connectNodes(exchanges, all)
-	assert.Equal(t, rounds(5)[member][KeyOf(registry.Life{ID: "i-0"})].Requests, 7)
+	assert.Equal(t, rounds(5)[member][KeyOf(registry.Incarnation{ID: "i-0"})].Requests, 7)
 }
 
 func TestEncodedLoadsDecodeToTheSameLoads(t *testing.T) {
@@ -125,12 +125,12 @@
 	assert.Assert(t, !home.Spilled)
 	table.Done(0, home, Served)
 	// A short wait at the home costs less than reading the shared part again elsewhere.
-	table.SetOthersLoads(Loads{KeyOf(home.Life()): {Tokens: 20_000, Requests: 2}})
+	table.SetOthersLoads(Loads{KeyOf(home.Incarnation()): {Tokens: 20_000, Requests: 2}})
 	queued, _ := table.Choose(0, request)
 	assert.Equal(t, queued.ID, home.ID)
 	assert.Assert(t, queued.AheadKnown && queued.Ahead == 20_000 && queued.Unread == 4_000)
 	table.Done(0, queued, Served)
-	table.SetOthersLoads(Loads{KeyOf(home.Life()): {Tokens: 90_000, Requests: 9}})
+	table.SetOthersLoads(Loads{KeyOf(home.Incarnation()): {Tokens: 90_000, Requests: 9}})
 	spilled, _ := table.Choose(0, request)
 	assert.Assert(t, spilled.ID != home.ID && spilled.Spilled)
 	// The instance that the part was sent to holds it now too.
@@ -141,9 +141,9 @@
 func TestPromptsAlreadyReadDoNotCountAsAhead(t *testing.T) {
 	table := tableOf("a", instances(3))
 	choice, _ := table.Choose(0, Request{Service: "llm", Part: "part", Tokens: 5_000})
-	assert.Equal(t, table.OwnLoads()[KeyOf(choice.Life())], Load{Tokens: 5_000, Requests: 1})
-	table.Started(&choice, 0)
-	assert.Equal(t, table.OwnLoads()[KeyOf(choice.Life())], Load{Requests: 1})
+	assert.Equal(t, table.OwnLoads()[KeyOf(choice.Incarnation())], Load{Tokens: 5_000, Requests: 1})
+	table.PromptRead(&choice, 0)
+	assert.Equal(t, table.OwnLoads()[KeyOf(choice.Incarnation())], Load{Requests: 1})
 	table.Done(0, choice, Served)
 	assert.Equal(t, len(table.OwnLoads()), 0)
 }
@@ -152,7 +152,7 @@
 // at further instances because only the node that had sent a part to an instance knew of it.
 func TestSpilledPartsAreReportedToAllNodes(t *testing.T) {
 	exchanges, all := exchangeOf(3)
-	spilled := HeldPart{Part: keyOfPart("part"), Instance: KeyOf(registry.Life{ID: "i-2"})}
+	spilled := HeldPart{Part: keyOfPart("part"), Instance: KeyOf(registry.Incarnation{ID: "i-2"})}
 	received := map[string]int{}
 	now := time.Duration(0)
 	for round := range 5 {
@@ -162,13 +162,13 @@
 			if round == 0 && address == all[4].Address {
 				own = []HeldPart{spilled}
 			}
-			reports, known := exchange.Step(now, nil, News{Parts: own}, noLimits)
+			reports, known := exchange.Step(now, nil, Updates{Parts: own}, noLimits)
 			for _, part := range known.Parts {
 				assert.Equal(t, part, spilled)
 				received[address]++
 			}
 			for _, one := range reports {
-				exchanges[one.To].Take(now, address, one.Report)
+				exchanges[one.To].Receive(now, address, one.Report)
 			}
 		}
 	}
--- a/internal/coordination/balance/regions.go
+++ b/internal/coordination/balance/regions.go
@@ -6,19 +6,19 @@
 type Regions struct {
 	// Names holds the allowed regions in ascending order. IsBound reports whether only these are
 	// allowed; otherwise the request may be served anywhere.
-	Names   []string
-	IsBound bool
+	Names        []string
+	IsRestricted bool
 }
 
-// BoundTo returns the intersection of the lists of regions. An empty list restricts nothing.
-func BoundTo(lists ...[]string) Regions {
+// IntersectRegions returns the intersection of the lists of regions. An empty list restricts nothing.
+func IntersectRegions(lists ...[]string) Regions {
 	var bound Regions
 	for _, names := range lists {
 		switch {
 		case len(names) == 0:
-		case !bound.IsBound:
+		case !bound.IsRestricted:
 			sorted := slices.Sorted(slices.Values(names))
-			bound = Regions{Names: slices.Compact(sorted), IsBound: true}
+			bound = Regions{Names: slices.Compact(sorted), IsRestricted: true}
 		default:
 			bound.Names = slices.DeleteFunc(bound.Names, func(name string) bool { return !slices.Contains(names, name) })
 		}
@@ -29,7 +29,7 @@
 // Contains reports whether a request may be served in a region. An unknown region, "", is in no
 // list.
 func (r Regions) Contains(region string) bool {
-	return !r.IsBound || region != "" && slices.Contains(r.Names, region)
+	return !r.IsRestricted || region != "" && slices.Contains(r.Names, region)
 }
 
 // SetRegions sets the region of each zone.
--- a/internal/coordination/balance/regions_test.go
+++ b/internal/coordination/balance/regions_test.go
@@ -14,14 +14,14 @@
 )
 
 func TestRegionsOfRouteAndTenantBothApply(t *testing.T) {
-	assert.Assert(t, !BoundTo(nil, nil).IsBound)
-	assert.DeepEqual(t, BoundTo([]string{"b", "a", "b"}), Regions{Names: []string{"a", "b"}, IsBound: true})
-	assert.DeepEqual(t, BoundTo(nil, []string{"a"}), Regions{Names: []string{"a"}, IsBound: true})
-	assert.DeepEqual(t, BoundTo([]string{"a", "b"}, []string{"b", "c"}).Names, []string{"b"})
-	nowhere := BoundTo([]string{"a"}, []string{"b"})
-	assert.Assert(t, nowhere.IsBound && !nowhere.Contains("a") && !nowhere.Contains("b"))
-	assert.Assert(t, !BoundTo([]string{"a"}).Contains(""), "a zone whose region is not known")
-	assert.Assert(t, BoundTo().Contains(""))
+	assert.Assert(t, !IntersectRegions(nil, nil).IsRestricted)
+	assert.DeepEqual(t, IntersectRegions([]string{"b", "a", "b"}), Regions{Names: []string{"a", "b"}, IsRestricted: true})
+	assert.DeepEqual(t, IntersectRegions(nil, []string{"a"}), Regions{Names: []string{"a"}, IsRestricted: true})
+	assert.DeepEqual(t, IntersectRegions([]string{"a", "b"}, []string{"b", "c"}).Names, []string{"b"})
+	nowhere := IntersectRegions([]string{"a"}, []string{"b"})
+	assert.Assert(t, nowhere.IsRestricted && !nowhere.Contains("a") && !nowhere.Contains("b"))
+	assert.Assert(t, !IntersectRegions([]string{"a"}).Contains(""), "a zone whose region is not known")
+	assert.Assert(t, IntersectRegions().Contains(""))
 }
 
 // Neither the first choice of a request nor a later one is outside its regions, regardless of the
@@ -44,7 +44,7 @@
 		}
 		table.Apply(instances)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		regions := BoundTo(rapid.SliceOfN(rapid.SampledFrom(regionNames), 0, 2).Draw(t, "route"), rapid.SliceOfN(rapid.SampledFrom(regionNames), 0, 2).Draw(t, "tenant"))
+		regions := IntersectRegions(rapid.SliceOfN(rapid.SampledFrom(regionNames), 0, 2).Draw(t, "route"), rapid.SliceOfN(rapid.SampledFrom(regionNames), 0, 2).Draw(t, "tenant"))
 		allowed := slices.ContainsFunc(instances, func(one registry.Instance) bool { return regions.Contains(regionOfZone[one.Zone]) })
 		assert.Equal(t, table.HasInRegions("llm", regions), allowed)
 		for step := range 40 {
--- a/internal/coordination/balance/retries.go
+++ b/internal/coordination/balance/retries.go
@@ -56,8 +56,8 @@
 	return append(times[:0], times[first:]...)
 }
 
-// Request records a caller's request for a service.
-func (b *RetryBudget) Request(now time.Duration, service string, policy RetryPolicy) {
+// RecordRequest records a caller's request for a service.
+func (b *RetryBudget) RecordRequest(now time.Duration, service string, policy RetryPolicy) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	window := b.window(now, service, policy.Window)
--- a/internal/coordination/balance/rollout.go
+++ b/internal/coordination/balance/rollout.go
@@ -151,9 +151,9 @@
 	return versions
 }
 
-// OldUnderWay returns the number of this node's requests in flight at instances of a service that
+// OldInFlight returns the number of this node's requests in flight at instances of a service that
 // do not have the version of its rollout.
-func (t *Table) OldUnderWay(service string) int {
+func (t *Table) OldInFlight(service string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	running := t.rollouts[service]
--- a/internal/coordination/balance/rollout_test.go
+++ b/internal/coordination/balance/rollout_test.go
@@ -114,7 +114,7 @@
 	table.Apply(twoVersions(6))
 	first, _ := table.Choose(0, Request{Service: "llm"})
 	second, _ := table.Choose(0, Request{Service: "llm", Exclude: []string{first.ID}})
-	assert.Equal(t, table.OldUnderWay("llm"), 0, "no rollout")
+	assert.Equal(t, table.OldInFlight("llm"), 0, "no rollout")
 	table.SetRollouts(inStage(rollout.Moving), RolloutShare{})
 	old := 0
 	for _, choice := range []Choice{first, second} {
@@ -122,8 +122,8 @@
 			old++
 		}
 	}
-	assert.Equal(t, table.OldUnderWay("llm"), old)
+	assert.Equal(t, table.OldInFlight("llm"), old)
 	table.Done(0, first, Served)
 	table.Done(0, second, Served)
-	assert.Equal(t, table.OldUnderWay("llm"), 0)
+	assert.Equal(t, table.OldInFlight("llm"), 0)
 }
--- a/internal/coordination/balance/stalls_test.go
+++ b/internal/coordination/balance/stalls_test.go
@@ -16,8 +16,8 @@
 	table.speedOf("llm").stalled = highStalledShare
 	homes := map[string]int{}
 	for range 12 {
-		choice, _ := table.Choose(0, Request{Service: "llm", Part: "small", Cost: 1, Tokens: 200, SharedTokens: 100, Gap: testGap})
-		table.Started(&choice, 10*time.Millisecond)
+		choice, _ := table.Choose(0, Request{Service: "llm", Part: "small", Cost: 1, Tokens: 200, SharedTokens: 100, MaximumEventGap: testGap})
+		table.PromptRead(&choice, 10*time.Millisecond)
 		homes[choice.ID]++
 	}
 	busiest, most := "", 0
@@ -27,18 +27,18 @@
 		}
 	}
 	assert.Assert(t, most >= 6, "%v", homes)
-	long, _ := table.Choose(0, Request{Service: "llm", Part: "small", Cost: 5, Tokens: 40_000, SharedTokens: 100, Gap: testGap})
+	long, _ := table.Choose(0, Request{Service: "llm", Part: "small", Cost: 5, Tokens: 40_000, SharedTokens: 100, MaximumEventGap: testGap})
 	assert.Assert(t, long.ID != busiest, "%v", homes)
 }
 
 func TestShortPromptStaysAtItsHomeDespiteRunningStreams(t *testing.T) {
 	table := tableOf("a", instances(3))
-	request := Request{Service: "llm", Part: "small", Cost: 1, Tokens: 3000, SharedTokens: 2500, Gap: testGap}
+	request := Request{Service: "llm", Part: "small", Cost: 1, Tokens: 3000, SharedTokens: 2500, MaximumEventGap: testGap}
 	first, _ := table.Choose(0, request)
-	table.Started(&first, 10*time.Millisecond)
+	table.PromptRead(&first, 10*time.Millisecond)
 	for range 6 {
 		choice, _ := table.Choose(0, request)
-		table.Started(&choice, 10*time.Millisecond)
+		table.PromptRead(&choice, 10*time.Millisecond)
 		assert.Equal(t, choice.ID, first.ID)
 	}
 }
--- a/internal/coordination/balance/table.go
+++ b/internal/coordination/balance/table.go
@@ -113,7 +113,7 @@
 	defer t.mutex.Unlock()
 	for _, instance := range changes {
 		known := t.members[instance.ID]
-		if known != nil && known.Life() != instance.Life() {
+		if known != nil && known.Incarnation() != instance.Incarnation() {
 			replaced = append(replaced, known.Instance)
 			t.noteEnded(known)
 			t.remove(known)
@@ -134,16 +134,16 @@
 // update updates the member of a live instance; known is nil if it is new.
 func (t *Table) update(known *member, instance registry.Instance) {
 	if known == nil {
-		known = &member{key: KeyOf(instance.Life()), heldParts: map[PartKey]time.Duration{}}
+		known = &member{key: KeyOf(instance.Incarnation()), heldParts: map[PartKey]time.Duration{}}
 		t.members[instance.ID] = known
 	}
 	wasOffered := known.isOffered
-	if wasOffered && (known.Service != instance.Service || !instance.TakesWork()) {
+	if wasOffered && (known.Service != instance.Service || !instance.AcceptsWork()) {
 		t.withdraw(known)
 		wasOffered = false
 	}
 	known.Instance, known.hasEnded = instance, false
-	if !wasOffered && instance.TakesWork() && !known.isReplaced {
+	if !wasOffered && instance.AcceptsWork() && !known.isReplaced {
 		t.offer(known)
 	}
 }
@@ -189,7 +189,7 @@
 
 // Instance returns the registry's data of an incarnation, or false if it has ended or was never
 // known.
-func (t *Table) Instance(life registry.Life) (registry.Instance, bool) {
+func (t *Table) Instance(life registry.Incarnation) (registry.Instance, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.member(life)
@@ -219,7 +219,7 @@
 }
 
 // InFlight returns the number of this node's requests in flight at an incarnation of an instance.
-func (t *Table) InFlight(life registry.Life) int {
+func (t *Table) InFlight(life registry.Incarnation) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	if known := t.member(life); known != nil {
--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -58,10 +58,10 @@
 // weighing is one derivation.
 type weighing struct {
 	// present are the requests at each end, strongest the highest suspicion there.
-	present   map[registry.Life][]*suspect
-	strongest map[registry.Life]Suspicion
+	present   map[registry.Incarnation][]*suspect
+	strongest map[registry.Incarnation]Suspicion
 	// explained are the ends that a quarantined request was at.
-	explained map[registry.Life]bool
+	explained map[registry.Incarnation]bool
 	settled   func(end) bool
 }
 
@@ -69,7 +69,7 @@
 // it explains counts against nobody else.
 func (t *Tracker) weigh(now time.Duration) *weighing {
 	found := &weighing{
-		present: map[registry.Life][]*suspect{}, strongest: map[registry.Life]Suspicion{}, explained: map[registry.Life]bool{},
+		present: map[registry.Incarnation][]*suspect{}, strongest: map[registry.Incarnation]Suspicion{}, explained: map[registry.Incarnation]bool{},
 		settled: func(held end) bool { return held.at+settleTime <= now },
 	}
 	t.settles = 0
@@ -109,8 +109,8 @@
 
 // counted are the ends that count against a request: nobody there was more suspicious,
 // and nothing explains them.
-func (w *weighing) counted(one *suspect) []registry.Life {
-	var lives []registry.Life
+func (w *weighing) counted(one *suspect) []registry.Incarnation {
+	var lives []registry.Incarnation
 	for life, held := range one.ends {
 		if w.settled(held) && !w.explained[life] && w.isStrongest(life, held) {
 			lives = append(lives, life)
@@ -141,7 +141,7 @@
 
 // isStrongest tells whether nobody at an end was more suspicious, and there is any
 // suspicion at all.
-func (w *weighing) isStrongest(life registry.Life, held end) bool {
+func (w *weighing) isStrongest(life registry.Incarnation, held end) bool {
 	return held.suspicion > Excused && held.suspicion == w.strongest[life]
 }
 
@@ -163,20 +163,20 @@
 // unexplained is how many ends the request was at that nothing explains. Those at which
 // it was Excused count once they are as many as are held of a request.
 func (w *weighing) unexplained(one *suspect) int {
-	ends := w.count(one, func(life registry.Life, _ end) bool { return !w.explained[life] })
+	ends := w.count(one, func(life registry.Incarnation, _ end) bool { return !w.explained[life] })
 	if ends >= endsKept {
 		return ends
 	}
-	return w.count(one, func(life registry.Life, held end) bool { return !w.explained[life] && held.suspicion > Excused })
+	return w.count(one, func(life registry.Incarnation, held end) bool { return !w.explained[life] && held.suspicion > Excused })
 }
 
 // likeliest is at how many ends nobody was more suspicious than the request.
 func (w *weighing) likeliest(one *suspect) int {
-	return w.count(one, func(life registry.Life, held end) bool { return w.isStrongest(life, held) })
+	return w.count(one, func(life registry.Incarnation, held end) bool { return w.isStrongest(life, held) })
 }
 
 // count counts the ends of a request that have settled and meet a condition.
-func (w *weighing) count(one *suspect, meets func(registry.Life, end) bool) int {
+func (w *weighing) count(one *suspect, meets func(registry.Incarnation, end) bool) int {
 	count := 0
 	for life, held := range one.ends {
 		if w.settled(held) && meets(life, held) {
@@ -188,7 +188,7 @@
 
 // hasRival tells whether another request that counts at an end has as many ends against
 // it: which of the two it was the next end will tell.
-func (w *weighing) hasRival(one *suspect, life registry.Life) bool {
+func (w *weighing) hasRival(one *suspect, life registry.Incarnation) bool {
 	return slices.ContainsFunc(w.present[life], func(other *suspect) bool {
 		return other != one && !other.isQuarantined && other.counted >= one.counted && other.ends[life].suspicion == w.strongest[life]
 	})
--- a/internal/coordination/quarantine/evidence.go
+++ b/internal/coordination/quarantine/evidence.go
@@ -58,7 +58,7 @@
 // Evidence says that a run of a request was at an engine when that ended.
 type Evidence struct {
 	Fingerprint Fingerprint
-	Life        registry.Life
+	Life        registry.Incarnation
 	Suspicion   Suspicion
 	// Route and Tenant are for operators.
 	Route, Tenant string
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -151,7 +151,7 @@
 // Ended takes the runs that were at an engine whose end is certain. Those of a request
 // that ran to its end here of late are Excused: requests that many callers send alike are
 // at the ends of many engines.
-func (g *Guard) Ended(life registry.Life, present []Present) {
+func (g *Guard) Ended(life registry.Incarnation, present []Present) {
 	evidence := make([]Evidence, 0, len(present))
 	for _, one := range present {
 		suspicion := one.Run.Suspicion()
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -52,8 +52,8 @@
 
 // End is one end of an engine with a run of the request there.
 type End struct {
-	Life      registry.Life `msgpack:"l"`
-	Suspicion Suspicion     `msgpack:"s"`
+	Life      registry.Incarnation `msgpack:"l"`
+	Suspicion Suspicion            `msgpack:"s"`
 	// Age is how long ago it was, when this was sent.
 	Age time.Duration `msgpack:"a"`
 }
@@ -74,7 +74,7 @@
 	Fingerprint
 	generation    uint32
 	route, tenant string
-	ends          map[registry.Life]end
+	ends          map[registry.Incarnation]end
 	// counted and isQuarantined are derived from the ends of all suspects.
 	counted       int
 	isQuarantined bool
@@ -191,7 +191,7 @@
 	if one != nil {
 		return one
 	}
-	made := &suspect{Fingerprint: fingerprint, ends: map[registry.Life]end{}, changed: changed}
+	made := &suspect{Fingerprint: fingerprint, ends: map[registry.Incarnation]end{}, changed: changed}
 	if len(t.suspects) >= t.options.Requests {
 		least := t.least()
 		if made.compareWorth(ends, least) < 0 {
@@ -280,19 +280,21 @@
 }
 
 // latest returns the lives of the latest ends.
-func (s *suspect) latest(count int) []registry.Life {
+func (s *suspect) latest(count int) []registry.Incarnation {
 	lives := s.lives()
-	slices.SortStableFunc(lives, func(a, b registry.Life) int { return cmp.Compare(s.ends[b].at, s.ends[a].at) })
+	slices.SortStableFunc(lives, func(a, b registry.Incarnation) int { return cmp.Compare(s.ends[b].at, s.ends[a].at) })
 	return lives[:min(count, len(lives))]
 }
 
 // lives returns the lives that ended with the request there, in order.
-func (s *suspect) lives() []registry.Life {
-	lives := make([]registry.Life, 0, len(s.ends))
+func (s *suspect) lives() []registry.Incarnation {
+	lives := make([]registry.Incarnation, 0, len(s.ends))
 	for life := range s.ends {
 		lives = append(lives, life)
 	}
-	slices.SortFunc(lives, func(a, b registry.Life) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
+	slices.SortFunc(lives, func(a, b registry.Incarnation) int {
+		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartedAt, b.StartedAt))
+	})
 	return lives
 }
 
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -14,12 +14,12 @@
 // named is a request as tests know it.
 func named(number int) Fingerprint { return Fingerprint{Scope: uint64(number) + 1, Length: 1} }
 
-func life(number int) registry.Life {
-	return registry.Life{ID: fmt.Sprintf("engine-%d", number), Born: 1}
+func life(number int) registry.Incarnation {
+	return registry.Incarnation{ID: fmt.Sprintf("engine-%d", number), StartedAt: 1}
 }
 
 // at reports runs of requests at an engine's end.
-func at(t *Tracker, now time.Duration, ended registry.Life, suspicion Suspicion, requests ...Fingerprint) {
+func at(t *Tracker, now time.Duration, ended registry.Incarnation, suspicion Suspicion, requests ...Fingerprint) {
 	for _, one := range requests {
 		t.Report(now, Evidence{Fingerprint: one, Life: ended, Suspicion: suspicion})
 	}
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -78,7 +78,7 @@
 
 // Ask prepares to ask for a permit: whom, and with what. It is not limited if the life has
 // no limit; without a holder nobody may send for now.
-func (l *Limits) Ask(now time.Duration, life registry.Life, zone string, need Need) (ask Ask, holder string, isLimited bool) {
+func (l *Limits) Ask(now time.Duration, life registry.Incarnation, zone string, need Need) (ask Ask, holder string, isLimited bool) {
 	if !l.Any() {
 		return Ask{}, "", false
 	}
@@ -126,7 +126,7 @@
 }
 
 // Answered notes a holder's answer.
-func (l *Limits) Answered(now time.Duration, life registry.Life, answer Answer) []Change {
+func (l *Limits) Answered(now time.Duration, life registry.Incarnation, answer Answer) []Change {
 	changes := l.Hear(now, Received(now, answer.Words))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -151,7 +151,7 @@
 }
 
 // Unanswered notes that a holder did not answer, or that there is none.
-func (l *Limits) Unanswered(now time.Duration, life registry.Life) {
+func (l *Limits) Unanswered(now time.Duration, life registry.Incarnation) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if known := l.inForce(life); known != nil {
--- a/internal/coordination/ratelimit/ratelimit.go
+++ b/internal/coordination/ratelimit/ratelimit.go
@@ -54,13 +54,13 @@
 // Limits is what one node knows of the instances' limits. Safe for concurrent use.
 type Limits struct {
 	mutex   sync.Mutex
-	entries map[registry.Life]*entry
+	entries map[registry.Incarnation]*entry
 	// known is the number of entries: without any, no request pays for limits.
 	known atomic.Int64
 	// news are the lives whose limits have begun, changed or ended here, to be told.
-	news map[registry.Life]struct{}
+	news map[registry.Incarnation]struct{}
 	// unreadable are the lives that named what can't be read, told once each.
-	unreadable *bounded.Set[registry.Life]
+	unreadable *bounded.Set[registry.Incarnation]
 	holders    holders
 }
 
@@ -84,7 +84,7 @@
 // New makes the limits of a node at an address.
 func New(self string) *Limits {
 	return &Limits{
-		entries: map[registry.Life]*entry{}, news: map[registry.Life]struct{}{}, unreadable: bounded.NewSet[registry.Life](unreadableKept),
+		entries: map[registry.Incarnation]*entry{}, news: map[registry.Incarnation]struct{}{}, unreadable: bounded.NewSet[registry.Incarnation](unreadableKept),
 		holders: newHolders(self),
 	}
 }
@@ -114,7 +114,7 @@
 // Change is what a word changed here.
 type Change struct {
 	Kind ChangeKind
-	Life registry.Life
+	Life registry.Incarnation
 	// PerSecond is the limit in force, Before the one before it.
 	PerSecond, Before float64
 	// Age is how old the word was.
@@ -126,7 +126,7 @@
 // Learn takes what the answer of an instance to a request of this node says, which was
 // written at a time. An answer to a request older than the newest word may have been
 // overtaken: it does not lift the limit, nor raise it. A refusal or failure lifts none.
-func (l *Limits) Learn(now time.Duration, life registry.Life, said Said, writtenAt time.Duration) Change {
+func (l *Limits) Learn(now time.Duration, life registry.Incarnation, said Said, writtenAt time.Duration) Change {
 	if !said.IsNamed && said.Fault == nil && l.known.Load() == 0 {
 		return Change{}
 	}
@@ -150,7 +150,7 @@
 	return change
 }
 
-func (l *Limits) noteUnreadable(life registry.Life, fault error) Change {
+func (l *Limits) noteUnreadable(life registry.Incarnation, fault error) Change {
 	if !l.unreadable.Add(life) {
 		return Change{}
 	}
@@ -198,7 +198,7 @@
 }
 
 // Forget drops what is known of a life that is over: the next one names its own limit.
-func (l *Limits) Forget(life registry.Life) {
+func (l *Limits) Forget(life registry.Incarnation) {
 	if l.known.Load() == 0 {
 		return
 	}
@@ -207,7 +207,7 @@
 	l.drop(life)
 }
 
-func (l *Limits) drop(life registry.Life) {
+func (l *Limits) drop(life registry.Incarnation) {
 	if _, isKnown := l.entries[life]; isKnown {
 		delete(l.entries, life)
 		l.known.Add(-1)
@@ -232,7 +232,7 @@
 }
 
 // inForce returns a life's limit, nil if it has none.
-func (l *Limits) inForce(life registry.Life) *entry {
+func (l *Limits) inForce(life registry.Incarnation) *entry {
 	known := l.entries[life]
 	if known == nil || known.hasEnded {
 		return nil
@@ -257,7 +257,7 @@
 }
 
 // Room tells whether a life is limited, and what room it has.
-func (l *Limits) Room(now time.Duration, life registry.Life) (Room, bool) {
+func (l *Limits) Room(now time.Duration, life registry.Incarnation) (Room, bool) {
 	if !l.Any() {
 		return Room{}, false
 	}
@@ -282,7 +282,7 @@
 
 // Use is what this node made of a limit.
 type Use struct {
-	Life registry.Life
+	Life registry.Incarnation
 	Room
 	// Granted and Denied are its permits.
 	Granted, Denied int
@@ -308,7 +308,7 @@
 
 // Listed is one limit in force, for operators.
 type Listed struct {
-	Life registry.Life
+	Life registry.Incarnation
 	Room
 	// Age is the time since the newest word of it.
 	Age time.Duration
@@ -325,7 +325,7 @@
 		}
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
-		return cmp.Or(cmp.Compare(other.Pressure, one.Pressure), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.Born, other.Life.Born))
+		return cmp.Or(cmp.Compare(other.Pressure, one.Pressure), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.StartedAt, other.Life.StartedAt))
 	})
 	return listed
 }
--- a/internal/coordination/ratelimit/ratelimit_bench_test.go
+++ b/internal/coordination/ratelimit/ratelimit_bench_test.go
@@ -28,8 +28,8 @@
 	return nodes
 }
 
-func lifeOf(number int) registry.Life {
-	return registry.Life{ID: fmt.Sprintf("i-%010d", number), Born: 1700000000000}
+func lifeOf(number int) registry.Incarnation {
+	return registry.Incarnation{ID: fmt.Sprintf("i-%010d", number), StartedAt: 1700000000000}
 }
 
 // withLimits are a node's limits when a third of 10,000 engines has named one.
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -12,7 +12,7 @@
 )
 
 var (
-	engine = registry.Life{ID: "i-1", Born: 7}
+	engine = registry.Incarnation{ID: "i-1", StartedAt: 7}
 	two    = Said{IsNamed: true, PerSecond: 2}
 	none   = Said{}
 )
@@ -103,7 +103,7 @@
 func TestNewLifeOfAnInstanceHasNoLimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
-	_, _, isLimited := limits.Ask(start, registry.Life{ID: engine.ID, Born: 8}, "a", Need{})
+	_, _, isLimited := limits.Ask(start, registry.Incarnation{ID: engine.ID, StartedAt: 8}, "a", Need{})
 	assert.Assert(t, !isLimited)
 	limits.Forget(engine)
 	assert.Assert(t, !limits.Any())
--- a/internal/coordination/ratelimit/words.go
+++ b/internal/coordination/ratelimit/words.go
@@ -8,9 +8,9 @@
 
 // Word is what one node tells another of a limit that has begun, changed or ended.
 type Word struct {
-	Life      registry.Life `msgpack:"l"`
-	PerSecond float64       `msgpack:"r"`
-	HasEnded  bool          `msgpack:"e,omitempty"`
+	Life      registry.Incarnation `msgpack:"l"`
+	PerSecond float64              `msgpack:"r"`
+	HasEnded  bool                 `msgpack:"e,omitempty"`
 	// AgeMS is the time since the answer that said it, when the word was sent.
 	AgeMS uint64 `msgpack:"a,omitempty"`
 	// At is the moment of that answer by the clock of the node that has the word.
@@ -120,6 +120,6 @@
 	return words
 }
 
-func (e *entry) word(life registry.Life) Word {
+func (e *entry) word(life registry.Incarnation) Word {
 	return Word{Life: life, PerSecond: e.perSecond, HasEnded: e.hasEnded, At: e.at}
 }
--- a/internal/coordination/registry/incarnations.go
+++ b/internal/coordination/registry/incarnations.go
@@ -17,26 +17,26 @@
 	maximumPastIncarnations = 4
 )
 
-// Life identifies an incarnation of an instance: one run of its process, from its start to its end.
+// Incarnation identifies an incarnation of an instance: one run of its process, from its start to its end.
 // An instance that restarts has none of the state of its previous incarnation.
-type Life struct {
+type Incarnation struct {
 	ID string `msgpack:"i"`
-	// Born is the start time that the instance reports, in milliseconds since 1970 (Unix
+	// StartedAt is the start time that the instance reports, in milliseconds since 1970 (Unix
 	// time); 0 if it reports none.
-	Born int64 `msgpack:"b"`
+	StartedAt int64 `msgpack:"b"`
 }
 
 // String returns the ID and the start time, separated by "@", or only the ID if the start time is
 // not known.
-func (l Life) String() string {
-	if l.Born == 0 {
+func (l Incarnation) String() string {
+	if l.StartedAt == 0 {
 		return l.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.Born, 10)
+	return l.ID + "@" + strconv.FormatInt(l.StartedAt, 10)
 }
 
-// Life returns the identity of the instance's incarnation.
-func (i Instance) Life() Life { return Life{ID: i.ID, Born: i.Born} }
+// Incarnation returns the identity of the instance's incarnation.
+func (i Instance) Incarnation() Incarnation { return Incarnation{ID: i.ID, StartedAt: i.StartedAt} }
 
 // compareIncarnations orders two incarnations of one instance, the newer one higher. The start
 // times that the instances report decide, and never the order in which messages arrive, because a
@@ -44,23 +44,25 @@
 // start time appears after a later one has ended, for example because the instance's clock was set
 // back, a control node assigns it a higher epoch.
 func compareIncarnations(one, other Instance) int {
-	return cmp.Or(cmp.Compare(one.Epoch, other.Epoch), cmp.Compare(one.Born, other.Born))
+	return cmp.Or(cmp.Compare(one.Epoch, other.Epoch), cmp.Compare(one.StartedAt, other.StartedAt))
 }
 
 // endsAnyIncarnation reports whether a message ends the instance regardless of its incarnation. A
 // node that did not know the instance creates such a message when the instance leaves.
-func (i Instance) endsAnyIncarnation() bool { return i.State == Gone && i.Born == 0 && i.Sequence == 0 }
+func (i Instance) endsAnyIncarnation() bool {
+	return i.State == Gone && i.StartedAt == 0 && i.Sequence == 0
+}
 
 // isReplacedBy reports whether a heartbeat is the first one of a newer incarnation. If so, it also
 // sets the heartbeat's epoch where a new one is required.
 func (e *entry) isReplacedBy(now time.Duration, heartbeat *Instance) bool {
 	switch {
-	case slices.Contains(e.pastStartTimes, heartbeat.Born):
+	case slices.Contains(e.pastStartTimes, heartbeat.StartedAt):
 		return false
 	case e.endsAnyIncarnation():
 		// The heartbeat may be a late one of the incarnation that has left.
 		return now-e.endedAt > maximumHeartbeatDelay
-	case heartbeat.Born > e.Born:
+	case heartbeat.StartedAt > e.StartedAt:
 		return true
 	case e.State == Expired:
 		// The instance's clock was set back. The incarnation known here has sent no heartbeat for a
@@ -73,8 +75,8 @@
 
 // startIncarnation replaces the entry's data by the first message of a new incarnation.
 func (e *entry) startIncarnation(now time.Duration, first Instance) {
-	if e.Born != 0 {
-		e.pastStartTimes = append(e.pastStartTimes, e.Born)
+	if e.StartedAt != 0 {
+		e.pastStartTimes = append(e.pastStartTimes, e.StartedAt)
 		e.pastStartTimes = e.pastStartTimes[max(0, len(e.pastStartTimes)-maximumPastIncarnations):]
 	}
 	e.Instance = first
--- a/internal/coordination/registry/incarnations_test.go
+++ b/internal/coordination/registry/incarnations_test.go
@@ -17,7 +17,7 @@
 func heartbeat(startedAt int64, sequence uint64, state State) message {
 	return message{name: fmt.Sprintf("heartbeat %d of %d, %s", sequence, startedAt, state), send: func(r *Registry, now time.Duration) {
 		instance := ready("i", sequence)
-		instance.Born, instance.State = startedAt, state
+		instance.StartedAt, instance.State = startedAt, state
 		_, _ = r.Heartbeat(now, instance)
 	}}
 }
@@ -25,13 +25,13 @@
 func merged(startedAt int64, sequence uint64, state State) message {
 	return message{name: fmt.Sprintf("update %d of %d, %s", sequence, startedAt, state), send: func(r *Registry, now time.Duration) {
 		instance := ready("i", sequence)
-		instance.Born, instance.State = startedAt, state
+		instance.StartedAt, instance.State = startedAt, state
 		r.Merge(now, []Instance{instance})
 	}}
 }
 
 func leaving(startedAt int64) message {
-	return message{name: fmt.Sprintf("leave of %d", startedAt), send: func(r *Registry, now time.Duration) { r.Leave(now, Life{ID: "i", Born: startedAt}) }}
+	return message{name: fmt.Sprintf("leave of %d", startedAt), send: func(r *Registry, now time.Duration) { r.Leave(now, Incarnation{ID: "i", StartedAt: startedAt}) }}
 }
 
 // permutations calls the function with each permutation of the messages.
@@ -68,7 +68,7 @@
 				}
 				live := registry.Live()
 				assert.Equal(t, len(live), 1, text)
-				assert.Equal(t, live[0].Born, int64(200), text)
+				assert.Equal(t, live[0].StartedAt, int64(200), text)
 				assert.Equal(t, live[0].State, Ready, text)
 			})
 			assert.Equal(t, orders, 120)
@@ -83,17 +83,17 @@
 	heartbeat(200, 50, Ready).send(control, 0)
 	other.Merge(0, control.Instances(0))
 	heartbeat(100, 1, Ready).send(control, time.Second)
-	assert.Equal(t, control.Live()[0].Born, int64(200))
+	assert.Equal(t, control.Live()[0].StartedAt, int64(200))
 	assert.Equal(t, len(control.Expire(11*time.Second)), 1)
 	heartbeat(100, 9, Ready).send(control, 12*time.Second)
-	assert.Equal(t, control.Live()[0].Born, int64(100))
+	assert.Equal(t, control.Live()[0].StartedAt, int64(100))
 	other.Merge(12*time.Second, control.Instances(12*time.Second))
-	assert.Equal(t, other.Live()[0].Born, int64(100))
+	assert.Equal(t, other.Live()[0].StartedAt, int64(100))
 	// Late messages of the other incarnation don't revert this, at either node.
 	for _, one := range []*Registry{control, other} {
 		heartbeat(200, 60, Ready).send(one, 13*time.Second)
 		merged(200, 61, Ready).send(one, 13*time.Second)
-		assert.Equal(t, one.Live()[0].Born, int64(100))
+		assert.Equal(t, one.Live()[0].StartedAt, int64(100))
 	}
 	assert.Equal(t, control.Digest(), other.Digest())
 }
@@ -106,7 +106,7 @@
 	heartbeat(100, 9, Ready).send(registry, time.Second)
 	assert.Equal(t, len(registry.Live()), 0)
 	heartbeat(200, 1, Ready).send(registry, maximumHeartbeatDelay+time.Second)
-	assert.Equal(t, registry.Live()[0].Born, int64(200))
+	assert.Equal(t, registry.Live()[0].StartedAt, int64(200))
 }
 
 // A control node that restarts from remembered data must not replace a newer incarnation by an
@@ -114,6 +114,6 @@
 func TestRememberedInstanceOfAnEarlierIncarnationChangesNothing(t *testing.T) {
 	registry := New(0)
 	heartbeat(200, 1, Ready).send(registry, 0)
-	assert.Equal(t, len(registry.Merge(0, []Instance{{ID: "i", Service: "llm", Address: "10.0.0.1:1", State: Ready, Born: 100, Sequence: 90}})), 0)
-	assert.Equal(t, registry.Live()[0].Born, int64(200))
+	assert.Equal(t, len(registry.Merge(0, []Instance{{ID: "i", Service: "llm", Address: "10.0.0.1:1", State: Ready, StartedAt: 100, Sequence: 90}})), 0)
+	assert.Equal(t, registry.Live()[0].StartedAt, int64(200))
 }
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -54,11 +54,11 @@
 // Instance is one incarnation of a server of a service.
 type Instance struct {
 	ID string `msgpack:"i"`
-	// Born is when this incarnation started, see Life. Epoch orders incarnations whose start times
+	// StartedAt is when this incarnation started, see Life. Epoch orders incarnations whose start times
 	// do not.
-	Born    int64  `msgpack:"b"`
-	Epoch   uint32 `msgpack:"e"`
-	Service string `msgpack:"s"`
+	StartedAt int64  `msgpack:"b"`
+	Epoch     uint32 `msgpack:"e"`
+	Service   string `msgpack:"s"`
 	// Address is host:port. Addresses are reused, so only the ID identifies the instance.
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
@@ -87,8 +87,8 @@
 	return []string{"i", "s", "a", "z", "v", "l", "t", "q", "c"}
 }
 
-// TakesWork reports whether new work may be sent to the instance.
-func (i Instance) TakesWork() bool { return i.State == Ready }
+// AcceptsWork reports whether new work may be sent to the instance.
+func (i Instance) AcceptsWork() bool { return i.State == Ready }
 
 // ErrIncomplete is returned for a heartbeat without an ID, a service or an address.
 var ErrIncomplete = errors.New("registry: a heartbeat needs an id, a service and an address")
@@ -170,7 +170,7 @@
 		return true, nil
 	}
 	instance.Epoch = known.Epoch
-	if instance.Born != known.Born {
+	if instance.StartedAt != known.StartedAt {
 		if !known.isReplacedBy(now, &instance) {
 			return false, nil
 		}
@@ -250,7 +250,7 @@
 func (i *Instance) writeState(digest *xxhash.Digest) {
 	var number [8]byte
 	_, _ = digest.WriteString(i.ID)
-	for _, part := range []uint64{i.Sequence<<8 | uint64(i.State), uint64(i.Born), uint64(i.Epoch)} {
+	for _, part := range []uint64{i.Sequence<<8 | uint64(i.State), uint64(i.StartedAt), uint64(i.Epoch)} {
 		binary.BigEndian.PutUint64(number[:], part)
 		_, _ = digest.Write(number[:])
 	}
@@ -264,14 +264,14 @@
 
 // Leave applies an instance's report that an incarnation of it ends. Without a start time it means
 // the incarnation known here. It reports whether other nodes should receive the change.
-func (r *Registry) Leave(now time.Duration, incarnation Life) bool {
+func (r *Registry) Leave(now time.Duration, incarnation Incarnation) bool {
 	known := r.instances[incarnation.ID]
 	if known == nil {
 		// The instance is not known yet. A heartbeat that is still in transit must not restore it.
-		known = &entry{Instance: Instance{ID: incarnation.ID, Born: incarnation.Born}}
+		known = &entry{Instance: Instance{ID: incarnation.ID, StartedAt: incarnation.StartedAt}}
 		r.instances[incarnation.ID] = known
 	}
-	if known.State == Gone || incarnation.Born != 0 && incarnation.Born != known.Born {
+	if known.State == Gone || incarnation.StartedAt != 0 && incarnation.StartedAt != known.StartedAt {
 		return false
 	}
 	known.State, known.endedAt = Gone, now
@@ -303,7 +303,7 @@
 			known.startIncarnation(now, other)
 		case other.endsAnyIncarnation():
 			known.State = Gone
-		case other.Born != known.Born:
+		case other.StartedAt != known.StartedAt:
 			known.startIncarnation(now, other)
 		default:
 			known.Instance = other
@@ -339,8 +339,8 @@
 	return other.State > known.State
 }
 
-// Heard renews the leases of instances that sent heartbeats to another control node.
-func (r *Registry) Heard(now time.Duration, ids []string) {
+// RecordContact renews the leases of instances that sent heartbeats to another control node.
+func (r *Registry) RecordContact(now time.Duration, ids []string) {
 	for _, id := range ids {
 		if known := r.instances[id]; known != nil && known.isLive() {
 			known.lastContact = now
@@ -348,9 +348,9 @@
 	}
 }
 
-// TakeHeardHere returns the IDs of the instances that sent heartbeats to this node since the last
+// TakeContacts returns the IDs of the instances that sent heartbeats to this node since the last
 // call, in ascending order.
-func (r *Registry) TakeHeardHere() []string {
+func (r *Registry) TakeContacts() []string {
 	ids := make([]string, 0, len(r.contactedHere))
 	for id := range r.contactedHere {
 		ids = append(ids, id)
--- a/internal/coordination/registry/registry_test.go
+++ b/internal/coordination/registry/registry_test.go
@@ -33,11 +33,11 @@
 
 func TestHeartbeatAfterLeavingDoesNotRestoreTheInstance(t *testing.T) {
 	registry := New(0)
-	assert.Assert(t, registry.Leave(0, Life{ID: "i"}))
+	assert.Assert(t, registry.Leave(0, Incarnation{ID: "i"}))
 	_, err := registry.Heartbeat(1, ready("i", 9))
 	assert.NilError(t, err)
 	assert.Equal(t, len(registry.Live()), 0)
-	assert.Assert(t, !registry.Leave(2, Life{ID: "i"}))
+	assert.Assert(t, !registry.Leave(2, Incarnation{ID: "i"}))
 }
 
 func TestIncompleteHeartbeatIsRefused(t *testing.T) {
@@ -48,7 +48,7 @@
 func TestInstanceExpiresWithoutHeartbeatsAndTheNextOneRestoresIt(t *testing.T) {
 	registry := New(time.Second)
 	_, _ = registry.Heartbeat(0, ready("i", 1))
-	registry.Heard(900*time.Millisecond, []string{"i"})
+	registry.RecordContact(900*time.Millisecond, []string{"i"})
 	assert.Equal(t, len(registry.Expire(1500*time.Millisecond)), 0)
 	assert.Equal(t, len(registry.Expire(2*time.Second)), 1)
 	assert.Equal(t, len(registry.Live()), 0)
@@ -70,7 +70,7 @@
 		messages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Instance {
 			instance := ready(rapid.SampledFrom([]string{"i", "j"}).Draw(t, "id"), rapid.Uint64Range(1, 4).Draw(t, "sequence"))
 			instance.State = State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state"))
-			instance.Born = rapid.Int64Range(1, 3).Draw(t, "born")
+			instance.StartedAt = rapid.Int64Range(1, 3).Draw(t, "born")
 			instance.Epoch = rapid.Uint32Range(0, 1).Draw(t, "epoch")
 			return instance
 		}), 1, 8).Draw(t, "words")
--- a/internal/coordination/rollout/analyzer.go
+++ b/internal/coordination/rollout/analyzer.go
@@ -55,13 +55,13 @@
 	settleTime = 700 * time.Millisecond
 )
 
-// Judge is the canary analysis of a rollout: it compares the responses of the new version with
+// Analyzer is the canary analysis of a rollout: it compares the responses of the new version with
 // those of the old one and decides on the rollout's stage. It is not safe for concurrent use.
-type Judge struct {
+type Analyzer struct {
 	duration time.Duration
 	// samples holds the newest samples of each node incarnation. The key differs between
 	// incarnations of a node, because each starts its counts from 0.
-	samples map[string]Evidence
+	samples map[string]Samples
 	routes  map[string]*routeTest
 	total   cusum
 	// oldRates holds the old version's shares of bad responses on all routes together.
@@ -103,15 +103,15 @@
 
 func (c *cusum) add(ratio float64) { c.sum = max(0, c.sum+ratio) }
 
-// NewJudge returns the canary analysis of a rollout with a duration.
-func NewJudge(duration time.Duration) *Judge {
-	return &Judge{
-		duration: duration, samples: map[string]Evidence{}, routes: map[string]*routeTest{}, instances: map[string]*instanceTest{},
+// NewAnalyzer returns the canary analysis of a rollout with a duration.
+func NewAnalyzer(duration time.Duration) *Analyzer {
+	return &Analyzer{
+		duration: duration, samples: map[string]Samples{}, routes: map[string]*routeTest{}, instances: map[string]*instanceTest{},
 	}
 }
 
-// Take replaces a node's samples. Older samples that arrive after newer ones are ignored.
-func (j *Judge) Take(node string, samples Evidence) {
+// SetSamples replaces a node's samples. Older samples that arrive after newer ones are ignored.
+func (j *Analyzer) SetSamples(node string, samples Samples) {
 	if known, found := j.samples[node]; found && samples.responseCount() < known.responseCount() {
 		return
 	}
@@ -126,7 +126,7 @@
 
 // Step analyses the samples received so far and returns the decision. elapsed is the time since the
 // order, and live holds the names of the nodes that send requests now.
-func (j *Judge) Step(elapsed time.Duration, stage state.Stage, live []string) Decision {
+func (j *Analyzer) Step(elapsed time.Duration, stage state.Stage, live []string) Decision {
 	bad := j.analyze(elapsed)
 	if bad != "" {
 		return Decision{Stage: state.RolledBack, Reason: bad}
@@ -142,7 +142,7 @@
 
 // decideWhetherToMove decides whether a canary that has shown no harm so far stays, moves or is
 // rolled back.
-func (j *Judge) decideWhetherToMove(elapsed time.Duration, live []string) Decision {
+func (j *Analyzer) decideWhetherToMove(elapsed time.Duration, live []string) Decision {
 	move := min(max(time.Duration(moveShare*float64(j.duration)), minimumMove), maximumMove)
 	if elapsed < j.duration-move {
 		return Decision{Stage: state.Canary}
@@ -151,9 +151,9 @@
 		// After a change of leader, the samples of all nodes arrive within sampleWait.
 		return Decision{Stage: state.Canary}
 	}
-	text := fmt.Sprintf("%d answers, %d bad, evidence of harm %.1f", j.newCounts.Answers, j.newCounts.Bad, j.total.sum)
+	text := fmt.Sprintf("%d answers, %d bad, evidence of harm %.1f", j.newCounts.Responses, j.newCounts.Bad, j.total.sum)
 	switch {
-	case j.newCounts.Answers < minimumResponses:
+	case j.newCounts.Responses < minimumResponses:
 		return Decision{Stage: state.RolledBack, Reason: "too few answers to judge by: " + text}
 	case j.highestSum() >= doubtThreshold && j.remainingSum() >= doubtRemainingThreshold:
 		return Decision{Stage: state.RolledBack, Reason: "undecided at the time to move, and in doubt: " + text}
@@ -162,7 +162,7 @@
 }
 
 // hasSamplesOfAll reports whether samples of all live nodes were received.
-func (j *Judge) hasSamplesOfAll(live []string) bool {
+func (j *Analyzer) hasSamplesOfAll(live []string) bool {
 	return !slices.ContainsFunc(live, func(node string) bool {
 		_, found := j.samples[node]
 		return !found
@@ -171,7 +171,7 @@
 
 // decideWhetherDone decides whether a rollout that moves is done: either no request is in flight at
 // the old version, or the deadline is near.
-func (j *Judge) decideWhetherDone(elapsed time.Duration, live []string) Decision {
+func (j *Analyzer) decideWhetherDone(elapsed time.Duration, live []string) Decision {
 	if !j.isMoving {
 		j.isMoving, j.movingAt = true, elapsed
 	}
@@ -182,7 +182,7 @@
 			missing++
 			continue
 		}
-		inFlight += samples.OldUnderWay
+		inFlight += samples.OldInFlight
 	}
 	if elapsed >= j.duration-doneMargin {
 		return Decision{Stage: state.Done, Reason: fmt.Sprintf("at its deadline: %d requests under way at the old version, %d nodes have not said so", inFlight, missing)}
@@ -193,7 +193,7 @@
 	return Decision{Stage: state.Moving}
 }
 
-func (j *Judge) highestSum() float64 {
+func (j *Analyzer) highestSum() float64 {
 	highest := j.total.sum
 	for _, test := range j.routes {
 		highest = max(highest, test.ratios.sum)
@@ -203,7 +203,7 @@
 
 // analyze adds the responses since the last step to the tests, and returns why the version is bad,
 // or "" if it is not.
-func (j *Judge) analyze(elapsed time.Duration) string {
+func (j *Analyzer) analyze(elapsed time.Duration) string {
 	since := elapsed - j.lastStepAt
 	j.lastStepAt = elapsed
 	total, old := 0.0, Counts{}
@@ -229,7 +229,7 @@
 	return j.rollbackReason()
 }
 
-func (j *Judge) analyzeInstances() {
+func (j *Analyzer) analyzeInstances() {
 	for id, counts := range j.newInstanceTotals() {
 		test := j.instances[id]
 		if test == nil {
@@ -243,7 +243,7 @@
 
 // remainingSum returns the sum of the instances' log likelihood ratios without those of the worst
 // instances.
-func (j *Judge) remainingSum() float64 {
+func (j *Analyzer) remainingSum() float64 {
 	sums := make([]float64, 0, len(j.instances))
 	for _, test := range j.instances {
 		sums = append(sums, test.ratios.sum)
@@ -261,18 +261,18 @@
 }
 
 // rollbackReason returns the reason for a rollback.
-func (j *Judge) rollbackReason() string {
-	text := fmt.Sprintf("bad answers of the new version on all routes together: %d of %d", j.newCounts.Bad, j.newCounts.Answers)
+func (j *Analyzer) rollbackReason() string {
+	text := fmt.Sprintf("bad answers of the new version on all routes together: %d of %d", j.newCounts.Bad, j.newCounts.Responses)
 	for route, test := range j.routes {
 		if test.ratios.sum >= rollbackThreshold {
-			text = fmt.Sprintf("bad answers of the new version on route %s: %d of %d, of the old one %.3f of late", route, test.new.Bad, test.new.Answers, test.old.rate())
+			text = fmt.Sprintf("bad answers of the new version on route %s: %d of %d, of the old one %.3f of late", route, test.new.Bad, test.new.Responses, test.old.rate())
 		}
 	}
 	return fmt.Sprintf("%s; evidence %.1f, %.1f without the worst of %d instances", text, j.highestSum(), j.remainingSum(), len(j.instances))
 }
 
 // routeTotals sums the counts of all nodes by route.
-func (j *Judge) routeTotals() map[string]RouteCounts {
+func (j *Analyzer) routeTotals() map[string]RouteCounts {
 	totals := map[string]RouteCounts{}
 	for _, samples := range j.samples {
 		for _, one := range samples.Routes {
@@ -285,7 +285,7 @@
 	return totals
 }
 
-func (j *Judge) newInstanceTotals() map[string]Counts {
+func (j *Analyzer) newInstanceTotals() map[string]Counts {
 	totals := map[string]Counts{}
 	for _, samples := range j.samples {
 		for _, one := range samples.Instances {
@@ -299,7 +299,7 @@
 
 // since returns the difference to earlier counts.
 func (c Counts) since(earlier Counts) Counts {
-	return Counts{Answers: c.Answers - earlier.Answers, Bad: c.Bad - earlier.Bad}
+	return Counts{Responses: c.Responses - earlier.Responses, Bad: c.Bad - earlier.Bad}
 }
 
 // step returns the log likelihood ratio of the new version's responses since the last step, and the
@@ -315,12 +315,12 @@
 // likelihoodRatio returns the log likelihood ratio of responses: how much more likely they are for
 // a version that is worse by minimumHarm than for one that is as good as the old version.
 func (r *rates) likelihoodRatio(added Counts) float64 {
-	if added.Answers == 0 {
+	if added.Responses == 0 {
 		return 0
 	}
 	good := r.rate()
 	bad := good + minimumHarm*(1-good)
-	return float64(added.Bad)*math.Log(bad/good) + float64(added.Answers-added.Bad)*math.Log((1-bad)/(1-good))
+	return float64(added.Bad)*math.Log(bad/good) + float64(added.Responses-added.Bad)*math.Log((1-bad)/(1-good))
 }
 
 func (r *rates) add(since time.Duration, added Counts) {
@@ -333,7 +333,7 @@
 
 func (d *decayed) add(since, timeConstant time.Duration, added Counts) {
 	kept := math.Exp(-since.Seconds() / timeConstant.Seconds())
-	d.responses, d.bad = d.responses*kept+float64(added.Answers), d.bad*kept+float64(added.Bad)
+	d.responses, d.bad = d.responses*kept+float64(added.Responses), d.bad*kept+float64(added.Bad)
 }
 
 func (d *decayed) rate() float64 {
--- a/internal/coordination/rollout/recorder.go
+++ b/internal/coordination/rollout/recorder.go
@@ -38,31 +38,31 @@
 	baseTokens = 1500
 )
 
-// Answer describes the response of an instance to one request.
-type Answer struct {
+// Response describes the response of an instance to one request.
+type Response struct {
 	Service, Version, Instance, Route string
 	// IsFailed reports whether the instance failed the request or broke off the response.
 	IsFailed bool
-	// First is the time from the sending of the request to the first event of a stream, or to a
+	// FirstEvent is the time from the sending of the request to the first event of a stream, or to a
 	// whole response. Pace is the mean time between events. 0 means that there was none.
-	First, Pace time.Duration
+	FirstEvent, EventInterval time.Duration
 	// Tokens is the number of tokens that were expected to be read before the first event.
 	Tokens int
 }
 
 // Counts holds the number of responses, and of those that were bad.
 type Counts struct {
-	Answers uint32 `msgpack:"a"`
-	Bad     uint32 `msgpack:"b"`
+	Responses uint32 `msgpack:"a"`
+	Bad       uint32 `msgpack:"b"`
 }
 
 func (c *Counts) add(other Counts) {
-	c.Answers += other.Answers
+	c.Responses += other.Responses
 	c.Bad += other.Bad
 }
 
 func (c *Counts) note(isBad bool) {
-	c.Answers++
+	c.Responses++
 	if isBad {
 		c.Bad++
 	}
@@ -81,8 +81,8 @@
 	Counts   Counts `msgpack:"c"`
 }
 
-// Evidence holds all samples that one node has recorded of one rollout since it learned of it.
-type Evidence struct {
+// Samples holds all samples that one node has recorded of one rollout since it learned of it.
+type Samples struct {
 	Service string `msgpack:"s"`
 	// Rollout is the revision of the rollout.
 	Rollout uint64        `msgpack:"r"`
@@ -92,14 +92,14 @@
 	// Stage is the stage that the node applies. OldUnderWay is the number of its requests in flight
 	// at instances of the old version.
 	Stage       state.Stage `msgpack:"g"`
-	OldUnderWay int         `msgpack:"u"`
+	OldInFlight int         `msgpack:"u"`
 }
 
 // responseCount returns the total number of responses, which never decreases.
-func (e *Evidence) responseCount() uint32 {
+func (e *Samples) responseCount() uint32 {
 	total := uint32(0)
 	for _, one := range e.Routes {
-		total += one.New.Answers + one.Old.Answers
+		total += one.New.Responses + one.Old.Responses
 	}
 	return total
 }
@@ -152,8 +152,8 @@
 	r.watched = kept
 }
 
-// Note records a response.
-func (r *Recorder) Note(response Answer) {
+// Record records a response.
+func (r *Recorder) Record(response Response) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	baseline := r.baselines[response.Route]
@@ -178,7 +178,7 @@
 	}
 }
 
-func (w *watchedRollout) note(response Answer, isNew, isBad bool) {
+func (w *watchedRollout) note(response Response, isNew, isBad bool) {
 	route := w.routes[response.Route]
 	if route == nil {
 		route = &RouteCounts{Route: response.Route}
@@ -200,13 +200,13 @@
 	instance.Counts.note(isBad)
 }
 
-// Evidence returns the samples of all running rollouts.
-func (r *Recorder) Evidence() []Evidence {
+// Samples returns the samples of all running rollouts.
+func (r *Recorder) Samples() []Samples {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	var all []Evidence
+	var all []Samples
 	for _, one := range r.watched {
-		samples := Evidence{Service: one.Service, Rollout: one.Revision, Stage: one.Stage}
+		samples := Samples{Service: one.Service, Rollout: one.Revision, Stage: one.Stage}
 		for _, route := range one.routes {
 			samples.Routes = append(samples.Routes, *route)
 		}
@@ -220,20 +220,20 @@
 
 // firstEventLog returns the logarithm of the time to a response's first event per token to be read.
 // An instance whose cache is cold reads more tokens, and does not count as slower for that.
-func firstEventLog(response Answer) float64 {
-	return math.Log(float64(response.First)) - math.Log(float64(response.Tokens+baseTokens))
+func firstEventLog(response Response) float64 {
+	return math.Log(float64(response.FirstEvent)) - math.Log(float64(response.Tokens+baseTokens))
 }
 
-func (u *routeBaseline) isSlow(response Answer) bool {
-	return response.First > 0 && u.first.isSlow(firstEventLog(response)) || response.Pace > 0 && u.pace.isSlow(math.Log(float64(response.Pace)))
+func (u *routeBaseline) isSlow(response Response) bool {
+	return response.FirstEvent > 0 && u.first.isSlow(firstEventLog(response)) || response.EventInterval > 0 && u.pace.isSlow(math.Log(float64(response.EventInterval)))
 }
 
-func (u *routeBaseline) learn(response Answer) {
-	if response.First > 0 {
+func (u *routeBaseline) learn(response Response) {
+	if response.FirstEvent > 0 {
 		u.first.learn(firstEventLog(response))
 	}
-	if response.Pace > 0 {
-		u.pace.learn(math.Log(float64(response.Pace)))
+	if response.EventInterval > 0 {
+		u.pace.learn(math.Log(float64(response.EventInterval)))
 	}
 }
 
--- a/internal/coordination/rollout/recorder_test.go
+++ b/internal/coordination/rollout/recorder_test.go
@@ -16,38 +16,38 @@
 	return recorder
 }
 
-func responseOf(version string, first time.Duration) Answer {
-	return Answer{Service: "llm", Version: version, Instance: version + "-1", Route: "r", First: first, Tokens: 500}
+func responseOf(version string, first time.Duration) Response {
+	return Response{Service: "llm", Version: version, Instance: version + "-1", Route: "r", FirstEvent: first, Tokens: 500}
 }
 
 // recordBaseline records a baseline for the route: responses within 80 to 120 ms.
 func recordBaseline(recorder *Recorder) {
 	for number := range 40 {
-		recorder.Note(responseOf("v1", time.Duration(80+number)*time.Millisecond))
+		recorder.Record(responseOf("v1", time.Duration(80+number)*time.Millisecond))
 	}
 }
 
-func newCounts(recorder *Recorder) Counts { return recorder.Evidence()[0].Routes[0].New }
+func newCounts(recorder *Recorder) Counts { return recorder.Samples()[0].Routes[0].New }
 
 func TestResponseIsSlowInComparisonWithTheOldVersion(t *testing.T) {
 	recorder := watching(state.Canary)
-	recorder.Note(responseOf("v2", time.Second))
+	recorder.Record(responseOf("v2", time.Second))
 	assert.Equal(t, newCounts(recorder).Bad, uint32(0), "there is no baseline yet")
 	recordBaseline(recorder)
 	for _, first := range []time.Duration{50 * time.Millisecond, 150 * time.Millisecond} {
-		recorder.Note(responseOf("v2", first))
+		recorder.Record(responseOf("v2", first))
 	}
 	assert.Equal(t, newCounts(recorder).Bad, uint32(0))
-	recorder.Note(responseOf("v2", 400*time.Millisecond))
+	recorder.Record(responseOf("v2", 400*time.Millisecond))
 	assert.Equal(t, newCounts(recorder).Bad, uint32(1))
 	// With a cold cache, the instance reads 24 times as many tokens before its first event.
 	cold := responseOf("v2", 400*time.Millisecond)
 	cold.Tokens = 12_000
-	recorder.Note(cold)
+	recorder.Record(cold)
 	assert.Equal(t, newCounts(recorder).Bad, uint32(1))
 	// A bad version never changes the baseline, regardless of how long it is slow.
 	for range 200 {
-		recorder.Note(responseOf("v2", 400*time.Millisecond))
+		recorder.Record(responseOf("v2", 400*time.Millisecond))
 	}
 	assert.Equal(t, newCounts(recorder).Bad, uint32(201))
 }
@@ -56,40 +56,40 @@
 func TestSlowResponsesDoNotCountWhileAllWorkMoves(t *testing.T) {
 	recorder := watching(state.Moving)
 	recordBaseline(recorder)
-	recorder.Note(responseOf("v2", 2*time.Second))
+	recorder.Record(responseOf("v2", 2*time.Second))
 	failed := responseOf("v2", 0)
 	failed.IsFailed = true
-	recorder.Note(failed)
-	assert.Equal(t, newCounts(recorder), Counts{Answers: 2, Bad: 1})
+	recorder.Record(failed)
+	assert.Equal(t, newCounts(recorder), Counts{Responses: 2, Bad: 1})
 }
 
 func TestSamplesOfARolloutAreDroppedAfterItsEnd(t *testing.T) {
 	recorder := watching(state.Canary)
 	recordBaseline(recorder)
-	assert.Equal(t, len(recorder.Evidence()), 1)
+	assert.Equal(t, len(recorder.Samples()), 1)
 	recorder.Watch([]state.Rollout{{Order: state.Order{Service: "llm", Version: "v2"}, Revision: 9, Stage: state.RolledBack}})
-	assert.Equal(t, len(recorder.Evidence()), 0)
+	assert.Equal(t, len(recorder.Samples()), 0)
 	for number := range 2 * maximumBaselines {
 		one := responseOf("v1", time.Millisecond)
 		one.Route = fmt.Sprint("route-", number)
-		recorder.Note(one)
+		recorder.Record(one)
 	}
 	assert.Assert(t, len(recorder.baselines) <= maximumBaselines)
 }
 
 // A node's samples are cumulative counts, so outdated or repeated ones must change nothing.
 func TestOutdatedAndRepeatedSamplesAreCountedOnce(t *testing.T) {
-	analyzer := NewJudge(12 * time.Second)
+	analyzer := NewAnalyzer(12 * time.Second)
 	recorder := watching(state.Canary)
 	recordBaseline(recorder)
-	earlier := recorder.Evidence()[0]
+	earlier := recorder.Samples()[0]
 	for range 30 {
-		recorder.Note(responseOf("v2", 100*time.Millisecond))
+		recorder.Record(responseOf("v2", 100*time.Millisecond))
 	}
-	later := recorder.Evidence()[0]
-	for _, samples := range []Evidence{earlier, later, earlier, later} {
-		analyzer.Take("node", samples)
+	later := recorder.Samples()[0]
+	for _, samples := range []Samples{earlier, later, earlier, later} {
+		analyzer.SetSamples("node", samples)
 		analyzer.Step(time.Second, state.Canary, nil)
 	}
-	assert.Equal(t, analyzer.newCounts.Answers, uint32(30))
+	assert.Equal(t, analyzer.newCounts.Responses, uint32(30))
 }
--- a/internal/coordination/routing/pause_test.go
+++ b/internal/coordination/routing/pause_test.go
@@ -35,13 +35,13 @@
 func TestServiceOpensWhenTheFirstPauseEndsIfAllArePaused(t *testing.T) {
 	table := pausedTable()
 	table.Pause(0, "b0", 3*time.Second)
-	_, areAllPaused := table.OpensAt(0, "s")
+	_, areAllPaused := table.FirstPauseEnd(0, "s")
 	assert.Assert(t, !areAllPaused)
 	table.Pause(0, "b1", 5*time.Second)
-	opensAt, areAllPaused := table.OpensAt(0, "s")
+	opensAt, areAllPaused := table.FirstPauseEnd(0, "s")
 	assert.Assert(t, areAllPaused)
 	assert.Equal(t, opensAt, 3*time.Second)
 	table.MarkLeaving("b0")
-	opensAt, _ = table.OpensAt(0, "s")
+	opensAt, _ = table.FirstPauseEnd(0, "s")
 	assert.Equal(t, opensAt, 5*time.Second, "a leaving back end does not become available again")
 }
--- a/internal/coordination/routing/prefix.go
+++ b/internal/coordination/routing/prefix.go
@@ -101,9 +101,9 @@
 	return matches
 }
 
-// TakeCacheEvents applies a back end's cache events. A gap in the sequence means that events were
+// ApplyCacheEvents applies a back end's cache events. A gap in the sequence means that events were
 // lost. What is known of the back end's cache is then unreliable and is dropped.
-func (t *Table) TakeCacheEvents(name string, events []CacheEvent) {
+func (t *Table) ApplyCacheEvents(name string, events []CacheEvent) {
 	state := t.backends[name]
 	if state == nil {
 		return
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// TakeReport replaces a back end's load report.
-func (t *Table) TakeReport(now time.Duration, name string, report Report) {
+// SetReport replaces a back end's load report.
+func (t *Table) SetReport(now time.Duration, name string, report Report) {
 	if state := t.backends[name]; state != nil {
 		state.report, state.reportedAt = report, now
 	}
@@ -221,9 +221,9 @@
 	return paused
 }
 
-// OpensAt returns when the first pause of a service's back ends ends, if all of them that are not
+// FirstPauseEnd returns when the first pause of a service's back ends ends, if all of them that are not
 // leaving are paused. It returns false if one of them is not paused.
-func (t *Table) OpensAt(now time.Duration, service string) (opensAt time.Duration, areAllPaused bool) {
+func (t *Table) FirstPauseEnd(now time.Duration, service string) (opensAt time.Duration, areAllPaused bool) {
 	for _, state := range t.byService[service] {
 		switch {
 		case state.Draining || state.listedLeaving || state.report.Leaving:
--- a/internal/coordination/routing/table_test.go
+++ b/internal/coordination/routing/table_test.go
@@ -55,7 +55,7 @@
 
 func TestOldLoadReportIsDiscounted(t *testing.T) {
 	table := tableOf(1)
-	table.TakeReport(0, "engine-00000", Report{Running: 16, Queued: 16})
+	table.SetReport(0, "engine-00000", Report{Running: 16, Queued: 16})
 	fresh := choose(t, table, 0, Request{}).Candidates[0].Cost
 	older := choose(t, table, 2*time.Second, Request{}).Candidates[0].Cost
 	oldest := choose(t, table, maximumReportAge+1, Request{}).Candidates[0].Cost
@@ -66,7 +66,7 @@
 func TestLeavingAndExcludedBackEndsReceiveNothing(t *testing.T) {
 	table := tableOf(3)
 	table.SetLeaving([]string{"engine-00000"})
-	table.TakeReport(0, "engine-00001", Report{Leaving: true})
+	table.SetReport(0, "engine-00001", Report{Leaving: true})
 	assert.Equal(t, choose(t, table, 0, Request{}).Backend.Name, "engine-00002")
 	_, found := table.Choose(0, Request{Service: "s", Exclude: []string{"engine-00002"}})
 	assert.Assert(t, !found)
@@ -75,9 +75,9 @@
 func TestGapInCacheEventsDropsTheKnownCache(t *testing.T) {
 	table := tableOf(3)
 	request := Request{Blocks: []uint64{1, 2}, PromptTokens: 20000}
-	table.TakeCacheEvents("engine-00002", []CacheEvent{{Sequence: 1, Block: 1}, {Sequence: 2, Block: 2}})
+	table.ApplyCacheEvents("engine-00002", []CacheEvent{{Sequence: 1, Block: 1}, {Sequence: 2, Block: 2}})
 	assert.Equal(t, choose(t, table, 0, request).Backend.Name, "engine-00002")
-	table.TakeCacheEvents("engine-00002", []CacheEvent{{Sequence: 5, Block: 9}})
+	table.ApplyCacheEvents("engine-00002", []CacheEvent{{Sequence: 5, Block: 9}})
 	assert.Equal(t, choose(t, table, 0, request).Backend.Name, "engine-00000")
 	assert.Equal(t, table.NextCacheEvent("engine-00002"), uint64(6))
 }
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -58,7 +58,7 @@
 	service := r.chooseService()
 	environment := r.pipeline.options.Environment
 	policy := environment.RetryPolicy()
-	r.pipeline.retries.Request(environment.Now(), service, policy)
+	r.pipeline.retries.RecordRequest(environment.Now(), service, policy)
 	dials := 0
 	var last failure
 	for {
@@ -107,7 +107,7 @@
 
 // reasonOfNone tells why no instance could be chosen.
 func (r *request) reasonOfNone(service string) Reason {
-	if regions := r.regions(); regions.IsBound && !r.pipeline.options.Table.HasInRegions(service, regions) {
+	if regions := r.regions(); regions.IsRestricted && !r.pipeline.options.Table.HasInRegions(service, regions) {
 		return ReasonNoRegion
 	}
 	if next, isKeptAway := r.nextAvailable(service); isKeptAway {
@@ -169,9 +169,9 @@
 // tenant allow.
 func (r *request) regions() balance.Regions {
 	if r.tenant == nil {
-		return balance.BoundTo(r.route.Regions)
+		return balance.IntersectRegions(r.route.Regions)
 	}
-	return balance.BoundTo(r.route.Regions, r.tenant.Regions)
+	return balance.IntersectRegions(r.route.Regions, r.tenant.Regions)
 }
 
 // wanted describes the request for the choice of an instance.
@@ -179,15 +179,15 @@
 	environment := r.pipeline.options.Environment
 	wanted := balance.Request{
 		Service: service, Part: r.call.attemptKey(), Cost: r.call.cost(), Exclude: r.tried, Bytes: len(r.body),
-		Tokens: int(r.call.TokensIn), SharedTokens: r.call.sharedTokens(), Gap: r.route.EventGap, Regions: r.regions(),
-		PermitPatience: r.permitPatience(), IsLastAttempt: r.arrivals+1 >= max(1, r.route.MaxAttempts),
+		Tokens: int(r.call.TokensIn), SharedTokens: r.call.sharedTokens(), MaximumEventGap: r.route.EventGap, Regions: r.regions(),
+		MaximumPermitWait: r.permitPatience(), IsLastAttempt: r.arrivals+1 >= max(1, r.route.MaxAttempts),
 	}
 	configured := r.index.Service(service)
 	if configured != nil {
 		wanted.Cold = balance.ColdPolicy{Rate: configured.ColdRate, Time: configured.ColdTime}
 	}
 	if configured != nil && configured.MaxConnections > 0 {
-		wanted.MaxInFlight = max(2, configured.MaxConnections/max(1, environment.EntryNodes()))
+		wanted.MaximumInFlight = max(2, configured.MaxConnections/max(1, environment.EntryNodes()))
 	}
 	return wanted
 }
@@ -236,7 +236,7 @@
 		return nil, unknown
 	}
 	if sending.head.NotRun || sending.head.OtherInstance {
-		outcome = balance.Full
+		outcome = balance.Rejected
 		result := "turned_away"
 		if sending.head.OtherInstance {
 			outcome = balance.Replaced
@@ -265,21 +265,21 @@
 	if outcome != balance.Served && outcome != balance.Failed {
 		return
 	}
-	answer := rollout.Answer{
+	answer := rollout.Response{
 		Service: choice.Service, Version: choice.Version, Instance: choice.ID, Route: r.route.Name, IsFailed: outcome == balance.Failed,
 		Tokens: choice.Ahead + choice.Unread,
 	}
 	switch {
 	case sending == nil:
 	case r.route.Kind != document.Stream:
-		answer.First = sending.answeredAt.Sub(sending.sentAt)
+		answer.FirstEvent = sending.answeredAt.Sub(sending.sentAt)
 	case r.events > 0:
-		answer.First = r.arrived.Add(r.pace.first).Sub(sending.sentAt)
+		answer.FirstEvent = r.arrived.Add(r.pace.first).Sub(sending.sentAt)
 		if r.events >= leastPaceEvents {
-			answer.Pace = (r.pace.last - r.pace.first) / time.Duration(r.events-1)
+			answer.EventInterval = (r.pace.last - r.pace.first) / time.Duration(r.events-1)
 		}
 	}
-	r.pipeline.options.Recorder.Note(answer)
+	r.pipeline.options.Recorder.Record(answer)
 }
 
 // attemptContext limits the wait for a repeatable request's answer, so that
@@ -304,7 +304,7 @@
 	}
 	return outgoing{
 		id: r.call.ID, method: r.incoming.Method, target: r.incoming.RequestURI, host: r.incoming.Host,
-		header: r.pipeline.options.Dialect.EngineHeader(attempt), body: r.body, life: choice.Life(),
+		header: r.pipeline.options.Dialect.EngineHeader(attempt), body: r.body, life: choice.Incarnation(),
 	}
 }
 
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -30,7 +30,7 @@
 	if !writtenAt.IsZero() {
 		answered.WrittenAt = now - time.Since(writtenAt)
 	}
-	b.Tracker.Learn(now, instance.Life(), answered, said)
+	b.Tracker.Learn(now, instance.Incarnation(), answered, said)
 }
 
 // exactEnd ends pauses when they were asked to end.
@@ -124,7 +124,7 @@
 				answered := make(chan result, 1)
 				go func() { answered <- h.ask(t, http.MethodPost, path, "r1", "b") }()
 				time.Sleep(50 * time.Millisecond)
-				tracker.Learn(h.environment.Now(), registry.Life{ID: "i-0"}, backoff.Request{ID: "r0"}, backoff.Said{Pause: 3 * time.Second})
+				tracker.Learn(h.environment.Now(), registry.Incarnation{ID: "i-0"}, backoff.Request{ID: "r0"}, backoff.Said{Pause: 3 * time.Second})
 				close(asked)
 				got := <-answered
 				assert.Equal(t, engine.ids(), "")
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -107,7 +107,7 @@
 type endWatch struct {
 	pipeline *Pipeline
 	mutex    sync.Mutex
-	engines  map[registry.Life]*brokenEngine
+	engines  map[registry.Incarnation]*brokenEngine
 }
 
 // brokenEngine is an engine at which runs broke of late.
@@ -119,12 +119,12 @@
 }
 
 func newEndWatch(pipeline *Pipeline) *endWatch {
-	return &endWatch{pipeline: pipeline, engines: map[registry.Life]*brokenEngine{}}
+	return &endWatch{pipeline: pipeline, engines: map[registry.Incarnation]*brokenEngine{}}
 }
 
 // broke notes a run that broke at an engine, and looks whether that has ended.
 func (w *endWatch) broke(choice balance.Choice, present quarantine.Present) {
-	life := choice.Life()
+	life := choice.Incarnation()
 	w.mutex.Lock()
 	w.forgetOld()
 	engine := w.engines[life]
@@ -162,12 +162,12 @@
 		opened, err := w.pipeline.pool.open(ctx, choice.Address)
 		if err != nil {
 			w.notConnected(choice, err)
-			w.forgetUnlessEnded(choice.Life())
+			w.forgetUnlessEnded(choice.Incarnation())
 			return
 		}
 		if opened.holds(aliveCheck) {
 			w.pipeline.pool.put(choice.Address, opened, nil)
-			w.forgetUnlessEnded(choice.Life())
+			w.forgetUnlessEnded(choice.Incarnation())
 			return
 		}
 		opened.close()
@@ -176,7 +176,7 @@
 
 // forgetUnlessEnded drops what is known of an engine that lives, or of which nothing can
 // be told.
-func (w *endWatch) forgetUnlessEnded(life registry.Life) {
+func (w *endWatch) forgetUnlessEnded(life registry.Incarnation) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if engine := w.engines[life]; engine != nil && !engine.hasEnded {
@@ -190,7 +190,7 @@
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
-	life := choice.Life()
+	life := choice.Incarnation()
 	w.mutex.Lock()
 	engine := w.engines[life]
 	if engine == nil || engine.hasEnded {
@@ -201,14 +201,14 @@
 	runs := len(engine.present)
 	w.mutex.Unlock()
 	enginesEnded.Inc()
-	w.pipeline.options.Table.Ended(w.pipeline.options.Environment.Now(), life)
+	w.pipeline.options.Table.IncarnationEnded(w.pipeline.options.Environment.Now(), life)
 	w.pipeline.options.Log.EngineEnded(choice, runs, w.pipeline.options.Table.IsLeaving(life))
 	w.report(life)
 }
 
 // lifeOver notes that a newer life has replaced one: runs that break there from now on,
 // and those that just did, were at its end.
-func (w *endWatch) lifeOver(life registry.Life) {
+func (w *endWatch) lifeOver(life registry.Incarnation) {
 	w.mutex.Lock()
 	w.forgetOld()
 	engine := w.engines[life]
@@ -223,7 +223,7 @@
 
 // report hands on who was at an engine that has ended. One that was leaving ended as it
 // said, by nobody's fault.
-func (w *endWatch) report(life registry.Life) {
+func (w *endWatch) report(life registry.Incarnation) {
 	w.mutex.Lock()
 	var present []quarantine.Present
 	if engine := w.engines[life]; engine != nil {
--- a/internal/forward/broken_test.go
+++ b/internal/forward/broken_test.go
@@ -196,7 +196,7 @@
 	suspect := quarantine.FingerprintOf(quarantine.ScopeOf(strings.TrimPrefix(h.server.URL, "http://")+"/resumable/x", "t"), []byte("suspect"))
 	for number := range 2 {
 		sink.EnginesEnded([]quarantine.Evidence{{
-			Fingerprint: suspect, Life: registry.Life{ID: fmt.Sprintf("before-%d", number)}, Suspicion: quarantine.Likely,
+			Fingerprint: suspect, Life: registry.Incarnation{ID: fmt.Sprintf("before-%d", number)}, Suspicion: quarantine.Likely,
 		}})
 	}
 	assert.Assert(t, h.ask(t, http.MethodPost, "/resumable/x", "r1", "suspect").err != nil)
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -117,7 +117,7 @@
 	mutex sync.Mutex
 	idle  map[string][]*connection
 	// active are the exchanges under way with each life of an engine.
-	active map[registry.Life]map[*exchange]struct{}
+	active map[registry.Incarnation]map[*exchange]struct{}
 }
 
 func newPool(dial func(ctx context.Context, address string) (net.Conn, error), linkDelay func() time.Duration) *pool {
@@ -130,7 +130,7 @@
 			return dialer.DialContext(ctx, "tcp", address)
 		}
 	}
-	return &pool{dial: dial, linkDelay: linkDelay, idle: map[string][]*connection{}, active: map[registry.Life]map[*exchange]struct{}{}}
+	return &pool{dial: dial, linkDelay: linkDelay, idle: map[string][]*connection{}, active: map[registry.Incarnation]map[*exchange]struct{}{}}
 }
 
 // get returns a kept connection or opens one.
--- a/internal/forward/decisions.go
+++ b/internal/forward/decisions.go
@@ -160,7 +160,7 @@
 
 // EngineEnded notes that an engine has ended, and how many of this node's runs with it.
 func (l *DecisionLog) EngineEnded(choice balance.Choice, runs int, wasLeaving bool) {
-	l.logger.Info().Str("event", "engine_ended").Stringer("life", choice.Life()).Str("address", choice.Address).
+	l.logger.Info().Str("event", "engine_ended").Stringer("life", choice.Incarnation()).Str("address", choice.Address).
 		Str("service", choice.Service).Int("runs", runs).Bool("was_leaving", wasLeaving).Send()
 }
 
@@ -222,7 +222,7 @@
 func weighed(line *zerolog.Event, choice balance.Choice) *zerolog.Event {
 	return line.Str("instance", choice.ID).Int("candidates", choice.Candidates).Bool("spilled", choice.Spilled).
 		Int("ahead", choice.Ahead).Bool("ahead_known", choice.AheadKnown).Int("unread", choice.Unread).
-		Int("reread", choice.Reread).Int("far", choice.Far).Int("streams", choice.Streams).Int("paused", choice.Paused).Int("permit", choice.Permit)
+		Int("reread", choice.Reread).Int("far", choice.CrossZone).Int("streams", choice.Streams).Int("paused", choice.Stalls).Int("permit", choice.Permit)
 }
 
 // Summarize writes what was not written line by line since the last call.
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -33,7 +33,7 @@
 type exchange struct {
 	pool       *pool
 	address    string
-	life       registry.Life
+	life       registry.Incarnation
 	connection *connection
 	response   *http.Response
 	head       AnswerHead
@@ -61,7 +61,7 @@
 	header http.Header
 	body   []byte
 	// life is the life of the engine that it is for.
-	life registry.Life
+	life registry.Incarnation
 	// admit tells whether the request may be written now; it waits where the engine's limit
 	// has room in a moment.
 	admit func(ctx context.Context) error
--- a/internal/forward/lives.go
+++ b/internal/forward/lives.go
@@ -44,7 +44,7 @@
 
 // endSilent closes the connections of a life's exchanges over which nothing came since a
 // time. Their requests end as those of an engine that has ended do.
-func (p *pool) endSilent(life registry.Life, since time.Time) {
+func (p *pool) endSilent(life registry.Incarnation, since time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	for sending := range p.active[life] {
@@ -60,7 +60,7 @@
 	now := time.Now()
 	for _, one := range replaced {
 		p.pool.forgetIdle(one.Address)
-		p.ends.lifeOver(one.Life())
-		time.AfterFunc(overPatience, func() { p.pool.endSilent(one.Life(), now) })
+		p.ends.lifeOver(one.Incarnation())
+		time.AfterFunc(overPatience, func() { p.pool.endSilent(one.Incarnation(), now) })
 	}
 }
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -489,5 +489,5 @@
 	if !c.HasTokens {
 		return 1
 	}
-	return (float64(c.TokensIn) + 10*float64(c.TokensOut)) / balance.MiddleTokens
+	return (float64(c.TokensIn) + 10*float64(c.TokensOut)) / balance.TypicalRequestTokens
 }
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -27,7 +27,7 @@
 func (l *learntLimits) Permit(context.Context, registry.Instance, ratelimit.Need) error { return nil }
 
 func (l *learntLimits) Learn(instance registry.Instance, said ratelimit.Said, writtenAt time.Time) {
-	l.changes <- l.Limits.Learn(time.Since(l.began), instance.Life(), said, writtenAt.Sub(l.began))
+	l.changes <- l.Limits.Learn(time.Since(l.began), instance.Incarnation(), said, writtenAt.Sub(l.began))
 }
 
 // Seen: an engine with a limit got more than that from all nodes together, while it turned
@@ -69,7 +69,7 @@
 	}), newEngine(t, func(net.Conn, *bufio.Reader, received) {}))
 	limits := ratelimit.New("node")
 	h.pipeline.options.Table.SetLimits(limits)
-	limited := registry.Life{ID: "i-1"}
+	limited := registry.Incarnation{ID: "i-1"}
 	limits.Learn(h.environment.Now(), limited, ratelimit.Said{IsNamed: true, PerSecond: 0.1}, 0)
 	limits.Answered(h.environment.Now(), limited, ratelimit.Answer{FreeMS: 2000})
 	route := h.environment.index.Document.Routes
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -77,7 +77,7 @@
 		next, err := reader.next()
 		if isFirst {
 			isFirst = false
-			r.pipeline.options.Table.Started(choice, time.Since(sending.sentAt))
+			r.pipeline.options.Table.PromptRead(choice, time.Since(sending.sentAt))
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -53,12 +53,12 @@
 // Learn implements forward.Backoff.
 func (p *pauseRecorder) Learn(instance registry.Instance, request string, signal backoff.Said, writtenAt time.Time) {
 	response := backoff.Request{ID: request, WrittenAt: p.node.monotonicTime(writtenAt)}
-	for _, change := range p.tracker.Learn(p.node.now(), instance.Life(), response, signal) {
-		p.record(change, p.node.table.InFlight(instance.Life()))
+	for _, change := range p.tracker.Learn(p.node.now(), instance.Incarnation(), response, signal) {
+		p.record(change, p.node.table.InFlight(instance.Incarnation()))
 	}
 }
 
-func (p *pauseRecorder) isListed(incarnation registry.Life) bool {
+func (p *pauseRecorder) isListed(incarnation registry.Incarnation) bool {
 	_, isListed := p.node.table.Instance(incarnation)
 	return isListed
 }
@@ -66,7 +66,7 @@
 // forget drops the incarnations that newer ones have replaced.
 func (p *pauseRecorder) forget(replaced []registry.Instance) {
 	for _, replacedOne := range replaced {
-		p.tracker.Forget(replacedOne.Life())
+		p.tracker.Forget(replacedOne.Incarnation())
 	}
 }
 
--- a/internal/gateway/canary.go
+++ b/internal/gateway/canary.go
@@ -30,8 +30,8 @@
 // samplesMessage carries the samples that a node recorded of rollouts to the leader.
 type samplesMessage struct {
 	// Incarnation is the node's incarnation. The counts restart at zero with each.
-	Incarnation string            `msgpack:"l"`
-	Samples     []canary.Evidence `msgpack:"e"`
+	Incarnation string           `msgpack:"l"`
+	Samples     []canary.Samples `msgpack:"e"`
 }
 
 // canaryDuty reports the samples of an entry node to the leader, and on the leading control node
@@ -42,13 +42,13 @@
 	// reportedAt is when samples were last sent.
 	reportedAt time.Duration
 	// analyzers are the leader's canary analyses, by the rollouts' revisions.
-	analyzers map[uint64]*canary.Judge
+	analyzers map[uint64]*canary.Analyzer
 	// isProposing is set while a step is proposed to the log and not yet committed.
 	isProposing bool
 }
 
 func newCanaryDuty(node *Node) *canaryDuty {
-	created := &canaryDuty{node: node, duty: duty.New("rollouts", analysisTick), analyzers: map[uint64]*canary.Judge{}}
+	created := &canaryDuty{node: node, duty: duty.New("rollouts", analysisTick), analyzers: map[uint64]*canary.Analyzer{}}
 	created.duty.Tick, created.duty.Flush = created.tick, func() {}
 	return created
 }
@@ -71,12 +71,12 @@
 	if now-d.reportedAt < interval || leader == "" {
 		return
 	}
-	samples := d.node.rollouts.recorder.Evidence()
+	samples := d.node.rollouts.recorder.Samples()
 	if len(samples) == 0 {
 		return
 	}
 	for position := range samples {
-		samples[position].OldUnderWay = d.node.table.OldUnderWay(samples[position].Service)
+		samples[position].OldInFlight = d.node.table.OldInFlight(samples[position].Service)
 	}
 	d.reportedAt = now
 	d.node.send(leader, peer.KindRollouts, &samplesMessage{Incarnation: d.node.incarnation, Samples: samples})
@@ -87,7 +87,7 @@
 	d.duty.Offer(func() {
 		for _, samples := range message.Samples {
 			if analyzer := d.analyzers[samples.Rollout]; analyzer != nil {
-				analyzer.Take(holderName(from, message.Incarnation), samples)
+				analyzer.SetSamples(holderName(from, message.Incarnation), samples)
 			}
 		}
 	})
@@ -111,7 +111,7 @@
 		}
 		analyzer := d.analyzers[one.Revision]
 		if analyzer == nil {
-			analyzer = canary.NewJudge(one.Duration)
+			analyzer = canary.NewAnalyzer(one.Duration)
 			d.analyzers[one.Revision] = analyzer
 		}
 		decision := analyzer.Step(d.node.rollouts.elapsed(one), one.Stage, live)
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -44,7 +44,7 @@
 }
 
 // Leave implements Control.
-func (n *Node) Leave(ctx context.Context, incarnation registry.Life) error {
+func (n *Node) Leave(ctx context.Context, incarnation registry.Incarnation) error {
 	return n.fleet.leave(ctx, incarnation)
 }
 
--- a/internal/gateway/duties_bench_test.go
+++ b/internal/gateway/duties_bench_test.go
@@ -155,7 +155,7 @@
 	}
 	report := benchLoads(benchInstances)
 	for range loadStepsPerSecond {
-		node.loads.exchange.Take(node.now(), benchEntry(2), report)
+		node.loads.exchange.Receive(node.now(), benchEntry(2), report)
 		for range largeFleetLoadsTicks {
 			node.loads.tick()
 		}
@@ -181,7 +181,7 @@
 func benchLoads(instances int) balance.LoadReport {
 	loads := balance.Loads{}
 	for number := range instances {
-		loads[balance.KeyOf(registry.Life{ID: fmt.Sprint("instance-", number)})] = balance.Load{Tokens: 640, Requests: 3}
+		loads[balance.KeyOf(registry.Incarnation{ID: fmt.Sprint("instance-", number)})] = balance.Load{Tokens: 640, Requests: 3}
 	}
 	return balance.LoadReport{Scope: balance.AllOtherLoads, Zone: benchZone(2), Loads: loads.Encode()}
 }
@@ -210,15 +210,15 @@
 	for member := benchZones; member < entries; member += benchZones {
 		report := balance.LoadReport{Scope: balance.OwnLoads, Zone: benchZone(0)}
 		report.Loads = balance.Loads{
-			balance.KeyOf(registry.Life{ID: fmt.Sprint("instance-", member%benchInstances)}):     {Tokens: 640, Requests: 1},
-			balance.KeyOf(registry.Life{ID: fmt.Sprint("instance-", (member+1)%benchInstances)}): {Requests: 1},
+			balance.KeyOf(registry.Incarnation{ID: fmt.Sprint("instance-", member%benchInstances)}):     {Tokens: 640, Requests: 1},
+			balance.KeyOf(registry.Incarnation{ID: fmt.Sprint("instance-", (member+1)%benchInstances)}): {Requests: 1},
 		}.Encode()
-		node.loads.exchange.Take(node.now(), benchEntry(member), report)
+		node.loads.exchange.Receive(node.now(), benchEntry(member), report)
 	}
 	for zone := 1; zone < benchZones; zone++ {
 		report := benchLoads(benchInstances)
 		report.Scope, report.Zone = balance.ZoneLoads, benchZone(zone)
-		node.loads.exchange.Take(node.now(), benchEntry(zone), report)
+		node.loads.exchange.Receive(node.now(), benchEntry(zone), report)
 	}
 }
 
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -92,7 +92,7 @@
 // isUrgent reports whether a change must be known immediately: an instance that accepts no more
 // work. The start of an instance, in any incarnation, may wait to be batched.
 func isUrgent(changes []registry.Instance) bool {
-	return slices.ContainsFunc(changes, func(changed registry.Instance) bool { return !changed.TakesWork() })
+	return slices.ContainsFunc(changes, func(changed registry.Instance) bool { return !changed.AcceptsWork() })
 }
 
 // instancesMessage carries changes of the registry, or the full registry.
@@ -213,13 +213,13 @@
 }
 
 func (f *fleetDuty) handleInstancesHeard(received peer.InstancesHeard) {
-	f.duty.Offer(func() { f.registry.Heard(f.node.now(), received.IDs) })
+	f.duty.Offer(func() { f.registry.RecordContact(f.node.now(), received.IDs) })
 }
 
 // sendInstancesHeard sends the other control nodes the IDs of the instances whose heartbeats this
 // node received.
 func (f *fleetDuty) sendInstancesHeard() {
-	ids := f.registry.TakeHeardHere()
+	ids := f.registry.TakeContacts()
 	if len(ids) == 0 {
 		return
 	}
@@ -322,11 +322,11 @@
 			states[changed.State.String()]++
 		}
 		f.node.log.Info().Str("event", "instances").Str("how", how).Int("count", len(changes)).Interface("states", states).
-			Stringer("first", changes[0].Life()).Stringer("last", changes[len(changes)-1].Life()).Int("live", f.registry.LiveCount()).Send()
+			Stringer("first", changes[0].Incarnation()).Stringer("last", changes[len(changes)-1].Incarnation()).Int("live", f.registry.LiveCount()).Send()
 		return
 	}
 	for _, changed := range changes {
-		f.node.log.Info().Str("event", "instance").Str("how", how).Stringer("life", changed.Life()).Str("service", changed.Service).
+		f.node.log.Info().Str("event", "instance").Str("how", how).Stringer("life", changed.Incarnation()).Str("service", changed.Service).
 			Str("address", changed.Address).Stringer("state", changed.State).Uint64("sequence", changed.Sequence).
 			Int64("cold_for_ms", changed.ColdLeft.Milliseconds()).Send()
 	}
@@ -347,11 +347,11 @@
 	}
 	f.node.backoff.forget(replaced)
 	for _, previous := range replaced {
-		f.node.limits.limits.Forget(previous.Life())
+		f.node.limits.limits.Forget(previous.Incarnation())
 	}
 	for _, changed := range changes {
 		if changed.HasEnded() {
-			f.node.limits.limits.Forget(changed.Life())
+			f.node.limits.limits.Forget(changed.Incarnation())
 		}
 	}
 	if len(replaced) > 0 {
@@ -376,7 +376,7 @@
 }
 
 // leave records an instance's notice that one of its incarnations is ending.
-func (f *fleetDuty) leave(ctx context.Context, incarnation registry.Life) error {
+func (f *fleetDuty) leave(ctx context.Context, incarnation registry.Incarnation) error {
 	_, err := duty.Ask(ctx, f.duty, func(respond func(bool)) {
 		changed := f.registry.Leave(f.node.now(), incarnation)
 		if left, found := f.registry.Get(incarnation.ID); changed && found {
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -85,7 +85,7 @@
 
 // Learn implements forward.RateLimits.
 func (e *limitEnforcer) Learn(instance registry.Instance, signal ratelimit.Said, writtenAt time.Time) {
-	e.record("answer", e.limits.Learn(e.node.now(), instance.Life(), signal, e.node.monotonicTime(writtenAt)))
+	e.record("answer", e.limits.Learn(e.node.now(), instance.Incarnation(), signal, e.node.monotonicTime(writtenAt)))
 }
 
 // handleUpdates accepts other nodes' updates on limits.
@@ -123,7 +123,7 @@
 	if !e.limits.Any() {
 		return nil
 	}
-	incarnation, startedAt := instance.Life(), e.node.now()
+	incarnation, startedAt := instance.Incarnation(), e.node.now()
 	permitRequest, issuer, isLimited := e.limits.Ask(startedAt, incarnation, instance.Zone, needs)
 	if !isLimited {
 		return nil
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -66,7 +66,7 @@
 	now := l.node.now()
 	l.node.limits.tick()
 	l.node.backoff.tick()
-	updates := balance.News{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeNews()}
+	updates := balance.Updates{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeNews()}
 	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), updates, l.node.limits.limits.InForce)
 	l.node.limits.handleUpdates(known.Limits)
 	l.node.table.SetOthersLoads(known.Loads)
@@ -87,7 +87,7 @@
 			l.meters[from] = meter
 		}
 		meter.Note(now, time.Duration(report.AgeMS)*time.Millisecond)
-		l.exchange.Take(now, from, report)
+		l.exchange.Receive(now, from, report)
 	})
 }
 
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -61,7 +61,7 @@
 	HeartbeatRefused(id string, err error)
 	// Leave accepts an instance's notice that one of its incarnations is ending; if the start time
 	// is missing, the notice applies to the known incarnation.
-	Leave(ctx context.Context, incarnation registry.Life) error
+	Leave(ctx context.Context, incarnation registry.Incarnation) error
 	// CommitDocument commits a validated configuration to the log. It returns the version held
 	// afterwards, which is higher than the given one if a higher one was already committed.
 	CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -125,7 +125,7 @@
 	for _, instance := range f.registry.Live() {
 		backends = append(backends, &ravenwayv1.Backend{
 			Name: instance.ID, Service: instance.Service, Zone: instance.Zone, Address: instance.Address,
-			Capacity: uint32(max(0, instance.Slots)), Draining: !instance.TakesWork(),
+			Capacity: uint32(max(0, instance.Slots)), Draining: !instance.AcceptsWork(),
 		})
 	}
 	return backends
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -18,7 +18,7 @@
 	for number := range crashes {
 		tracker.Report(0, quarantine.Evidence{
 			Fingerprint: quarantine.FingerprintOf(quarantine.ScopeOf("sepu93.example/dera112/2f", "zile830"), []byte("body")),
-			Life:        registry.Life{ID: fmt.Sprintf("i-28b412f9f%d", number), Born: 1764719254000}, Suspicion: quarantine.Likely,
+			Life:        registry.Incarnation{ID: fmt.Sprintf("i-28b412f9f%d", number), StartedAt: 1764719254000}, Suspicion: quarantine.Likely,
 			Route: "r-n6ejreu", Tenant: "zile830",
 		})
 	}
--- a/internal/gateway/register_bench_test.go
+++ b/internal/gateway/register_bench_test.go
@@ -30,7 +30,7 @@
 func newlyRegistered(number int) registry.Instance {
 	return registry.Instance{
 		ID: fmt.Sprint("new-", number), Service: "model", Address: fmt.Sprintf("10.7.%d.%d:80", number/200, 1+number%200),
-		Zone: benchZone(number), State: registry.Ready, Sequence: 1, Slots: 64, Born: 1,
+		Zone: benchZone(number), State: registry.Ready, Sequence: 1, Slots: 64, StartedAt: 1,
 	}
 }
 
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -123,16 +123,16 @@
 				body.OlderNodes = map[string]peer.Dialect{"10.1.0.40:7340": peer.DialectStrict}
 			}
 		case *instancesMessage:
-			body.Instances[0].Born, body.Instances[0].Epoch = 1700000000000, 1
+			body.Instances[0].StartedAt, body.Instances[0].Epoch = 1700000000000, 1
 		case *balance.LoadReport:
-			body.Limits = []ratelimit.Word{{Life: registry.Life{ID: "i-1", Born: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
+			body.Limits = []ratelimit.Word{{Life: registry.Incarnation{ID: "i-1", StartedAt: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
 		}
 	}
-	sample := canary.Evidence{
-		Service: "huvo11a", Rollout: 9, Routes: []canary.RouteCounts{{Route: "r", New: canary.Counts{Answers: 5, Bad: 1}, Old: canary.Counts{Answers: 50, Bad: 2}}},
-		Instances: []canary.InstanceCounts{{Instance: "i-1", Counts: canary.Counts{Answers: 5, Bad: 1}}}, Stage: rollout.Moving, OldUnderWay: 3,
+	sample := canary.Samples{
+		Service: "huvo11a", Rollout: 9, Routes: []canary.RouteCounts{{Route: "r", New: canary.Counts{Responses: 5, Bad: 1}, Old: canary.Counts{Responses: 50, Bad: 2}}},
+		Instances: []canary.InstanceCounts{{Instance: "i-1", Counts: canary.Counts{Responses: 5, Bad: 1}}}, Stage: rollout.Moving, OldInFlight: 3,
 	}
-	all = append(all, wireSample{"rollouts", peer.KindRollouts, &samplesMessage{Incarnation: "0123456789abcdef", Samples: []canary.Evidence{sample}}})
+	all = append(all, wireSample{"rollouts", peer.KindRollouts, &samplesMessage{Incarnation: "0123456789abcdef", Samples: []canary.Samples{sample}}})
 	return append(all, wireSample{"quarantine", peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(2)}, Digest: 4, IsList: true, Request: true}})
 }
 
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -292,7 +292,7 @@
 // AddVersion starts an engine stand-in of a version of its service.
 func (f *Fleet) AddVersion(id, service, zone, version string) *Engine {
 	engine := &Engine{truth: f.Truth, Work: 10 * time.Millisecond}
-	engine.Instance = registry.Instance{ID: id, Service: service, Address: id + ":80", Zone: zone, Version: version, Slots: 8, State: registry.Ready, Sequence: 1, Born: time.Now().UnixMilli()}
+	engine.Instance = registry.Instance{ID: id, Service: service, Address: id + ":80", Zone: zone, Version: version, Slots: 8, State: registry.Ready, Sequence: 1, StartedAt: time.Now().UnixMilli()}
 	engine.end = func() { f.EndEngine(engine) }
 	server := &http.Server{Handler: engine}
 	listener := f.Network.Listen(id, engine.Address)
--- a/internal/lab/openfleet/remembered_test.go
+++ b/internal/lab/openfleet/remembered_test.go
@@ -14,7 +14,7 @@
 // there before, and one that had left before is not brought back.
 func TestInstancesAreKnownAgainAfterALossOfAllPower(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
-		assert.NilError(t, f.Machine("control-0").running().Leave(f.ctx, registry.Life{ID: "app-a"}))
+		assert.NilError(t, f.Machine("control-0").running().Leave(f.ctx, registry.Incarnation{ID: "app-a"}))
 		time.Sleep(4 * time.Second)
 		f.silenceEngines()
 		f.PowerOffAll()
--- a/internal/lab/openfleet/restart_test.go
+++ b/internal/lab/openfleet/restart_test.go
@@ -75,7 +75,7 @@
 		time.Sleep(200 * time.Millisecond)
 		began := time.Now()
 		renewed := before.Instance
-		renewed.Born, renewed.Sequence = time.Now().UnixMilli(), 1
+		renewed.StartedAt, renewed.Sequence = time.Now().UnixMilli(), 1
 		assert.NilError(t, f.Heartbeat(renewed))
 		answer := <-answers
 		assert.NilError(t, answer.Broken)
--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -166,7 +166,7 @@
 	call.tried = nil
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
 	node.after(w.Between(time.Millisecond, 5*time.Millisecond), func() {
-		node.retries.Request(node.now(), "s", node.retryPolicy())
+		node.retries.RecordRequest(node.now(), "s", node.retryPolicy())
 		node.forward(call)
 	})
 }
--- a/internal/lab/simulate/backoffnode.go
+++ b/internal/lab/simulate/backoffnode.go
@@ -131,12 +131,12 @@
 
 // turnedAway takes an engine's word that it ran nothing, and perhaps wants a pause.
 func (n *backoffNode) turnedAway(call *backoffCall, choice balance.Choice, asks bool) {
-	n.table.Done(n.now(), choice, balance.Full)
+	n.table.Done(n.now(), choice, balance.Rejected)
 	if asks {
-		n.tracker.Learn(n.now(), choice.Life(), backoff.Request{}, backoff.Said{Pause: n.world.options.Pause + n.rankDelay(choice.ID)})
+		n.tracker.Learn(n.now(), choice.Incarnation(), backoff.Request{}, backoff.Said{Pause: n.world.options.Pause + n.rankDelay(choice.ID)})
 	}
 	if asks && n.world.options.Policy == SharedTrials {
-		n.warnOthers(choice.Life())
+		n.warnOthers(choice.Incarnation())
 	}
 	if len(call.tried) >= call.attempts || !n.retries.Take(n.now(), "s", n.retryPolicy()) {
 		n.refuse(call)
@@ -172,7 +172,7 @@
 }
 
 // warnOthers tells the other nodes, with their loads, that an engine asked for a pause.
-func (n *backoffNode) warnOthers(life registry.Life) {
+func (n *backoffNode) warnOthers(life registry.Incarnation) {
 	for _, other := range n.world.nodes {
 		if other != n && !other.isCut {
 			other.after(n.world.Between(50*time.Millisecond, 300*time.Millisecond), func() {
@@ -185,8 +185,8 @@
 }
 
 func (n *backoffNode) answered(call *backoffCall, choice *balance.Choice, writtenAt time.Duration) {
-	n.tracker.Learn(n.now(), choice.Life(), backoff.Request{WrittenAt: writtenAt}, backoff.Said{HasRun: true})
-	n.table.Started(choice, 0)
+	n.tracker.Learn(n.now(), choice.Incarnation(), backoff.Request{WrittenAt: writtenAt}, backoff.Said{HasRun: true})
+	n.table.PromptRead(choice, 0)
 	w := n.world
 	if w.isJudged(call) && w.Now-call.first <= backoffObjective {
 		w.result.InTime++
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -88,7 +88,7 @@
 	controls []*quarantine.Tracker
 	engines  []*poisonEngine
 	isCut    bool
-	counted  map[quarantine.Fingerprint]map[registry.Life]bool
+	counted  map[quarantine.Fingerprint]map[registry.Incarnation]bool
 	ends     map[quarantine.Fingerprint][]time.Duration
 	late     map[quarantine.Fingerprint]int
 }
@@ -105,7 +105,7 @@
 
 // poisonEngine is a place at which engines come and go.
 type poisonEngine struct {
-	life registry.Life
+	life registry.Incarnation
 	isUp bool
 	runs map[*poisonRun]bool
 }
@@ -139,7 +139,7 @@
 // RunPoison runs one seed.
 func RunPoison(options PoisonOptions) PoisonResult {
 	w := &poisonWorld{
-		World: NewWorld(options.Seed), options: options, counted: map[quarantine.Fingerprint]map[registry.Life]bool{},
+		World: NewWorld(options.Seed), options: options, counted: map[quarantine.Fingerprint]map[registry.Incarnation]bool{},
 		ends: map[quarantine.Fingerprint][]time.Duration{}, late: map[quarantine.Fingerprint]int{},
 	}
 	w.result = &PoisonResult{World: w.World}
@@ -154,7 +154,7 @@
 	for number := range poisonEngines {
 		engine := &poisonEngine{}
 		w.engines = append(w.engines, engine)
-		w.start(engine, registry.Life{ID: fmt.Sprintf("engine-%d", number), Born: 1})
+		w.start(engine, registry.Incarnation{ID: fmt.Sprintf("engine-%d", number), StartedAt: 1})
 	}
 	w.schedule()
 
@@ -348,12 +348,12 @@
 	for _, run := range runs {
 		w.After(time.Millisecond, func() { w.carryOn(run) })
 	}
-	w.After(w.between(deadLeast, deadMost), func() { w.start(engine, registry.Life{ID: life.ID, Born: life.Born + 1}) })
+	w.After(w.between(deadLeast, deadMost), func() { w.start(engine, registry.Incarnation{ID: life.ID, StartedAt: life.StartedAt + 1}) })
 }
 
-func (w *poisonWorld) count(fingerprint quarantine.Fingerprint, life registry.Life) {
+func (w *poisonWorld) count(fingerprint quarantine.Fingerprint, life registry.Incarnation) {
 	if w.counted[fingerprint] == nil {
-		w.counted[fingerprint] = map[registry.Life]bool{}
+		w.counted[fingerprint] = map[registry.Incarnation]bool{}
 	}
 	w.counted[fingerprint][life] = true
 }
@@ -377,7 +377,7 @@
 	w.After(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.come(request) })
 }
 
-func (w *poisonWorld) start(engine *poisonEngine, life registry.Life) {
+func (w *poisonWorld) start(engine *poisonEngine, life registry.Incarnation) {
 	engine.life, engine.isUp, engine.runs = life, true, map[*poisonRun]bool{}
 }
 
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -110,10 +110,10 @@
 	isCut  bool
 	toldAt time.Duration
 	told   []ratelimit.Node
-	next   map[registry.Life]time.Duration
-	isTold map[registry.Life]bool
+	next   map[registry.Incarnation]time.Duration
+	isTold map[registry.Incarnation]bool
 	// olderLives are those of engines whose new life the node has not heard of.
-	olderLives map[*limitEngine]registry.Life
+	olderLives map[*limitEngine]registry.Incarnation
 }
 
 // RunLimits runs one seed.
@@ -131,7 +131,7 @@
 	}
 	for number := range limitEngines {
 		engine := &limitEngine{
-			life: registry.Life{ID: fmt.Sprintf("engine-%d-%d", number, options.Seed)}, zone: fmt.Sprintf("zone-%d", number%limitZones),
+			life: registry.Incarnation{ID: fmt.Sprintf("engine-%d-%d", number, options.Seed)}, zone: fmt.Sprintf("zone-%d", number%limitZones),
 			perSecond: options.PerSecond,
 		}
 		engine.begin(w.Now)
@@ -160,7 +160,7 @@
 	n.process++
 	n.isUp, n.clock, n.told, n.toldAt = true, machineClock{bootedAt: w.Now}, nil, w.Now
 	n.limits = ratelimit.New(n.name)
-	n.next, n.isTold, n.olderLives = map[registry.Life]time.Duration{}, map[registry.Life]bool{}, map[*limitEngine]registry.Life{}
+	n.next, n.isTold, n.olderLives = map[registry.Incarnation]time.Duration{}, map[registry.Incarnation]bool{}, map[*limitEngine]registry.Incarnation{}
 	process := n.process
 	w.After(w.Between(0, limitHello), func() {
 		w.Every(limitHello, func() bool {
@@ -369,7 +369,7 @@
 }
 
 // take takes a holder's answer.
-func (n *limitNode) take(engine *limitEngine, life registry.Life, answer ratelimit.Answer, began time.Duration) {
+func (n *limitNode) take(engine *limitEngine, life registry.Incarnation, answer ratelimit.Answer, began time.Duration) {
 	n.limits.Answered(n.now(), life, answer)
 	if !answer.IsGranted {
 		return
@@ -404,7 +404,7 @@
 }
 
 // send sends a request to a life of an engine, whose answer tells of the limit.
-func (n *limitNode) send(engine *limitEngine, life registry.Life) {
+func (n *limitNode) send(engine *limitEngine, life registry.Incarnation) {
 	w := n.world
 	said := w.answer(engine, n, w.Now+time.Millisecond)
 	written := n.now()
--- a/internal/lab/simulate/ratelimitengine.go
+++ b/internal/lab/simulate/ratelimitengine.go
@@ -24,7 +24,7 @@
 
 // limitEngine is an engine that names a limit.
 type limitEngine struct {
-	life registry.Life
+	life registry.Incarnation
 	zone string
 	// perSecond is its limit, which it names if isNamed is set.
 	perSecond float64
@@ -38,7 +38,7 @@
 	if len(e.records) > 0 {
 		e.record().End(now)
 	}
-	e.life.Born++
+	e.life.StartedAt++
 	e.isNamed = false
 	e.records = append(e.records, &limitcheck.Record{})
 }
@@ -104,7 +104,7 @@
 }
 
 // lifeOf is the life of an engine that the node knows.
-func (n *limitNode) lifeOf(engine *limitEngine) registry.Life {
+func (n *limitNode) lifeOf(engine *limitEngine) registry.Incarnation {
 	if older, isBehind := n.olderLives[engine]; isBehind {
 		return older
 	}
@@ -112,7 +112,7 @@
 }
 
 // hearLater has the node hear of an engine's new life after a while.
-func (n *limitNode) hearLater(engine *limitEngine, before registry.Life) {
+func (n *limitNode) hearLater(engine *limitEngine, before registry.Incarnation) {
 	n.olderLives[engine] = before
 	n.after(n.world.Between(0, lifeLag), func() {
 		if n.olderLives[engine] == before {
--- a/internal/lab/simulate/rollout.go
+++ b/internal/lab/simulate/rollout.go
@@ -114,7 +114,7 @@
 	ill       map[string]bool
 	frozen    []bool
 	faultAt   time.Duration
-	judge     *rollout.Judge
+	judge     *rollout.Analyzer
 	stage     state.Stage
 	// inForce is the stage that the nodes keep to, changesAt when the decided one is.
 	inForce   state.Stage
@@ -145,7 +145,7 @@
 func RunRollout(options RolloutOptions) RolloutResult {
 	w := &rolloutWorld{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 41)), credits: make([]float64, rolloutNodes), frozen: make([]bool, rolloutNodes),
-		ill: map[string]bool{}, judge: rollout.NewJudge(options.Duration), stage: state.Canary, inForce: state.Canary,
+		ill: map[string]bool{}, judge: rollout.NewAnalyzer(options.Duration), stage: state.Canary, inForce: state.Canary,
 	}
 	w.faultAt = rolloutFrom + time.Duration(w.random.Int64N(int64(options.Duration/2)))
 	for node := range rolloutNodes {
@@ -187,12 +187,12 @@
 		return
 	}
 	if w.options.Fault == LeaderLost && now >= w.faultAt && now < w.faultAt+rolloutStep {
-		w.judge = rollout.NewJudge(w.options.Duration)
+		w.judge = rollout.NewAnalyzer(w.options.Duration)
 	}
 	for node, recorder := range w.recorders {
 		if step%evidenceSteps == node%evidenceSteps && !w.isFrozen(node, now) {
-			for _, evidence := range recorder.Evidence() {
-				w.judge.Take(fmt.Sprint(node), evidence)
+			for _, evidence := range recorder.Samples() {
+				w.judge.SetSamples(fmt.Sprint(node), evidence)
 			}
 		}
 	}
@@ -262,11 +262,11 @@
 		}
 	}
 	route := w.random.IntN(rolloutRoutes)
-	one := rollout.Answer{
+	one := rollout.Response{
 		Service: "s", Version: version, Instance: fmt.Sprint(version, "-", w.random.IntN(among)), Route: fmt.Sprint("route-", route),
-		First: time.Duration(float64(usualAnswerTime) * math.Exp(usualDeviation*w.random.NormFloat64())), Tokens: 1000 * route,
+		FirstEvent: time.Duration(float64(usualAnswerTime) * math.Exp(usualDeviation*w.random.NormFloat64())), Tokens: 1000 * route,
 	}
-	one.First = time.Duration(float64(one.First) * float64(one.Tokens+1500) / 1500)
+	one.FirstEvent = time.Duration(float64(one.FirstEvent) * float64(one.Tokens+1500) / 1500)
 	natural := usualFailures
 	if route == failingRoute {
 		natural = failingRouteShare
@@ -277,7 +277,7 @@
 	case inFault && w.options.Fault == EnginesIll && w.ill[one.Instance]:
 		one.IsFailed = one.IsFailed || w.random.Float64() < illFails
 	case inFault && w.options.Fault == EnginesSlow:
-		one.First = time.Duration(float64(one.First) * slowedBy)
+		one.FirstEvent = time.Duration(float64(one.FirstEvent) * slowedBy)
 	case w.options.Fault == EnginesCrash && w.ill[one.Instance] && inFault:
 		// What was under way is broken off; the node then leaves the instance alone.
 		if now-w.faultAt > 100*time.Millisecond {
@@ -288,7 +288,7 @@
 	if isNew && w.harmed(now, route) {
 		w.noteHarm(now, &one)
 	}
-	w.recorders[node].Note(one)
+	w.recorders[node].Record(one)
 }
 
 func (w *rolloutWorld) harmed(now time.Duration, route int) bool {
@@ -299,14 +299,14 @@
 	return !harm.UnderLoad || w.random.Float64() < 0.7
 }
 
-func (w *rolloutWorld) noteHarm(now time.Duration, one *rollout.Answer) {
+func (w *rolloutWorld) noteHarm(now time.Duration, one *rollout.Response) {
 	harm := w.options.Harm
 	isBad := false
 	if w.random.Float64() < harm.Failing {
 		one.IsFailed, isBad = true, true
 	}
 	if w.random.Float64() < harm.Slow {
-		one.First, isBad = time.Duration(float64(one.First)*harm.SlowBy), true
+		one.FirstEvent, isBad = time.Duration(float64(one.FirstEvent)*harm.SlowBy), true
 	}
 	if !isBad {
 		return
--- a/internal/lab/simulate/routing.go
+++ b/internal/lab/simulate/routing.go
@@ -265,7 +265,7 @@
 		for node, table := range s.tables {
 			report := one.reported
 			report.OwnInFlight = min(s.flights[node][one], report.Running+report.Queued)
-			table.TakeReport(s.world.Now, one.name, report)
+			table.SetReport(s.world.Now, one.name, report)
 		}
 	}
 	return true
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -190,7 +190,7 @@
 	}
 	host := fmt.Sprintf("127.%d.2.%d", firstLane+f.lane, place+1)
 	started, err := startEngine(registry.Instance{
-		ID: id, Born: time.Now().UnixMilli(), Service: service, Address: net.JoinHostPort(host, fmt.Sprint(enginePort)),
+		ID: id, StartedAt: time.Now().UnixMilli(), Service: service, Address: net.JoinHostPort(host, fmt.Sprint(enginePort)),
 		Zone: zones[place%len(zones)], Version: version, Slots: 64,
 	}, f.wire, f.truth, fails, func(ended *engine, body string) { f.endBy(ended, place, body) })
 	if err != nil {
--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -171,7 +171,7 @@
 
 func (b *backendsDuty) enqueue(item *queueing.Item[*placement]) {
 	now := b.node.now()
-	if opensAt, areAllPaused := b.table.OpensAt(now, item.Value.route.Service); areAllPaused && opensAt >= item.Deadline {
+	if opensAt, areAllPaused := b.table.FirstPauseEnd(now, item.Value.route.Service); areAllPaused && opensAt >= item.Deadline {
 		item.Value.answer(placed{err: &pausedError{wait: opensAt - now}})
 		return
 	}
@@ -234,7 +234,7 @@
 		if !found {
 			return
 		}
-		if opensAt, areAllPaused := b.table.OpensAt(now, known.Service); areAllPaused {
+		if opensAt, areAllPaused := b.table.FirstPauseEnd(now, known.Service); areAllPaused {
 			for _, item := range b.queue(known.Service).Expire(opensAt) {
 				item.Value.answer(placed{err: &pausedError{wait: opensAt - now}})
 			}
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -81,7 +81,7 @@
 func (b *backendsDuty) takeReports(message peer.BackendReports) {
 	b.duty.Offer(func() {
 		for _, report := range message.Reports {
-			b.table.TakeReport(b.node.now(), report.Backend, routing.Report{
+			b.table.SetReport(b.node.now(), report.Backend, routing.Report{
 				Running: report.Running, Queued: report.Queued, Leaving: report.Leaving,
 				OwnInFlight: b.table.InFlight(report.Backend),
 			})
@@ -103,7 +103,7 @@
 	}
 	report := routing.Report{Running: load.Running, Queued: load.Queued, Leaving: load.Leaving, OwnInFlight: ownInFlight}
 	from, err := duty.Ask(ctx, b.duty, func(answer func(uint64)) {
-		b.table.TakeReport(b.node.now(), target.Name, report)
+		b.table.SetReport(b.node.now(), target.Name, report)
 		answer(b.table.NextCacheEvent(target.Name))
 	})
 	if err == nil {
@@ -117,7 +117,7 @@
 	if err != nil || len(page.Events) == 0 {
 		return
 	}
-	_ = b.duty.Do(ctx, func() { b.table.TakeCacheEvents(target.Name, cacheEvents(page)) })
+	_ = b.duty.Do(ctx, func() { b.table.ApplyCacheEvents(target.Name, cacheEvents(page)) })
 }
 
 func cacheEvents(page engine.CacheEvents) []routing.CacheEvent {
