--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -56,8 +56,8 @@
 	Cold ColdPolicy
 	// Regions are the regions in which the request may be served.
 	Regions Regions
-	// MaximumPermitWait is the maximum time that the request may wait for a permit of an instance with
-	// a rate limit.
+	// MaximumPermitWait is the maximum time that the request may wait for a permit of an instance
+	// with a rate limit.
 	MaximumPermitWait time.Duration
 	// IsLastAttempt reports whether the request can't be retried at another instance.
 	IsLastAttempt bool
@@ -81,7 +81,7 @@
 	// other nodes.
 	Ahead, Unread int
 	AheadKnown    bool
-	// Reread is the cost of shared tokens that are read again, and Far that of bytes sent to
+	// Reread is the cost of shared tokens that are read again, and CrossZone that of bytes sent to
 	// another zone, both in tokens. Streams is the number of requests in flight at the instance.
 	Reread, CrossZone, Streams int
 	// Stalls is the cost of the streams there that reading the prompt would stall, in tokens.
--- a/internal/coordination/balance/health.go
+++ b/internal/coordination/balance/health.go
@@ -100,12 +100,12 @@
 	}
 }
 
-// IncarnationEnded records that an incarnation of an instance was seen to have ended. The instance may restart
-// under the same ID, so it is avoided for a while and not removed.
-func (t *Table) IncarnationEnded(now time.Duration, life registry.Incarnation) {
+// IncarnationEnded records that an incarnation of an instance was seen to have ended. The instance
+// may restart under the same ID, so it is avoided for a while and not removed.
+func (t *Table) IncarnationEnded(now time.Duration, incarnation registry.Incarnation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.member(life); known != nil {
+	if known := t.member(incarnation); known != nil {
 		known.connectBackoff = maximumConnectBackoff
 		known.avoidedUntil = now + maximumConnectBackoff
 	}
--- a/internal/coordination/balance/incarnations.go
+++ b/internal/coordination/balance/incarnations.go
@@ -21,9 +21,9 @@
 }
 
 // member returns the entry of an incarnation, nil if it has ended or was never known.
-func (t *Table) member(life registry.Incarnation) *member {
-	known := t.members[life.ID]
-	if known == nil || known.Incarnation() != life {
+func (t *Table) member(incarnation registry.Incarnation) *member {
+	known := t.members[incarnation.ID]
+	if known == nil || known.Incarnation() != incarnation {
 		return nil
 	}
 	return known
@@ -31,17 +31,17 @@
 
 // IsLeaving reports whether an incarnation had signalled that it leaves the service, or is not
 // known.
-func (t *Table) IsLeaving(life registry.Incarnation) bool {
+func (t *Table) IsLeaving(incarnation registry.Incarnation) bool {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if t.backoff.IsLeaving(life) {
+	if t.backoff.IsLeaving(incarnation) {
 		return true
 	}
-	if known := t.member(life); known != nil {
+	if known := t.member(incarnation); known != nil {
 		return !known.AcceptsWork()
 	}
 	for _, one := range t.ended {
-		if one.Incarnation == life {
+		if one.Incarnation == incarnation {
 			return one.wasLeaving
 		}
 	}
--- a/internal/coordination/balance/initial_exchange.go
+++ b/internal/coordination/balance/initial_exchange.go
@@ -30,16 +30,16 @@
 }
 
 // setNodes replaces the other entry nodes.
-func (g *initialExchange) setNodes(others []EntryNode) {
-	g.responder = ""
+func (i *initialExchange) setNodes(others []EntryNode) {
+	i.responder = ""
 	if len(others) > 0 {
-		g.responder = slices.MinFunc(others, g.compare).Address
+		i.responder = slices.MinFunc(others, i.compare).Address
 	}
 }
 
 // compare orders nodes of the own zone before others, and nodes of the same group by address.
-func (g *initialExchange) compare(one, other EntryNode) int {
-	isSameZone, isOtherSameZone := one.Zone == g.self.Zone, other.Zone == g.self.Zone
+func (i *initialExchange) compare(one, other EntryNode) int {
+	isSameZone, isOtherSameZone := one.Zone == i.self.Zone, other.Zone == i.self.Zone
 	switch {
 	case isSameZone == isOtherSameZone:
 		return cmp.Compare(one.Address, other.Address)
@@ -51,23 +51,23 @@
 
 // step returns this node's request for the active limits, if one is due, and its responses to the
 // requests of others.
-func (g *initialExchange) step(now time.Duration, activeLimits func() []ratelimit.Word) []OutgoingReport {
+func (i *initialExchange) step(now time.Duration, activeLimits func() []ratelimit.Word) []OutgoingReport {
 	var reports []OutgoingReport
-	if g.requestsLeft > 0 && g.responder != "" {
-		g.requestsLeft--
-		reports = append(reports, g.report(g.responder, LimitsRequest, nil))
+	if i.requestsLeft > 0 && i.responder != "" {
+		i.requestsLeft--
+		reports = append(reports, i.report(i.responder, LimitsRequest, nil))
 	}
-	if len(g.requesters) == 0 {
+	if len(i.requesters) == 0 {
 		return reports
 	}
 	updates := ratelimit.ForSending(now, activeLimits())
-	for address := range g.requesters {
-		reports = append(reports, g.report(address, LimitsResponse, updates))
+	for address := range i.requesters {
+		reports = append(reports, i.report(address, LimitsResponse, updates))
 	}
-	clear(g.requesters)
+	clear(i.requesters)
 	return reports
 }
 
-func (g *initialExchange) report(to string, scope LoadScope, updates []ratelimit.Word) OutgoingReport {
-	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: g.self.Zone, Limits: updates}}
+func (i *initialExchange) report(to string, scope LoadScope, updates []ratelimit.Word) OutgoingReport {
+	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: i.self.Zone, Limits: updates}}
 }
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -25,8 +25,8 @@
 
 // KeyOf returns the key of an incarnation of an instance. Each incarnation has its own key, because
 // the load of one indicates nothing about the next.
-func KeyOf(life registry.Incarnation) InstanceKey {
-	return InstanceKey(xxhash.Sum64String(life.String()))
+func KeyOf(incarnation registry.Incarnation) InstanceKey {
+	return InstanceKey(xxhash.Sum64String(incarnation.String()))
 }
 
 // Loads holds the loads by instance. Absent ones are 0.
@@ -110,7 +110,7 @@
 	// node's own.
 	AllOtherLoads
 	// LimitsRequest is the request of a node that has just started for the active limits, and
-	// LimitsTold is the response.
+	// LimitsResponse is the response.
 	LimitsRequest
 	LimitsResponse
 )
@@ -137,12 +137,12 @@
 	Limits []ratelimit.Word
 }
 
-func (n *Updates) add(other Updates) {
-	n.Parts = appendParts(n.Parts, other.Parts)
-	n.Limits = append(n.Limits, other.Limits...)
+func (u *Updates) add(other Updates) {
+	u.Parts = appendParts(u.Parts, other.Parts)
+	u.Limits = append(u.Limits, other.Limits...)
 }
 
-func (n *Updates) isEmpty() bool { return len(n.Parts) == 0 && len(n.Limits) == 0 }
+func (u *Updates) isEmpty() bool { return len(u.Parts) == 0 && len(u.Limits) == 0 }
 
 // OutgoingReport is a report and its receiver.
 type OutgoingReport struct {
@@ -241,7 +241,7 @@
 type Known struct {
 	// Loads are the loads of all others; nil if not known.
 	Loads Loads
-	// News holds the updates received since the last step.
+	// Updates holds the updates received since the last step.
 	Updates
 }
 
@@ -281,7 +281,7 @@
 	return encodedUpdates{parts: encodeParts(updates.Parts), limits: ratelimit.ForSending(now, updates.Limits)}
 }
 
-func (n encodedUpdates) isEmpty() bool { return len(n.parts) == 0 && len(n.limits) == 0 }
+func (u encodedUpdates) isEmpty() bool { return len(u.parts) == 0 && len(u.limits) == 0 }
 
 // stepRelay sums up the loads of the zone for the other relays, and the loads of all others for
 // each node of the zone. It computes the total once and subtracts each node's own loads from it,
--- a/internal/coordination/balance/regions.go
+++ b/internal/coordination/balance/regions.go
@@ -4,26 +4,27 @@
 
 // Regions are the regions in which a request may be served.
 type Regions struct {
-	// Names holds the allowed regions in ascending order. IsBound reports whether only these are
-	// allowed; otherwise the request may be served anywhere.
+	// Names holds the allowed regions in ascending order. IsRestricted reports whether only these
+	// are allowed; otherwise the request may be served anywhere.
 	Names        []string
 	IsRestricted bool
 }
 
-// IntersectRegions returns the intersection of the lists of regions. An empty list restricts nothing.
+// IntersectRegions returns the intersection of the lists of regions. An empty list restricts
+// nothing.
 func IntersectRegions(lists ...[]string) Regions {
-	var bound Regions
+	var restricted Regions
 	for _, names := range lists {
 		switch {
 		case len(names) == 0:
-		case !bound.IsRestricted:
+		case !restricted.IsRestricted:
 			sorted := slices.Sorted(slices.Values(names))
-			bound = Regions{Names: slices.Compact(sorted), IsRestricted: true}
+			restricted = Regions{Names: slices.Compact(sorted), IsRestricted: true}
 		default:
-			bound.Names = slices.DeleteFunc(bound.Names, func(name string) bool { return !slices.Contains(names, name) })
+			restricted.Names = slices.DeleteFunc(restricted.Names, func(name string) bool { return !slices.Contains(names, name) })
 		}
 	}
-	return bound
+	return restricted
 }
 
 // Contains reports whether a request may be served in a region. An unknown region, "", is in no
--- a/internal/coordination/balance/table.go
+++ b/internal/coordination/balance/table.go
@@ -189,10 +189,10 @@
 
 // Instance returns the registry's data of an incarnation, or false if it has ended or was never
 // known.
-func (t *Table) Instance(life registry.Incarnation) (registry.Instance, bool) {
+func (t *Table) Instance(incarnation registry.Incarnation) (registry.Instance, bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.member(life)
+	known := t.member(incarnation)
 	if known == nil {
 		return registry.Instance{}, false
 	}
@@ -219,10 +219,10 @@
 }
 
 // InFlight returns the number of this node's requests in flight at an incarnation of an instance.
-func (t *Table) InFlight(life registry.Incarnation) int {
+func (t *Table) InFlight(incarnation registry.Incarnation) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.member(life); known != nil {
+	if known := t.member(incarnation); known != nil {
 		return known.inFlight
 	}
 	return 0
--- a/internal/coordination/registry/incarnations.go
+++ b/internal/coordination/registry/incarnations.go
@@ -17,8 +17,8 @@
 	maximumPastIncarnations = 4
 )
 
-// Incarnation identifies an incarnation of an instance: one run of its process, from its start to its end.
-// An instance that restarts has none of the state of its previous incarnation.
+// Incarnation identifies an incarnation of an instance: one run of its process, from its start to
+// its end. An instance that restarts has none of the state of its previous incarnation.
 type Incarnation struct {
 	ID string `msgpack:"i"`
 	// StartedAt is the start time that the instance reports, in milliseconds since 1970 (Unix
@@ -28,11 +28,11 @@
 
 // String returns the ID and the start time, separated by "@", or only the ID if the start time is
 // not known.
-func (l Incarnation) String() string {
-	if l.StartedAt == 0 {
-		return l.ID
+func (i Incarnation) String() string {
+	if i.StartedAt == 0 {
+		return i.ID
 	}
-	return l.ID + "@" + strconv.FormatInt(l.StartedAt, 10)
+	return i.ID + "@" + strconv.FormatInt(i.StartedAt, 10)
 }
 
 // Incarnation returns the identity of the instance's incarnation.
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -54,8 +54,8 @@
 // Instance is one incarnation of a server of a service.
 type Instance struct {
 	ID string `msgpack:"i"`
-	// StartedAt is when this incarnation started, see Life. Epoch orders incarnations whose start times
-	// do not.
+	// StartedAt is when this incarnation started, see Incarnation. Epoch orders incarnations whose
+	// start times do not.
 	StartedAt int64  `msgpack:"b"`
 	Epoch     uint32 `msgpack:"e"`
 	Service   string `msgpack:"s"`
@@ -79,7 +79,7 @@
 // encode.
 const fieldsBeforeIncarnations = 9
 
-// OlderFields implements peer.OlderFields: Born and Epoch were inserted after ID.
+// OlderFields implements peer.OlderFields: StartedAt and Epoch were inserted after ID.
 func (Instance) OlderFields(count int) []string {
 	if count != fieldsBeforeIncarnations {
 		return nil
@@ -132,7 +132,7 @@
 	lease     time.Duration
 	instances map[string]*entry
 	// contactedHere holds the IDs of the instances that sent heartbeats to this node since the last
-	// call of TakeHeardHere.
+	// call of TakeContacts.
 	contactedHere map[string]struct{}
 	// digest is the sum of the live instances' hashes, and live is their number. Both are updated
 	// incrementally: computing the digest from all of 10,000 instances at each of 40 hellos per
--- a/internal/coordination/rollout/analyzer.go
+++ b/internal/coordination/rollout/analyzer.go
@@ -111,11 +111,11 @@
 }
 
 // SetSamples replaces a node's samples. Older samples that arrive after newer ones are ignored.
-func (j *Analyzer) SetSamples(node string, samples Samples) {
-	if known, found := j.samples[node]; found && samples.responseCount() < known.responseCount() {
+func (a *Analyzer) SetSamples(node string, samples Samples) {
+	if known, found := a.samples[node]; found && samples.responseCount() < known.responseCount() {
 		return
 	}
-	j.samples[node] = samples
+	a.samples[node] = samples
 }
 
 // Decision is the stage that a rollout should be in, and the reason.
@@ -126,76 +126,76 @@
 
 // Step analyses the samples received so far and returns the decision. elapsed is the time since the
 // order, and live holds the names of the nodes that send requests now.
-func (j *Analyzer) Step(elapsed time.Duration, stage state.Stage, live []string) Decision {
-	bad := j.analyze(elapsed)
+func (a *Analyzer) Step(elapsed time.Duration, stage state.Stage, live []string) Decision {
+	bad := a.analyze(elapsed)
 	if bad != "" {
 		return Decision{Stage: state.RolledBack, Reason: bad}
 	}
-	if !j.hasStepped {
-		j.hasStepped, j.firstStepAt = true, elapsed
+	if !a.hasStepped {
+		a.hasStepped, a.firstStepAt = true, elapsed
 	}
 	if stage == state.Canary {
-		return j.decideWhetherToMove(elapsed, live)
+		return a.decideWhetherToMove(elapsed, live)
 	}
-	return j.decideWhetherDone(elapsed, live)
+	return a.decideWhetherDone(elapsed, live)
 }
 
 // decideWhetherToMove decides whether a canary that has shown no harm so far stays, moves or is
 // rolled back.
-func (j *Analyzer) decideWhetherToMove(elapsed time.Duration, live []string) Decision {
-	move := min(max(time.Duration(moveShare*float64(j.duration)), minimumMove), maximumMove)
-	if elapsed < j.duration-move {
+func (a *Analyzer) decideWhetherToMove(elapsed time.Duration, live []string) Decision {
+	move := min(max(time.Duration(moveShare*float64(a.duration)), minimumMove), maximumMove)
+	if elapsed < a.duration-move {
 		return Decision{Stage: state.Canary}
 	}
-	if elapsed-j.firstStepAt < sampleWait && elapsed < j.duration-doneMargin && !j.hasSamplesOfAll(live) {
+	if elapsed-a.firstStepAt < sampleWait && elapsed < a.duration-doneMargin && !a.hasSamplesOfAll(live) {
 		// After a change of leader, the samples of all nodes arrive within sampleWait.
 		return Decision{Stage: state.Canary}
 	}
-	text := fmt.Sprintf("%d answers, %d bad, evidence of harm %.1f", j.newCounts.Responses, j.newCounts.Bad, j.total.sum)
+	text := fmt.Sprintf("%d answers, %d bad, evidence of harm %.1f", a.newCounts.Responses, a.newCounts.Bad, a.total.sum)
 	switch {
-	case j.newCounts.Responses < minimumResponses:
+	case a.newCounts.Responses < minimumResponses:
 		return Decision{Stage: state.RolledBack, Reason: "too few answers to judge by: " + text}
-	case j.highestSum() >= doubtThreshold && j.remainingSum() >= doubtRemainingThreshold:
+	case a.highestSum() >= doubtThreshold && a.remainingSum() >= doubtRemainingThreshold:
 		return Decision{Stage: state.RolledBack, Reason: "undecided at the time to move, and in doubt: " + text}
 	}
 	return Decision{Stage: state.Moving, Reason: "as good as the old version: " + text}
 }
 
 // hasSamplesOfAll reports whether samples of all live nodes were received.
-func (j *Analyzer) hasSamplesOfAll(live []string) bool {
+func (a *Analyzer) hasSamplesOfAll(live []string) bool {
 	return !slices.ContainsFunc(live, func(node string) bool {
-		_, found := j.samples[node]
+		_, found := a.samples[node]
 		return !found
 	})
 }
 
 // decideWhetherDone decides whether a rollout that moves is done: either no request is in flight at
 // the old version, or the deadline is near.
-func (j *Analyzer) decideWhetherDone(elapsed time.Duration, live []string) Decision {
-	if !j.isMoving {
-		j.isMoving, j.movingAt = true, elapsed
+func (a *Analyzer) decideWhetherDone(elapsed time.Duration, live []string) Decision {
+	if !a.isMoving {
+		a.isMoving, a.movingAt = true, elapsed
 	}
 	inFlight, missing := 0, 0
 	for _, node := range live {
-		samples, found := j.samples[node]
+		samples, found := a.samples[node]
 		if !found || samples.Stage != state.Moving {
 			missing++
 			continue
 		}
 		inFlight += samples.OldInFlight
 	}
-	if elapsed >= j.duration-doneMargin {
+	if elapsed >= a.duration-doneMargin {
 		return Decision{Stage: state.Done, Reason: fmt.Sprintf("at its deadline: %d requests under way at the old version, %d nodes have not said so", inFlight, missing)}
 	}
-	if elapsed-j.movingAt >= settleTime && inFlight == 0 && missing == 0 {
+	if elapsed-a.movingAt >= settleTime && inFlight == 0 && missing == 0 {
 		return Decision{Stage: state.Done, Reason: "nothing is under way at the old version"}
 	}
 	return Decision{Stage: state.Moving}
 }
 
-func (j *Analyzer) highestSum() float64 {
-	highest := j.total.sum
-	for _, test := range j.routes {
+func (a *Analyzer) highestSum() float64 {
+	highest := a.total.sum
+	for _, test := range a.routes {
 		highest = max(highest, test.ratios.sum)
 	}
 	return highest
@@ -203,49 +203,49 @@
 
 // analyze adds the responses since the last step to the tests, and returns why the version is bad,
 // or "" if it is not.
-func (j *Analyzer) analyze(elapsed time.Duration) string {
-	since := elapsed - j.lastStepAt
-	j.lastStepAt = elapsed
+func (a *Analyzer) analyze(elapsed time.Duration) string {
+	since := elapsed - a.lastStepAt
+	a.lastStepAt = elapsed
 	total, old := 0.0, Counts{}
-	for route, counts := range j.routeTotals() {
-		test := j.routes[route]
+	for route, counts := range a.routeTotals() {
+		test := a.routes[route]
 		if test == nil {
 			test = &routeTest{}
-			j.routes[route] = test
+			a.routes[route] = test
 		}
 		old.add(counts.Old)
 		ratio, added := test.step(since, counts)
-		j.newCounts.add(added)
+		a.newCounts.add(added)
 		test.ratios.add(ratio)
 		total += ratio
 	}
-	j.total.add(total)
-	j.oldRates.add(since, old.since(j.countedOld))
-	j.countedOld = old
-	j.analyzeInstances()
-	if j.highestSum() < rollbackThreshold || j.remainingSum() < remainingThreshold {
+	a.total.add(total)
+	a.oldRates.add(since, old.since(a.countedOld))
+	a.countedOld = old
+	a.analyzeInstances()
+	if a.highestSum() < rollbackThreshold || a.remainingSum() < remainingThreshold {
 		return ""
 	}
-	return j.rollbackReason()
+	return a.rollbackReason()
 }
 
-func (j *Analyzer) analyzeInstances() {
-	for id, counts := range j.newInstanceTotals() {
-		test := j.instances[id]
+func (a *Analyzer) analyzeInstances() {
+	for id, counts := range a.newInstanceTotals() {
+		test := a.instances[id]
 		if test == nil {
 			test = &instanceTest{}
-			j.instances[id] = test
+			a.instances[id] = test
 		}
-		test.ratios.add(j.oldRates.likelihoodRatio(counts.since(test.counted)))
+		test.ratios.add(a.oldRates.likelihoodRatio(counts.since(test.counted)))
 		test.counted = counts
 	}
 }
 
 // remainingSum returns the sum of the instances' log likelihood ratios without those of the worst
 // instances.
-func (j *Analyzer) remainingSum() float64 {
-	sums := make([]float64, 0, len(j.instances))
-	for _, test := range j.instances {
+func (a *Analyzer) remainingSum() float64 {
+	sums := make([]float64, 0, len(a.instances))
+	for _, test := range a.instances {
 		sums = append(sums, test.ratios.sum)
 	}
 	slices.Sort(sums)
@@ -261,20 +261,20 @@
 }
 
 // rollbackReason returns the reason for a rollback.
-func (j *Analyzer) rollbackReason() string {
-	text := fmt.Sprintf("bad answers of the new version on all routes together: %d of %d", j.newCounts.Bad, j.newCounts.Responses)
-	for route, test := range j.routes {
+func (a *Analyzer) rollbackReason() string {
+	text := fmt.Sprintf("bad answers of the new version on all routes together: %d of %d", a.newCounts.Bad, a.newCounts.Responses)
+	for route, test := range a.routes {
 		if test.ratios.sum >= rollbackThreshold {
 			text = fmt.Sprintf("bad answers of the new version on route %s: %d of %d, of the old one %.3f of late", route, test.new.Bad, test.new.Responses, test.old.rate())
 		}
 	}
-	return fmt.Sprintf("%s; evidence %.1f, %.1f without the worst of %d instances", text, j.highestSum(), j.remainingSum(), len(j.instances))
+	return fmt.Sprintf("%s; evidence %.1f, %.1f without the worst of %d instances", text, a.highestSum(), a.remainingSum(), len(a.instances))
 }
 
 // routeTotals sums the counts of all nodes by route.
-func (j *Analyzer) routeTotals() map[string]RouteCounts {
+func (a *Analyzer) routeTotals() map[string]RouteCounts {
 	totals := map[string]RouteCounts{}
-	for _, samples := range j.samples {
+	for _, samples := range a.samples {
 		for _, one := range samples.Routes {
 			total := totals[one.Route]
 			total.New.add(one.New)
@@ -285,9 +285,9 @@
 	return totals
 }
 
-func (j *Analyzer) newInstanceTotals() map[string]Counts {
+func (a *Analyzer) newInstanceTotals() map[string]Counts {
 	totals := map[string]Counts{}
-	for _, samples := range j.samples {
+	for _, samples := range a.samples {
 		for _, one := range samples.Instances {
 			total := totals[one.Instance]
 			total.add(one.Counts)
--- a/internal/coordination/rollout/recorder.go
+++ b/internal/coordination/rollout/recorder.go
@@ -20,8 +20,8 @@
 	// baselineWeight is the minimum weight of one response in a node's baseline of a route. The
 	// baseline covers about 30 responses.
 	baselineWeight = 1.0 / 30
-	// minimumBaselineResponses is the number of responses in a baseline that is required before a response
-	// can count as slow.
+	// minimumBaselineResponses is the number of responses in a baseline that is required before a
+	// response can count as slow.
 	minimumBaselineResponses = 10
 	// A response is slow if it took more than slowRatio times the baseline, and more than
 	// slowDeviations standard deviations of the logarithm above it. Bad versions are several times
@@ -43,8 +43,8 @@
 	Service, Version, Instance, Route string
 	// IsFailed reports whether the instance failed the request or broke off the response.
 	IsFailed bool
-	// FirstEvent is the time from the sending of the request to the first event of a stream, or to a
-	// whole response. Pace is the mean time between events. 0 means that there was none.
+	// FirstEvent is the time from the sending of the request to the first event of a stream, or to
+	// a whole response. EventInterval is the mean time between events. 0 means that there was none.
 	FirstEvent, EventInterval time.Duration
 	// Tokens is the number of tokens that were expected to be read before the first event.
 	Tokens int
@@ -89,7 +89,7 @@
 	Routes  []RouteCounts `msgpack:"o"`
 	// Instances holds the counts of each instance of the new version.
 	Instances []InstanceCounts `msgpack:"i"`
-	// Stage is the stage that the node applies. OldUnderWay is the number of its requests in flight
+	// Stage is the stage that the node applies. OldInFlight is the number of its requests in flight
 	// at instances of the old version.
 	Stage       state.Stage `msgpack:"g"`
 	OldInFlight int         `msgpack:"u"`
@@ -224,16 +224,16 @@
 	return math.Log(float64(response.FirstEvent)) - math.Log(float64(response.Tokens+baseTokens))
 }
 
-func (u *routeBaseline) isSlow(response Response) bool {
-	return response.FirstEvent > 0 && u.first.isSlow(firstEventLog(response)) || response.EventInterval > 0 && u.pace.isSlow(math.Log(float64(response.EventInterval)))
+func (b *routeBaseline) isSlow(response Response) bool {
+	return response.FirstEvent > 0 && b.first.isSlow(firstEventLog(response)) || response.EventInterval > 0 && b.pace.isSlow(math.Log(float64(response.EventInterval)))
 }
 
-func (u *routeBaseline) learn(response Response) {
+func (b *routeBaseline) learn(response Response) {
 	if response.FirstEvent > 0 {
-		u.first.learn(firstEventLog(response))
+		b.first.learn(firstEventLog(response))
 	}
 	if response.EventInterval > 0 {
-		u.pace.learn(math.Log(float64(response.EventInterval)))
+		b.pace.learn(math.Log(float64(response.EventInterval)))
 	}
 }
 
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -221,8 +221,8 @@
 	return paused
 }
 
-// FirstPauseEnd returns when the first pause of a service's back ends ends, if all of them that are not
-// leaving are paused. It returns false if one of them is not paused.
+// FirstPauseEnd returns when the first pause of a service's back ends ends, if all of them that are
+// not leaving are paused. It returns false if one of them is not paused.
 func (t *Table) FirstPauseEnd(now time.Duration, service string) (opensAt time.Duration, areAllPaused bool) {
 	for _, state := range t.byService[service] {
 		switch {
