--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -7,7 +7,7 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// account is the holder's part of one budget, in tokens.
+// account is the holder's part of one budget. Amounts are in tokens.
 type account struct {
 	name     string
 	policy   Policy
@@ -15,74 +15,74 @@
 	returned uint64
 	settled  uint64
 	reserved uint64
-	// borrowed and lent are cumulative, by the other holder.
+	// borrowed and lent are cumulative, keyed by the other holder.
 	borrowed map[accounts.HolderID]uint64
 	lent     map[accounts.HolderID]*givenLoan
-	// open are the reservations not settled yet; ahead are the uses of settled
-	// ones behind an open one.
+	// open holds the reservations that are not settled yet, by sequence number. ahead holds the use
+	// of reservations that were settled while an earlier one is still open.
 	open             map[uint64]uint64
 	ahead            map[uint64]uint64
 	sequence         uint64
 	watermark        uint64
 	watermarkSettled uint64
-	// confirmed is what the root has in its log.
+	// confirmed is what the root is known to have in its log.
 	confirmed confirmation
-	// allowances bound the use of the grant, and contact is the holder's with the
-	// root; contact is nil where the whole grant may be used at any time.
+	// allowances bound the use of the grant. contact is the holder's contact with the root; it is nil
+	// if the whole grant may be used at any time.
 	allowances allowances
 	contact    *rootContact
 
-	// standing is how the budget stands as a whole as the root last said; known
-	// tells that it did.
+	// standing is the root's last summary of the whole budget; known reports whether one was received.
 	standing Standing
 	known    bool
-	// wished is the wish that the root was last told.
+	// wished is the desired amount of the last report to the root.
 	wished uint64
 
 	waiters []waiter
-	// lastWaiter numbers the waiters, from 1.
+	// lastWaiter is the number of the newest waiter. Waiters are numbered from 1.
 	lastWaiter uint64
 	request    uint64
-	// requested is set while a request is unanswered; reportedAt is when the
-	// last report was sent.
+	// requested is set while a request to the root has no response; reportedAt is when the last report
+	// was sent.
 	requested   bool
 	requestedAt time.Duration
 	reportedAt  time.Duration
-	// resendAfter is when an unanswered request is repeated after the last
-	// report. It doubles: a root that is behind must not get ever more to do.
+	// resendAfter is the time after the last report at which a request without a response is repeated.
+	// It doubles with each repetition, so that repetitions don't add load to a root that is behind.
 	resendAfter time.Duration
 	loanAskedAt time.Duration
 	loanAsked   bool
-	// lenders are the neighbours to ask for the first waiter, lendersAsked how many
-	// of them were asked.
+	// lenders are the nodes to request loans from for the first waiter, and lendersAsked is how many of
+	// them have been sent a request.
 	lenders      []string
 	lendersAsked int
-	// pooled tells that the budget is left to the zone's pool holders.
+	// pooled reports whether the node leaves this budget to the zone's pool holders.
 	pooled bool
 
-	// demand is what requests ask for, reserving what of it they get.
+	// demand is the rate of tokens that requests require, reserving the rate that they receive.
 	demand, reserving smoothedRate
-	// requestSize is the smoothed size of a request, and requestedLast the
-	// time of the last one.
+	// requestSize is the smoothed size of a request in tokens, and requestedLast is the time of the
+	// last one.
 	requestSize   float64
 	requestedLast time.Duration
-	// nextTopUp is when the node may ask ahead of demand again.
+	// nextTopUp is the earliest time of the next request ahead of demand.
 	nextTopUp time.Duration
 }
 
+// waiter is a request that waits for tokens, of this node or of another one.
 type waiter struct {
 	number   uint64
 	amount   uint64
 	since    time.Duration
 	deadline time.Duration
-	// borrower is the other node's life that a pool holder lends to; none if the
+	// borrower is the incarnation of the other node that a pool holder lends to. It is zero if the
 	// tokens are for a request of this node.
 	borrower accounts.HolderID
 	search   poolSearch
 	done     func(Reservation, error)
 }
 
-// isLoan tells whether the tokens are for another node.
+// isLoan reports whether the tokens are for another node.
 func (w waiter) isLoan() bool { return w.borrower != accounts.HolderID{} }
 
 func (a *account) addWaiter(one waiter) {
@@ -91,17 +91,17 @@
 	a.waiters = append(a.waiters, one)
 }
 
-// confirmation is what the root has answered that it knows, cumulative.
+// confirmation holds the cumulative amounts that the root has confirmed in its responses.
 type confirmation struct {
 	settled, returned, watermark uint64
 }
 
-// unreserved is what is held and not in use, lent or returned, in tokens.
+// unreserved returns the tokens that are held and neither used, reserved, lent nor returned.
 func (a *account) unreserved() uint64 {
 	return accounts.SaturatingSubtract(a.granted+sum(a.borrowed), a.returned+a.settled+a.reserved+a.lentTotal())
 }
 
-// free is what may be reserved now, in tokens.
+// free returns the tokens that may be reserved now.
 func (a *account) free() uint64 {
 	if a.contact == nil {
 		return a.unreserved()
@@ -134,7 +134,7 @@
 	return Reservation{Budget: a.name, Sequence: a.sequence, Amount: amount}
 }
 
-// noteDemand notes what a request asks for.
+// noteDemand adds a request's required amount to the demand and to the smoothed request size.
 func (a *account) noteDemand(now time.Duration, amount uint64) {
 	a.demand.add(now, amount)
 	if a.requestSize == 0 {
@@ -144,11 +144,10 @@
 	a.requestedLast = now
 }
 
-// wish is what the node would hold if the budget were not short, in tokens: the
-// demand of a horizon, and while there is any demand enough for a request of
-// middle size, so that a cut-off node can go on serving a tenant that sends
-// little. Nodes lend each other what larger ones need. A budget that is left to pool
-// holders is not held ahead at all.
+// wish returns the desired amount: the tokens that the node would hold if the budget were not short.
+// It is the demand of one horizon, and while there is any demand at least enough for a request of
+// average size, so that a partitioned node can go on serving a tenant that sends little. Nodes lend
+// each other what larger requests require. A budget that is left to pool holders is not held ahead.
 func (a *account) wish(now time.Duration) uint64 {
 	if a.pooled {
 		return 0
@@ -160,9 +159,8 @@
 	return expected
 }
 
-// target is what the node should hold, in tokens: its wish, cut in the same
-// proportion as all others' where together they wish for more than the budget
-// bears.
+// target returns the tokens that the node should hold: its desired amount, scaled down in the same
+// proportion as that of all other holders if together they desire more than they should hold.
 func (a *account) target(now time.Duration) uint64 {
 	wish := a.wish(now)
 	if !a.known {
@@ -171,7 +169,7 @@
 	return a.standing.part(wish, a.contact != nil)
 }
 
-// lack is what the first waiter needs beyond what may be reserved now.
+// lack returns the tokens that the first waiter requires beyond what may be reserved now.
 func (a *account) lack() uint64 {
 	if len(a.waiters) == 0 {
 		return 0
@@ -179,7 +177,7 @@
 	return accounts.SaturatingSubtract(a.waiters[0].amount, a.free())
 }
 
-// grantLack is what the first waiter needs beyond what is held.
+// grantLack returns the tokens that the first waiter requires beyond what is held.
 func (a *account) grantLack() uint64 {
 	if len(a.waiters) == 0 {
 		return 0
@@ -187,7 +185,7 @@
 	return accounts.SaturatingSubtract(a.waiters[0].amount, a.unreserved())
 }
 
-// waiting is what all waiters need, in tokens.
+// waiting returns the tokens that all waiters require.
 func (a *account) waiting() uint64 {
 	var total uint64
 	for _, one := range a.waiters {
@@ -203,20 +201,20 @@
 	}
 }
 
-// topUp asks ahead of demand, so that requests rarely wait for the root.
+// topUp requests tokens ahead of demand, so that requests rarely wait for the root.
 func (a *account) topUp(now time.Duration) {
 	if a.requested || len(a.waiters) > 0 {
 		return
 	}
 	if target := a.target(now); float64(a.unreserved()) < float64(target)*lowShare && now >= a.nextTopUp {
-		// A budget that is nearly spent can't fill it: not asked at every tick.
+		// A nearly spent budget can't reach the target, so the request is not repeated at every tick.
 		a.nextTopUp = now + topUpPause
 		a.startRequest(now)
 	}
 }
 
-// unconfirmed tells whether the root may lack something: a report counts only
-// once an answer has repeated what it said.
+// unconfirmed reports whether the root may lack an amount. A report counts as received only once a
+// response has repeated its amounts.
 func (a *account) unconfirmed() bool {
 	return a.settled > a.confirmed.settled || a.returned > a.confirmed.returned || a.watermark > a.confirmed.watermark
 }
@@ -239,7 +237,7 @@
 	return a.allowanceDue()
 }
 
-// confirm notes what an answer says that the root has.
+// confirm records the amounts that a response confirms, and reports whether the watermark advanced.
 func (a *account) confirm(answer accounts.Answer) (advanced bool) {
 	advanced = answer.Watermark > a.confirmed.watermark
 	a.confirmed.settled = max(a.confirmed.settled, answer.Settled)
@@ -296,8 +294,8 @@
 	}
 }
 
-// at returns the rate. A sum that decays holds less than the true rate until
-// several half-lives have passed; what it can't hold yet is made up for.
+// at returns the rate in tokens a second. A decaying sum is below the true rate until several
+// half-lives have passed; the division corrects for the time that is still missing.
 func (r *smoothedRate) at(now time.Duration) float64 {
 	r.decay(now)
 	elapsed := max(now-r.began, minimumDemandTime)
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -7,43 +7,42 @@
 )
 
 const (
-	// allowanceAhead is the use that a holder's allowance covers ahead, so that most
-	// small requests need not wait for the root. It is charged when the holder's life
-	// ends without a word.
+	// allowanceAhead is how much future use a holder's allowance covers, so that most small requests
+	// don't wait for the root. It is charged if the holder's incarnation crashes without a final report.
 	allowanceAhead = 400 * time.Millisecond
-	// paceFactor is how much faster than it did before a holder may use its grant
-	// without the root: requests come in lumps. It weighs what a cut leaves
-	// unserved against what a loss of all machines charges for nothing.
+	// paceFactor is how much faster than before a holder may use its grant without contact to the root,
+	// because requests arrive in bursts. A lower factor leaves more requests unserved in a partition; a
+	// higher one charges more unused tokens when all machines are lost.
 	paceFactor = 1.2
-	// contactInterval is the time between a holder's reports where it has nothing
-	// else to say: the root knows it to be in touch up to the last one.
+	// contactInterval is the time between a holder's reports if it has nothing else to report. The root
+	// knows the holder to be in contact up to the last report.
 	contactInterval = 250 * time.Millisecond
-	// raisePause and lowerPause are the least times between reports that only raise
-	// or lower an allowance.
+	// raisePause and lowerPause are the minimum times between reports that only raise or only lower an
+	// allowance.
 	raisePause = 50 * time.Millisecond
 	lowerPause = 150 * time.Millisecond
-	// looseAllowance is how many times that may be allowed and not used before the
-	// allowance is lowered: what was asked for requests that were
-	// then refused, or that used less, is charged too when the life is lost.
+	// looseAllowance is the multiple of allowanceAhead's tokens that may be allowed and unused before
+	// the allowance is lowered. What was allowed for requests that were then refused, or that used less,
+	// is charged too if the incarnation is lost.
 	looseAllowance = 1.5
 )
 
-// rootContact is what a holder knows of its contact with the root.
+// rootContact is the state of a holder's contact with the root.
 type rootContact struct {
 	// now is the time of the step in progress.
 	now time.Duration
-	// heard is the newest contact that an answer told of, heardAt when it came.
+	// heard is the newest contact that a response carried, and heardAt is when it was received.
 	heard   accounts.Contact
 	heardAt time.Duration
-	// told is the newest one that the root may be told of: all allowances covered what
-	// had been used when it was heard of.
+	// told is the newest contact that may be reported to the root: one at which all allowances covered
+	// the use so far.
 	told accounts.Contact
 	// reportedAt is when the last report of any budget was sent.
 	reportedAt time.Duration
 }
 
-// silence is the time without the root, 0 before it was ever heard: nothing was
-// granted then.
+// silence returns the time since the last contact with the root. It is 0 before the first contact,
+// when nothing has been granted yet.
 func (c *rootContact) silence() time.Duration {
 	if c.heard.Index == 0 {
 		return 0
@@ -51,16 +50,16 @@
 	return c.now - c.heardAt
 }
 
-// allowances are a holder's allowances on one budget. The root's log may hold any that
-// was sent and not confirmed, so the holder keeps to the least of them.
+// allowances are a holder's allowances on one budget. The root's log may hold any allowance that was
+// sent and not confirmed, so the holder respects the minimum of them.
 type allowances struct {
-	// confirmed is the newest allowance that is known to be in the log, sent are the
-	// later ones, in order.
+	// confirmed is the newest allowance that is known to be in the log; sent holds the later ones, in
+	// order.
 	confirmed accounts.Allowance
 	sent      []accounts.Allowance
 }
 
-// binding is the allowance that the holder keeps to.
+// binding returns the allowance that the holder respects.
 func (c *allowances) binding() accounts.Allowance {
 	least := c.confirmed
 	for _, one := range c.sent {
@@ -70,7 +69,7 @@
 	return least
 }
 
-// last is the newest allowance that was sent.
+// last returns the newest allowance that was sent.
 func (c *allowances) last() accounts.Allowance {
 	if count := len(c.sent); count > 0 {
 		return c.sent[count-1]
@@ -78,7 +77,7 @@
 	return c.confirmed
 }
 
-// send notes an allowance that is about to be sent, and returns it with its number.
+// send records an allowance that is about to be sent, and returns it with its sequence number.
 func (c *allowances) send(tokens, pace uint64) accounts.Allowance {
 	last := c.last()
 	if last.Sequence > 0 && last.Tokens == tokens && last.Pace == pace {
@@ -89,7 +88,7 @@
 	return made
 }
 
-// confirm notes the allowance in the log as an answer shows it.
+// confirm records the allowance that a response reports to be in the log.
 func (c *allowances) confirm(logged accounts.Allowance) {
 	if logged.Sequence <= c.confirmed.Sequence {
 		return
@@ -104,27 +103,27 @@
 	c.sent = kept
 }
 
-// ownUse is what the holder has used of its own grant, in tokens: all that it
-// settled, reserved and lent, less what it borrowed.
+// ownUse returns the tokens that the holder has used of its own grant: what it settled, reserved and
+// lent, less what it borrowed.
 func (a *account) ownUse() uint64 {
 	return accounts.SaturatingSubtract(a.settled+a.reserved+a.lentTotal(), sum(a.borrowed))
 }
 
-// allowed is the most that the holder may use of its own grant now, in tokens.
+// allowed returns the maximum tokens that the holder may have used of its own grant by now.
 func (a *account) allowed() uint64 {
 	return a.allowances.binding().MostUsed(a.contact.silence())
 }
 
-// isCovered tells whether all use is within what was allowed, without any pace.
+// isCovered reports whether all use is within the allowed tokens, without use of the pace.
 func (a *account) isCovered() bool { return a.ownUse() <= a.allowances.binding().Tokens }
 
-// allowedAhead is how much the holder wants its allowance to cover beyond its use.
+// allowedAhead returns the tokens that the allowance should cover beyond the present use.
 func (a *account) allowedAhead() uint64 {
 	return uint64(a.reserving.at(a.contact.now) * allowanceAhead.Seconds())
 }
 
-// nextAllowance makes the allowance that goes with a report. Without the root it is
-// never lowered: it would bind the holder, though nobody may ever hear of it.
+// nextAllowance returns the allowance that goes with a report. It is never lowered while the root is
+// out of contact: the lower allowance would restrict the holder, though it may never reach the root.
 func (a *account) nextAllowance() accounts.Allowance {
 	tokens := a.ownUse() + a.waiting() + a.allowedAhead()
 	pace := uint64(paceFactor * a.reserving.at(a.contact.now))
@@ -135,8 +134,8 @@
 	return a.allowances.send(tokens, pace)
 }
 
-// allowanceDue tells whether the allowance is to be renewed though no request
-// waits: it covers too little ahead, or much too much.
+// allowanceDue reports whether the allowance is to be renewed though no request waits, because it
+// covers too little ahead or far too much.
 func (a *account) allowanceDue() bool {
 	since := a.contact.now - a.reportedAt
 	if since < raisePause || len(a.allowances.sent) > 0 {
@@ -149,16 +148,15 @@
 	return since >= lowerPause && float64(allowed-use) > looseAllowance*float64(ahead)
 }
 
-// hear notes a contact that an answer tells of.
+// hear records the contact that a response carries.
 func (h *Holder) hear(contact accounts.Contact) {
 	if contact.Index > h.contact.heard.Index {
 		h.contact.heard, h.contact.heardAt = contact, h.contact.now
 	}
 }
 
-// contactToTell is the newest contact that the root may be told of. Once it is
-// told, the root counts the time without it from there, and so the allowances must
-// cover all that was used before.
+// contactToTell returns the newest contact that may be reported to the root. The root then measures
+// the time without contact from there, so the allowances must cover all earlier use.
 func (h *Holder) contactToTell() accounts.Contact {
 	for _, found := range h.accounts {
 		if !found.isCovered() {
@@ -169,8 +167,7 @@
 	return h.contact.told
 }
 
-// contactDue tells whether the root should hear from this holder though there
-// is nothing new.
+// contactDue reports whether a report is due only to keep up the contact with the root.
 func (h *Holder) contactDue() bool {
 	return h.options.Allowances && h.contact.heard.Index > 0 && h.contact.now-h.contact.reportedAt >= contactInterval
 }
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -10,67 +10,66 @@
 )
 
 const (
-	// DefaultHorizon is how much expected demand a node holds ahead.
+	// DefaultHorizon is the time for which a node holds expected demand ahead.
 	DefaultHorizon = 10 * time.Second
-	// DefaultAnswerTimeout is how long the root may take before a node tries
-	// its neighbours.
+	// DefaultAnswerTimeout is how long a node waits for the root before it requests loans from its
+	// neighbours.
 	DefaultAnswerTimeout = 1500 * time.Millisecond
-	// loanTimeout is how long neighbours may take.
+	// loanTimeout is how long a node waits for its neighbours after the last loan request.
 	loanTimeout = 300 * time.Millisecond
-	// Neighbours are asked some at a time, each round twice as many as the one
-	// before: where many hold a part, all asking all would be most of the load.
+	// Loan requests go to the neighbours in rounds. The first round goes to firstLoanRound of them, and
+	// each round increases the total to three times that of the round before. Where many nodes hold a
+	// part, requests from all to all would be most of the load.
 	firstLoanRound = 8
 	loanRoundTime  = 40 * time.Millisecond
 	// reportInterval is the time between reports of use without a request.
 	reportInterval = 2 * time.Second
-	// An unanswered request is repeated after firstResend, then after twice that
-	// and so on up to lastResend.
+	// A request without a response is repeated after firstResend, then after twice that time, and so on
+	// up to lastResend.
 	firstResend = 300 * time.Millisecond
 	lastResend  = 1200 * time.Millisecond
-	// A node asks for more when it holds less than lowShare of what it wants to
-	// hold, and gives back what is beyond highShare of it. Between them it is
-	// left alone: what a node can't do without in a cut, and what is lost with
-	// the node, are the same tokens.
+	// A node requests more when it holds less than lowShare of its target, and returns the surplus when
+	// it holds more than highShare of it. Between the two it keeps what it holds: the tokens that a
+	// node requires in a partition are the same ones that are lost with the node.
 	lowShare  = 0.85
 	highShare = 1.3
 	// demandHalfLife is the half-life of the smoothed demand.
 	demandHalfLife = 10 * time.Second
-	// minimumDemandTime keeps a first burst from being taken for a rate.
+	// minimumDemandTime is the minimum time that demand is averaged over, so that a first burst is not
+	// mistaken for a rate.
 	minimumDemandTime = 2 * time.Second
-	// requestMemory is how long a last request counts.
+	// requestMemory is how long after the last request its size still counts for the desired amount.
 	requestMemory = 60 * time.Second
-	// topUpPause is the least time between requests ahead of demand.
+	// topUpPause is the minimum time between requests ahead of demand.
 	topUpPause = time.Second
-	// requestWeight is the weight of one request in the smoothed size of them.
+	// requestWeight is the weight of one request in the smoothed request size.
 	requestWeight = 0.2
 )
 
 // Errors of reservations.
 var (
-	// ErrExhausted says that the budget does not hold enough for the request.
+	// ErrExhausted reports that the budget does not hold enough for the request.
 	ErrExhausted = errors.New("escrow: the budget does not hold enough")
-	// ErrUnreachable says that the parts of the budget that could be reached do
-	// not hold enough.
+	// ErrUnreachable reports that the reachable parts of the budget do not hold enough.
 	ErrUnreachable = errors.New("escrow: not enough of the budget can be reached")
-	// ErrUnknownBudget says that the root knows no such budget.
+	// ErrUnknownBudget reports that the root has no account of the budget.
 	ErrUnknownBudget = errors.New("escrow: no such budget")
-	// ErrClosed says that this life's accounts are fenced.
-	ErrClosed = errors.New("escrow: this life of the node is fenced")
+	// ErrClosed reports that this incarnation's accounts are fenced: the root accepts no more use of them.
+	ErrClosed = errors.New("escrow: this incarnation of the node is fenced")
 )
 
-// ExhaustedError is an ErrExhausted with what the root knows, in tokens.
+// ExhaustedError is an ErrExhausted with the root's amounts, in tokens.
 type ExhaustedError struct {
-	// Limit is the budget's limit, Spent its use that is known for sure.
+	// Limit is the budget's limit, and Spent is its confirmed use.
 	Limit uint64 `msgpack:"l"`
 	Spent uint64 `msgpack:"s"`
-	// Left could still be granted, Outstanding is what holders may still spend or
-	// give back.
+	// Left can still be granted. Outstanding is what holders may still spend or return.
 	Left        uint64 `msgpack:"f"`
 	Outstanding uint64 `msgpack:"o"`
 }
 
-// IsFinal tells whether the budget can't hold a request of some tokens any more
-// unless its limit is raised, whatever holders give back.
+// IsFinal reports whether the budget can't hold a request of amount tokens any more unless its limit
+// is raised, regardless of what holders return.
 func (e *ExhaustedError) IsFinal(amount uint64) bool { return e.Left+e.Outstanding < amount }
 
 // Error implements error.
@@ -78,11 +77,12 @@
 	return fmt.Sprintf("%v: %d of %d tokens are spent, %d are left to grant, %d are held", ErrExhausted, e.Spent, e.Limit, e.Left, e.Outstanding)
 }
 
-// Is makes it an ErrExhausted.
+// Is reports whether target is ErrExhausted.
 func (e *ExhaustedError) Is(target error) bool { return target == ErrExhausted }
 
-// Policy is how a budget's grants are asked for.
+// Policy sets how grants of a budget are requested.
 type Policy struct {
+	// Horizon is the time for which expected demand is held ahead.
 	Horizon time.Duration
 }
 
@@ -97,32 +97,32 @@
 // HolderOptions set up a Holder.
 type HolderOptions struct {
 	ID accounts.HolderID
-	// AnswerTimeout of the root; 0 means the default.
+	// AnswerTimeout is how long the root may take to respond; 0 means DefaultAnswerTimeout.
 	AnswerTimeout time.Duration
-	// Lenders are the nodes to borrow from when the root does not answer.
+	// Lenders are the nodes to borrow from when the root does not respond.
 	Lenders []string
-	// Pool returns the nodes of the zone that hold a budget for it, in order, up to
-	// this node itself; none if this node is the first. nil means that each node
-	// holds for itself.
+	// Pool returns the zone's pool holders of a budget in the order in which requests go to them, up to
+	// this node itself; none if this node is the first. Pool holders hold a budget for the whole zone.
+	// nil means that each node holds for itself.
 	Pool func(budget string) []string
-	// FarPools returns the first pool holders of the other zones, which a pool holder
-	// asks for loans in place of all neighbours; nil means that there are none.
+	// FarPools returns the first pool holders of the other zones. A pool holder requests loans from them
+	// in place of all neighbours. nil means that there are none.
 	FarPools func(budget string) []string
-	// RootReachable tells whether the root is heard; nil means always. Nothing
-	// is given back while it is not: it could not be spent by anybody.
+	// RootReachable reports whether the root is reachable; nil means always. Nothing is returned while
+	// it is not, because no node could spend what was returned.
 	RootReachable func() bool
-	// Allowances makes the holder have its use allowed before it spends, see
-	// accounts.Allowance. Without it a life that ends without a word is charged all
-	// that it held, unless claim registers tell its use.
+	// Allowances makes the holder have its use allowed by the root before it spends, see
+	// accounts.Allowance. Without it an incarnation that crashes without a final report is charged all
+	// that it held, unless claim registers record its use.
 	Allowances bool
 }
 
-// Holder is a node's part of all budgets. It is a pure step and not safe for
-// concurrent use.
+// Holder is a node's part of all budgets. It is a state machine without goroutines, clocks or network
+// access of its own, and is not safe for concurrent use.
 type Holder struct {
 	options  HolderOptions
 	accounts map[string]*account
-	// names are those of the accounts, in order.
+	// names holds the names of the accounts, sorted.
 	names    []string
 	recalled []RecallMessage
 	loans    []OutgoingLoan
@@ -132,13 +132,13 @@
 	stopping bool
 }
 
-// OutgoingLoan is a lending message and its receiver.
+// OutgoingLoan is a loan message and its receiver.
 type OutgoingLoan struct {
 	To      string
 	Message LendMessage
 }
 
-// NewHolder makes a holder with nothing granted.
+// NewHolder returns a holder with nothing granted.
 func NewHolder(options HolderOptions) *Holder {
 	if options.AnswerTimeout == 0 {
 		options.AnswerTimeout = DefaultAnswerTimeout
@@ -146,20 +146,20 @@
 	return &Holder{options: options, accounts: map[string]*account{}}
 }
 
-// ID returns the holder's life.
+// ID returns the holder's node and incarnation.
 func (h *Holder) ID() accounts.HolderID { return h.options.ID }
 
 // SetLenders replaces the nodes to borrow from.
 func (h *Holder) SetLenders(lenders []string) { h.options.Lenders = lenders }
 
-// SetStopping begins a planned stop: nothing is held ahead of demand any more,
-// so that no grant comes after the last return.
+// SetStopping begins a planned stop: nothing is held ahead of demand any more, so that no grant
+// arrives after the last return.
 func (h *Holder) SetStopping() { h.stopping = true }
 
-// Closed tells whether the root has fenced this life.
+// Closed reports whether the root has fenced this incarnation.
 func (h *Holder) Closed() bool { return h.closed }
 
-// Free is what the node could reserve now, in tokens.
+// Free returns the tokens that the node can reserve now.
 func (h *Holder) Free(budget string) uint64 {
 	if found := h.accounts[budget]; found != nil {
 		return found.free()
@@ -167,7 +167,7 @@
 	return 0
 }
 
-// Held is what the node may spend in all: free and reserved, in tokens.
+// Held returns the tokens that the node may spend in all, free and reserved.
 func (h *Holder) Held(budget string) uint64 {
 	if found := h.accounts[budget]; found != nil {
 		return found.unreserved() + found.reserved
@@ -175,8 +175,8 @@
 	return 0
 }
 
-// OwnUse is what the node has used of its own grants: settled, reserved or lent,
-// less what it borrowed, in tokens.
+// OwnUse returns the tokens that the node has used of its own grants: what it settled, reserved or
+// lent, less what it borrowed.
 func (h *Holder) OwnUse(budget string) uint64 {
 	if found := h.accounts[budget]; found != nil {
 		return found.ownUse()
@@ -202,8 +202,8 @@
 	return found
 }
 
-// Reserve sets the worst case of a request aside; done is called once, maybe
-// at once.
+// Reserve sets the worst case of a request aside. It calls done exactly once, possibly before it
+// returns.
 func (h *Holder) Reserve(now, deadline time.Duration, budget string, amount uint64, policy Policy, done func(Reservation, error)) {
 	if h.closed {
 		done(Reservation{}, ErrClosed)
@@ -220,7 +220,7 @@
 	h.serve(now, found)
 }
 
-// serve gives waiters what is free, in order, and asks for what lacks.
+// serve gives the free tokens to the waiters in order, and requests what is missing.
 func (h *Holder) serve(now time.Duration, found *account) {
 	for len(found.waiters) > 0 && found.waiters[0].amount <= found.free() {
 		next := found.waiters[0]
@@ -239,9 +239,9 @@
 	h.borrow(now, found)
 }
 
-// Settle ends a reservation with its use; the rest is free again. Use beyond
-// the reservation can't happen: the engine was given the bound. If it does, it
-// is cut to the reservation and reported by the caller.
+// Settle ends a reservation with its use and frees the remainder. Use beyond the reservation should
+// not happen, because the engine receives the bound with the request. If it does, Settle reduces it to
+// the reservation, and the caller reports it.
 func (h *Holder) Settle(now time.Duration, reservation Reservation, used uint64) {
 	found := h.accounts[reservation.Budget]
 	if found == nil {
@@ -269,8 +269,8 @@
 	h.serve(now, found)
 }
 
-// Shrink lowers a reservation to its known use without settling it: the rest is
-// free again, and the use may yet turn out to be billed elsewhere.
+// Shrink lowers a reservation to its known use without settling it, and frees the remainder. The use
+// may still turn out to be billed elsewhere.
 func (h *Holder) Shrink(now time.Duration, reservation Reservation, used uint64) {
 	found := h.accounts[reservation.Budget]
 	if found == nil {
@@ -286,7 +286,7 @@
 	h.serve(now, found)
 }
 
-// OpenReservations is the number of reservations not settled yet.
+// OpenReservations returns the number of reservations that are not settled yet.
 func (h *Holder) OpenReservations() int {
 	count := 0
 	for _, found := range h.accounts {
@@ -295,8 +295,8 @@
 	return count
 }
 
-// Tick moves time: it gives up on waiters, borrows when the root is silent,
-// and gives back what is no longer needed.
+// Tick runs the periodic work: it refuses waiters whose deadline has passed, borrows when the root
+// does not respond, and returns tokens that are no longer required.
 func (h *Holder) Tick(now time.Duration) {
 	h.contact.now = now
 	reachable := h.rootReachable()
@@ -305,8 +305,7 @@
 		h.expire(now, found)
 		h.notePooled(found)
 		if found.contact != nil || found.pooled {
-			// The pace may allow by now what it did not before, and the next pool holder
-			// may be due.
+			// The pace may allow more by now, and a request to the next pool holder may be due.
 			h.serve(now, found)
 		}
 		h.borrow(now, found)
@@ -344,9 +343,9 @@
 	return h.options.RootReachable == nil || h.options.RootReachable()
 }
 
-// borrow asks the neighbours once the root has been silent for too long, or at
-// once where it is known to be out of reach, and refuses once they were silent
-// too.
+// borrow requests loans from the neighbours for the first waiter, once the root has not responded for
+// AnswerTimeout, or immediately if it is known to be unreachable. It refuses the waiter if no loan
+// arrives in time.
 func (h *Holder) borrow(now time.Duration, found *account) {
 	if len(found.waiters) == 0 || !found.requested {
 		return
@@ -356,11 +355,11 @@
 		return
 	}
 	if !isReachable && found.isKnownShort(found.waiters[0].amount) {
-		// No neighbour has what all together had not when the root was last heard.
+		// The whole budget held less than this at the last contact with the root, so no neighbour has it.
 		h.refuseFirst(now, found, ErrUnreachable)
 		return
 	}
-	// Neighbours that had nothing for an earlier request may have it for this.
+	// Neighbours that had nothing for an earlier request may have enough for this one.
 	if !found.loanAsked || found.waiters[0].since > found.loanAskedAt {
 		found.loanAsked, found.lendersAsked, found.lenders = true, 0, h.lendersOf(found)
 		h.askLenders(now, found)
@@ -376,8 +375,8 @@
 	}
 }
 
-// lendersOf are the neighbours to ask, in order. A pool holder asks those of other
-// zones: all others hold little.
+// lendersOf returns the nodes to request loans from, in order. For a pool holder they are the pool
+// holders of other zones, because all other nodes hold little.
 func (h *Holder) lendersOf(found *account) []string {
 	if h.options.FarPools == nil || found.pooled {
 		return h.options.Lenders
@@ -388,7 +387,7 @@
 	return h.options.Lenders
 }
 
-// askLenders asks the next round of neighbours for what the first waiter lacks.
+// askLenders requests what the first waiter lacks from the next round of lenders.
 func (h *Holder) askLenders(now time.Duration, found *account) {
 	found.loanAskedAt = now
 	last := min(len(found.lenders), max(firstLoanRound, 3*found.lendersAsked))
@@ -403,7 +402,7 @@
 	h.refuse(now, found, 0, err)
 }
 
-// refuse ends the wait of one waiter; others may be served then.
+// refuse ends the wait of one waiter with an error, and then serves the others.
 func (h *Holder) refuse(now time.Duration, found *account, position int, err error) {
 	refused := found.waiters[position]
 	found.waiters = slices.Delete(found.waiters, position, position+1)
@@ -411,7 +410,7 @@
 	h.serve(now, found)
 }
 
-// Report returns what the root should be told now, or nothing.
+// Report returns the report that is due to the root now, and whether there is one.
 func (h *Holder) Report(now time.Duration) (ReportMessage, bool) {
 	h.contact.now = now
 	message := ReportMessage{Holder: h.options.ID, Recalled: h.recalled, Allowances: h.options.Allowances}
@@ -436,8 +435,8 @@
 	return slices.ContainsFunc(h.recalled, func(recall RecallMessage) bool { return recall.Budget == budget })
 }
 
-// Take applies the root's answers. It returns the watermarks that are durable
-// now, for forgetting claims.
+// Take applies the root's responses. It returns those whose watermarks have become durable, so that
+// the caller can forget the claims up to them.
 func (h *Holder) Take(now time.Duration, message AnswerMessage) []accounts.Answer {
 	if message.Holder != h.options.ID {
 		return nil
@@ -479,8 +478,8 @@
 	h.serve(now, found)
 }
 
-// refusalOf is why a request for some tokens fell short. Holders that do not answer
-// matter only where what they hold would be enough.
+// refusalOf returns why a request for amount tokens fell short. Holders that did not respond matter
+// only if what they hold would be enough.
 func refusalOf(answer Answer, amount uint64) error {
 	exhausted := &ExhaustedError{Limit: answer.Limit, Spent: answer.Spent, Left: answer.Left, Outstanding: answer.Outstanding}
 	if answer.Unreached > 0 && !exhausted.IsFinal(amount) {
@@ -504,9 +503,9 @@
 	}
 }
 
-// Recall returns everything that is free of a budget; the next Report says so.
-// What waits here is asked for with that report: the root then decides with
-// everything unused in its hands.
+// Recall returns everything that is free of a budget; the next Report carries the return. What the
+// waiters of this node require is requested with the same report, so the root decides when everything
+// unused has been returned to it.
 func (h *Holder) Recall(recall RecallMessage) {
 	if recall.Holder != h.options.ID {
 		return
@@ -517,7 +516,7 @@
 	h.recalled = append(h.recalled, recall)
 }
 
-// ReturnAll gives back everything that is free, for a planned stop.
+// ReturnAll returns everything that is free, for a planned stop.
 func (h *Holder) ReturnAll() {
 	for _, found := range h.accounts {
 		if held := found.unreserved(); held > 0 {
@@ -527,7 +526,7 @@
 	}
 }
 
-// Unreported tells whether the root lacks a report, for a planned stop.
+// Unreported reports whether the root may lack a report, for a planned stop.
 func (h *Holder) Unreported() bool {
 	for _, found := range h.accounts {
 		if found.unconfirmed() {
@@ -537,8 +536,8 @@
 	return false
 }
 
-// ReportAgain makes the next Report repeat everything that the root has not
-// confirmed, for a planned stop.
+// ReportAgain makes the next Report repeat everything that the root has not confirmed, for a planned
+// stop.
 func (h *Holder) ReportAgain() {
 	for _, found := range h.accounts {
 		if found.unconfirmed() {
@@ -547,7 +546,7 @@
 	}
 }
 
-// Loans takes the lending messages that wait to be sent.
+// Loans removes and returns the loan messages that wait to be sent.
 func (h *Holder) Loans() []OutgoingLoan {
 	loans := h.loans
 	h.loans = nil
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// rootWith is a root account that a holder talks to without a network.
+// rootWith returns a root account with one budget, for holders without a network.
 func rootWith(limit uint64) *accounts.Accounts {
 	root := accounts.New()
 	root.Ensure("b")
@@ -20,7 +20,7 @@
 	return root
 }
 
-// exchange delivers a holder's due report and its answer.
+// exchange delivers a holder's due report and the response to it, and reports whether one was due.
 func exchange(now time.Duration, root *accounts.Accounts, holder *Holder) bool {
 	report, due := holder.Report(now)
 	if !due {
@@ -46,8 +46,8 @@
 	return reserved
 }
 
-// A report that is lost with the leader it was sent to is sent again, although
-// nothing changes at the node. It once waited for the next change.
+// A report that is lost with the leader that it was sent to is sent again, although nothing changes at
+// the node. It once waited for the next change.
 func TestLostReportIsSentAgain(t *testing.T) {
 	root := rootWith(10_000)
 	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}})
@@ -84,8 +84,8 @@
 	assert.Assert(t, !due)
 }
 
-// All entry nodes are cut from the root seconds after traffic began: what they
-// hold must follow the demand from the start, not after several half-lives.
+// If all entry nodes are partitioned from the root seconds after traffic began, what they hold must
+// follow the demand from the start, not only after several half-lives.
 func TestTargetFollowsDemandFromTheStart(t *testing.T) {
 	found := NewHolder(HolderOptions{}).account("b")
 	const perSecond = 1000
@@ -96,8 +96,8 @@
 	assert.Assert(t, target > 8*perSecond && target < 14*perSecond, "%d", target)
 }
 
-// The finding of zhf quiet-1: in a cut only every other request asked the
-// neighbours; the others were refused for the answer that an earlier one got.
+// Found in run quiet-1 of site zhf: in a partition only every other request sent loan requests; the
+// others were refused because an earlier request had received no loan.
 func TestEachRequestAsksTheNeighboursWhenTheRootIsSilent(t *testing.T) {
 	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond, Lenders: []string{"m"}})
 	now := time.Duration(0)
@@ -115,8 +115,8 @@
 	}
 }
 
-// The finding of drukwacht roll_term: a stopping node gave its tokens back, asked
-// for as many ahead of its next requests at once, and took those with it.
+// Found in run roll_term of site drukwacht: a stopping node returned its tokens, immediately requested
+// as many ahead of demand, and stopped with those.
 func TestStoppingHolderAsksForNothingAhead(t *testing.T) {
 	id := accounts.HolderID{Node: "n", Incarnation: 1}
 	holder := NewHolder(HolderOptions{ID: id})
@@ -136,9 +136,8 @@
 	assert.Equal(t, holder.Free("b"), uint64(0))
 }
 
-// A budget that what holders may still give back can't make enough is exhausted for
-// good, also for a request that some of them do not answer for; else a caller may be
-// served later.
+// A budget is exhausted for good if even everything that holders may still return is not enough, also
+// if some of them did not respond. Otherwise a later request may be served.
 func TestBudgetIsExhaustedForGoodOnceNothingThatMayComeBackIsEnough(t *testing.T) {
 	short := accounts.Answer{Limit: 100, Spent: 80, Left: 2, Outstanding: 7}
 	var exhausted *ExhaustedError
@@ -148,8 +147,8 @@
 	assert.Assert(t, errors.Is(refusalOf(Answer{Answer: short}, 9), ErrExhausted))
 }
 
-// In a cut a request that the whole budget could not hold before it is refused at once:
-// its caller was kept for 140 ms while neighbours were asked for what none of them had.
+// In a partition a request that the whole budget could not hold before it is refused immediately. Its
+// caller once waited 140 ms for loan requests that no neighbour could grant.
 func TestRequestThatNobodyCanHoldIsRefusedAtOnceInACut(t *testing.T) {
 	isReachable := true
 	holder := NewHolder(HolderOptions{
@@ -168,7 +167,7 @@
 	isReachable = false
 	assert.ErrorIs(t, reserve(time.Second, 40), ErrUnreachable)
 	assert.Equal(t, len(holder.Loans()), 0)
-	// One that the budget can hold is looked for.
+	// A request that the budget can hold does send a loan request.
 	assert.NilError(t, reserve(2*time.Second, 20))
 	assert.Equal(t, len(holder.Loans()), 1)
 }
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -9,19 +9,18 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// loanResend is the time after which a loan that its borrower has not
-// confirmed is told again.
+// loanResend is the time after which a loan that its borrower has not confirmed is sent again.
 const loanResend = 2 * time.Second
 
-// givenLoan is what a holder has lent another one of a budget.
+// givenLoan is what a holder has lent to another one of a budget, in tokens.
 type givenLoan struct {
-	// total was subtracted, agreed is agreed in the claim register, taken is
-	// confirmed by the borrower. All are cumulative.
+	// total is subtracted from the lender's free tokens, agreed is agreed in the claim register, and
+	// taken is confirmed by the borrower. All are cumulative.
 	total, agreed, taken uint64
 	toldAt               time.Duration
 }
 
-// loanTo is what the holder has lent another one, which may be nothing yet.
+// loanTo returns the loan to another holder, and creates an empty one on first use.
 func (a *account) loanTo(borrower accounts.HolderID) *givenLoan {
 	given := a.lent[borrower]
 	if given == nil {
@@ -31,8 +30,9 @@
 	return given
 }
 
-// Lend subtracts a loan for another holder: half of what is free, or what it
-// needs if that is there. The caller has the loan agreed and then calls Agreed.
+// Lend subtracts a loan for another holder: what it requires if that much is free, else half of what
+// is free. It reports whether there is a loan to agree; the caller has it agreed in the claim register
+// and then calls Agreed.
 func (h *Holder) Lend(request LoanRequest, fenced func(accounts.HolderID) bool) (accounts.Loan, bool) {
 	found := h.accounts[request.Budget]
 	if found == nil || h.closed || request.Borrower.Node == h.options.ID.Node || fenced(request.Borrower) {
@@ -50,8 +50,8 @@
 	return loan, given.total > given.agreed
 }
 
-// Offer offers all that is free to another holder's node, for a planned stop
-// out of the root's reach. It returns false if there is nothing to offer.
+// Offer offers all that is free to another holder's node, for a planned stop while the root is
+// unreachable. It returns false if there is nothing to offer.
 func (h *Holder) Offer(to string) bool {
 	offer := &LoanOffer{Lender: h.options.ID}
 	for _, name := range h.names {
@@ -66,7 +66,7 @@
 	return true
 }
 
-// TakeOffer asks for loans of all that is offered.
+// TakeOffer requests loans of all that is offered.
 func (h *Holder) TakeOffer(offer LoanOffer) {
 	if h.closed {
 		return
@@ -77,7 +77,7 @@
 	}
 }
 
-// LoansTaken tells whether borrowers have confirmed all that was lent.
+// LoansTaken reports whether borrowers have confirmed all that was lent.
 func (h *Holder) LoansTaken() bool {
 	for _, found := range h.accounts {
 		for _, given := range found.lent {
@@ -89,7 +89,7 @@
 	return true
 }
 
-// Agreed notes that a loan is in its register, and tells the borrower.
+// Agreed records that a loan is in its claim register, and sends it to the borrower.
 func (h *Holder) Agreed(now time.Duration, loan accounts.Loan) {
 	found := h.accounts[loan.Budget]
 	if loan.Lender != h.options.ID || found == nil || found.lent[loan.Borrower] == nil {
@@ -106,7 +106,7 @@
 	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LendMessage{Given: &loan}})
 }
 
-// tellLoansAgain repeats what a borrower has not confirmed.
+// tellLoansAgain resends the loans that a borrower has not confirmed.
 func (h *Holder) tellLoansAgain(now time.Duration, found *account) {
 	for _, borrower := range slices.SortedFunc(maps.Keys(found.lent), accounts.HolderID.Compare) {
 		given := found.lent[borrower]
@@ -116,7 +116,7 @@
 	}
 }
 
-// LoanTaken notes a borrower's confirmation.
+// LoanTaken records a borrower's confirmation.
 func (h *Holder) LoanTaken(loan accounts.Loan) {
 	found := h.accounts[loan.Budget]
 	if loan.Lender != h.options.ID || found == nil || found.lent[loan.Borrower] == nil {
@@ -126,8 +126,8 @@
 	given.taken = max(given.taken, loan.Total)
 }
 
-// TakeLoan adds what another holder has lent, and confirms it. One of a life
-// that is fenced here is not taken: what this node told of it was final.
+// TakeLoan adds what another holder has lent, and confirms it. It ignores a loan of an incarnation
+// that is fenced here: what this node reported of it was final.
 func (h *Holder) TakeLoan(now time.Duration, loan accounts.Loan, fenced func(accounts.HolderID) bool) {
 	if loan.Borrower != h.options.ID || h.closed || fenced(loan.Lender) {
 		return
@@ -139,8 +139,8 @@
 	h.serve(now, found)
 }
 
-// LoansWith returns this holder's own loans from and to a life that is fenced
-// here. Its word on them is final.
+// LoansWith returns this holder's own loans from and to an incarnation that is fenced here. This report
+// of them is final.
 func (h *Holder) LoansWith(other accounts.HolderID) []accounts.Loan {
 	var loans []accounts.Loan
 	for _, name := range h.names {
@@ -148,22 +148,22 @@
 		if given := found.lent[other]; given != nil {
 			loans = append(loans, accounts.Loan{Lender: h.options.ID, Borrower: other, Budget: name, Total: given.total})
 		}
-		// Also when it is nothing: a loan on its way will not be taken any more.
+		// Included also with a total of 0: a loan in transit is not accepted any more.
 		loans = append(loans, accounts.Loan{Lender: other, Borrower: h.options.ID, Budget: name, Total: found.borrowed[other]})
 	}
 	return loans
 }
 
-// loanKey names one direction between two holders in one budget.
+// loanKey identifies the loans of one budget in one direction between two holders.
 type loanKey struct {
 	pair   accounts.LoanPair
 	budget string
 }
 
-// MergeLoans combines what is known of a fenced life's loans: the other side's
-// own word where it is alive, else what was agreed in the register. A loan that
-// was agreed but never taken stays in the result with a total of 0, so that the
-// register is not believed when the other side is closed later.
+// MergeLoans combines what is known of a fenced incarnation's loans: the other side's own report if
+// it is alive, else what was agreed in the claim register. A loan that was agreed but never accepted
+// stays in the result with a total of 0, so that the register does not count when the other side is
+// closed later.
 func MergeLoans(registered, own []accounts.Loan) []accounts.Loan {
 	merged := map[loanKey]accounts.Loan{}
 	for _, loan := range registered {
--- a/internal/coordination/escrow/loans_test.go
+++ b/internal/coordination/escrow/loans_test.go
@@ -31,15 +31,15 @@
 	return count
 }
 
-// Each waiting request of a cut-off node cost 50 to 90 ms before any neighbour
-// was asked, though the root was known to be out of reach.
+// Each request of a partitioned node once waited 50 to 90 ms before the first loan request, though the
+// root was known to be unreachable.
 func TestNeighboursAreAskedAtOnceWhenTheRootIsKnownToBeOutOfReach(t *testing.T) {
 	holder := cutOffHolder(3)
 	holder.Reserve(time.Second, 2*time.Second, "b", 10, Policy{}, func(Reservation, error) {})
 	assert.Equal(t, asked(holder), 3)
 }
 
-// With 85 nodes each request in a cut was asked of 84 others at once.
+// With 85 nodes, each request in a partition once sent 84 loan requests immediately.
 func TestNeighboursAreAskedInRounds(t *testing.T) {
 	holder := cutOffHolder(84)
 	now := time.Second
@@ -57,7 +57,7 @@
 	assert.DeepEqual(t, rounds, []int{16, 48, 12})
 }
 
-// On a grown site every refusal of a spent budget recalled it from all holders.
+// On a site with many nodes every refusal of a spent budget once recalled it from all holders.
 func TestBudgetRecalledInVainIsNotRecalledAgainAtOnce(t *testing.T) {
 	g := newGroup(100_000, 8)
 	g.root.options.RecallPause = 500 * time.Millisecond
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -8,10 +8,10 @@
 type ReportMessage struct {
 	Holder  accounts.HolderID `msgpack:"h"`
 	Reports []accounts.Report `msgpack:"r"`
-	// Recalled are the recalls that these reports answer.
+	// Recalled holds the recalls that these reports respond to.
 	Recalled []RecallMessage `msgpack:"c,omitempty"`
-	// Allowances tells that the holder keeps to allowances, Heard the newest contact
-	// that it has heard of, once they cover what it has used.
+	// Allowances reports whether the holder respects allowances. Heard is the newest contact that it has
+	// received, once the allowances cover its use.
 	Allowances bool             `msgpack:"m,omitempty"`
 	Heard      accounts.Contact `msgpack:"k"`
 }
@@ -20,30 +20,30 @@
 type AnswerMessage struct {
 	Holder  accounts.HolderID `msgpack:"h"`
 	Answers []Answer          `msgpack:"a"`
-	// Contact is when the root decided, for holders that keep to allowances.
+	// Contact is when the root decided, for holders that respect allowances.
 	Contact accounts.Contact `msgpack:"k"`
 }
 
-// Answer is the root's answer on one budget.
+// Answer is the root's response on one budget.
 type Answer struct {
 	accounts.Answer
-	// Unreached is the number of holders that hold a part of the budget and did
-	// not answer a recall: a refusal may be for lack of reach.
+	// Unreached is the number of holders that hold a part of the budget and did not respond to a recall.
+	// If it is above 0, a refusal may be due to a partition rather than to a spent budget.
 	Unreached int `msgpack:"n,omitempty"`
 }
 
 // RecallMessage asks a holder to return its unused grant of a budget.
 type RecallMessage struct {
-	// Holder is the life that is asked; a later one ignores it.
+	// Holder is the incarnation that the recall is for; a later one ignores it.
 	Holder accounts.HolderID `msgpack:"h"`
 	Budget string            `msgpack:"b"`
 	Number uint64            `msgpack:"n"`
-	// Granted is the holder's cumulative grant: the recall may overtake the
-	// answer that carried the last part of it.
+	// Granted is the holder's cumulative grant, because the recall may overtake the response that
+	// carries the last part of it.
 	Granted uint64 `msgpack:"g"`
 }
 
-// StandingsMessage tells a holder how budgets stand that became short.
+// StandingsMessage carries to a holder the summaries of budgets that have become short.
 type StandingsMessage struct {
 	Holder    accounts.HolderID `msgpack:"h"`
 	Standings []Standing        `msgpack:"s"`
@@ -56,13 +56,13 @@
 	Need     uint64            `msgpack:"n"`
 }
 
-// LendMessage is one step of a loan: one field is set. The borrower asks; the
-// lender subtracts, has the loan agreed in a claim register of the zone, and
-// only then tells the borrower, again and again until it has answered. So a
-// loan is still known when both sides are lost together.
+// LendMessage is one step of a loan: one field is set. The borrower sends a Request. The lender
+// subtracts the loan, has it agreed in a claim register of the zone, and only then sends it as Given,
+// repeatedly until the borrower has confirmed it with Taken. So a loan is still known when both sides
+// are lost together.
 //
-// A holder that stops out of the root's reach offers what it holds; who takes
-// the offer asks for loans of it.
+// A holder that stops while it can't reach the root sends an Offer of what it holds; the receiver
+// requests loans of it.
 type LendMessage struct {
 	Offer   *LoanOffer     `msgpack:"o,omitempty"`
 	Request *LoanRequest   `msgpack:"q,omitempty"`
@@ -70,13 +70,13 @@
 	Taken   *accounts.Loan `msgpack:"t,omitempty"`
 }
 
-// LoanOffer names what a holder has to lend.
+// LoanOffer lists what a holder can lend.
 type LoanOffer struct {
 	Lender  accounts.HolderID `msgpack:"h"`
 	Budgets []OfferedBudget   `msgpack:"b"`
 }
 
-// OfferedBudget is what is free of one budget, in tokens.
+// OfferedBudget is the tokens that are free of one budget.
 type OfferedBudget struct {
 	Budget string `msgpack:"b"`
 	Free   uint64 `msgpack:"f"`
@@ -87,6 +87,6 @@
 	Report *ReportMessage `msgpack:"r,omitempty"`
 	Answer *AnswerMessage `msgpack:"a,omitempty"`
 	Recall *RecallMessage `msgpack:"c,omitempty"`
-	// Standings tells a holder how budgets stand.
+	// Standings carries summaries of budgets to a holder.
 	Standings *StandingsMessage `msgpack:"s,omitempty"`
 }
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	// LeastPoolNodes is the number of entry nodes from which a zone's nodes leave
-	// budgets to pool holders. Fewer serve more in a cut if each holds for itself and
-	// asks its neighbours, or not much less: in RunCutLoans (five seeds) 0.016 of the
-	// requests are refused so and 0.025 with pools at 10 nodes a zone, 0.025 and 0.018
-	// at 20, 0.033 and 0.028 at 30, 0.052 and 0.024 at 60.
+	// LeastPoolNodes is the minimum number of entry nodes at which a zone's nodes leave budgets to pool
+	// holders. With fewer nodes, each holding for itself and borrowing from its neighbours serves more in
+	// a partition, or not much less. The shares of requests refused in RunCutLoans (five seeds),
+	// without and with pools: 0.016 and 0.025 at 10 nodes a zone, 0.025 and 0.018 at 20, 0.033 and
+	// 0.028 at 30, 0.052 and 0.024 at 60.
 	LeastPoolNodes = 30
-	// poolRoundTime is how long a pool holder may take before the next one is
-	// asked: a few ways within the zone, and the root's answer to the holder.
+	// poolRoundTime is how long a node waits for one pool holder before it sends the request to the next:
+	// a few messages within the zone, and the root's response to the pool holder.
 	poolRoundTime = 40 * time.Millisecond
-	// PoolHolders is the number of a zone's pool holders of a budget: they are asked
-	// one after the other before the root.
+	// PoolHolders is the number of a zone's pool holders of a budget. A request goes to one after the
+	// other before it goes to the root.
 	PoolHolders = 2
 )
 
@@ -29,26 +29,26 @@
 	Borrower accounts.HolderID `msgpack:"h"`
 	Budget   string            `msgpack:"b"`
 	Need     uint64            `msgpack:"n"`
-	// Number is repeated in a refusal.
+	// Number identifies the request; a refusal repeats it.
 	Number uint64 `msgpack:"i"`
-	// PatienceMS is how long the borrower waits, in milliseconds.
+	// PatienceMS is the borrower's maximum wait in milliseconds.
 	PatienceMS uint64 `msgpack:"p"`
 }
 
-// PoolRefusal tells that a pool holder does not lend. A pool holder that lends sends
-// the loan instead.
+// PoolRefusal reports that a pool holder does not lend. A pool holder that lends sends the loan
+// instead.
 type PoolRefusal struct {
 	Borrower accounts.HolderID `msgpack:"h"`
 	Budget   string            `msgpack:"b"`
 	Number   uint64            `msgpack:"i"`
-	// Stopping says that another pool holder is to be asked.
+	// Stopping indicates that the pool holder is stopping; the request goes to the next one.
 	Stopping bool `msgpack:"s,omitempty"`
-	// Exhausted is set if the budget does not hold enough, as the root knows it. Else
-	// not enough can be reached.
+	// Exhausted is set if the budget does not hold enough according to the root. If it is nil, the
+	// reachable parts do not hold enough.
 	Exhausted *ExhaustedError `msgpack:"e,omitempty"`
 }
 
-// Reason is why the budget does not hold enough, or nil if that is not why.
+// Reason returns why the budget does not hold enough, or nil if the refusal has another cause.
 func (r PoolRefusal) Reason() error {
 	if r.Exhausted == nil {
 		return nil
@@ -68,29 +68,29 @@
 	Message PoolMessage
 }
 
-// poolSearch is how far the pool was asked for a waiter: round is how many pool
-// holders were.
+// poolSearch is the progress of a waiter's requests to the pool: round is the number of pool holders
+// that were sent one.
 type poolSearch struct {
 	round   int
 	askedAt time.Duration
 }
 
-// Pools takes the pool messages that wait to be sent.
+// Pools removes and returns the pool messages that wait to be sent.
 func (h *Holder) Pools() []OutgoingPool {
 	pools := h.pools
 	h.pools = nil
 	return pools
 }
 
-// notePooled notes whether the node leaves a budget to its zone's pool holders. A node
-// with much demand does so too: requests that it sends elsewhere need the same tokens.
+// notePooled records whether the node leaves a budget to its zone's pool holders. A node with much
+// demand does so too: requests that it forwards to other nodes require the same tokens.
 func (h *Holder) notePooled(found *account) {
 	found.pooled = h.options.Pool != nil && len(h.options.Pool(found.name)) > 0
 }
 
-// askPool asks the pool holders one after the other for the tokens of each waiter: one
-// behind the other, each would wait for the way there and back of all before it. It
-// returns false if that is over for the first, and the root is to be asked.
+// askPool requests the tokens of each waiter from the pool holders, one pool holder after the other.
+// It does so for all waiters at the same time, else each would wait for the round trips of all before
+// it. It returns false if no pool holder is left for the first waiter and the request goes to the root.
 func (h *Holder) askPool(now time.Duration, found *account) bool {
 	if !found.pooled || found.waiters[0].isLoan() {
 		return false
@@ -120,7 +120,7 @@
 	return !isOver
 }
 
-// TakePool takes another node's request for pooled tokens, or the refusal of one.
+// TakePool handles another node's request for pooled tokens, or the refusal of one.
 func (h *Holder) TakePool(now time.Duration, message PoolMessage) {
 	switch {
 	case message.Request != nil:
@@ -130,8 +130,7 @@
 	}
 }
 
-// takePoolRequest has another node's request wait here for its tokens, as the own
-// ones do.
+// takePoolRequest adds another node's request to the waiters, as if it were one of this node.
 func (h *Holder) takePoolRequest(now time.Duration, request PoolRequest) {
 	if h.closed || h.stopping {
 		h.refusePool(request, PoolRefusal{Stopping: true})
@@ -163,7 +162,8 @@
 	h.pools = append(h.pools, OutgoingPool{To: request.Borrower.Node, Message: PoolMessage{Refusal: &refusal}})
 }
 
-// takePoolRefusal ends the wait for a pool holder.
+// takePoolRefusal ends the wait for a pool holder: it refuses the waiter, or tries the next pool holder
+// if this one is stopping.
 func (h *Holder) takePoolRefusal(now time.Duration, refusal PoolRefusal) {
 	found := h.accounts[refusal.Budget]
 	if refusal.Borrower != h.options.ID || found == nil {
@@ -181,12 +181,12 @@
 	case refusal.Exhausted != nil:
 		h.refuse(now, found, position, refusal.Exhausted)
 	default:
-		// It has asked the other zones' pool holders too.
+		// The pool holder has also requested loans from the other zones' pool holders.
 		h.refuse(now, found, position, ErrUnreachable)
 	}
 }
 
-// lendTo gives a waiting request of another node its tokens.
+// lendTo lends a waiting request of another node its tokens.
 func (h *Holder) lendTo(now time.Duration, found *account, next waiter) {
 	given := found.loanTo(next.borrower)
 	given.total += next.amount
--- a/internal/coordination/escrow/pool_test.go
+++ b/internal/coordination/escrow/pool_test.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// pooledHolder is a holder behind two pool holders.
+// pooledHolder returns a holder that leaves its budgets to the given pool holders.
 func pooledHolder(pool ...string) *Holder {
 	return NewHolder(HolderOptions{
 		ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
@@ -18,7 +18,7 @@
 	})
 }
 
-// outcome is what became of a reservation.
+// outcome is the result of a reservation.
 type outcome struct {
 	ended bool
 	err   error
@@ -90,21 +90,21 @@
 	assert.Assert(t, errors.Is(other.err, ErrUnreachable))
 }
 
-// A node with many requests of one tenant asked for one after the other: behind a way
-// of 20 ms, 50 a second are the most.
+// A node once requested the tokens of one waiter at a time, which limits it to 50 requests a second of
+// one tenant at a round trip of 20 ms.
 func TestPoolIsAskedForAllWaitersAtOnce(t *testing.T) {
 	holder := pooledHolder("p", "q")
 	first, second := reserveInPool(holder, time.Second, 10), reserveInPool(holder, time.Second, 20)
 	pools := holder.Pools()
 	assert.Equal(t, len(pools), 2)
 	assert.Equal(t, pools[1].Message.Request.Need, uint64(20))
-	// Each has its own refusal.
+	// A refusal ends only the request that it names.
 	holder.takePoolRefusal(time.Second, PoolRefusal{Borrower: holder.ID(), Budget: "b", Number: pools[1].Message.Request.Number})
 	assert.Assert(t, second.ended)
 	assert.Assert(t, !first.ended)
 }
 
-// bring hands the messages of one holder to another.
+// bring delivers the waiting messages of one holder to another.
 func bring(now time.Duration, from, to *Holder) {
 	never := func(accounts.HolderID) bool { return false }
 	for _, pool := range from.Pools() {
@@ -149,7 +149,7 @@
 	assert.Equal(t, report.Reports[0].Wish, uint64(0))
 }
 
-// The demand of the zone is the pool holder's: it asks the root ahead for it.
+// The pool holder counts the zone's demand as its own and requests tokens for it ahead of demand.
 func TestRequestsOfOthersAreThePoolHoldersDemand(t *testing.T) {
 	pool := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "p", Incarnation: 1}, Pool: func(string) []string { return nil }})
 	pool.takePoolRequest(time.Second, PoolRequest{Borrower: accounts.HolderID{Node: "n", Incarnation: 1}, Budget: "b", Need: 50, Number: 1, PatienceMS: 100})
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// recallTimeout is how long holders may take to answer a recall.
+	// recallTimeout is how long holders may take to respond to a recall.
 	recallTimeout = 600 * time.Millisecond
-	// maximumBatch bounds the reports of one command.
+	// maximumBatch is the maximum number of reports in one command.
 	maximumBatch = 512
 )
 
@@ -20,47 +20,46 @@
 type RootOptions struct {
 	// HoldersOf returns the holders that hold a part of a budget.
 	HoldersOf func(budget string) []accounts.Holder
-	// Reply and Recall hand messages to the transport.
+	// Reply and Recall pass messages to the transport.
 	Reply  func(to string, message AnswerMessage)
 	Recall func(to string, message RecallMessage)
-	// StandingOf returns how a budget stands, and Tell hands the message to the
-	// transport. Without Tell holders learn it with their answers only.
+	// StandingOf returns the summary of a budget, and Tell passes the message to the transport. If Tell
+	// is nil, holders receive summaries only with the responses to their reports.
 	StandingOf func(budget string) Standing
 	Tell       func(to string, message StandingsMessage)
-	// RecallPause is how long after a recall that did not bring enough a budget
-	// is not recalled again: with many holders that short of tokens, each refusal
-	// would cost a message to and from all of them.
+	// RecallPause is the time after a recall without enough returns in which the budget is not recalled
+	// again. With many holders and that few tokens, each refusal would otherwise cost a message to and
+	// from all of them.
 	RecallPause time.Duration
-	// Contact reads the leader's clocks, for holders that keep to allowances; nil where
-	// there are none.
+	// Contact reads the leader's clocks, for holders that respect allowances; nil if there are none.
 	Contact func() accounts.Contact
-	// WithoutRecall is a deliberate defect for the simulation: refusals are
-	// given at once.
+	// WithoutRecall is a deliberate defect for the simulation: refusals are sent without a recall.
 	WithoutRecall bool
 }
 
-// Root is the leader's side of the escrow: it batches the holders' reports
-// into commands, and recalls unused grants before it lets a refusal out. It
-// holds nothing that must survive: a new leader starts with an empty one.
+// Root is the leader's side of the escrow: it batches the holders' reports into commands, and recalls
+// unused grants before it sends a refusal. It holds no state that must survive: a new leader starts
+// with an empty Root.
 type Root struct {
 	options RootOptions
 	queue   []pendingReport
 	recalls map[string]*recall
 	number  uint64
-	// changed are the budgets that were reported on since the holders were last
-	// told, told what they were told.
+	// changed holds the budgets that were reported on since summaries were last sent, and told holds what
+	// was last sent of each budget.
 	changed []string
 	told    map[string]toldStanding
-	// inVain is when a recall of a budget last did not bring enough.
+	// inVain holds when a recall of a budget last did not return enough.
 	inVain map[string]time.Duration
 }
 
-// pendingReport is one holder's report on its way through the log.
+// pendingReport is one holder's report that waits to be committed.
 type pendingReport struct {
 	message ReportMessage
-	// afterRecall: the budgets in it were recalled; a refusal now is final.
+	// afterRecall is set if the budgets in the report were recalled, so that a refusal now is final.
 	afterRecall bool
-	unreached   int
+	// unreached is the number of holders that did not respond to the recall.
+	unreached int
 }
 
 // recall is one budget's recall in progress.
@@ -68,12 +67,12 @@
 	number   uint64
 	deadline time.Duration
 	waiting  map[accounts.HolderID]struct{}
-	// short are the newest reports that fell short, one a holder, in the order
-	// in which the holders first did.
+	// short holds the newest report of each holder that fell short, in the order in which the holders
+	// first did.
 	short []pendingReport
 }
 
-// keepShort notes a report that fell short in place of the holder's earlier one.
+// keepShort keeps a report that fell short, in place of an earlier one of the same holder.
 func (r *recall) keepShort(short pendingReport) {
 	for position := range r.short {
 		if r.short[position].message.Holder == short.message.Holder {
@@ -84,7 +83,7 @@
 	r.short = append(r.short, short)
 }
 
-// NewRoot makes a root side.
+// NewRoot returns an empty Root.
 func NewRoot(options RootOptions) *Root {
 	return &Root{options: options, recalls: map[string]*recall{}, told: map[string]toldStanding{}, inVain: map[string]time.Duration{}}
 }
@@ -94,13 +93,14 @@
 	r.queue = append(r.queue, pendingReport{message: message})
 }
 
-// Batch is a command's worth of reports.
+// Batch is the reports of one command.
 type Batch struct {
 	Command machine.Command
 	pending []pendingReport
 }
 
-// Batch takes waiting reports to be proposed as one command, or false.
+// Batch removes waiting reports from the queue and returns them as one command to propose. It returns
+// false if there are none.
 func (r *Root) Batch() (Batch, bool) {
 	count := min(len(r.queue), maximumBatch)
 	if count == 0 {
@@ -121,8 +121,8 @@
 	return batch, true
 }
 
-// holdBackTopUps grants nothing ahead of demand while a budget is recalled:
-// what comes back is for requests at hand. The holder asks again.
+// holdBackTopUps removes requests ahead of demand from a report while a budget is recalled: what
+// holders return is for waiting requests. The holder requests the top-up again later.
 func (r *Root) holdBackTopUps(pending pendingReport) {
 	for position, report := range pending.message.Reports {
 		if r.recalls[report.Budget] == nil && !pending.afterRecall {
@@ -135,8 +135,7 @@
 	}
 }
 
-// Applied takes the result of a batch that was committed, answers the holders
-// and starts recalls.
+// Applied handles the result of a committed batch: it responds to the holders and starts recalls.
 func (r *Root) Applied(now time.Duration, batch Batch, result machine.Result) {
 	for position, pending := range batch.pending {
 		r.answer(now, pending, result.Answers[position], result.Contact)
@@ -180,8 +179,8 @@
 	return found && now-at < r.options.RecallPause
 }
 
-// startRecall keeps a report that fell short until the other holders have
-// returned what they do not use. It returns false if nobody holds anything.
+// startRecall keeps a report that fell short until the holders have returned what they do not use. It
+// returns false if no holder holds anything.
 func (r *Root) startRecall(now time.Duration, holder accounts.HolderID, report accounts.Report) bool {
 	short := pendingReport{
 		message:     ReportMessage{Holder: holder, Reports: []accounts.Report{report}},
@@ -191,7 +190,7 @@
 		running.keepShort(short)
 		return true
 	}
-	// The asking holder is asked too: it may hold a part that another one lacks.
+	// The requesting holder is recalled from too: it may hold a part that another one lacks.
 	holders := r.options.HoldersOf(report.Budget)
 	if len(holders) == 0 {
 		return false
@@ -207,8 +206,7 @@
 	return true
 }
 
-// RecallAll asks every holder of a budget for its unused grant, before a limit
-// is lowered.
+// RecallAll recalls the unused grants of a budget from every holder, before its limit is lowered.
 func (r *Root) RecallAll(budget string) {
 	for _, holder := range r.options.HoldersOf(budget) {
 		r.number++
@@ -231,17 +229,17 @@
 	}
 }
 
-// endRecall decides again what fell short.
+// endRecall ends a recall and queues the reports that fell short to be decided again.
 func (r *Root) endRecall(budget string, ended *recall) {
 	delete(r.recalls, budget)
 	for position := range ended.short {
 		ended.short[position].unreached = len(ended.waiting)
 	}
-	// Before all others: what was recalled is for them.
+	// They go before all others: what was returned is for them.
 	r.queue = append(ended.short, r.queue...)
 }
 
-// Tick ends recalls whose time is over, and tells holders how budgets stand.
+// Tick ends recalls whose deadline has passed, and sends summaries of budgets to holders.
 func (r *Root) Tick(now time.Duration) {
 	if r.options.Tell != nil {
 		r.tellStandings(now)
--- a/internal/coordination/escrow/standing.go
+++ b/internal/coordination/escrow/standing.go
@@ -9,39 +9,38 @@
 )
 
 const (
-	// heldShare is the most that the holders together should hold ahead of
-	// demand of what is unspent of a budget, while most of it is unspent.
+	// heldShare is the maximum share of a budget's unspent tokens that the holders together should hold
+	// ahead of demand, while most of the budget is unspent.
 	heldShare = 0.3
-	// shortHeldShare makes the share shrink with the unspent part itself: a
-	// budget that is half spent has half of it as its share, and so on.
+	// shortHeldShare makes the share shrink with the unspent part of the limit: the share is
+	// shortHeldShare times that part, where that is below heldShare.
 	shortHeldShare = 0.5
-	// allowanceHeldShare is the most that holders with allowances should hold ahead of
-	// demand: what their allowances do not cover is not lost with them, and a cut can
-	// only spend what they hold. The rest serves requests that come elsewhere
-	// without a recall.
+	// allowanceHeldShare is the maximum share that holders with allowances should hold ahead of demand.
+	// What their allowances do not cover is not lost with them, and in a partition only what they hold
+	// can be spent. The remainder serves requests at other nodes without a recall.
 	allowanceHeldShare = 0.75
-	// wishDrop is the part of the wish told to the root below which a lower wish
-	// is told without any use to report.
+	// wishDrop is the share of the last reported desired amount below which a lower one is reported even
+	// without use to report.
 	wishDrop = 0.5
-	// standingStep is the part of the unspent tokens last told to the holders
-	// below which they are told again.
+	// standingStep is the share of the unspent tokens in the last summary sent to the holders at or
+	// below which a new one is sent.
 	standingStep = 0.88
-	// standingInterval is the least time between two tellings of one budget.
+	// standingInterval is the minimum time between two summaries of one budget.
 	standingInterval = 200 * time.Millisecond
 )
 
-// Standing is how a budget stands as a whole, in tokens.
+// Standing is the summary of a whole budget, in tokens.
 type Standing struct {
 	Budget string `msgpack:"b"`
-	// Limit is the budget's limit, Unspent what is not known to be spent of it,
-	// in the holders' hands or not.
+	// Limit is the budget's limit. Unspent is the part of it that is not known to be spent, whether
+	// granted to holders or not.
 	Limit   uint64 `msgpack:"l"`
 	Unspent uint64 `msgpack:"u"`
-	// Wished is what all holders wish to hold ahead of demand.
+	// Wished is the sum of the holders' desired amounts.
 	Wished uint64 `msgpack:"w"`
 }
 
-// StandingOf returns how a root account stands.
+// StandingOf returns the summary of a root account.
 func StandingOf(budget *accounts.Budget) Standing {
 	return Standing{
 		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding(), Wished: budget.Wished(),
@@ -52,9 +51,9 @@
 	return Standing{Budget: answer.Budget, Limit: answer.Limit, Unspent: answer.Left + answer.Outstanding, Wished: answer.Wished}
 }
 
-// most is what the holders together should hold ahead of demand. What a node
-// holds is lost with it, and what a short budget can't serve in a cut it can
-// serve after it: so the nodes hold little of a budget that is short.
+// most returns the maximum tokens that the holders together should hold ahead of demand. What a node
+// holds is lost with it, and a short budget can serve after a partition what it can't serve during
+// it, so the nodes hold little of a short budget.
 func (s Standing) most(hasAllowances bool) float64 {
 	if s.Limit == 0 {
 		return 0
@@ -66,8 +65,8 @@
 	return unspent * min(heldShare, shortHeldShare*unspent/float64(s.Limit))
 }
 
-// part is what a holder with a wish should hold: all of it, or its part of the
-// most that all should hold.
+// part returns the tokens that a holder with a desired amount should hold: all of it, or its share of
+// the maximum that all holders should hold.
 func (s Standing) part(wish uint64, hasAllowances bool) uint64 {
 	most := s.most(hasAllowances)
 	if wished := float64(max(s.Wished, wish)); wished > most {
@@ -80,19 +79,19 @@
 	a.standing, a.known = standing, true
 }
 
-// isKnownShort tells whether all that was unspent of the budget, wherever it is, was
-// less than some tokens when the root last said so.
+// isKnownShort reports whether the whole unspent part of the budget was below a number of tokens in
+// the root's last summary.
 func (a *account) isKnownShort(tokens uint64) bool { return a.known && a.standing.Unspent < tokens }
 
-// wishChanged tells whether the root believes in a wish that is long over, and
-// other holders get less for it.
+// wishChanged reports whether the root still has a desired amount of this holder that is far too high,
+// so that other holders of a short budget get less.
 func (a *account) wishChanged(now time.Duration) bool {
 	isShort := a.known && float64(a.standing.Wished) > a.standing.most(a.contact != nil)
 	return isShort && float64(a.wish(now)) < wishDrop*float64(a.wished)
 }
 
-// TakeStandings notes how budgets stand. What is held beyond the node's part
-// goes back at the next Tick.
+// TakeStandings records summaries of budgets. The next Tick returns what is held beyond the node's
+// share.
 func (h *Holder) TakeStandings(message StandingsMessage) {
 	if message.Holder != h.options.ID {
 		return
@@ -104,15 +103,15 @@
 	}
 }
 
-// toldStanding is what the holders of a budget were last told.
+// toldStanding is the last summary that was sent to the holders of a budget.
 type toldStanding struct {
 	unspent uint64
 	at      time.Duration
 }
 
-// tellStandings tells the holders of budgets that became short since they were
-// last told. A holder without requests reports nothing and would otherwise go
-// on holding its part of what was left long ago.
+// tellStandings sends summaries to the holders of budgets that became shorter since the last one. A
+// holder without requests reports nothing and would otherwise keep its share of what was left long
+// ago.
 func (r *Root) tellStandings(now time.Duration) {
 	due := map[accounts.HolderID][]Standing{}
 	for _, budget := range r.changed {
--- a/internal/coordination/escrow/standing_test.go
+++ b/internal/coordination/escrow/standing_test.go
@@ -11,7 +11,7 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// group is a root and some holders of one budget without a network.
+// group is a root and a number of holders of one budget, connected without a network.
 type group struct {
 	accounts *accounts.Accounts
 	root     *Root
@@ -40,7 +40,7 @@
 	return made
 }
 
-// step lets all holders report and the root answer.
+// step lets all holders report and the root respond.
 func (g *group) step(now time.Duration) {
 	for _, holder := range g.holders {
 		holder.Tick(now)
@@ -62,7 +62,7 @@
 	g.root.Tick(now)
 }
 
-// spend reserves and settles at one holder, and steps until it is served.
+// spend reserves and settles an amount at one holder, and steps until it is served.
 func (g *group) spend(t *testing.T, now time.Duration, name string, amount uint64) {
 	t.Helper()
 	served := false
@@ -78,9 +78,9 @@
 	assert.Assert(t, served)
 }
 
-// The finding of drukwacht trouble-1 and of the grown sites: holders without
-// requests reported nothing, and held for good what was their part when most of
-// the budget was unspent. A final fault then took half of what was left.
+// Found in run trouble-1 of site drukwacht and on the enlarged sites: holders without requests reported
+// nothing, and kept for good what was their share when most of the budget was unspent. A final fault
+// then lost half of what was left.
 func TestIdleHoldersGiveBackWhenTheBudgetBecomesShort(t *testing.T) {
 	g := newGroup(1_000_000, 8)
 	now := time.Second
@@ -102,8 +102,8 @@
 	assert.Assert(t, held <= unspent/8, "%d of %d unspent tokens are held ahead of demand", held, unspent)
 }
 
-// A holder with most of the demand has most of what may be held, whatever the
-// number of those that hold a little.
+// A holder with most of the demand holds most of what may be held, regardless of how many others hold
+// a little.
 func TestPartsOfAShortBudgetFollowDemand(t *testing.T) {
 	g := newGroup(1_000_000, 8)
 	now := time.Second
