--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -17,11 +17,11 @@
 	reserved uint64
 	// borrowed and lent are cumulative, keyed by the other holder.
 	borrowed map[accounts.HolderID]uint64
-	lent     map[accounts.HolderID]*givenLoan
-	// open holds the reservations that are not settled yet, by sequence number. ahead holds the use
+	lent     map[accounts.HolderID]*loanState
+	// open holds the reservations that are not settled yet, by sequence number. settledAhead holds the use
 	// of reservations that were settled while an earlier one is still open.
 	open             map[uint64]uint64
-	ahead            map[uint64]uint64
+	settledAhead     map[uint64]uint64
 	sequence         uint64
 	watermark        uint64
 	watermarkSettled uint64
@@ -32,16 +32,16 @@
 	allowances allowances
 	contact    *rootContact
 
-	// standing is the root's last summary of the whole budget; known reports whether one was received.
-	standing Standing
-	known    bool
-	// wished is the desired amount of the last report to the root.
-	wished uint64
+	// summary is the root's last summary of the whole budget; hasSummary reports whether one was received.
+	summary    Standing
+	hasSummary bool
+	// reportedDesired is the desired amount of the last report to the root.
+	reportedDesired uint64
 
 	waiters []waiter
 	// lastWaiter is the number of the newest waiter. Waiters are numbered from 1.
-	lastWaiter uint64
-	request    uint64
+	lastWaiter    uint64
+	requestNumber uint64
 	// requested is set while a request to the root has no response; reportedAt is when the last report
 	// was sent.
 	requested   bool
@@ -49,13 +49,13 @@
 	reportedAt  time.Duration
 	// resendAfter is the time after the last report at which a request without a response is repeated.
 	// It doubles with each repetition, so that repetitions don't add load to a root that is behind.
-	resendAfter time.Duration
-	loanAskedAt time.Duration
-	loanAsked   bool
-	// lenders are the nodes to request loans from for the first waiter, and lendersAsked is how many of
-	// them have been sent a request.
-	lenders      []string
-	lendersAsked int
+	resendAfter      time.Duration
+	loansRequestedAt time.Duration
+	loansRequested   bool
+	// lenders are the nodes to request loans from for the first waiter, and requestedLenders is how many
+	// of them have been sent a request.
+	lenders          []string
+	requestedLenders int
 	// pooled reports whether the node leaves this budget to the zone's pool holders.
 	pooled bool
 
@@ -85,10 +85,10 @@
 // isLoan reports whether the tokens are for another node.
 func (w waiter) isLoan() bool { return w.borrower != accounts.HolderID{} }
 
-func (a *account) addWaiter(one waiter) {
+func (a *account) addWaiter(added waiter) {
 	a.lastWaiter++
-	one.number = a.lastWaiter
-	a.waiters = append(a.waiters, one)
+	added.number = a.lastWaiter
+	a.waiters = append(a.waiters, added)
 }
 
 // confirmation holds the cumulative amounts that the root has confirmed in its responses.
@@ -119,12 +119,12 @@
 }
 
 func (a *account) startRequest(now time.Duration) {
-	a.request++
+	a.requestNumber++
 	a.requested = true
 	a.requestedAt = now
 	a.reportedAt = 0
 	a.resendAfter = firstResend / 2
-	a.loanAsked = false
+	a.loansRequested = false
 }
 
 func (a *account) reserve(amount uint64) Reservation {
@@ -140,20 +140,20 @@
 	if a.requestSize == 0 {
 		a.requestSize = float64(amount)
 	}
-	a.requestSize += (float64(amount) - a.requestSize) * requestWeight
+	a.requestSize += (float64(amount) - a.requestSize) * requestSizeWeight
 	a.requestedLast = now
 }
 
-// wish returns the desired amount: the tokens that the node would hold if the budget were not short.
+// desired returns the desired amount: the tokens that the node would hold if the budget were not short.
 // It is the demand of one horizon, and while there is any demand at least enough for a request of
 // average size, so that a partitioned node can go on serving a tenant that sends little. Nodes lend
 // each other what larger requests require. A budget that is left to pool holders is not held ahead.
-func (a *account) wish(now time.Duration) uint64 {
+func (a *account) desired(now time.Duration) uint64 {
 	if a.pooled {
 		return 0
 	}
 	expected := uint64(a.demand.at(now) * a.policy.Horizon.Seconds())
-	if now-a.requestedLast <= requestMemory {
+	if now-a.requestedLast <= requestSizeMemory {
 		expected = max(expected, uint64(a.requestSize))
 	}
 	return expected
@@ -162,31 +162,31 @@
 // target returns the tokens that the node should hold: its desired amount, scaled down in the same
 // proportion as that of all other holders if together they desire more than they should hold.
 func (a *account) target(now time.Duration) uint64 {
-	wish := a.wish(now)
-	if !a.known {
-		return wish
+	desired := a.desired(now)
+	if !a.hasSummary {
+		return desired
 	}
-	return a.standing.part(wish, a.contact != nil)
+	return a.summary.share(desired, a.contact != nil)
 }
 
-// lack returns the tokens that the first waiter requires beyond what may be reserved now.
-func (a *account) lack() uint64 {
+// shortfall returns the tokens that the first waiter requires beyond what may be reserved now.
+func (a *account) shortfall() uint64 {
 	if len(a.waiters) == 0 {
 		return 0
 	}
 	return accounts.SaturatingSubtract(a.waiters[0].amount, a.free())
 }
 
-// grantLack returns the tokens that the first waiter requires beyond what is held.
-func (a *account) grantLack() uint64 {
+// grantShortfall returns the tokens that the first waiter requires beyond what is held.
+func (a *account) grantShortfall() uint64 {
 	if len(a.waiters) == 0 {
 		return 0
 	}
 	return accounts.SaturatingSubtract(a.waiters[0].amount, a.unreserved())
 }
 
-// waiting returns the tokens that all waiters require.
-func (a *account) waiting() uint64 {
+// totalWaiting returns the tokens that all waiters require.
+func (a *account) totalWaiting() uint64 {
 	var total uint64
 	for _, one := range a.waiters {
 		total += one.amount
@@ -196,7 +196,7 @@
 
 func (a *account) returnSurplus(now time.Duration) {
 	target := a.target(now)
-	if held := a.unreserved(); len(a.waiters) == 0 && float64(held) > float64(target)*highShare {
+	if held := a.unreserved(); len(a.waiters) == 0 && float64(held) > float64(target)*surplusShare {
 		a.returned += held - target
 	}
 }
@@ -206,9 +206,9 @@
 	if a.requested || len(a.waiters) > 0 {
 		return
 	}
-	if target := a.target(now); float64(a.unreserved()) < float64(target)*lowShare && now >= a.nextTopUp {
+	if target := a.target(now); float64(a.unreserved()) < float64(target)*topUpShare && now >= a.nextTopUp {
 		// A nearly spent budget can't reach the target, so the request is not repeated at every tick.
-		a.nextTopUp = now + topUpPause
+		a.nextTopUp = now + topUpInterval
 		a.startRequest(now)
 	}
 }
@@ -223,7 +223,7 @@
 	switch {
 	case a.requested:
 		return a.reportedAt == 0 || now-a.reportedAt >= a.resendAfter
-	case a.unconfirmed(), a.wishChanged(now):
+	case a.unconfirmed(), a.desiredDropped(now):
 		if a.reportedAt == 0 || now-a.reportedAt >= reportInterval {
 			return true
 		}
@@ -238,13 +238,13 @@
 }
 
 // confirm records the amounts that a response confirms, and reports whether the watermark advanced.
-func (a *account) confirm(answer accounts.Answer) (advanced bool) {
-	advanced = answer.Watermark > a.confirmed.watermark
-	a.confirmed.settled = max(a.confirmed.settled, answer.Settled)
-	a.confirmed.returned = max(a.confirmed.returned, answer.Returned)
-	a.confirmed.watermark = max(a.confirmed.watermark, answer.Watermark)
-	a.allowances.confirm(answer.Allowance)
-	a.takeStanding(standingOf(answer))
+func (a *account) confirm(response accounts.Answer) (advanced bool) {
+	advanced = response.Watermark > a.confirmed.watermark
+	a.confirmed.settled = max(a.confirmed.settled, response.Settled)
+	a.confirmed.returned = max(a.confirmed.returned, response.Returned)
+	a.confirmed.watermark = max(a.confirmed.watermark, response.Watermark)
+	a.allowances.confirm(response.Allowance)
+	a.setSummary(summaryOfResponse(response))
 	return advanced
 }
 
@@ -252,14 +252,14 @@
 	a.reportedAt = now
 	report := accounts.Report{
 		Budget: a.name, Settled: a.settled, Returned: a.returned,
-		Watermark: a.watermark, WatermarkSettled: a.watermarkSettled, Wish: a.wish(now),
+		Watermark: a.watermark, WatermarkSettled: a.watermarkSettled, Wish: a.desired(now),
 	}
-	a.wished = report.Wish
+	a.reportedDesired = report.Wish
 	if a.requested {
 		a.resendAfter = min(2*a.resendAfter, lastResend)
-		report.Request = a.request
-		report.Need = a.grantLack()
-		wanted := max(a.target(now), a.waiting())
+		report.Request = a.requestNumber
+		report.Need = a.grantShortfall()
+		wanted := max(a.target(now), a.totalWaiting())
 		report.Want = max(report.Need, accounts.SaturatingSubtract(wanted, a.unreserved()))
 	}
 	if a.contact != nil {
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -17,37 +17,37 @@
 	// contactInterval is the time between a holder's reports if it has nothing else to report. The root
 	// knows the holder to be in contact up to the last report.
 	contactInterval = 250 * time.Millisecond
-	// raisePause and lowerPause are the minimum times between reports that only raise or only lower an
-	// allowance.
-	raisePause = 50 * time.Millisecond
-	lowerPause = 150 * time.Millisecond
-	// looseAllowance is the multiple of allowanceAhead's tokens that may be allowed and unused before
+	// raiseInterval and lowerInterval are the minimum times between reports that only raise or only lower
+	// an allowance.
+	raiseInterval = 50 * time.Millisecond
+	lowerInterval = 150 * time.Millisecond
+	// looseAllowanceFactor is the multiple of allowanceAhead's tokens that may be allowed and unused before
 	// the allowance is lowered. What was allowed for requests that were then refused, or that used less,
 	// is charged too if the incarnation is lost.
-	looseAllowance = 1.5
+	looseAllowanceFactor = 1.5
 )
 
 // rootContact is the state of a holder's contact with the root.
 type rootContact struct {
 	// now is the time of the step in progress.
 	now time.Duration
-	// heard is the newest contact that a response carried, and heardAt is when it was received.
-	heard   accounts.Contact
-	heardAt time.Duration
-	// told is the newest contact that may be reported to the root: one at which all allowances covered
+	// latest is the newest contact that a response carried, and latestAt is when it was received.
+	latest   accounts.Contact
+	latestAt time.Duration
+	// reported is the newest contact that may be reported to the root: one at which all allowances covered
 	// the use so far.
-	told accounts.Contact
+	reported accounts.Contact
 	// reportedAt is when the last report of any budget was sent.
 	reportedAt time.Duration
 }
 
-// silence returns the time since the last contact with the root. It is 0 before the first contact,
+// sinceContact returns the time since the last contact with the root. It is 0 before the first contact,
 // when nothing has been granted yet.
-func (c *rootContact) silence() time.Duration {
-	if c.heard.Index == 0 {
+func (c *rootContact) sinceContact() time.Duration {
+	if c.latest.Index == 0 {
 		return 0
 	}
-	return c.now - c.heardAt
+	return c.now - c.latestAt
 }
 
 // allowances are a holder's allowances on one budget. The root's log may hold any allowance that was
@@ -111,7 +111,7 @@
 
 // allowed returns the maximum tokens that the holder may have used of its own grant by now.
 func (a *account) allowed() uint64 {
-	return a.allowances.binding().MostUsed(a.contact.silence())
+	return a.allowances.binding().MostUsed(a.contact.sinceContact())
 }
 
 // isCovered reports whether all use is within the allowed tokens, without use of the pace.
@@ -125,10 +125,10 @@
 // nextAllowance returns the allowance that goes with a report. It is never lowered while the root is
 // out of contact: the lower allowance would restrict the holder, though it may never reach the root.
 func (a *account) nextAllowance() accounts.Allowance {
-	tokens := a.ownUse() + a.waiting() + a.allowedAhead()
+	tokens := a.ownUse() + a.totalWaiting() + a.allowedAhead()
 	pace := uint64(paceFactor * a.reserving.at(a.contact.now))
 	binding := a.allowances.binding()
-	if a.contact.silence() > accounts.SilentAfter {
+	if a.contact.sinceContact() > accounts.SilentAfter {
 		tokens, pace = max(tokens, binding.Tokens), max(pace, binding.Pace)
 	}
 	return a.allowances.send(tokens, pace)
@@ -138,36 +138,36 @@
 // covers too little ahead or far too much.
 func (a *account) allowanceDue() bool {
 	since := a.contact.now - a.reportedAt
-	if since < raisePause || len(a.allowances.sent) > 0 {
+	if since < raiseInterval || len(a.allowances.sent) > 0 {
 		return false
 	}
 	use, allowed, ahead := a.ownUse(), a.allowances.confirmed.Tokens, a.allowedAhead()
 	if use+ahead/2 > allowed {
 		return a.unreserved() > 0 || use > allowed
 	}
-	return since >= lowerPause && float64(allowed-use) > looseAllowance*float64(ahead)
+	return since >= lowerInterval && float64(allowed-use) > looseAllowanceFactor*float64(ahead)
 }
 
-// hear records the contact that a response carries.
-func (h *Holder) hear(contact accounts.Contact) {
-	if contact.Index > h.contact.heard.Index {
-		h.contact.heard, h.contact.heardAt = contact, h.contact.now
+// receiveContact records the contact that a response carries.
+func (h *Holder) receiveContact(contact accounts.Contact) {
+	if contact.Index > h.contact.latest.Index {
+		h.contact.latest, h.contact.latestAt = contact, h.contact.now
 	}
 }
 
-// contactToTell returns the newest contact that may be reported to the root. The root then measures
+// contactToReport returns the newest contact that may be reported to the root. The root then measures
 // the time without contact from there, so the allowances must cover all earlier use.
-func (h *Holder) contactToTell() accounts.Contact {
+func (h *Holder) contactToReport() accounts.Contact {
 	for _, found := range h.accounts {
 		if !found.isCovered() {
-			return h.contact.told
+			return h.contact.reported
 		}
 	}
-	h.contact.told = h.contact.heard
-	return h.contact.told
+	h.contact.reported = h.contact.latest
+	return h.contact.reported
 }
 
 // contactDue reports whether a report is due only to keep up the contact with the root.
 func (h *Holder) contactDue() bool {
-	return h.options.Allowances && h.contact.heard.Index > 0 && h.contact.now-h.contact.reportedAt >= contactInterval
+	return h.options.Allowances && h.contact.latest.Index > 0 && h.contact.now-h.contact.reportedAt >= contactInterval
 }
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -17,33 +17,33 @@
 	DefaultAnswerTimeout = 1500 * time.Millisecond
 	// loanTimeout is how long a node waits for its neighbours after the last loan request.
 	loanTimeout = 300 * time.Millisecond
-	// Loan requests go to the neighbours in rounds. The first round goes to firstLoanRound of them, and
-	// each round increases the total to three times that of the round before. Where many nodes hold a
+	// Loan requests go to the neighbours in rounds. The first round goes to firstLoanRoundSize of them,
+	// and each round increases the total to three times that of the round before. Where many nodes hold a
 	// part, requests from all to all would be most of the load.
-	firstLoanRound = 8
-	loanRoundTime  = 40 * time.Millisecond
+	firstLoanRoundSize = 8
+	loanRoundTime      = 40 * time.Millisecond
 	// reportInterval is the time between reports of use without a request.
 	reportInterval = 2 * time.Second
 	// A request without a response is repeated after firstResend, then after twice that time, and so on
 	// up to lastResend.
 	firstResend = 300 * time.Millisecond
 	lastResend  = 1200 * time.Millisecond
-	// A node requests more when it holds less than lowShare of its target, and returns the surplus when
-	// it holds more than highShare of it. Between the two it keeps what it holds: the tokens that a
+	// A node requests more when it holds less than topUpShare of its target, and returns the surplus when
+	// it holds more than surplusShare of it. Between the two it keeps what it holds: the tokens that a
 	// node requires in a partition are the same ones that are lost with the node.
-	lowShare  = 0.85
-	highShare = 1.3
+	topUpShare   = 0.85
+	surplusShare = 1.3
 	// demandHalfLife is the half-life of the smoothed demand.
 	demandHalfLife = 10 * time.Second
 	// minimumDemandTime is the minimum time that demand is averaged over, so that a first burst is not
 	// mistaken for a rate.
 	minimumDemandTime = 2 * time.Second
-	// requestMemory is how long after the last request its size still counts for the desired amount.
-	requestMemory = 60 * time.Second
-	// topUpPause is the minimum time between requests ahead of demand.
-	topUpPause = time.Second
-	// requestWeight is the weight of one request in the smoothed request size.
-	requestWeight = 0.2
+	// requestSizeMemory is how long after the last request its size still counts for the desired amount.
+	requestSizeMemory = 60 * time.Second
+	// topUpInterval is the minimum time between requests ahead of demand.
+	topUpInterval = time.Second
+	// requestSizeWeight is the weight of one request in the smoothed request size.
+	requestSizeWeight = 0.2
 )
 
 // Errors of reservations.
@@ -189,8 +189,8 @@
 	if found == nil {
 		found = &account{
 			name: budget, policy: Policy{Horizon: DefaultHorizon},
-			borrowed: map[accounts.HolderID]uint64{}, lent: map[accounts.HolderID]*givenLoan{},
-			open: map[uint64]uint64{}, ahead: map[uint64]uint64{},
+			borrowed: map[accounts.HolderID]uint64{}, lent: map[accounts.HolderID]*loanState{},
+			open: map[uint64]uint64{}, settledAhead: map[uint64]uint64{},
 		}
 		if h.options.Allowances {
 			found.contact = &h.contact
@@ -227,13 +227,13 @@
 		found.waiters = found.waiters[1:]
 		found.reserving.add(now, next.amount)
 		if next.isLoan() {
-			h.lendTo(now, found, next)
+			h.lendToWaiter(now, found, next)
 			next.done(Reservation{}, nil)
 			continue
 		}
 		next.done(found.reserve(next.amount), nil)
 	}
-	if len(found.waiters) > 0 && !found.requested && !h.askPool(now, found) {
+	if len(found.waiters) > 0 && !found.requested && !h.requestFromPool(now, found) {
 		found.startRequest(now)
 	}
 	h.borrow(now, found)
@@ -256,15 +256,15 @@
 	delete(found.open, reservation.Sequence)
 	found.reserved -= amount
 	found.settled += used
-	found.ahead[reservation.Sequence] = used
+	found.settledAhead[reservation.Sequence] = used
 	for {
-		next, settled := found.ahead[found.watermark+1]
+		next, settled := found.settledAhead[found.watermark+1]
 		if !settled {
 			break
 		}
 		found.watermark++
 		found.watermarkSettled += next
-		delete(found.ahead, found.watermark)
+		delete(found.settledAhead, found.watermark)
 	}
 	h.serve(now, found)
 }
@@ -309,7 +309,7 @@
 			h.serve(now, found)
 		}
 		h.borrow(now, found)
-		h.tellLoansAgain(now, found)
+		h.resendLoans(now, found)
 		if h.stopping && reachable && len(found.waiters) == 0 {
 			found.returned += found.unreserved()
 		}
@@ -360,17 +360,17 @@
 		return
 	}
 	// Neighbours that had nothing for an earlier request may have enough for this one.
-	if !found.loanAsked || found.waiters[0].since > found.loanAskedAt {
-		found.loanAsked, found.lendersAsked, found.lenders = true, 0, h.lendersOf(found)
-		h.askLenders(now, found)
+	if !found.loansRequested || found.waiters[0].since > found.loansRequestedAt {
+		found.loansRequested, found.requestedLenders, found.lenders = true, 0, h.lendersOf(found)
+		h.requestLoans(now, found)
 		return
 	}
-	if found.lendersAsked < len(found.lenders) && now-found.loanAskedAt >= loanRoundTime {
-		h.askLenders(now, found)
+	if found.requestedLenders < len(found.lenders) && now-found.loansRequestedAt >= loanRoundTime {
+		h.requestLoans(now, found)
 		return
 	}
-	if now-found.loanAskedAt >= loanTimeout {
-		found.loanAsked = false
+	if now-found.loansRequestedAt >= loanTimeout {
+		found.loansRequested = false
 		h.refuseFirst(now, found, ErrUnreachable)
 	}
 }
@@ -387,15 +387,15 @@
 	return h.options.Lenders
 }
 
-// askLenders requests what the first waiter lacks from the next round of lenders.
-func (h *Holder) askLenders(now time.Duration, found *account) {
-	found.loanAskedAt = now
-	last := min(len(found.lenders), max(firstLoanRound, 3*found.lendersAsked))
-	for _, lender := range found.lenders[min(found.lendersAsked, last):last] {
-		request := &LoanRequest{Borrower: h.options.ID, Budget: found.name, Need: found.lack()}
+// requestLoans requests what the first waiter lacks from the next round of lenders.
+func (h *Holder) requestLoans(now time.Duration, found *account) {
+	found.loansRequestedAt = now
+	last := min(len(found.lenders), max(firstLoanRoundSize, 3*found.requestedLenders))
+	for _, lender := range found.lenders[min(found.requestedLenders, last):last] {
+		request := &LoanRequest{Borrower: h.options.ID, Budget: found.name, Need: found.shortfall()}
 		h.loans = append(h.loans, OutgoingLoan{To: lender, Message: LendMessage{Request: request}})
 	}
-	found.lendersAsked = last
+	found.requestedLenders = last
 }
 
 func (h *Holder) refuseFirst(now time.Duration, found *account, err error) {
@@ -425,7 +425,7 @@
 		return ReportMessage{}, false
 	}
 	if h.options.Allowances {
-		message.Heard = h.contactToTell()
+		message.Heard = h.contactToReport()
 		h.contact.reportedAt = now
 	}
 	return message, true
@@ -442,36 +442,36 @@
 		return nil
 	}
 	h.contact.now = now
-	h.hear(message.Contact)
+	h.receiveContact(message.Contact)
 	var advanced []accounts.Answer
-	for _, answer := range message.Answers {
-		found := h.accounts[answer.Budget]
+	for _, response := range message.Answers {
+		found := h.accounts[response.Budget]
 		if found == nil {
 			continue
 		}
-		found.granted = max(found.granted, answer.Granted)
-		if found.confirm(answer.Answer) {
-			advanced = append(advanced, answer.Answer)
+		found.granted = max(found.granted, response.Granted)
+		if found.confirm(response.Answer) {
+			advanced = append(advanced, response.Answer)
 		}
-		h.takeAnswer(now, found, answer)
+		h.applyResponse(now, found, response)
 	}
 	return advanced
 }
 
-func (h *Holder) takeAnswer(now time.Duration, found *account, answer Answer) {
+func (h *Holder) applyResponse(now time.Duration, found *account, response Answer) {
 	switch {
-	case answer.Closed:
+	case response.Closed:
 		h.close()
 		return
-	case answer.Unknown:
+	case response.Unknown:
 		found.requested = false
 		h.refuseAll(found, ErrUnknownBudget)
 		return
 	}
-	if answer.Request == found.request {
+	if response.Request == found.requestNumber {
 		found.requested = false
-		if answer.Short && found.lack() > 0 {
-			h.refuseFirst(now, found, refusalOf(answer, found.waiters[0].amount))
+		if response.Short && found.shortfall() > 0 {
+			h.refuseFirst(now, found, refusalOf(response, found.waiters[0].amount))
 			return
 		}
 	}
@@ -480,10 +480,10 @@
 
 // refusalOf returns why a request for amount tokens fell short. Holders that did not respond matter
 // only if what they hold would be enough.
-func refusalOf(answer Answer, amount uint64) error {
-	exhausted := &ExhaustedError{Limit: answer.Limit, Spent: answer.Spent, Left: answer.Left, Outstanding: answer.Outstanding}
-	if answer.Unreached > 0 && !exhausted.IsFinal(amount) {
-		return fmt.Errorf("%w: %d nodes that hold a part of it do not answer", ErrUnreachable, answer.Unreached)
+func refusalOf(response Answer, amount uint64) error {
+	exhausted := &ExhaustedError{Limit: response.Limit, Spent: response.Spent, Left: response.Left, Outstanding: response.Outstanding}
+	if response.Unreached > 0 && !exhausted.IsFinal(amount) {
+		return fmt.Errorf("%w: %d nodes that hold a part of it do not answer", ErrUnreachable, response.Unreached)
 	}
 	return exhausted
 }
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -26,11 +26,11 @@
 	if !due {
 		return false
 	}
-	answer := AnswerMessage{Holder: report.Holder}
+	response := AnswerMessage{Holder: report.Holder}
 	for _, one := range report.Reports {
-		answer.Answers = append(answer.Answers, Answer{Answer: root.Take(report.Holder, one, 0)})
+		response.Answers = append(response.Answers, Answer{Answer: root.Take(report.Holder, one, 0)})
 	}
-	holder.Take(now, answer)
+	holder.Take(now, response)
 	return true
 }
 
@@ -76,7 +76,7 @@
 	assert.Assert(t, free > 0)
 }
 
-func TestRecallOfAnEarlierLifeGrantsNothing(t *testing.T) {
+func TestRecallOfAnEarlierIncarnationGrantsNothing(t *testing.T) {
 	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 2}})
 	holder.Recall(RecallMessage{Holder: accounts.HolderID{Node: "n", Incarnation: 1}, Budget: "b", Number: 1, Granted: 500})
 	assert.Equal(t, holder.Free("b"), uint64(0))
@@ -98,26 +98,26 @@
 
 // Found in run quiet-1 of site zhf: in a partition only every other request sent loan requests; the
 // others were refused because an earlier request had received no loan.
-func TestEachRequestAsksTheNeighboursWhenTheRootIsSilent(t *testing.T) {
+func TestEachRequestRequestsLoansWhenTheRootDoesNotRespond(t *testing.T) {
 	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond, Lenders: []string{"m"}})
 	now := time.Duration(0)
 	for turn := range 4 {
 		ended := false
 		holder.Reserve(now, now+120*time.Millisecond, "b", 100, Policy{}, func(Reservation, error) { ended = true })
-		asked := 0
+		requested := 0
 		for !ended {
 			now += 40 * time.Millisecond
 			holder.Tick(now)
-			asked += len(holder.Loans())
+			requested += len(holder.Loans())
 		}
-		assert.Assert(t, asked > 0, "turn %d", turn)
+		assert.Assert(t, requested > 0, "turn %d", turn)
 		now += time.Second
 	}
 }
 
 // Found in run roll_term of site drukwacht: a stopping node returned its tokens, immediately requested
 // as many ahead of demand, and stopped with those.
-func TestStoppingHolderAsksForNothingAhead(t *testing.T) {
+func TestStoppingHolderRequestsNothingAhead(t *testing.T) {
 	id := accounts.HolderID{Node: "n", Incarnation: 1}
 	holder := NewHolder(HolderOptions{ID: id})
 	for second := range 5 {
@@ -138,7 +138,7 @@
 
 // A budget is exhausted for good if even everything that holders may still return is not enough, also
 // if some of them did not respond. Otherwise a later request may be served.
-func TestBudgetIsExhaustedForGoodOnceNothingThatMayComeBackIsEnough(t *testing.T) {
+func TestBudgetIsExhaustedForGoodIfAllPossibleReturnsAreNotEnough(t *testing.T) {
 	short := accounts.Answer{Limit: 100, Spent: 80, Left: 2, Outstanding: 7}
 	var exhausted *ExhaustedError
 	assert.Assert(t, errors.As(refusalOf(Answer{Answer: short, Unreached: 1}, 10), &exhausted))
@@ -149,7 +149,7 @@
 
 // In a partition a request that the whole budget could not hold before it is refused immediately. Its
 // caller once waited 140 ms for loan requests that no neighbour could grant.
-func TestRequestThatNobodyCanHoldIsRefusedAtOnceInACut(t *testing.T) {
+func TestRequestBeyondTheWholeBudgetIsRefusedImmediatelyInAPartition(t *testing.T) {
 	isReachable := true
 	holder := NewHolder(HolderOptions{
 		ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -12,19 +12,19 @@
 // loanResend is the time after which a loan that its borrower has not confirmed is sent again.
 const loanResend = 2 * time.Second
 
-// givenLoan is what a holder has lent to another one of a budget, in tokens.
-type givenLoan struct {
+// loanState is what a holder has lent to another one of a budget, in tokens.
+type loanState struct {
 	// total is subtracted from the lender's free tokens, agreed is agreed in the claim register, and
-	// taken is confirmed by the borrower. All are cumulative.
-	total, agreed, taken uint64
-	toldAt               time.Duration
+	// confirmed is confirmed by the borrower. All are cumulative.
+	total, agreed, confirmed uint64
+	sentAt                   time.Duration
 }
 
 // loanTo returns the loan to another holder, and creates an empty one on first use.
-func (a *account) loanTo(borrower accounts.HolderID) *givenLoan {
+func (a *account) loanTo(borrower accounts.HolderID) *loanState {
 	given := a.lent[borrower]
 	if given == nil {
-		given = &givenLoan{}
+		given = &loanState{}
 		a.lent[borrower] = given
 	}
 	return given
@@ -81,7 +81,7 @@
 func (h *Holder) LoansTaken() bool {
 	for _, found := range h.accounts {
 		for _, given := range found.lent {
-			if given.taken < given.total {
+			if given.confirmed < given.total {
 				return false
 			}
 		}
@@ -97,21 +97,21 @@
 	}
 	given := found.lent[loan.Borrower]
 	given.agreed = max(given.agreed, loan.Total)
-	h.tellLoan(now, found, loan.Borrower, given)
+	h.sendLoan(now, found, loan.Borrower, given)
 }
 
-func (h *Holder) tellLoan(now time.Duration, found *account, borrower accounts.HolderID, given *givenLoan) {
-	given.toldAt = now
+func (h *Holder) sendLoan(now time.Duration, found *account, borrower accounts.HolderID, given *loanState) {
+	given.sentAt = now
 	loan := accounts.Loan{Lender: h.options.ID, Borrower: borrower, Budget: found.name, Total: given.agreed}
 	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LendMessage{Given: &loan}})
 }
 
-// tellLoansAgain resends the loans that a borrower has not confirmed.
-func (h *Holder) tellLoansAgain(now time.Duration, found *account) {
+// resendLoans resends the loans that a borrower has not confirmed.
+func (h *Holder) resendLoans(now time.Duration, found *account) {
 	for _, borrower := range slices.SortedFunc(maps.Keys(found.lent), accounts.HolderID.Compare) {
 		given := found.lent[borrower]
-		if given.agreed > given.taken && now-given.toldAt >= loanResend {
-			h.tellLoan(now, found, borrower, given)
+		if given.agreed > given.confirmed && now-given.sentAt >= loanResend {
+			h.sendLoan(now, found, borrower, given)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 		return
 	}
 	given := found.lent[loan.Borrower]
-	given.taken = max(given.taken, loan.Total)
+	given.confirmed = max(given.confirmed, loan.Total)
 }
 
 // TakeLoan adds what another holder has lent, and confirms it. It ignores a loan of an incarnation
--- a/internal/coordination/escrow/loans_test.go
+++ b/internal/coordination/escrow/loans_test.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-func cutOffHolder(lenders int) *Holder {
+func partitionedHolder(lenders int) *Holder {
 	options := HolderOptions{
 		ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
 		RootReachable: func() bool { return false },
@@ -21,7 +21,7 @@
 	return NewHolder(options)
 }
 
-func asked(holder *Holder) int {
+func countLoanRequests(holder *Holder) int {
 	count := 0
 	for _, one := range holder.Loans() {
 		if one.Message.Request != nil {
@@ -33,24 +33,24 @@
 
 // Each request of a partitioned node once waited 50 to 90 ms before the first loan request, though the
 // root was known to be unreachable.
-func TestNeighboursAreAskedAtOnceWhenTheRootIsKnownToBeOutOfReach(t *testing.T) {
-	holder := cutOffHolder(3)
+func TestLoansAreRequestedImmediatelyWhenTheRootIsKnownToBeUnreachable(t *testing.T) {
+	holder := partitionedHolder(3)
 	holder.Reserve(time.Second, 2*time.Second, "b", 10, Policy{}, func(Reservation, error) {})
-	assert.Equal(t, asked(holder), 3)
+	assert.Equal(t, countLoanRequests(holder), 3)
 }
 
 // With 85 nodes, each request in a partition once sent 84 loan requests immediately.
-func TestNeighboursAreAskedInRounds(t *testing.T) {
-	holder := cutOffHolder(84)
+func TestLoansAreRequestedInRounds(t *testing.T) {
+	holder := partitionedHolder(84)
 	now := time.Second
 	refused := false
 	holder.Reserve(now, now+time.Second, "b", 10, Policy{}, func(_ Reservation, err error) { refused = err != nil })
-	assert.Equal(t, asked(holder), 8)
+	assert.Equal(t, countLoanRequests(holder), 8)
 	var rounds []int
 	for !refused {
 		now += loanRoundTime
 		holder.Tick(now)
-		if count := asked(holder); count > 0 {
+		if count := countLoanRequests(holder); count > 0 {
 			rounds = append(rounds, count)
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 // On a site with many nodes every refusal of a spent budget once recalled it from all holders.
-func TestBudgetRecalledInVainIsNotRecalledAgainAtOnce(t *testing.T) {
+func TestBudgetRecalledWithoutSuccessIsNotRecalledAgainImmediately(t *testing.T) {
 	g := newGroup(100_000, 8)
 	g.root.options.RecallPause = 500 * time.Millisecond
 	recalls := 0
@@ -71,20 +71,20 @@
 	for name := range g.holders {
 		g.spend(t, now, name, 12_000)
 	}
-	ask := func() (refused bool) {
+	request := func() (refused bool) {
 		g.holders["n0"].Reserve(now, now+time.Hour, "b", 50_000, Policy{}, func(_ Reservation, err error) { refused = err != nil })
 		for range 4 {
 			g.step(now)
 		}
 		return refused
 	}
-	assert.Assert(t, ask())
+	assert.Assert(t, request())
 	first := recalls
 	assert.Assert(t, first > 0)
 	now += 100 * time.Millisecond
-	assert.Assert(t, ask())
+	assert.Assert(t, request())
 	assert.Equal(t, recalls, first)
 	now += time.Second
-	assert.Assert(t, ask())
+	assert.Assert(t, request())
 	assert.Assert(t, recalls > first)
 }
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -71,8 +71,8 @@
 // poolSearch is the progress of a waiter's requests to the pool: round is the number of pool holders
 // that were sent one.
 type poolSearch struct {
-	round   int
-	askedAt time.Duration
+	round       int
+	requestedAt time.Duration
 }
 
 // Pools removes and returns the pool messages that wait to be sent.
@@ -88,36 +88,36 @@
 	found.pooled = h.options.Pool != nil && len(h.options.Pool(found.name)) > 0
 }
 
-// askPool requests the tokens of each waiter from the pool holders, one pool holder after the other.
-// It does so for all waiters at the same time, else each would wait for the round trips of all before
+// requestFromPool requests the tokens of each waiter from the pool holders, one pool holder after the
+// other. It does so for all waiters at the same time, else each would wait for the round trips of all before
 // it. It returns false if no pool holder is left for the first waiter and the request goes to the root.
-func (h *Holder) askPool(now time.Duration, found *account) bool {
+func (h *Holder) requestFromPool(now time.Duration, found *account) bool {
 	if !found.pooled || found.waiters[0].isLoan() {
 		return false
 	}
 	holders := h.options.Pool(found.name)
-	isOver := false
+	noHolderLeft := false
 	for position := range found.waiters {
-		one := &found.waiters[position]
-		if one.isLoan() || one.search.round > 0 && now-one.search.askedAt < poolRoundTime {
+		waiting := &found.waiters[position]
+		if waiting.isLoan() || waiting.search.round > 0 && now-waiting.search.requestedAt < poolRoundTime {
 			continue
 		}
-		if one.search.round >= len(holders) {
-			isOver = isOver || position == 0
+		if waiting.search.round >= len(holders) {
+			noHolderLeft = noHolderLeft || position == 0
 			continue
 		}
-		need := one.amount
+		required := waiting.amount
 		if position == 0 {
-			need = found.lack()
+			required = found.shortfall()
 		}
 		request := &PoolRequest{
-			Borrower: h.options.ID, Budget: found.name, Need: need, Number: one.number,
-			PatienceMS: uint64(max(0, one.deadline-now).Milliseconds()),
+			Borrower: h.options.ID, Budget: found.name, Need: required, Number: waiting.number,
+			PatienceMS: uint64(max(0, waiting.deadline-now).Milliseconds()),
 		}
-		h.pools = append(h.pools, OutgoingPool{To: holders[one.search.round], Message: PoolMessage{Request: request}})
-		one.search = poolSearch{round: one.search.round + 1, askedAt: now}
+		h.pools = append(h.pools, OutgoingPool{To: holders[waiting.search.round], Message: PoolMessage{Request: request}})
+		waiting.search = poolSearch{round: waiting.search.round + 1, requestedAt: now}
 	}
-	return !isOver
+	return !noHolderLeft
 }
 
 // TakePool handles another node's request for pooled tokens, or the refusal of one.
@@ -176,7 +176,7 @@
 	h.contact.now = now
 	switch {
 	case refusal.Stopping:
-		found.waiters[position].search.askedAt = now - poolRoundTime
+		found.waiters[position].search.requestedAt = now - poolRoundTime
 		h.serve(now, found)
 	case refusal.Exhausted != nil:
 		h.refuse(now, found, position, refusal.Exhausted)
@@ -186,8 +186,8 @@
 	}
 }
 
-// lendTo lends a waiting request of another node its tokens.
-func (h *Holder) lendTo(now time.Duration, found *account, next waiter) {
+// lendToWaiter lends a waiting request of another node its tokens.
+func (h *Holder) lendToWaiter(now time.Duration, found *account, next waiter) {
 	given := found.loanTo(next.borrower)
 	given.total += next.amount
 	h.Agreed(now, accounts.Loan{Lender: h.options.ID, Borrower: next.borrower, Budget: found.name, Total: given.total})
--- a/internal/coordination/escrow/pool_test.go
+++ b/internal/coordination/escrow/pool_test.go
@@ -30,7 +30,7 @@
 	return one
 }
 
-func askedPool(t *testing.T, holder *Holder) (to string, request PoolRequest) {
+func sentPoolRequest(t *testing.T, holder *Holder) (to string, request PoolRequest) {
 	t.Helper()
 	pools := holder.Pools()
 	assert.Equal(t, len(pools), 1)
@@ -38,10 +38,10 @@
 	return pools[0].To, *pools[0].Message.Request
 }
 
-func TestPoolHoldersAreAskedBeforeTheRoot(t *testing.T) {
+func TestRequestsGoToPoolHoldersBeforeTheRoot(t *testing.T) {
 	holder := pooledHolder("p", "q")
 	one := reserveInPool(holder, time.Second, 10)
-	to, request := askedPool(t, holder)
+	to, request := sentPoolRequest(t, holder)
 	assert.Equal(t, to, "p")
 	assert.Equal(t, request.Need, uint64(10))
 	assert.Equal(t, request.PatienceMS, uint64(120))
@@ -49,7 +49,7 @@
 	assert.Equal(t, len(holder.Pools()), 0)
 
 	holder.Tick(time.Second + poolRoundTime)
-	to, _ = askedPool(t, holder)
+	to, _ = sentPoolRequest(t, holder)
 	assert.Equal(t, to, "q")
 	_, due := holder.Report(time.Second + poolRoundTime)
 	assert.Assert(t, !due)
@@ -61,10 +61,10 @@
 	assert.Assert(t, !one.ended)
 }
 
-func TestRefusalOfAPoolHolderIsTheRequestsOwn(t *testing.T) {
+func TestPoolRefusalEndsOnlyTheRequestItNames(t *testing.T) {
 	holder := pooledHolder("p", "q")
 	one := reserveInPool(holder, time.Second, 10)
-	_, request := askedPool(t, holder)
+	_, request := sentPoolRequest(t, holder)
 	refusal := PoolRefusal{Borrower: holder.ID(), Budget: "b", Number: request.Number}
 	stale := refusal
 	stale.Number++
@@ -74,7 +74,7 @@
 	stopping := refusal
 	stopping.Stopping = true
 	holder.takePoolRefusal(time.Second, stopping)
-	to, _ := askedPool(t, holder)
+	to, _ := sentPoolRequest(t, holder)
 	assert.Equal(t, to, "q")
 
 	refusal.Exhausted = &ExhaustedError{Limit: 100, Spent: 95}
@@ -85,14 +85,14 @@
 	assert.Equal(t, exhausted.Spent, uint64(95))
 
 	other := reserveInPool(holder, 2*time.Second, 10)
-	_, request = askedPool(t, holder)
+	_, request = sentPoolRequest(t, holder)
 	holder.takePoolRefusal(2*time.Second, PoolRefusal{Borrower: holder.ID(), Budget: "b", Number: request.Number})
 	assert.Assert(t, errors.Is(other.err, ErrUnreachable))
 }
 
 // A node once requested the tokens of one waiter at a time, which limits it to 50 requests a second of
 // one tenant at a round trip of 20 ms.
-func TestPoolIsAskedForAllWaitersAtOnce(t *testing.T) {
+func TestPoolRequestsOfAllWaitersAreSentTogether(t *testing.T) {
 	holder := pooledHolder("p", "q")
 	first, second := reserveInPool(holder, time.Second, 10), reserveInPool(holder, time.Second, 20)
 	pools := holder.Pools()
@@ -104,8 +104,8 @@
 	assert.Assert(t, !first.ended)
 }
 
-// bring delivers the waiting messages of one holder to another.
-func bring(now time.Duration, from, to *Holder) {
+// deliver delivers the waiting messages of one holder to another.
+func deliver(now time.Duration, from, to *Holder) {
 	never := func(accounts.HolderID) bool { return false }
 	for _, pool := range from.Pools() {
 		to.TakePool(now, pool.Message)
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestPoolHolderLendsWhatARequestNeedsAndTheRestGoesBack(t *testing.T) {
+func TestPoolHolderLendsTheRequiredAmountAndTheRemainderIsReturned(t *testing.T) {
 	pool := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "p", Incarnation: 1}, Pool: func(string) []string { return nil }})
 	reserveInPool(pool, time.Second, 1)
 	pool.Take(time.Second, AnswerMessage{Holder: pool.ID(), Answers: []Answer{{Answer: accounts.Answer{Budget: "b", Granted: 100, Request: 1, Limit: 1000}}}})
@@ -131,9 +131,9 @@
 		assert.NilError(t, err)
 		held = reserved
 	})
-	bring(time.Second, holder, pool)
-	bring(time.Second, pool, holder)
-	bring(time.Second, holder, pool)
+	deliver(time.Second, holder, pool)
+	deliver(time.Second, pool, holder)
+	deliver(time.Second, holder, pool)
 	assert.Equal(t, held.Amount, uint64(30))
 	assert.Equal(t, pool.Free("b"), uint64(69))
 	assert.Assert(t, pool.LoansTaken())
@@ -150,7 +150,7 @@
 }
 
 // The pool holder counts the zone's demand as its own and requests tokens for it ahead of demand.
-func TestRequestsOfOthersAreThePoolHoldersDemand(t *testing.T) {
+func TestRequestsOfOtherNodesCountAsThePoolHoldersDemand(t *testing.T) {
 	pool := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "p", Incarnation: 1}, Pool: func(string) []string { return nil }})
 	pool.takePoolRequest(time.Second, PoolRequest{Borrower: accounts.HolderID{Node: "n", Incarnation: 1}, Budget: "b", Need: 50, Number: 1, PatienceMS: 100})
 	report, due := pool.Report(time.Second)
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -45,12 +45,12 @@
 	queue   []pendingReport
 	recalls map[string]*recall
 	number  uint64
-	// changed holds the budgets that were reported on since summaries were last sent, and told holds what
-	// was last sent of each budget.
-	changed []string
-	told    map[string]toldStanding
-	// inVain holds when a recall of a budget last did not return enough.
-	inVain map[string]time.Duration
+	// changed holds the budgets that were reported on since summaries were last sent, and sentSummaries
+	// holds what was last sent of each budget.
+	changed       []string
+	sentSummaries map[string]sentSummary
+	// insufficientRecalls holds when a recall of a budget last did not return enough.
+	insufficientRecalls map[string]time.Duration
 }
 
 // pendingReport is one holder's report that waits to be committed.
@@ -64,28 +64,28 @@
 
 // recall is one budget's recall in progress.
 type recall struct {
-	number   uint64
-	deadline time.Duration
-	waiting  map[accounts.HolderID]struct{}
-	// short holds the newest report of each holder that fell short, in the order in which the holders
-	// first did.
-	short []pendingReport
-}
-
-// keepShort keeps a report that fell short, in place of an earlier one of the same holder.
-func (r *recall) keepShort(short pendingReport) {
-	for position := range r.short {
-		if r.short[position].message.Holder == short.message.Holder {
-			r.short[position] = short
+	number         uint64
+	deadline       time.Duration
+	pendingHolders map[accounts.HolderID]struct{}
+	// shortReports holds the newest report of each holder that fell short, in the order in which the
+	// holders first did.
+	shortReports []pendingReport
+}
+
+// keepShortReport keeps a report that fell short, in place of an earlier one of the same holder.
+func (r *recall) keepShortReport(short pendingReport) {
+	for position := range r.shortReports {
+		if r.shortReports[position].message.Holder == short.message.Holder {
+			r.shortReports[position] = short
 			return
 		}
 	}
-	r.short = append(r.short, short)
+	r.shortReports = append(r.shortReports, short)
 }
 
 // NewRoot returns an empty Root.
 func NewRoot(options RootOptions) *Root {
-	return &Root{options: options, recalls: map[string]*recall{}, told: map[string]toldStanding{}, inVain: map[string]time.Duration{}}
+	return &Root{options: options, recalls: map[string]*recall{}, sentSummaries: map[string]sentSummary{}, insufficientRecalls: map[string]time.Duration{}}
 }
 
 // Take queues a holder's report.
@@ -138,7 +138,7 @@
 // Applied handles the result of a committed batch: it responds to the holders and starts recalls.
 func (r *Root) Applied(now time.Duration, batch Batch, result machine.Result) {
 	for position, pending := range batch.pending {
-		r.answer(now, pending, result.Answers[position], result.Contact)
+		r.respond(now, pending, result.Answers[position], result.Contact)
 		for _, report := range pending.message.Reports {
 			if !slices.Contains(r.changed, report.Budget) {
 				r.changed = append(r.changed, report.Budget)
@@ -147,35 +147,35 @@
 	}
 	for _, pending := range batch.pending {
 		for _, done := range pending.message.Recalled {
-			r.recallAnswered(done, pending.message.Holder)
+			r.takeRecallResponse(done, pending.message.Holder)
 		}
 	}
 }
 
-func (r *Root) answer(now time.Duration, pending pendingReport, answers []accounts.Answer, contact accounts.Contact) {
+func (r *Root) respond(now time.Duration, pending pendingReport, responses []accounts.Answer, contact accounts.Contact) {
 	reply := AnswerMessage{Holder: pending.message.Holder}
 	if pending.message.Allowances {
 		reply.Contact = contact
 	}
-	for position, answer := range answers {
-		if answer.Short && pending.afterRecall {
-			r.inVain[answer.Budget] = now
+	for position, response := range responses {
+		if response.Short && pending.afterRecall {
+			r.insufficientRecalls[response.Budget] = now
 		}
-		if answer.Short && !pending.afterRecall && !r.options.WithoutRecall && !r.recalledInVain(now, answer.Budget) {
+		if response.Short && !pending.afterRecall && !r.options.WithoutRecall && !r.recallWasInsufficient(now, response.Budget) {
 			report := pending.message.Reports[position]
 			if r.startRecall(now, pending.message.Holder, report) {
 				continue
 			}
 		}
-		reply.Answers = append(reply.Answers, Answer{Answer: answer, Unreached: pending.unreached})
+		reply.Answers = append(reply.Answers, Answer{Answer: response, Unreached: pending.unreached})
 	}
 	if len(reply.Answers) > 0 || reply.Contact.Index > 0 {
 		r.options.Reply(pending.message.Holder.Node, reply)
 	}
 }
 
-func (r *Root) recalledInVain(now time.Duration, budget string) bool {
-	at, found := r.inVain[budget]
+func (r *Root) recallWasInsufficient(now time.Duration, budget string) bool {
+	at, found := r.insufficientRecalls[budget]
 	return found && now-at < r.options.RecallPause
 }
 
@@ -187,7 +187,7 @@
 		afterRecall: true,
 	}
 	if running := r.recalls[report.Budget]; running != nil {
-		running.keepShort(short)
+		running.keepShortReport(short)
 		return true
 	}
 	// The requesting holder is recalled from too: it may hold a part that another one lacks.
@@ -196,11 +196,11 @@
 		return false
 	}
 	r.number++
-	started := &recall{number: r.number, deadline: now + recallTimeout, waiting: map[accounts.HolderID]struct{}{}}
-	started.keepShort(short)
+	started := &recall{number: r.number, deadline: now + recallTimeout, pendingHolders: map[accounts.HolderID]struct{}{}}
+	started.keepShortReport(short)
 	r.recalls[report.Budget] = started
 	for _, one := range holders {
-		started.waiting[one.ID] = struct{}{}
+		started.pendingHolders[one.ID] = struct{}{}
 		r.recallFrom(report.Budget, one)
 	}
 	return true
@@ -218,13 +218,13 @@
 	r.options.Recall(holder.ID.Node, RecallMessage{Holder: holder.ID, Budget: budget, Number: r.number, Granted: holder.Granted})
 }
 
-func (r *Root) recallAnswered(message RecallMessage, holder accounts.HolderID) {
+func (r *Root) takeRecallResponse(message RecallMessage, holder accounts.HolderID) {
 	running := r.recalls[message.Budget]
 	if running == nil || running.number != message.Number {
 		return
 	}
-	delete(running.waiting, holder)
-	if len(running.waiting) == 0 {
+	delete(running.pendingHolders, holder)
+	if len(running.pendingHolders) == 0 {
 		r.endRecall(message.Budget, running)
 	}
 }
@@ -232,17 +232,17 @@
 // endRecall ends a recall and queues the reports that fell short to be decided again.
 func (r *Root) endRecall(budget string, ended *recall) {
 	delete(r.recalls, budget)
-	for position := range ended.short {
-		ended.short[position].unreached = len(ended.waiting)
+	for position := range ended.shortReports {
+		ended.shortReports[position].unreached = len(ended.pendingHolders)
 	}
 	// They go before all others: what was returned is for them.
-	r.queue = append(ended.short, r.queue...)
+	r.queue = append(ended.shortReports, r.queue...)
 }
 
 // Tick ends recalls whose deadline has passed, and sends summaries of budgets to holders.
 func (r *Root) Tick(now time.Duration) {
 	if r.options.Tell != nil {
-		r.tellStandings(now)
+		r.sendSummaries(now)
 	}
 	for _, budget := range slices.Sorted(maps.Keys(r.recalls)) {
 		running := r.recalls[budget]
--- a/internal/coordination/escrow/standing.go
+++ b/internal/coordination/escrow/summary.go
@@ -19,14 +19,14 @@
 	// What their allowances do not cover is not lost with them, and in a partition only what they hold
 	// can be spent. The remainder serves requests at other nodes without a recall.
 	allowanceHeldShare = 0.75
-	// wishDrop is the share of the last reported desired amount below which a lower one is reported even
-	// without use to report.
-	wishDrop = 0.5
-	// standingStep is the share of the unspent tokens in the last summary sent to the holders at or
+	// desiredDropShare is the share of the last reported desired amount below which a lower one is
+	// reported even without use to report.
+	desiredDropShare = 0.5
+	// summaryStep is the share of the unspent tokens in the last summary sent to the holders at or
 	// below which a new one is sent.
-	standingStep = 0.88
-	// standingInterval is the minimum time between two summaries of one budget.
-	standingInterval = 200 * time.Millisecond
+	summaryStep = 0.88
+	// summaryInterval is the minimum time between two summaries of one budget.
+	summaryInterval = 200 * time.Millisecond
 )
 
 // Standing is the summary of a whole budget, in tokens.
@@ -47,14 +47,14 @@
 	}
 }
 
-func standingOf(answer accounts.Answer) Standing {
-	return Standing{Budget: answer.Budget, Limit: answer.Limit, Unspent: answer.Left + answer.Outstanding, Wished: answer.Wished}
+func summaryOfResponse(response accounts.Answer) Standing {
+	return Standing{Budget: response.Budget, Limit: response.Limit, Unspent: response.Left + response.Outstanding, Wished: response.Wished}
 }
 
-// most returns the maximum tokens that the holders together should hold ahead of demand. What a node
-// holds is lost with it, and a short budget can serve after a partition what it can't serve during
+// maximumHeld returns the maximum tokens that the holders together should hold ahead of demand. What a
+// node holds is lost with it, and a short budget can serve after a partition what it can't serve during
 // it, so the nodes hold little of a short budget.
-func (s Standing) most(hasAllowances bool) float64 {
+func (s Standing) maximumHeld(hasAllowances bool) float64 {
 	if s.Limit == 0 {
 		return 0
 	}
@@ -65,29 +65,29 @@
 	return unspent * min(heldShare, shortHeldShare*unspent/float64(s.Limit))
 }
 
-// part returns the tokens that a holder with a desired amount should hold: all of it, or its share of
+// share returns the tokens that a holder with a desired amount should hold: all of it, or its share of
 // the maximum that all holders should hold.
-func (s Standing) part(wish uint64, hasAllowances bool) uint64 {
-	most := s.most(hasAllowances)
-	if wished := float64(max(s.Wished, wish)); wished > most {
-		return uint64(float64(wish) * most / wished)
+func (s Standing) share(desired uint64, hasAllowances bool) uint64 {
+	maximum := s.maximumHeld(hasAllowances)
+	if totalDesired := float64(max(s.Wished, desired)); totalDesired > maximum {
+		return uint64(float64(desired) * maximum / totalDesired)
 	}
-	return wish
+	return desired
 }
 
-func (a *account) takeStanding(standing Standing) {
-	a.standing, a.known = standing, true
+func (a *account) setSummary(summary Standing) {
+	a.summary, a.hasSummary = summary, true
 }
 
 // isKnownShort reports whether the whole unspent part of the budget was below a number of tokens in
 // the root's last summary.
-func (a *account) isKnownShort(tokens uint64) bool { return a.known && a.standing.Unspent < tokens }
+func (a *account) isKnownShort(tokens uint64) bool { return a.hasSummary && a.summary.Unspent < tokens }
 
-// wishChanged reports whether the root still has a desired amount of this holder that is far too high,
+// desiredDropped reports whether the root still has a desired amount of this holder that is far too high,
 // so that other holders of a short budget get less.
-func (a *account) wishChanged(now time.Duration) bool {
-	isShort := a.known && float64(a.standing.Wished) > a.standing.most(a.contact != nil)
-	return isShort && float64(a.wish(now)) < wishDrop*float64(a.wished)
+func (a *account) desiredDropped(now time.Duration) bool {
+	isShort := a.hasSummary && float64(a.summary.Wished) > a.summary.maximumHeld(a.contact != nil)
+	return isShort && float64(a.desired(now)) < desiredDropShare*float64(a.reportedDesired)
 }
 
 // TakeStandings records summaries of budgets. The next Tick returns what is held beyond the node's
@@ -96,36 +96,36 @@
 	if message.Holder != h.options.ID {
 		return
 	}
-	for _, standing := range message.Standings {
-		if found := h.accounts[standing.Budget]; found != nil {
-			found.takeStanding(standing)
+	for _, summary := range message.Standings {
+		if found := h.accounts[summary.Budget]; found != nil {
+			found.setSummary(summary)
 		}
 	}
 }
 
-// toldStanding is the last summary that was sent to the holders of a budget.
-type toldStanding struct {
+// sentSummary is the last summary that was sent to the holders of a budget.
+type sentSummary struct {
 	unspent uint64
 	at      time.Duration
 }
 
-// tellStandings sends summaries to the holders of budgets that became shorter since the last one. A
+// sendSummaries sends summaries to the holders of budgets that became shorter since the last one. A
 // holder without requests reports nothing and would otherwise keep its share of what was left long
 // ago.
-func (r *Root) tellStandings(now time.Duration) {
+func (r *Root) sendSummaries(now time.Duration) {
 	due := map[accounts.HolderID][]Standing{}
 	for _, budget := range r.changed {
-		standing := r.options.StandingOf(budget)
-		told, known := r.told[budget]
-		if known && (float64(standing.Unspent) > standingStep*float64(told.unspent) || now-told.at < standingInterval) {
-			if standing.Unspent > told.unspent {
-				r.told[budget] = toldStanding{unspent: standing.Unspent, at: told.at}
+		summary := r.options.StandingOf(budget)
+		sent, known := r.sentSummaries[budget]
+		if known && (float64(summary.Unspent) > summaryStep*float64(sent.unspent) || now-sent.at < summaryInterval) {
+			if summary.Unspent > sent.unspent {
+				r.sentSummaries[budget] = sentSummary{unspent: summary.Unspent, at: sent.at}
 			}
 			continue
 		}
-		r.told[budget] = toldStanding{unspent: standing.Unspent, at: now}
+		r.sentSummaries[budget] = sentSummary{unspent: summary.Unspent, at: now}
 		for _, holder := range r.options.HoldersOf(budget) {
-			due[holder.ID] = append(due[holder.ID], standing)
+			due[holder.ID] = append(due[holder.ID], summary)
 		}
 	}
 	r.changed = r.changed[:0]
--- a/internal/coordination/escrow/standing_test.go
+++ b/internal/coordination/escrow/summary_test.go
@@ -49,15 +49,15 @@
 		}
 	}
 	if batch, found := g.root.Batch(); found {
-		var answers [][]accounts.Answer
+		var responses [][]accounts.Answer
 		for _, one := range batch.Command.Reports {
 			var given []accounts.Answer
 			for _, report := range one.Reports {
 				given = append(given, g.accounts.Take(one.Holder, report, 0))
 			}
-			answers = append(answers, given)
+			responses = append(responses, given)
 		}
-		g.root.Applied(now, batch, machine.Result{Answers: answers})
+		g.root.Applied(now, batch, machine.Result{Answers: responses})
 	}
 	g.root.Tick(now)
 }
@@ -81,7 +81,7 @@
 // Found in run trouble-1 of site drukwacht and on the enlarged sites: holders without requests reported
 // nothing, and kept for good what was their share when most of the budget was unspent. A final fault
 // then lost half of what was left.
-func TestIdleHoldersGiveBackWhenTheBudgetBecomesShort(t *testing.T) {
+func TestIdleHoldersReturnTokensWhenTheBudgetBecomesShort(t *testing.T) {
 	g := newGroup(1_000_000, 8)
 	now := time.Second
 	for name := range g.holders {
@@ -104,7 +104,7 @@
 
 // A holder with most of the demand holds most of what may be held, regardless of how many others hold
 // a little.
-func TestPartsOfAShortBudgetFollowDemand(t *testing.T) {
+func TestSharesOfAShortBudgetFollowDemand(t *testing.T) {
 	g := newGroup(1_000_000, 8)
 	now := time.Second
 	for name := range g.holders {
@@ -116,14 +116,14 @@
 		g.step(now + 500*time.Millisecond)
 	}
 	budget := g.accounts.Budget("b")
-	most := Standing{Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding()}.most(false)
-	assert.Assert(t, float64(g.holders["n0"].Free("b")) > 0.5*most, "%d of at most %.0f", g.holders["n0"].Free("b"), most)
+	maximum := Standing{Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding()}.maximumHeld(false)
+	assert.Assert(t, float64(g.holders["n0"].Free("b")) > 0.5*maximum, "%d of at most %.0f", g.holders["n0"].Free("b"), maximum)
 }
 
-func TestPartOfALongBudgetIsTheWish(t *testing.T) {
-	standing := Standing{Limit: 1_000_000, Unspent: 900_000, Wished: 200_000}
-	assert.Equal(t, standing.part(50_000, false), uint64(50_000))
-	standing.Unspent = 200_000
-	assert.Assert(t, standing.part(50_000, false) < 10_000)
-	assert.Equal(t, Standing{}.part(5, false), uint64(0))
+func TestShareOfAnAmpleBudgetIsTheDesiredAmount(t *testing.T) {
+	summary := Standing{Limit: 1_000_000, Unspent: 900_000, Wished: 200_000}
+	assert.Equal(t, summary.share(50_000, false), uint64(50_000))
+	summary.Unspent = 200_000
+	assert.Assert(t, summary.share(50_000, false) < 10_000)
+	assert.Equal(t, Standing{}.share(5, false), uint64(0))
 }
