--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -55,7 +55,7 @@
 	// ErrUnknownBudget reports that the root has no account of the budget.
 	ErrUnknownBudget = errors.New("escrow: no such budget")
 	// ErrClosed reports that this incarnation's accounts are fenced: the root accepts no more use of them.
-	ErrClosed = errors.New("escrow: this incarnation of the node is fenced")
+	ErrClosed = errors.New("escrow: this life of the node is fenced")
 )
 
 // ExhaustedError is an ErrExhausted with the root's amounts, in tokens.
