--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -13,7 +13,7 @@
 
 const testDeadline = time.Second
 
-// trio is three holders whose messages the test delivers by hand.
+// trio is three acceptors whose messages the test delivers explicitly.
 type trio struct {
 	pool           *membership.Pool
 	holders        map[string]*Holder
@@ -42,23 +42,23 @@
 	})
 }
 
-// questions returns a proposer's questions to all holders: those to a majority
-// and, as if it took long, those to the others.
+// questions returns a proposer's requests to all acceptors: those to a majority and, as if the resend
+// interval had passed, those to the others.
 func questions(of *Proposer) []Outgoing {
 	asked := of.Outgoing()
 	of.Tick(resendInterval)
 	return append(asked, of.Outgoing()...)
 }
 
-// ask delivers a proposer's waiting question for one holder and returns the
-// answer without delivering it.
+// ask delivers a proposer's waiting request to one acceptor and returns the response without delivering
+// it.
 func (t *trio) ask(questions []Outgoing, holder string) Message {
 	for _, question := range questions {
 		if question.To == holder {
 			return t.holders[holder].Step(0, question.Message)[0].Message
 		}
 	}
-	panic("no question for " + holder)
+	panic("no request for " + holder)
 }
 
 func (t *trio) recover(name string) {
@@ -77,9 +77,8 @@
 	}
 }
 
-// delayedPromise has router q claim a key while a promise that holder h1 gave
-// router p in its earlier life is still under way. It returns the owners that
-// were told that they won.
+// delayedPromise has router q claim a key while a promise to router p, which acceptor h1 sent in its
+// earlier incarnation, is still in transit. It returns the routers whose change succeeded.
 func delayedPromise(withoutVectors bool) []string {
 	t := newTrio(withoutVectors)
 	key := NewKey("tenant", "key")
@@ -121,14 +120,13 @@
 	assert.DeepEqual(t, delayedPromise(false), []string{"a"})
 }
 
-// The same schedule without crash vectors makes two owners: the test above can
-// fail.
+// The same schedule without crash vectors makes two owners, so the test above can fail.
 func TestDelayedPromiseMakesTwoOwnersWithoutCrashVectors(t *testing.T) {
 	assert.DeepEqual(t, delayedPromise(true), []string{"a", "p"})
 }
 
-// A second change of the same node after the first settled used to begin with
-// a ballot that was already used, so that one ballot stood for two values.
+// A second change of the same node after the first settled once began with a ballot that was already
+// used, so that one ballot stood for two values.
 func TestBallotsAreNeverUsedTwice(t *testing.T) {
 	group := newTrio(false)
 	p := group.proposer("p")
@@ -179,9 +177,9 @@
 	assert.Equal(t, holder.Step(0, late)[0].Message.Refusal, RefusedForgotten)
 }
 
-// A node that was fenced while alive owns claims under a later life than that
-// of its holder. Its proposals once made the others take its holder's answers
-// for stale, so that no claim it holds could be read any more.
+// A node that was fenced while it ran owns claims under a later incarnation than that of its acceptor.
+// Its proposals once made other nodes treat its acceptor's responses as stale, so that no claim that
+// it stores could be read any more.
 func TestLaterLifeAsOwnerDoesNotMakeItsHolderStale(t *testing.T) {
 	group := newTrio(false)
 	later := NewProposer(ProposerOptions{
--- a/internal/coordination/claims/holder.go
+++ b/internal/coordination/claims/holder.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// DefaultRetention is how long a settled claim with a caller's key is kept,
-	// so that a retry gets the first answer and no second charge.
+	// DefaultRetention is how long a settled claim with a caller's key is kept, so that a retry gets the
+	// first result and no second charge.
 	DefaultRetention = 24 * time.Hour
-	// promiseRetention is how long a promise without a value is kept: longer
-	// than any message can be under way.
+	// promiseRetention is how long a promise without a value is kept: longer than any message can be in
+	// transit.
 	promiseRetention = time.Hour
-	// recoverInterval is the time between requests for recovery.
+	// recoverInterval is the time between MessageRecover requests.
 	recoverInterval = 200 * time.Millisecond
 )
 
@@ -26,27 +26,26 @@
 	Self        string
 	Incarnation uint64
 	Pool        *membership.Pool
-	// Fresh holders have no predecessor that made promises, so they need no
-	// recovery: the node has never run, or its memory survived on disk.
+	// Fresh acceptors have no earlier incarnation whose promises were lost, so they require no recovery:
+	// the node has never run, or its records survived on disk.
 	Fresh bool
-	// Retention of settled claims with callers' keys; 0 means the default.
+	// Retention is how long settled claims with callers' keys are kept; 0 means DefaultRetention.
 	Retention time.Duration
-	// WithoutVectors is a deliberate defect for the simulation: it ignores the
-	// crash vectors.
+	// WithoutVectors is a deliberate defect for the simulation: the acceptor ignores crash vectors.
 	WithoutVectors bool
 }
 
-// Holder keeps the registers of the keys that a node holds. It is a pure step:
-// no clock, no network. It is not safe for concurrent use.
+// Holder stores the registers of a node's keys and votes on ballots. It is a state machine without
+// clock or network access, and is not safe for concurrent use.
 type Holder struct {
 	options HolderOptions
-	// incarnations is the newest known life of each node.
+	// incarnations is the newest known incarnation of each node.
 	incarnations Vector
 	records      map[Register]*heldRecord
-	// fenced is, for each node, the newest life that may change nothing more.
+	// fenced is, for each node, the newest incarnation that may not change any register.
 	fenced Vector
 	marks  map[markKey]uint64
-	// answered are the nodes that have told this restarted holder what they know.
+	// answered holds the nodes that have sent this restarted acceptor their records.
 	answered    map[string]bool
 	nextRecover time.Duration
 }
@@ -62,7 +61,7 @@
 	budget string
 }
 
-// NewHolder makes a holder.
+// NewHolder returns an acceptor without records.
 func NewHolder(options HolderOptions) *Holder {
 	if options.Retention == 0 {
 		options.Retention = DefaultRetention
@@ -79,10 +78,10 @@
 	return holder
 }
 
-// Incarnation returns the holder's own life.
+// Incarnation returns the acceptor's own incarnation.
 func (h *Holder) Incarnation() uint64 { return h.options.Incarnation }
 
-// Recovering lists the nodes whose answer a restarted holder still waits for.
+// Recovering returns the nodes whose response a restarted acceptor still waits for.
 func (h *Holder) Recovering() []string {
 	var waiting []string
 	for _, node := range h.options.Pool.Nodes() {
@@ -93,10 +92,10 @@
 	return waiting
 }
 
-// Length is the number of registers held.
+// Length returns the number of registers.
 func (h *Holder) Length() int { return len(h.records) }
 
-// Tick asks for recovery where needed and forgets what is no longer needed.
+// Tick drops records that are no longer required, and returns the recovery requests that are due.
 func (h *Holder) Tick(now time.Duration) []Outgoing {
 	h.forget(now)
 	waiting := h.Recovering()
@@ -111,7 +110,7 @@
 	return outgoing
 }
 
-// Step takes one message and returns the answers.
+// Step handles one message and returns the responses.
 func (h *Holder) Step(now time.Duration, message Message) []Outgoing {
 	h.learn(message)
 	switch message.Kind {
@@ -129,8 +128,8 @@
 	return nil
 }
 
-// learn takes over newer incarnations. It runs before anything is answered, so
-// that an answer to a restarted holder's request already knows its new life.
+// learn records newer incarnations. It runs before the message is handled, so that the response to a
+// restarted acceptor's request already contains its new incarnation.
 func (h *Holder) learn(message Message) {
 	h.learnIncarnation(message.From, message.Incarnation)
 	for node, incarnation := range message.Vector {
@@ -149,14 +148,14 @@
 }
 
 func (h *Holder) answer(question, reply Message) []Outgoing {
-	// The operation and the ballot's proposer name the question; its key and
-	// scope need not travel back.
+	// The operation and the ballot's proposer identify the request, so the response need not repeat its
+	// key and scope.
 	reply.Operation = question.Operation
 	reply.Proposer = question.Ballot.Proposer.Incarnation
 	return []Outgoing{{To: question.From, Message: reply}}
 }
 
-// vectorFor is this holder's view of a key's holders.
+// vectorFor returns this acceptor's view of the incarnations of a key's acceptors.
 func (h *Holder) vectorFor(scope string, key Key) Vector {
 	vector := Vector{}
 	for _, node := range h.options.Pool.Holders(scope, string(key[:])) {
@@ -165,8 +164,7 @@
 	return vector
 }
 
-// knows tells whether both other holders of a key have answered since the
-// restart.
+// knows reports whether both other acceptors of a key have sent their records since the restart.
 func (h *Holder) knows(scope string, key Key) bool {
 	for _, node := range h.options.Pool.Holders(scope, string(key[:])) {
 		if node != h.options.Self && !h.answered[node] {
@@ -184,7 +182,7 @@
 	return reply
 }
 
-// check returns why a proposal can't be considered at all, or 0.
+// check returns why a proposal is refused regardless of its ballot, or 0.
 func (h *Holder) check(message Message) Refusal {
 	proposer := message.Ballot.Proposer
 	if proposer.Incarnation <= h.fenced[proposer.Node] {
@@ -201,7 +199,7 @@
 		return h.refuse(MessagePromise, message, refusal, Ballot{})
 	}
 	record := h.record(message.Scope, message.Key)
-	// A promise is kept: nothing lower is promised or accepted after it.
+	// After a promise, no lower ballot is promised or accepted.
 	if message.Ballot.Less(record.Promised) {
 		return h.refuse(MessagePromise, message, RefusedBallot, record.Promised)
 	}
@@ -256,7 +254,7 @@
 	return record
 }
 
-// recordsFor returns everything about the keys that another node holds too.
+// recordsFor returns a response with everything about the keys that another node is an acceptor of too.
 func (h *Holder) recordsFor(node string) Message {
 	reply := h.message(MessageRecovered)
 	reply.Vector = maps.Clone(h.incarnations)
@@ -280,7 +278,7 @@
 	return records
 }
 
-// adopt takes over what another holder knows, after this one's restart.
+// adopt merges the records of another acceptor after a restart of this one.
 func (h *Holder) adopt(now time.Duration, message Message) {
 	if h.answered[message.From] || message.Incarnation < h.incarnations[message.From] {
 		return
@@ -301,8 +299,8 @@
 	h.answered[message.From] = true
 }
 
-// Fence makes a life of a node change nothing more here, and returns the
-// claims that it owns and the loans that it was given.
+// Fence refuses all further changes by an incarnation of a node here, and returns the claims that it
+// owns and the loans that it received.
 func (h *Holder) Fence(owner accounts.HolderID) []Record {
 	h.fenced[owner.Node] = max(h.fenced[owner.Node], owner.Incarnation)
 	var owned []Record
@@ -314,7 +312,7 @@
 	return owned
 }
 
-// Fenced tells whether a life of a node is fenced here.
+// Fenced reports whether an incarnation of a node is fenced here.
 func (h *Holder) Fenced(owner accounts.HolderID) bool {
 	return owner.Incarnation <= h.fenced[owner.Node]
 }
@@ -326,8 +324,8 @@
 	}
 }
 
-// isForgotten: a late message about a claim that was accounted for must not
-// bring it back.
+// isForgotten reports whether a claim was accounted for and forgotten. A late message must not restore
+// it.
 func (h *Holder) isForgotten(claim *Claim) bool {
 	if claim.CallerKey || claim.Sequence == 0 {
 		return false
@@ -335,8 +333,8 @@
 	return claim.Sequence <= h.marks[markKey{owner: claim.Owner, budget: claim.Budget}]
 }
 
-// forget drops settled claims that the root has accounted for: minted keys at
-// once, callers' keys after the retention.
+// forget drops settled claims that the root has accounted for: those with generated keys immediately,
+// those with callers' keys after the retention.
 func (h *Holder) forget(now time.Duration) {
 	for key, record := range h.records {
 		claim := record.Claim
--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -12,53 +12,53 @@
 )
 
 const (
-	// resendInterval is the time after which a question is asked again.
+	// resendInterval is the time after which a request without a response is sent again.
 	resendInterval = 50 * time.Millisecond
-	// firstBackoff bounds the random pause after a first lost ballot; it doubles
-	// with each further one, up to maximumBackoffDoublings times.
+	// firstBackoff is the upper bound of the random delay after a first lost ballot. It doubles with each
+	// further one, up to maximumBackoffDoublings times.
 	firstBackoff            = 20 * time.Millisecond
 	maximumBackoffDoublings = 5
 )
 
 // Errors of changes.
 var (
-	// ErrUnreachable says that no majority of the holders answered in time. If
-	// the change was a first dispatch, it may or may not have been written.
+	// ErrUnreachable reports that no majority of the acceptors responded in time. If the change was a
+	// first dispatch, it may or may not have been written.
 	ErrUnreachable = errors.New("claims: no majority of the holders answers")
-	// ErrFenced says that this node's life is over: it must take a new one.
+	// ErrFenced reports that this incarnation of the node is fenced: the node must take a new one.
 	ErrFenced = errors.New("claims: this life of the node is fenced")
-	// ErrForgotten says that the claim was settled and accounted for long ago.
+	// ErrForgotten reports that the claim was settled, accounted for and dropped.
 	ErrForgotten = errors.New("claims: the claim is settled and forgotten")
 )
 
-// Change computes the next value of a register from the current one (nil if
-// there is none). Returning nil leaves it as it is.
+// Change computes the next value of a register from the current one (nil if there is none). If it
+// returns nil, the register keeps its value.
 type Change func(current *Claim) *Claim
 
-// Outcome is the end of a change.
+// Outcome is the result of a change.
 type Outcome struct {
 	// Claim is the register's value now, nil if there is none.
 	Claim *Claim
-	// Changed tells that the value is the one the change computed.
+	// Changed reports whether Claim is the value that the change computed.
 	Changed bool
 	Err     error
 }
 
 // ProposerOptions set up a Proposer.
 type ProposerOptions struct {
-	// ID is the life under which the node owns claims and proposes.
+	// ID is the incarnation under which the node owns claims and proposes.
 	ID accounts.HolderID
-	// Incarnation is the life of the node's holder, which its messages carry. It
-	// is earlier than ID's if the node was fenced while alive: its memory of
-	// promises is older than its newest life as an owner. 0 means ID's.
+	// Incarnation is the incarnation of the node's acceptor, which the messages carry. It is lower than
+	// ID's if the node was fenced while it ran: the acceptor's promises are then older than the node's
+	// newest incarnation as an owner. 0 means ID's.
 	Incarnation    uint64
 	Pool           *membership.Pool
 	Random         *rand.Rand
 	WithoutVectors bool
 }
 
-// Proposer changes registers on behalf of one node. It is a pure step and not
-// safe for concurrent use.
+// Proposer changes registers on behalf of one node. It is a state machine without clock or network
+// access, and is not safe for concurrent use.
 type Proposer struct {
 	options    ProposerOptions
 	operations map[uint64]*operation
@@ -66,12 +66,12 @@
 	// lastRound is the highest round of any ballot of this proposer.
 	lastRound uint64
 	outgoing  []Outgoing
-	// incarnations is the newest known life of each node.
+	// incarnations is the newest known incarnation of each node.
 	incarnations Vector
-	// owned are the ballots under which this node's own claims were accepted,
-	// with the incarnations that promised them.
+	// owned holds the ballots under which this node's own claims were proposed, with the incarnations of
+	// the acceptors that promised them.
 	owned map[Register]ownedBallot
-	// missed counts the questions that each holder has not answered in a row.
+	// missed counts, for each acceptor, the requests in a row that had to be sent again.
 	missed map[string]int
 }
 
@@ -91,14 +91,14 @@
 	done     func(Outcome)
 	deadline time.Duration
 	ballot   Ballot
-	// accepting: the second round.
+	// accepting is set in the second round.
 	accepting bool
 	value     *Claim
 	changed   bool
 	answers   map[string]Message
 	refused   map[string]bool
 	resendAt  time.Duration
-	// restartAt is not 0 while waiting to try with a higher ballot.
+	// restartAt is when the operation restarts with a higher ballot; 0 if it does not wait to.
 	restartAt time.Duration
 	restarts  int
 	highest   Ballot
@@ -106,7 +106,7 @@
 
 func (o *operation) register() Register { return Register{Scope: o.scope, Key: o.key} }
 
-// NewProposer makes a proposer.
+// NewProposer returns a proposer without operations.
 func NewProposer(options ProposerOptions) *Proposer {
 	options.Incarnation = cmp.Or(options.Incarnation, options.ID.Incarnation)
 	return &Proposer{
@@ -115,8 +115,7 @@
 	}
 }
 
-// Change starts a change; done is called once. The messages to send are
-// returned by Outgoing.
+// Change starts a change and calls done once with its outcome. Outgoing returns the messages to send.
 func (p *Proposer) Change(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
 	started := p.start(deadline, scope, key, change, done)
 	if p.changeOwned(now, started) {
@@ -125,9 +124,9 @@
 	p.begin(now, started)
 }
 
-// ChangeMinted is the first change of a key that this node has just made up.
-// Nobody else can have proposed for it with the lowest ballot, so the first
-// round is not needed. A holder that has promised a higher one refuses.
+// ChangeMinted is the first change of a key that this node has newly generated. No other node can have
+// proposed for it with the lowest ballot, so the first round is skipped. An acceptor that has promised
+// a higher ballot refuses.
 func (p *Proposer) ChangeMinted(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
 	started := p.start(deadline, scope, key, change, done)
 	started.ballot = Ballot{Round: mintedRound, Proposer: p.options.ID}
@@ -136,7 +135,7 @@
 	p.beginAccept(now, started)
 }
 
-// mintedRound is the lowest round; other proposals begin above it.
+// mintedRound is the round of ChangeMinted, and the lowest one; other proposals begin above it.
 const mintedRound = 1
 
 func (p *Proposer) start(deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) *operation {
@@ -149,22 +148,22 @@
 	return started
 }
 
-// Outgoing takes the messages that wait to be sent.
+// Outgoing removes and returns the messages that wait to be sent.
 func (p *Proposer) Outgoing() []Outgoing {
 	outgoing := p.outgoing
 	p.outgoing = nil
 	return outgoing
 }
 
-// Forget drops the memory of an owned claim once it needs no more change.
+// Forget drops the ballot of an owned claim that will not change any more.
 func (p *Proposer) Forget(register Register) { delete(p.owned, register) }
 
-// InProgress is the number of changes in progress.
+// InProgress returns the number of changes in progress.
 func (p *Proposer) InProgress() int { return len(p.operations) }
 
-// changeOwned changes a claim that this node already owns with one round:
-// nobody else can have changed it without a higher ballot, which the holders
-// would refuse this one for.
+// changeOwned changes a claim that this node already owns with the second round alone. It returns false
+// if there is no such claim or no change. Another node can have changed the claim only under a higher
+// ballot, because of which the acceptors would refuse this one.
 func (p *Proposer) changeOwned(now time.Duration, started *operation) bool {
 	owned, found := p.owned[started.register()]
 	if !found {
@@ -186,10 +185,10 @@
 	return true
 }
 
-// begin starts the first round with a ballot above all seen.
+// begin starts the first round with a ballot above all that were seen.
 func (p *Proposer) begin(now time.Duration, started *operation) {
 	delete(p.owned, started.register())
-	// A ballot stands for one operation only: rounds are never used again.
+	// A ballot belongs to one operation only, so rounds are never reused.
 	p.lastRound = max(p.lastRound, started.highest.Round, mintedRound) + 1
 	started.ballot = Ballot{Round: p.lastRound, Proposer: p.options.ID}
 	started.accepting = false
@@ -211,8 +210,8 @@
 	p.askFirst(now, started)
 }
 
-// askFirst asks a majority only: this node's own holder, then those that have
-// missed the fewest questions of late. The others are asked if it takes long.
+// askFirst sends the round's request to a majority only: to this node's own acceptor, then to those that
+// recently missed the fewest requests. The others receive it after resendInterval.
 func (p *Proposer) askFirst(now time.Duration, started *operation) {
 	started.resendAt = now + resendInterval
 	order := slices.Clone(started.holders)
@@ -229,7 +228,7 @@
 	return p.missed[holder]
 }
 
-// askAgain asks all holders that have not answered the round's question.
+// askAgain sends the round's request to all acceptors that have not responded to it.
 func (p *Proposer) askAgain(now time.Duration, started *operation) {
 	started.resendAt = now + resendInterval
 	for _, holder := range started.holders {
@@ -254,9 +253,9 @@
 	p.outgoing = append(p.outgoing, Outgoing{To: holder, Message: message})
 }
 
-// acceptVector names the life of the holder that promised. A holder that did
-// not promise may accept too: under its newest known life it has forgotten
-// nothing since.
+// acceptVector returns the incarnation under which an acceptor promised. An acceptor that did not
+// promise may accept too, under its newest known incarnation: it made no promise that a restart could
+// have lost.
 func (p *Proposer) acceptVector(started *operation, holder string) Vector {
 	if incarnation, promised := p.owned[started.register()].vector[holder]; promised {
 		return Vector{holder: incarnation}
@@ -264,7 +263,7 @@
 	return Vector{holder: p.incarnations[holder]}
 }
 
-// Step takes a holder's answer.
+// Step handles an acceptor's response.
 func (p *Proposer) Step(now time.Duration, message Message) {
 	p.learn(message)
 	started := p.operations[message.Operation]
@@ -279,7 +278,7 @@
 		return
 	}
 	if message.Proposer != p.options.ID.Incarnation {
-		// An answer to an earlier life's question of the same number.
+		// The response is to a request of an earlier incarnation with the same operation number.
 		return
 	}
 	p.missed[message.From] = 0
@@ -303,7 +302,7 @@
 	}
 }
 
-// valid returns the answers of lives that are not known to be over.
+// valid returns the responses of acceptors whose incarnation is not known to have ended.
 func (p *Proposer) valid(started *operation) []Message {
 	var valid []Message
 	for _, holder := range started.holders {
@@ -312,7 +311,7 @@
 			continue
 		}
 		if !p.options.WithoutVectors && answer.Incarnation < p.incarnations[holder] {
-			// The promise or acceptance died with that life: ask the new one.
+			// The promise or acceptance was lost with that incarnation. The new one receives the request again.
 			delete(started.answers, holder)
 			continue
 		}
@@ -339,7 +338,7 @@
 		p.finish(started, Outcome{})
 		return
 	}
-	// An unchanged value is written back: it may be on a minority only.
+	// An unchanged value is written back, because it may be stored at a minority only.
 	p.beginAccept(now, started)
 }
 
@@ -373,20 +372,20 @@
 		}
 		p.restart(now, started)
 	case RefusedStale:
-		// Only a promise that died with a life forces a new round. A holder that
-		// had not promised is asked again under its new life.
+		// Only a promise that was lost with an incarnation requires a new round. An acceptor that had not
+		// promised receives the request again under its new incarnation.
 		if _, promised := p.owned[started.register()].vector[message.From]; promised {
 			p.restart(now, started)
 			return
 		}
 		p.askOne(started, message.From)
 	case RefusedRecovering:
-		// Asked again at the next resend.
+		// The request is sent again at the next resend.
 	}
 }
 
-// restart tries again with a higher ballot after a random pause, so that two
-// proposers do not keep overtaking each other.
+// restart schedules another attempt with a higher ballot after a random delay, so that two proposers do
+// not keep overtaking each other.
 func (p *Proposer) restart(now time.Duration, started *operation) {
 	if started.highest.Less(started.ballot) {
 		started.highest = started.ballot
@@ -406,7 +405,8 @@
 	started.done(outcome)
 }
 
-// Tick asks again what was not answered and gives up at deadlines.
+// Tick resends requests without a response, restarts operations that are due, and fails those whose
+// deadline has passed.
 func (p *Proposer) Tick(now time.Duration) {
 	for _, id := range p.sortedOperations() {
 		started := p.operations[id]
--- a/internal/coordination/claims/size_test.go
+++ b/internal/coordination/claims/size_test.go
@@ -9,14 +9,14 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// Bounds on the bytes of the messages that one request with a minted key costs:
-// two questions with the claim and two answers.
+// Maximum bytes of the messages for one request with a newly generated key: two requests with the claim
+// and two responses.
 const (
 	maximumQuestionBytes = 230
 	maximumAnswerBytes   = 110
 )
 
-// realistic is a claim with names as long as in a deployment.
+// realistic returns a claim with names as long as in a deployment.
 func realistic() (Key, *Claim) {
 	key := NewKey("tenant-01", "request")
 	return key, &Claim{
@@ -40,7 +40,7 @@
 	assert.NilError(t, err)
 	answer, err := peer.Encode(peer.KindClaims, []Message{group.holders["h2"].Step(0, question)[0].Message})
 	assert.NilError(t, err)
-	t.Logf("question %d bytes, answer %d bytes", len(frame), len(answer))
+	t.Logf("request %d bytes, response %d bytes", len(frame), len(answer))
 	assert.Assert(t, len(frame) <= maximumQuestionBytes, "%d bytes", len(frame))
 	assert.Assert(t, len(answer) <= maximumAnswerBytes, "%d bytes", len(answer))
 }
--- a/internal/coordination/claims/types.go
+++ b/internal/coordination/claims/types.go
@@ -7,10 +7,10 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// Key names a request: a hash of its tenant and its idempotency key.
+// Key identifies a request: a hash of its tenant and its idempotency key.
 type Key [16]byte
 
-// NewKey makes the key of a tenant's request.
+// NewKey returns the key of a tenant's request.
 func NewKey(tenant, idempotencyKey string) Key {
 	digest := sha256.New()
 	digest.Write([]byte(tenant))
@@ -22,23 +22,22 @@
 // String returns the key in hex.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Register names one register: the same key may be claimed in more than one
-// scope while zones are cut off from each other.
+// Register identifies one register. The same key may be claimed in more than one scope while zones are
+// partitioned from each other.
 type Register struct {
 	Scope string
 	Key   Key
 }
 
-// Ballot orders proposals for one key. Promises are given for a round and its
-// proposer; within them the proposer numbers its values by Step, so that one
-// ballot never stands for two values.
+// Ballot orders proposals for one key. A promise covers a Round of one Proposer; within it the proposer
+// numbers its values by Step, so that one ballot never stands for two values.
 type Ballot struct {
 	Round    uint64            `msgpack:"r"`
 	Proposer accounts.HolderID `msgpack:"p"`
 	Step     uint32            `msgpack:"s,omitempty"`
 }
 
-// Less orders ballots.
+// Less reports whether b is lower than other.
 func (b Ballot) Less(other Ballot) bool {
 	if b.Round != other.Round {
 		return b.Round < other.Round
@@ -49,16 +48,16 @@
 	return b.Step < other.Step
 }
 
-// State is how far a claimed request has come.
+// State is the progress of a claimed request.
 type State uint8
 
 const (
-	// Dispatched: it may have been offered to the back end.
+	// Dispatched requests may have been sent to the back end.
 	Dispatched State = iota + 1
-	// Settled: it ended, and its use is known.
+	// Settled requests have ended, and their use is known.
 	Settled
-	// Lent: not a request, but what the owner has lent the borrower in all of
-	// a budget (in Reserved). It is kept until both lives are over.
+	// Lent claims are not requests. They record the cumulative tokens of a budget that the owner has lent
+	// to the borrower (in Reserved), and are kept until both incarnations have ended.
 	Lent
 )
 
@@ -75,112 +74,112 @@
 type Result uint8
 
 const (
-	// Completed: the back end gave its whole answer.
+	// Completed requests received the back end's whole response.
 	Completed Result = iota + 1
-	// Cancelled: the caller went away; what ran is billed.
+	// Cancelled requests were given up by the caller; what ran is billed.
 	Cancelled
-	// Failed: the back end ended it with an error.
+	// Failed requests were ended by the back end with an error.
 	Failed
-	// NotRun: the back end never ran it.
+	// NotRun requests never ran at the back end.
 	NotRun
-	// OutcomeUnknown: nobody can tell any more. It is never run again.
+	// OutcomeUnknown requests have an outcome that can't be determined any more. They never run again.
 	OutcomeUnknown
 )
 
 // Claim is the value of a register.
 type Claim struct {
 	State State `msgpack:"s"`
-	// Owner is the life of the node whose grant pays, and Sequence its
-	// reservation's number in the budget.
+	// Owner is the incarnation of the node whose grant pays, and Sequence is the number of its reservation
+	// in the budget.
 	Owner    accounts.HolderID `msgpack:"o"`
 	Budget   string            `msgpack:"b,omitempty"`
 	Sequence uint64            `msgpack:"q,omitempty"`
-	// Reserved is the most that it can use, in tokens.
+	// Reserved is the maximum that the request can use, in tokens.
 	Reserved uint64 `msgpack:"v,omitempty"`
-	// Backend runs it under RequestID.
+	// Backend runs the request under RequestID.
 	Backend   string `msgpack:"e"`
 	RequestID string `msgpack:"i"`
-	// Fingerprint is a hash of the request, so that a key used for another
-	// request is noticed.
+	// Fingerprint is a hash of the request. It detects a key that is reused for another request.
 	Fingerprint uint64 `msgpack:"f"`
-	// CallerKey tells that the key was the caller's and not minted by a node.
+	// CallerKey reports whether the caller sent the key; otherwise a node generated it.
 	CallerKey     bool `msgpack:"c,omitempty"`
 	NotRepeatable bool `msgpack:"n,omitempty"`
 	// Borrower is the other side of a loan.
 	Borrower accounts.HolderID `msgpack:"w,omitempty"`
-	// Used and Result are known once it is settled, Used in tokens.
+	// Used (in tokens) and Result are set once the request is settled.
 	Used   uint64 `msgpack:"u,omitempty"`
 	Result Result `msgpack:"t,omitempty"`
 }
 
-// MessageKind tells what a Message asks or answers.
+// MessageKind is the kind of a Message: a request or the response to one.
 type MessageKind uint8
 
 const (
-	// MessagePrepare asks for a promise.
+	// MessagePrepare requests a promise.
 	MessagePrepare MessageKind = iota + 1
-	// MessagePromise answers it.
+	// MessagePromise is the response to MessagePrepare.
 	MessagePromise
-	// MessageAccept asks to accept a value.
+	// MessageAccept requests that a value be accepted.
 	MessageAccept
-	// MessageAccepted answers it.
+	// MessageAccepted is the response to MessageAccept.
 	MessageAccepted
-	// MessageRecover asks for what concerns a restarted holder.
+	// MessageRecover requests the records that concern a restarted acceptor.
 	MessageRecover
-	// MessageRecovered answers it.
+	// MessageRecovered is the response to MessageRecover.
 	MessageRecovered
-	// MessageWatermark says up to which reservation an owner's settlements are
-	// in the root account, so that their claims may be forgotten.
+	// MessageWatermark carries up to which reservation an owner's settlements are in the root account, so
+	// that their claims may be forgotten. It has no response.
 	MessageWatermark
 )
 
 // Vector is a view of nodes' incarnations.
 type Vector map[string]uint64
 
-// Message is what proposers and holders send each other.
+// Message is a message between a proposer and an acceptor, or between two acceptors.
 type Message struct {
 	Kind MessageKind `msgpack:"k"`
 	From string      `msgpack:"f"`
-	// Incarnation is the sender's.
+	// Incarnation is the sender's incarnation.
 	Incarnation uint64 `msgpack:"n"`
-	// Vector is the sender's view of the key's holders.
+	// Vector is the sender's view of the incarnations of the key's acceptors.
 	Vector Vector `msgpack:"v,omitempty"`
-	// Operation matches answers to questions, together with the life of the
-	// proposer that asked.
+	// Operation matches responses to requests, together with Proposer, the incarnation of the proposer
+	// that sent the request.
 	Operation uint64 `msgpack:"o,omitempty"`
 	Proposer  uint64 `msgpack:"p,omitempty"`
 	Key       Key    `msgpack:"y"`
 	Scope     string `msgpack:"s,omitempty"`
 	Ballot    Ballot `msgpack:"b"`
-	// Accepted and Claim are the newest accepted value (promises) or the value
-	// to accept.
+	// In a promise, Accepted and Claim are the newest accepted ballot and value. In MessageAccept, Claim
+	// is the value to accept.
 	Accepted Ballot `msgpack:"a"`
 	Claim    *Claim `msgpack:"c,omitempty"`
-	// Refusal says why a holder refused; Ballot is then the one it promised.
+	// Refusal is why an acceptor refused. For RefusedBallot, Ballot is the one that it has promised.
 	Refusal Refusal `msgpack:"r,omitempty"`
-	// Records and Fences answer a recovery.
+	// Records, Fences and Marks are the content of MessageRecovered; Marks is also that of
+	// MessageWatermark.
 	Records []Record    `msgpack:"d,omitempty"`
 	Fences  Vector      `msgpack:"e,omitempty"`
 	Marks   []Watermark `msgpack:"m,omitempty"`
 }
 
-// Refusal is why a holder refused.
+// Refusal is why an acceptor refused a proposal.
 type Refusal uint8
 
 const (
-	// RefusedBallot: a higher ballot was promised.
+	// RefusedBallot means that a higher ballot was promised.
 	RefusedBallot Refusal = iota + 1
-	// RefusedFenced: the proposer's life is fenced.
+	// RefusedFenced means that the proposer's incarnation is fenced.
 	RefusedFenced
-	// RefusedStale: the promises were collected from an earlier incarnation.
+	// RefusedStale means that the promises were collected from an earlier incarnation of the acceptor.
 	RefusedStale
-	// RefusedRecovering: the holder restarted and does not know the key yet.
+	// RefusedRecovering means that the acceptor has restarted and has not recovered the key yet.
 	RefusedRecovering
-	// RefusedForgotten: the claim is settled, accounted for and forgotten.
+	// RefusedForgotten means that the claim is settled, accounted for and forgotten.
 	RefusedForgotten
 )
 
-// Record is a register as one holder knows it.
+// Record is the state of a register at one acceptor.
 type Record struct {
 	Key      Key    `msgpack:"y"`
 	Scope    string `msgpack:"s"`
@@ -189,8 +188,8 @@
 	Claim    *Claim `msgpack:"c,omitempty"`
 }
 
-// Watermark says that an owner's reservations in a budget up to Sequence are
-// settled in the root account.
+// Watermark reports that an owner's reservations in a budget up to Sequence are settled in the root
+// account.
 type Watermark struct {
 	Owner    accounts.HolderID `msgpack:"o"`
 	Budget   string            `msgpack:"b"`
