--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -60,9 +60,9 @@
 // Proposer changes registers on behalf of one node. It is a state machine without clock or network
 // access, and is not safe for concurrent use.
 type Proposer struct {
-	options    ProposerOptions
-	operations map[uint64]*operation
-	next       uint64
+	options       ProposerOptions
+	operations    map[uint64]*operation
+	lastOperation uint64
 	// lastRound is the highest round of any ballot of this proposer.
 	lastRound uint64
 	outgoing  []Outgoing
@@ -71,8 +71,8 @@
 	// owned holds the ballots under which this node's own claims were proposed, with the incarnations of
 	// the acceptors that promised them.
 	owned map[Register]ownedBallot
-	// missed counts, for each acceptor, the requests in a row that had to be sent again.
-	missed map[string]int
+	// missedRequests counts, for each acceptor, the requests in a row that had to be sent again.
+	missedRequests map[string]int
 }
 
 type ownedBallot struct {
@@ -83,19 +83,19 @@
 
 // operation is one change in progress.
 type operation struct {
-	id       uint64
-	key      Key
-	scope    string
-	holders  []string
-	change   Change
-	done     func(Outcome)
-	deadline time.Duration
-	ballot   Ballot
+	id        uint64
+	key       Key
+	scope     string
+	acceptors []string
+	change    Change
+	done      func(Outcome)
+	deadline  time.Duration
+	ballot    Ballot
 	// accepting is set in the second round.
 	accepting bool
 	value     *Claim
 	changed   bool
-	answers   map[string]Message
+	responses map[string]Message
 	refused   map[string]bool
 	resendAt  time.Duration
 	// restartAt is when the operation restarts with a higher ballot; 0 if it does not wait to.
@@ -111,7 +111,7 @@
 	options.Incarnation = cmp.Or(options.Incarnation, options.ID.Incarnation)
 	return &Proposer{
 		options: options, operations: map[uint64]*operation{}, incarnations: Vector{},
-		owned: map[Register]ownedBallot{}, missed: map[string]int{},
+		owned: map[Register]ownedBallot{}, missedRequests: map[string]int{},
 	}
 }
 
@@ -129,20 +129,20 @@
 // a higher ballot refuses.
 func (p *Proposer) ChangeMinted(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
 	started := p.start(deadline, scope, key, change, done)
-	started.ballot = Ballot{Round: mintedRound, Proposer: p.options.ID}
+	started.ballot = Ballot{Round: generatedRound, Proposer: p.options.ID}
 	started.value, started.changed = change(nil), true
-	started.answers = map[string]Message{}
+	started.responses = map[string]Message{}
 	p.beginAccept(now, started)
 }
 
-// mintedRound is the round of ChangeMinted, and the lowest one; other proposals begin above it.
-const mintedRound = 1
+// generatedRound is the round of ChangeMinted, and the lowest one; other proposals begin above it.
+const generatedRound = 1
 
 func (p *Proposer) start(deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) *operation {
-	p.next++
+	p.lastOperation++
 	started := &operation{
-		id: p.next, key: key, scope: scope, change: change, done: done, deadline: deadline,
-		holders: p.options.Pool.Holders(scope, string(key[:])),
+		id: p.lastOperation, key: key, scope: scope, change: change, done: done, deadline: deadline,
+		acceptors: p.options.Pool.Holders(scope, string(key[:])),
 	}
 	p.operations[started.id] = started
 	return started
@@ -177,9 +177,9 @@
 	started.ballot = owned.ballot
 	started.ballot.Step++
 	started.value, started.changed = next, true
-	started.answers = map[string]Message{}
-	for holder, incarnation := range owned.vector {
-		started.answers[holder] = Message{Incarnation: incarnation}
+	started.responses = map[string]Message{}
+	for acceptor, incarnation := range owned.vector {
+		started.responses[acceptor] = Message{Incarnation: incarnation}
 	}
 	p.beginAccept(now, started)
 	return true
@@ -189,58 +189,58 @@
 func (p *Proposer) begin(now time.Duration, started *operation) {
 	delete(p.owned, started.register())
 	// A ballot belongs to one operation only, so rounds are never reused.
-	p.lastRound = max(p.lastRound, started.highest.Round, mintedRound) + 1
+	p.lastRound = max(p.lastRound, started.highest.Round, generatedRound) + 1
 	started.ballot = Ballot{Round: p.lastRound, Proposer: p.options.ID}
 	started.accepting = false
 	started.restartAt = 0
-	started.answers = map[string]Message{}
+	started.responses = map[string]Message{}
 	started.refused = map[string]bool{}
-	p.askFirst(now, started)
+	p.requestMajority(now, started)
 }
 
 func (p *Proposer) beginAccept(now time.Duration, started *operation) {
 	started.accepting = true
 	promised := Vector{}
-	for holder, answer := range started.answers {
-		promised[holder] = answer.Incarnation
+	for acceptor, response := range started.responses {
+		promised[acceptor] = response.Incarnation
 	}
 	p.owned[started.register()] = ownedBallot{ballot: started.ballot, vector: promised, claim: *started.value}
-	started.answers = map[string]Message{}
+	started.responses = map[string]Message{}
 	started.refused = map[string]bool{}
-	p.askFirst(now, started)
+	p.requestMajority(now, started)
 }
 
-// askFirst sends the round's request to a majority only: to this node's own acceptor, then to those that
-// recently missed the fewest requests. The others receive it after resendInterval.
-func (p *Proposer) askFirst(now time.Duration, started *operation) {
+// requestMajority sends the round's request to a majority only: to this node's own acceptor, then to
+// those that recently missed the fewest requests. The others receive it after resendInterval.
+func (p *Proposer) requestMajority(now time.Duration, started *operation) {
 	started.resendAt = now + resendInterval
-	order := slices.Clone(started.holders)
-	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(p.reluctance(a), p.reluctance(b)) })
-	for _, holder := range order[:len(order)/2+1] {
-		p.askOne(started, holder)
+	order := slices.Clone(started.acceptors)
+	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(p.contactRank(a), p.contactRank(b)) })
+	for _, acceptor := range order[:len(order)/2+1] {
+		p.sendRequest(started, acceptor)
 	}
 }
 
-func (p *Proposer) reluctance(holder string) int {
-	if holder == p.options.ID.Node {
+func (p *Proposer) contactRank(acceptor string) int {
+	if acceptor == p.options.ID.Node {
 		return -1
 	}
-	return p.missed[holder]
+	return p.missedRequests[acceptor]
 }
 
-// askAgain sends the round's request to all acceptors that have not responded to it.
-func (p *Proposer) askAgain(now time.Duration, started *operation) {
+// requestMissing sends the round's request to all acceptors that have not responded to it.
+func (p *Proposer) requestMissing(now time.Duration, started *operation) {
 	started.resendAt = now + resendInterval
-	for _, holder := range started.holders {
-		if _, answered := started.answers[holder]; answered || started.refused[holder] {
+	for _, acceptor := range started.acceptors {
+		if _, responded := started.responses[acceptor]; responded || started.refused[acceptor] {
 			continue
 		}
-		p.missed[holder]++
-		p.askOne(started, holder)
+		p.missedRequests[acceptor]++
+		p.sendRequest(started, acceptor)
 	}
 }
 
-func (p *Proposer) askOne(started *operation, holder string) {
+func (p *Proposer) sendRequest(started *operation, acceptor string) {
 	message := Message{
 		Kind: MessagePrepare, From: p.options.ID.Node, Incarnation: p.options.Incarnation,
 		Operation: started.id, Key: started.key, Scope: started.scope, Ballot: started.ballot,
@@ -248,26 +248,26 @@
 	if started.accepting {
 		message.Kind = MessageAccept
 		message.Claim = started.value
-		message.Vector = p.acceptVector(started, holder)
+		message.Vector = p.acceptVector(started, acceptor)
 	}
-	p.outgoing = append(p.outgoing, Outgoing{To: holder, Message: message})
+	p.outgoing = append(p.outgoing, Outgoing{To: acceptor, Message: message})
 }
 
 // acceptVector returns the incarnation under which an acceptor promised. An acceptor that did not
 // promise may accept too, under its newest known incarnation: it made no promise that a restart could
 // have lost.
-func (p *Proposer) acceptVector(started *operation, holder string) Vector {
-	if incarnation, promised := p.owned[started.register()].vector[holder]; promised {
-		return Vector{holder: incarnation}
+func (p *Proposer) acceptVector(started *operation, acceptor string) Vector {
+	if incarnation, promised := p.owned[started.register()].vector[acceptor]; promised {
+		return Vector{acceptor: incarnation}
 	}
-	return Vector{holder: p.incarnations[holder]}
+	return Vector{acceptor: p.incarnations[acceptor]}
 }
 
 // Step handles an acceptor's response.
 func (p *Proposer) Step(now time.Duration, message Message) {
-	p.learn(message)
+	p.learnIncarnations(message)
 	started := p.operations[message.Operation]
-	if started == nil || !slices.Contains(started.holders, message.From) {
+	if started == nil || !slices.Contains(started.acceptors, message.From) {
 		return
 	}
 	expected := MessagePromise
@@ -281,19 +281,19 @@
 		// The response is to a request of an earlier incarnation with the same operation number.
 		return
 	}
-	p.missed[message.From] = 0
+	p.missedRequests[message.From] = 0
 	if message.Refusal != 0 {
-		p.refusedBy(now, started, message)
+		p.handleRefusal(now, started, message)
 		return
 	}
 	if message.Ballot != started.ballot {
 		return
 	}
-	started.answers[message.From] = message
+	started.responses[message.From] = message
 	p.decide(now, started)
 }
 
-func (p *Proposer) learn(message Message) {
+func (p *Proposer) learnIncarnations(message Message) {
 	vector := Vector{message.From: message.Incarnation}
 	for _, known := range []Vector{vector, message.Vector} {
 		for node, incarnation := range known {
@@ -302,27 +302,27 @@
 	}
 }
 
-// valid returns the responses of acceptors whose incarnation is not known to have ended.
-func (p *Proposer) valid(started *operation) []Message {
+// validResponses returns the responses of acceptors whose incarnation is not known to have ended.
+func (p *Proposer) validResponses(started *operation) []Message {
 	var valid []Message
-	for _, holder := range started.holders {
-		answer, found := started.answers[holder]
+	for _, acceptor := range started.acceptors {
+		response, found := started.responses[acceptor]
 		if !found {
 			continue
 		}
-		if !p.options.WithoutVectors && answer.Incarnation < p.incarnations[holder] {
+		if !p.options.WithoutVectors && response.Incarnation < p.incarnations[acceptor] {
 			// The promise or acceptance was lost with that incarnation. The new one receives the request again.
-			delete(started.answers, holder)
+			delete(started.responses, acceptor)
 			continue
 		}
-		valid = append(valid, answer)
+		valid = append(valid, response)
 	}
 	return valid
 }
 
 func (p *Proposer) decide(now time.Duration, started *operation) {
-	valid := p.valid(started)
-	if len(valid) < len(started.holders)/2+1 {
+	valid := p.validResponses(started)
+	if len(valid) < len(started.acceptors)/2+1 {
 		return
 	}
 	if started.accepting {
@@ -342,11 +342,11 @@
 	p.beginAccept(now, started)
 }
 
-func newestAccepted(answers []Message) Message {
+func newestAccepted(responses []Message) Message {
 	var newest Message
-	for _, answer := range answers {
-		if answer.Claim != nil && (newest.Claim == nil || newest.Accepted.Less(answer.Accepted)) {
-			newest = answer
+	for _, response := range responses {
+		if response.Claim != nil && (newest.Claim == nil || newest.Accepted.Less(response.Accepted)) {
+			newest = response
 		}
 	}
 	return newest
@@ -360,7 +360,7 @@
 	return &copied
 }
 
-func (p *Proposer) refusedBy(now time.Duration, started *operation, message Message) {
+func (p *Proposer) handleRefusal(now time.Duration, started *operation, message Message) {
 	switch message.Refusal {
 	case RefusedFenced:
 		p.finish(started, Outcome{Err: ErrFenced})
@@ -378,7 +378,7 @@
 			p.restart(now, started)
 			return
 		}
-		p.askOne(started, message.From)
+		p.sendRequest(started, message.From)
 	case RefusedRecovering:
 		// The request is sent again at the next resend.
 	}
@@ -419,7 +419,7 @@
 				p.begin(now, started)
 			}
 		case now >= started.resendAt:
-			p.askAgain(now, started)
+			p.requestMissing(now, started)
 		}
 	}
 }
--- a/internal/coordination/claims/size_test.go
+++ b/internal/coordination/claims/size_test.go
@@ -12,12 +12,12 @@
 // Maximum bytes of the messages for one request with a newly generated key: two requests with the claim
 // and two responses.
 const (
-	maximumQuestionBytes = 230
-	maximumAnswerBytes   = 110
+	maximumRequestBytes  = 230
+	maximumResponseBytes = 110
 )
 
-// realistic returns a claim with names as long as in a deployment.
-func realistic() (Key, *Claim) {
+// realisticClaim returns a claim with names as long as in a deployment.
+func realisticClaim() (Key, *Claim) {
 	key := NewKey("tenant-01", "request")
 	return key, &Claim{
 		State: Dispatched, Owner: accounts.HolderID{Node: "lhr-a-2", Incarnation: 1796200000000000000}, Budget: "tenant-01-prepaid",
@@ -25,22 +25,22 @@
 	}
 }
 
-func TestBytesOfARequestsClaimMessages(t *testing.T) {
-	group := newTrio(false)
+func TestSizeOfARequestsClaimMessages(t *testing.T) {
+	group := newAcceptorGroup(false)
 	proposer := group.proposer("h1")
-	key, claim := realistic()
+	key, claim := realisticClaim()
 	proposer.ChangeMinted(0, testDeadline, "z", key, func(*Claim) *Claim { return claim }, func(Outcome) {})
-	var question Message
-	for _, asked := range proposer.Outgoing() {
-		if asked.To != "h1" {
-			question = asked.Message
+	var request Message
+	for _, outgoing := range proposer.Outgoing() {
+		if outgoing.To != "h1" {
+			request = outgoing.Message
 		}
 	}
-	frame, err := peer.Encode(peer.KindClaims, []Message{question})
+	frame, err := peer.Encode(peer.KindClaims, []Message{request})
 	assert.NilError(t, err)
-	answer, err := peer.Encode(peer.KindClaims, []Message{group.holders["h2"].Step(0, question)[0].Message})
+	response, err := peer.Encode(peer.KindClaims, []Message{group.acceptors["h2"].Step(0, request)[0].Message})
 	assert.NilError(t, err)
-	t.Logf("request %d bytes, response %d bytes", len(frame), len(answer))
-	assert.Assert(t, len(frame) <= maximumQuestionBytes, "%d bytes", len(frame))
-	assert.Assert(t, len(answer) <= maximumAnswerBytes, "%d bytes", len(answer))
+	t.Logf("request %d bytes, response %d bytes", len(frame), len(response))
+	assert.Assert(t, len(frame) <= maximumRequestBytes, "%d bytes", len(frame))
+	assert.Assert(t, len(response) <= maximumResponseBytes, "%d bytes", len(response))
 }
