--- a/internal/coordination/consensus/core.go
+++ b/internal/coordination/consensus/core.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// DefaultElectionTicks is the shortest election timeout, in ticks. The
-	// timeout is drawn anew for each election from one to two times this.
+	// DefaultElectionTicks is the minimum election timeout, in ticks. Each election draws a new random
+	// timeout between once and twice this value.
 	DefaultElectionTicks = 10
 	// DefaultHeartbeatTicks is the time between heartbeats, in ticks.
 	DefaultHeartbeatTicks = 2
-	// startElections is the number of elections after a start that a replica with
-	// StartTicks begins early: the first may fail because the others start too.
+	// startElections is the number of elections after a start for which a replica uses StartTicks. The
+	// first may fail because the other replicas are starting too.
 	startElections = 4
-	// maximumAppendBytes bounds the entries of one append message.
+	// maximumAppendBytes is the maximum data of one append message, in bytes.
 	maximumAppendBytes = 1 << 20
-	// maximumProbeBytes bounds them while it is not known what a follower has,
-	// or whether it takes anything at all.
+	// maximumProbeBytes is that maximum while it is not known which entries a follower has, or whether it
+	// accepts any.
 	maximumProbeBytes = 64 << 10
-	// maximumInFlight bounds unacknowledged append messages to one follower.
+	// maximumInFlight is the maximum number of unacknowledged append messages to one follower.
 	maximumInFlight = 64
 )
 
 // Errors of proposals and membership changes.
 var (
-	// ErrNotLeader says that another replica must be asked.
+	// ErrNotLeader reports that this replica does not lead; the request belongs to the leader.
 	ErrNotLeader = errors.New("consensus: not the leader")
-	// ErrChangePending says that the previous membership change is not yet
-	// committed, or that the leader has committed nothing in its term.
+	// ErrChangePending reports that the previous membership change is not committed yet, or that the
+	// leader has committed nothing in its term.
 	ErrChangePending = errors.New("consensus: a membership change is pending")
-	// ErrNotCaughtUp says that a learner does not hold the log yet.
+	// ErrNotCaughtUp reports that a learner does not have the whole log yet.
 	ErrNotCaughtUp = errors.New("consensus: the learner has not caught up")
-	// ErrUnknownMember says that no member has the identity.
+	// ErrUnknownMember reports that no member has the identity.
 	ErrUnknownMember = errors.New("consensus: unknown member")
-	// ErrLastVoter says that the only voter can't be removed.
+	// ErrLastVoter reports that the only voter can't be removed.
 	ErrLastVoter = errors.New("consensus: the last voter can't be removed")
 )
 
@@ -47,47 +47,46 @@
 	ID             ReplicaID
 	ElectionTicks  int
 	HeartbeatTicks int
-	// StartTicks is the shortest election timeout after a start, until a leader
-	// is heard or some elections have failed; 0 means ElectionTicks. Where all
-	// replicas start at once there is nobody to wait for; where a leader lives,
-	// the others do not grant the pre-vote.
+	// StartTicks is the minimum election timeout after a start, until the replica has a leader or
+	// startElections elections have failed; 0 means ElectionTicks. If all replicas start together, there
+	// is no leader to wait for; if there is a live leader, the others do not grant the pre-vote.
 	StartTicks int
 	// Random draws election timeouts.
 	Random *rand.Rand
-	// SnapshotForPeer returns the newest snapshot of the state machine, to
-	// bring a far-behind replica up to date.
+	// SnapshotForPeer returns the newest snapshot of the state machine, for a replica that is too far
+	// behind for appends.
 	SnapshotForPeer func() *journal.Snapshot
 }
 
-// progress is what the leader knows of one follower.
+// progress is the leader's record of one follower.
 type progress struct {
 	// match is the last entry known to be on the follower's disk.
 	match uint64
 	// next is the first entry to send.
 	next uint64
-	// probing: match is not known yet; one append at a time.
+	// probing is set while match is not known; then only one append is in flight at a time.
 	probing bool
-	// inFlight counts appends without an answer; flightAge counts the ticks
-	// since the last answer, or since the first of them was sent.
+	// inFlight counts appends without a reply. flightAge counts the ticks since match last advanced, or
+	// since the first append in flight was sent.
 	inFlight  int
 	flightAge int
-	// patience is how many ticks an answer may take before what was sent counts
-	// as lost. It doubles each time, or a follower that is only slow is sent the
-	// same entries faster than it can take them.
+	// patience is the maximum wait in ticks for an acknowledgement before the appends in flight count as
+	// lost. It doubles each time; otherwise a slow follower would receive the same entries faster than it
+	// can handle them.
 	patience int
-	// snapshotIndex is not 0 while a snapshot is on its way.
+	// snapshotIndex is the index of the snapshot in transit, 0 if there is none.
 	snapshotIndex uint64
-	// snapshotAge counts ticks since it was sent.
+	// snapshotAge counts the ticks since the snapshot was sent.
 	snapshotAge int
-	// active: heard from since the last check of the quorum.
+	// active is set if a message was received since the last quorum check.
 	active bool
 	// readSequence is the newest read round the follower has confirmed.
 	readSequence uint64
-	// silentTicks since the last message.
+	// silentTicks counts the ticks since the last message.
 	silentTicks int
 }
 
-// pendingRead waits for a quorum to confirm that the leader still leads.
+// pendingRead is a read that waits for a quorum to confirm that the leader still leads.
 type pendingRead struct {
 	context  uint64
 	sequence uint64
@@ -105,9 +104,9 @@
 	log           raftLog
 
 	configuration Configuration
-	// configurationIndex is the entry (or snapshot) that the configuration is
-	// from; configurations holds the earlier ones that an overwritten entry
-	// may bring back.
+	// configurationIndex is the index of the entry or snapshot that the configuration is from.
+	// configurations holds it and the earlier ones, which become active again if their successor's entry is
+	// overwritten.
 	configurationIndex uint64
 	configurations     []indexedConfiguration
 
@@ -117,7 +116,7 @@
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
-	// startElections is how many elections are yet to begin early.
+	// startElections is the number of coming elections that use StartTicks.
 	startElections int
 	quorumSilence  int
 
@@ -132,14 +131,14 @@
 	restoreSnapshot *journal.Snapshot
 }
 
-// indexedConfiguration is a configuration and the entry that it came with.
+// indexedConfiguration is a configuration and the index of its entry.
 type indexedConfiguration struct {
 	index         uint64
 	configuration Configuration
 }
 
-// NewCore makes a replica from what its journal recovered. A replica that
-// recovered no configuration is not a member of any group: it only answers.
+// NewCore returns a replica with the state that its journal recovered. A replica without a recovered
+// configuration is not a member of any group: it only replies to messages.
 func NewCore(options Options, hard journal.HardState, snapshot *journal.Snapshot, entries []journal.Entry) (*Core, error) {
 	if options.ElectionTicks == 0 {
 		options.ElectionTicks = DefaultElectionTicks
@@ -170,9 +169,8 @@
 	return core, nil
 }
 
-// BootstrapSnapshot is the first state of a new group whose voters are the
-// given members. Only one of them may write it, and none of the others may
-// have been a member of a group before.
+// BootstrapSnapshot returns the first state of a new group whose voters are the given members. Only one
+// of them may write it, and none of the others may have been a member of a group before.
 func BootstrapSnapshot(members []Member, data []byte) journal.Snapshot {
 	configuration := Configuration{}
 	for _, member := range members {
@@ -185,10 +183,10 @@
 // ID returns the replica's identity.
 func (c *Core) ID() ReplicaID { return c.options.ID }
 
-// Role returns what the replica does in its term.
+// Role returns the replica's role in its term.
 func (c *Core) Role() Role { return c.role }
 
-// Leader returns the leader as last known, or 0.
+// Leader returns the last known leader of the term, or 0.
 func (c *Core) Leader() ReplicaID { return c.leader }
 
 // Term returns the current term.
@@ -200,15 +198,14 @@
 // LastIndex returns the index of the last entry in the log.
 func (c *Core) LastIndex() uint64 { return c.log.lastIndex() }
 
-// Configuration returns the membership in force.
+// Configuration returns the membership in effect.
 func (c *Core) Configuration() Configuration { return c.configuration }
 
-// ConfigurationCommitted tells whether the membership in force is committed. One
-// that is only appended is lost with the leader: it counts for no repair.
+// ConfigurationCommitted reports whether the membership in effect is committed. One that is only
+// appended may be lost with the leader, so repairs must not rely on it.
 func (c *Core) ConfigurationCommitted() bool { return c.configurationIndex <= c.log.committed }
 
-// ConfigurationAt returns the membership as of a committed entry, for a
-// snapshot of that entry.
+// ConfigurationAt returns the membership as of a committed entry, for a snapshot at that entry.
 func (c *Core) ConfigurationAt(index uint64) Configuration {
 	configuration := Configuration{}
 	for _, earlier := range c.configurations {
@@ -219,20 +216,20 @@
 	return configuration
 }
 
-// QuorumSilence returns the ticks since the replica last had word of a quorum:
-// for a leader, answers from one; for others, a message from the leader.
+// QuorumSilence returns the ticks since the last contact with a quorum: for a leader, since a check
+// found replies from one; for other replicas, since a message from the leader.
 func (c *Core) QuorumSilence() int { return c.quorumSilence }
 
 // EntryTerm returns the term of an entry still in memory.
 func (c *Core) EntryTerm(index uint64) (uint64, bool) { return c.log.term(index) }
 
-// Holds tells whether a member's disk is known to hold an entry.
+// Holds reports whether a member's disk is known to hold an entry.
 func (c *Core) Holds(id ReplicaID, index uint64) bool {
 	follower, found := c.progress[id]
 	return found && follower.match >= index
 }
 
-// CaughtUp tells whether a member's disk holds every committed entry.
+// CaughtUp reports whether a member's disk is known to hold every committed entry.
 func (c *Core) CaughtUp(id ReplicaID) bool {
 	if id == c.options.ID {
 		return true
@@ -240,7 +237,7 @@
 	return c.role == Leader && c.Holds(id, c.log.committed)
 }
 
-// SilentTicks returns the ticks since the leader heard from a member.
+// SilentTicks returns the ticks since the leader received a message from a member.
 func (c *Core) SilentTicks(id ReplicaID) int {
 	if follower, found := c.progress[id]; found && id != c.options.ID {
 		return follower.silentTicks
@@ -248,8 +245,8 @@
 	return 0
 }
 
-// Compact drops log entries up to index from memory, once a snapshot of the
-// state machine at that index or later is on disk.
+// Compact drops log entries up to index from memory. A snapshot of the state machine at that index or
+// later must be on disk.
 func (c *Core) Compact(index uint64) {
 	c.log.compact(index)
 	for len(c.configurations) > 1 && c.configurations[1].index <= c.log.snapshotIndex {
@@ -257,8 +254,8 @@
 	}
 }
 
-// Ready returns what is to be done now. Its content is taken as done by the
-// next call of any method: persist first, then send, then apply.
+// Ready returns the work that is due: persist first, then send, then apply. The next call of any method
+// assumes that it is done.
 func (c *Core) Ready() Ready {
 	ready := Ready{Messages: c.messages, Reads: c.readyReads, Snapshot: c.restoreSnapshot}
 	c.messages, c.readyReads, c.restoreSnapshot = nil, nil, nil
@@ -279,8 +276,8 @@
 	return ready
 }
 
-// Persisted tells the core that a Ready's entries up to index are synced: the
-// leader counts its own copy only then.
+// Persisted reports to the core that entries up to index are synced. Only then does the leader count
+// its own copy towards the quorum.
 func (c *Core) Persisted(index uint64) {
 	if c.role != Leader {
 		return
@@ -304,8 +301,8 @@
 	}
 }
 
-// Propose appends a command and returns its index and term. It is committed
-// only if an entry with that index and term is handed out as committed.
+// Propose appends a command and returns its index and term. The command is committed only if a Ready
+// returns an entry with that index and term as committed.
 func (c *Core) Propose(data []byte) (index, term uint64, err error) {
 	if c.role != Leader || c.transferTarget != 0 {
 		return 0, 0, ErrNotLeader
@@ -315,14 +312,14 @@
 	return c.log.lastIndex(), c.hard.Term, nil
 }
 
-// RequestRead asks for a linearizable read. A ReadReady with the same context
-// follows, possibly marked failed.
+// RequestRead requests a linearizable read. A later Ready returns a ReadReady with the same context,
+// possibly marked as failed.
 func (c *Core) RequestRead(context uint64) error {
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	// Until an entry of its own term is committed, a new leader does not know
-	// which of its predecessors' entries are.
+	// Until an entry of its own term is committed, a new leader does not know which of its predecessors'
+	// entries are committed.
 	index := max(c.log.committed, c.termStart)
 	c.readSequence++
 	c.reads = append(c.reads, pendingRead{context: context, sequence: c.readSequence, index: index})
@@ -331,8 +328,8 @@
 	return nil
 }
 
-// TransferLeadership asks a caught-up voter to take over. Proposals are
-// refused until it has, or an election timeout has passed.
+// TransferLeadership makes a voter start an election once it has caught up. Proposals are refused until
+// it has taken over or an election timeout has passed.
 func (c *Core) TransferLeadership(target ReplicaID) error {
 	if c.role != Leader {
 		return ErrNotLeader
@@ -356,7 +353,7 @@
 	return c.changeConfiguration(c.configuration.with(member))
 }
 
-// Promote gives a learner its vote, once its disk holds the log.
+// Promote makes a learner a voter, if its disk holds every committed entry.
 func (c *Core) Promote(id ReplicaID) error {
 	member, found := c.configuration.Member(id)
 	if !found {
@@ -388,8 +385,8 @@
 	if c.role != Leader || c.transferTarget != 0 {
 		return ErrNotLeader
 	}
-	// One change at a time, and none before an entry of the leader's own term
-	// is committed: two changes in flight may have quorums that do not overlap.
+	// One change at a time, and none before an entry of the leader's own term is committed: two changes
+	// in progress may have quorums that do not overlap.
 	if c.configurationIndex > c.log.committed || c.log.committed < c.termStart {
 		return ErrChangePending
 	}
@@ -410,7 +407,7 @@
 	c.configurations = append(c.configurations, indexedConfiguration{index: index, configuration: configuration})
 }
 
-// adoptConfigurations puts configurations in force as their entries arrive.
+// adoptConfigurations makes configurations active when their entries are appended.
 func (c *Core) adoptConfigurations(entries []journal.Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != journal.EntryConfiguration {
@@ -425,8 +422,8 @@
 	return nil
 }
 
-// rebuildConfigurations goes back to what the remaining entries say, after
-// some were overwritten.
+// rebuildConfigurations restores the configurations from the remaining entries, after some were
+// overwritten.
 func (c *Core) rebuildConfigurations() {
 	kept := c.configurations[:0:0]
 	for _, earlier := range c.configurations {
--- a/internal/coordination/consensus/election.go
+++ b/internal/coordination/consensus/election.go
@@ -1,6 +1,6 @@
 package consensus
 
-// becomeFollower enters a term as follower. A higher term forgets the vote.
+// becomeFollower makes the replica a follower in a term. A higher term resets the vote.
 func (c *Core) becomeFollower(term uint64, leader ReplicaID) {
 	if term > c.hard.Term {
 		c.hard.Term = term
@@ -76,8 +76,8 @@
 	c.electionElapsed = 0
 	c.heartbeatElapsed = 0
 	c.syncProgress()
-	// An empty entry commits what earlier leaders appended: entries of earlier
-	// terms are never counted as committed by themselves.
+	// Committing an empty entry commits what earlier leaders appended: an entry of an earlier term is
+	// never committed by counting its own copies.
 	c.appendEmpty()
 	c.broadcastAppend()
 }
@@ -90,7 +90,7 @@
 	}
 	reply := Message{Kind: kind, To: message.From, Reject: !granted}
 	if granted && message.Kind == MessagePreVote {
-		// The term asked about, so that the candidate counts the answer.
+		// The reply carries the requested term, so that the candidate counts it.
 		reply.Term = message.Term
 	}
 	if granted && message.Kind == MessageVote {
@@ -100,8 +100,8 @@
 	c.send(reply)
 }
 
-// canVoteFor keeps the invariant that a leader holds every committed entry,
-// and that each replica votes once a term.
+// canVoteFor reports whether the replica may grant the vote. It ensures that a leader holds every
+// committed entry, and that each replica votes once per term.
 func (c *Core) canVoteFor(message Message) bool {
 	if !c.log.upToDate(message.Index, message.LogTerm) {
 		return false
@@ -140,8 +140,8 @@
 	return refused >= c.configuration.Quorum()
 }
 
-// hearsLeader tells whether the replica follows a live leader, which it then
-// defends against candidates that merely missed its heartbeats.
+// hearsLeader reports whether the replica is or follows a live leader. It then ignores vote requests of
+// candidates that merely missed the leader's heartbeats.
 func (c *Core) hearsLeader() bool {
 	if c.role == Leader {
 		return true
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -9,7 +9,7 @@
 	"github.com/ravenway/ravenway/internal/state/journal"
 )
 
-// startAgain makes replica 1 of three as it starts with what its disk holds.
+// startAgain returns replica 1 of three as it starts with a group on its disk.
 func startAgain(t *testing.T, seed uint64) *Core {
 	t.Helper()
 	members := []Member{{ID: 1, Node: "a"}, {ID: 2, Node: "b"}, {ID: 3, Node: "c"}}
@@ -21,7 +21,7 @@
 	return core
 }
 
-// ticksToPreVote moves time until the replica asks for a pre-vote.
+// ticksToPreVote ticks until the replica requests a pre-vote, and returns the number of ticks.
 func ticksToPreVote(core *Core) int {
 	for ticks := 1; ; ticks++ {
 		core.Tick()
@@ -33,8 +33,8 @@
 	}
 }
 
-// After a loss of all machines' power nobody leads, and each second until there
-// is a leader all requests that need new tokens are refused.
+// After a power loss of all machines there is no leader, and until there is one all requests that
+// require new tokens are refused.
 func TestReplicaThatStartsAmongOthersThatStartAsksSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		core := startAgain(t, seed)
@@ -52,8 +52,8 @@
 	}
 }
 
-// Two replicas that can't reach the third must not try for ever at a pace at
-// which their elections meet.
+// Two replicas that can't reach the third must not go on with short timeouts, at which their elections
+// collide.
 func TestElectionsThatFailOftenTakeTheirWholeTimeout(t *testing.T) {
 	core := startAgain(t, 1)
 	for range startElections {
--- a/internal/coordination/consensus/log.go
+++ b/internal/coordination/consensus/log.go
@@ -6,17 +6,16 @@
 	"github.com/ravenway/ravenway/internal/state/journal"
 )
 
-// raftLog is the part of the log that is in memory: everything behind the
-// newest compaction point.
+// raftLog is the part of the log that is in memory: all entries after the newest compaction point.
 type raftLog struct {
-	// snapshotIndex and snapshotTerm name the entry before entries[0].
+	// snapshotIndex and snapshotTerm identify the entry before entries[0].
 	snapshotIndex uint64
 	snapshotTerm  uint64
 	entries       []journal.Entry
-	// unstable is the index of the first entry not yet handed to a Ready.
+	// unstable is the index of the first entry that no Ready has returned for persisting.
 	unstable  uint64
 	committed uint64
-	// handedOut is the index of the last committed entry given to a Ready.
+	// handedOut is the index of the last committed entry that a Ready has returned.
 	handedOut uint64
 }
 
@@ -40,7 +39,7 @@
 	return l.entries[index-l.snapshotIndex-1].Term, true
 }
 
-// slice returns entries from first on, up to a number of bytes but at least one.
+// slice returns the entries from first on, up to maximumBytes of data but at least one entry.
 func (l *raftLog) slice(first uint64, maximumBytes int) []journal.Entry {
 	if first <= l.snapshotIndex || first > l.lastIndex() {
 		return nil
@@ -57,14 +56,13 @@
 	return slices.Clone(l.entries[from:until])
 }
 
-// appendOwn adds entries of the leader itself.
+// appendOwn appends an entry of the leader itself.
 func (l *raftLog) appendOwn(entry journal.Entry) {
 	l.entries = append(l.entries, entry)
 }
 
-// appendReceived adds a leader's entries behind a matching one. It drops only
-// entries that contradict them: a late, shorter append must not cut entries
-// that were acknowledged since.
+// appendReceived appends a leader's entries after a matching one. It drops only entries that conflict
+// with them: a late, shorter append must not remove entries that were acknowledged since.
 func (l *raftLog) appendReceived(entries []journal.Entry) {
 	for position, entry := range entries {
 		if entry.Index <= l.snapshotIndex {
@@ -100,7 +98,7 @@
 	l.snapshotIndex, l.snapshotTerm = index, term
 }
 
-// restore replaces the whole log by a snapshot.
+// restore replaces the whole log with a snapshot's index and term.
 func (l *raftLog) restore(index, term uint64) {
 	*l = raftLog{
 		snapshotIndex: index,
@@ -111,8 +109,7 @@
 	}
 }
 
-// upToDate tells whether a log ending at (index, term) holds at least what
-// this one does.
+// upToDate reports whether a log that ends at index and term is at least as up to date as this one.
 func (l *raftLog) upToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
--- a/internal/coordination/consensus/replica.go
+++ b/internal/coordination/consensus/replica.go
@@ -10,21 +10,20 @@
 )
 
 const (
-	// DefaultSnapshotEvery is the most applied entries between snapshots.
+	// DefaultSnapshotEvery is the maximum number of applied entries between snapshots.
 	DefaultSnapshotEvery = 1000
-	// leastSnapshotTail is the least: each snapshot costs two syncs. From there a
-	// snapshot is due once the entries behind the last one are as long as it is, so that
-	// what a start reads and applies is bounded by the state's size.
+	// leastSnapshotTail is the minimum number of applied entries between snapshots, because each snapshot
+	// costs two syncs. From there a snapshot is due once the entries since the last one have as many
+	// bytes as it has, so that what a start reads and applies is bounded by the state's size.
 	leastSnapshotTail = 300
 )
 
-// ErrOutcomeUnknown says that a proposal was appended by a leader that then
-// lost its leadership: it may or may not be committed. Sending the same
-// operation id again tells.
+// ErrOutcomeUnknown reports that a proposal was appended by a leader that then lost its leadership: it
+// may or may not be committed. Sending the same operation id again returns the outcome.
 var ErrOutcomeUnknown = errors.New("consensus: leadership was lost, the outcome is unknown")
 
-// StateMachine is what the log's committed commands act on. It must be
-// deterministic: same commands, same state.
+// StateMachine is the state that the log's committed commands change. It must be deterministic: the same
+// commands lead to the same state.
 type StateMachine interface {
 	// Apply executes one committed command and returns its result.
 	Apply(index uint64, command []byte) any
@@ -39,7 +38,7 @@
 	ID             ReplicaID
 	ElectionTicks  int
 	HeartbeatTicks int
-	// StartTicks: see Options.
+	// StartTicks is Options.StartTicks.
 	StartTicks   int
 	Random       *rand.Rand
 	FileSystem   disk.FileSystem
@@ -47,16 +46,16 @@
 	// SnapshotEvery is the number of applied entries between snapshots.
 	SnapshotEvery uint64
 	Machine       StateMachine
-	// Send hands a message to the transport; it may be lost.
+	// Send passes a message to the transport; it may be lost.
 	Send func(Message)
-	// Bootstrap makes this replica found a group with these voters, itself
-	// among them, if its disk holds no group yet.
+	// Bootstrap makes this replica create a group with these voters, itself among them, if its disk holds
+	// no group yet.
 	Bootstrap []Member
 }
 
-// Replica drives a Core with a journal and a state machine. It is not safe for
-// concurrent use: one duty owns it, feeds it inputs, and calls Flush after
-// each batch of them, which costs at most one sync.
+// Replica runs a Core with a journal and a state machine. It is not safe for concurrent use: one duty
+// (a goroutine with a mailbox) owns it, passes it inputs, and calls Flush after each batch of them,
+// which costs at most one sync.
 type Replica struct {
 	options  ReplicaOptions
 	core     *Core
@@ -65,16 +64,16 @@
 	waiting  map[uint64]waitingProposal
 	reads    map[uint64]func(error)
 	nextRead uint64
-	// readable are confirmed reads that wait for their index to be applied.
+	// readable holds confirmed reads that wait for their index to be applied.
 	readable []ReadReady
 	// snapshotIndex is the index of the newest snapshot on disk.
 	snapshotIndex uint64
 	newest        *journal.Snapshot
-	// tailBytes is the length of the commands applied since that snapshot.
+	// tailBytes is the size of the entries applied since that snapshot.
 	tailBytes int
 	// RecoveredRecords counts the records read at start-up.
 	RecoveredRecords int
-	// TornBytes were cut off the journal's tail at start-up.
+	// TornBytes is the number of bytes truncated from the journal's tail at start-up.
 	TornBytes int
 }
 
@@ -119,7 +118,7 @@
 	return replica, replica.Flush()
 }
 
-// Core gives read access to the protocol state.
+// Core returns the protocol state, for reading.
 func (r *Replica) Core() *Core { return r.core }
 
 // Applied returns the index of the last applied entry.
@@ -128,10 +127,10 @@
 // SnapshotIndex returns the index of the newest snapshot on disk.
 func (r *Replica) SnapshotIndex() uint64 { return r.snapshotIndex }
 
-// Step takes a message of another replica.
+// Step handles a message of another replica.
 func (r *Replica) Step(message Message) { r.core.Step(message) }
 
-// Tick advances the replica's time.
+// Tick advances the replica's time by one tick.
 func (r *Replica) Tick() { r.core.Tick() }
 
 // Propose appends a command; done is called once with its result or an error.
@@ -157,8 +156,8 @@
 	}
 }
 
-// Flush persists, sends and applies what the inputs since the last Flush led
-// to. An error means that the disk can't be relied on: the replica must stop.
+// Flush persists, sends and applies the results of the inputs since the last Flush. After an error the
+// disk can't be relied on, and the replica must stop.
 func (r *Replica) Flush() error {
 	for {
 		ready := r.core.Ready()
@@ -204,8 +203,7 @@
 		return err
 	}
 	r.snapshotIndex, r.newest, r.tailBytes = snapshot.Index, snapshot, 0
-	// Keep some entries in memory, so that a replica that is a little behind
-	// needs no snapshot.
+	// Some entries stay in memory, so that a replica that is a little behind requires no snapshot.
 	if keep := r.options.SnapshotEvery; snapshot.Index > keep {
 		r.core.Compact(snapshot.Index - keep/2)
 	}
@@ -289,8 +287,9 @@
 	}
 }
 
-// failOverwritten answers proposals whose entry is gone from the log. Those
-// still in it may yet be committed, but nobody should wait for that.
+// failOverwritten fails all waiting proposals with ErrOutcomeUnknown, after leadership was lost or a
+// snapshot replaced the log. Their entries may be overwritten or may still be committed, but no caller
+// should wait for that.
 func (r *Replica) failOverwritten() {
 	for index := range r.waiting {
 		r.failProposal(index)
@@ -338,8 +337,8 @@
 	return &journal.Snapshot{Index: r.applied, Term: term, Configuration: configuration, Data: data}, nil
 }
 
-// snapshotForPeer gives the newest state there is: a fresh snapshot spares the
-// receiver the tail.
+// snapshotForPeer returns a snapshot of the current state, which saves the receiver the entries since
+// the one on disk. If that fails, it returns the one on disk.
 func (r *Replica) snapshotForPeer() *journal.Snapshot {
 	snapshot, err := r.currentSnapshot()
 	if err != nil {
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -6,7 +6,7 @@
 	"github.com/ravenway/ravenway/internal/state/journal"
 )
 
-// Step takes one message.
+// Step handles one message.
 func (c *Core) Step(message Message) {
 	if message.To != c.options.ID {
 		return
@@ -39,7 +39,7 @@
 	}
 }
 
-// acceptTerm compares terms and tells whether the message is to be handled.
+// acceptTerm compares terms and reports whether the message is to be handled.
 func (c *Core) acceptTerm(message Message) bool {
 	if message.Term > c.hard.Term {
 		isRequest := message.Kind == MessagePreVote || message.Kind == MessageVote
@@ -62,8 +62,8 @@
 	return true
 }
 
-// answerOldTerm tells a sender of an old term the current one, so that a
-// replica that was cut off does not stay behind.
+// answerOldTerm sends the current term to the sender of a message with an old one, so that a replica
+// that was partitioned does not stay behind.
 func (c *Core) answerOldTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -125,7 +125,7 @@
 }
 
 func (c *Core) handleHeartbeat(message Message) {
-	// The leader never sends a commit index beyond what it knows to match here.
+	// The leader never sends a commit index beyond the last entry that it knows to match on this replica.
 	c.commitTo(min(message.Commit, c.log.lastIndex()))
 	c.send(Message{Kind: MessageHeartbeatReply, To: message.From, ReadSequence: message.ReadSequence})
 }
@@ -140,7 +140,7 @@
 		return
 	}
 	if term, found := c.log.term(snapshot.Index); found && term == snapshot.Term {
-		// The log already holds what the snapshot stands for.
+		// The log already contains the entries that the snapshot covers.
 		c.commitTo(snapshot.Index)
 		c.send(Message{Kind: MessageAppendReply, To: message.From, Index: snapshot.Index})
 		return
@@ -166,7 +166,7 @@
 		c.electionElapsed = 0
 		c.transferTarget = 0
 		if !c.quorumActive() {
-			// A leader that no quorum hears must not go on answering.
+			// A leader without contact to a quorum must not go on serving requests.
 			c.becomeFollower(c.hard.Term, 0)
 			return
 		}
@@ -201,7 +201,7 @@
 	c.appendEntry(journal.EntryEmpty, nil)
 }
 
-// syncProgress keeps one progress for each member.
+// syncProgress adds and removes progress records to match the members.
 func (c *Core) syncProgress() {
 	for _, member := range c.configuration.Members {
 		if c.progress[member.ID] == nil {
@@ -274,11 +274,11 @@
 	}
 }
 
-// ageFlights gives up on answers that must have been lost.
+// ageFlights treats appends and snapshots as lost if their replies are overdue.
 func (c *Core) ageFlights(follower *progress) {
 	follower.snapshotAge++
 	follower.flightAge++
-	// The flight counter alone can't tell: a doubled answer lowers it twice.
+	// The flight counter alone is not reliable: a duplicated reply lowers it twice.
 	unacknowledged := follower.inFlight > 0 || follower.next > follower.match+1
 	if unacknowledged && follower.flightAge > follower.patience {
 		follower.patience = min(2*follower.patience, 2*c.options.ElectionTicks)
@@ -314,8 +314,8 @@
 			return
 		}
 		if follower.probing && message.Index != follower.next-1 {
-			// It refuses something that was sent before the probe under way: of a
-			// series that follows a lost message each one is refused.
+			// The refusal is for an append that was sent before the probe in flight. After a lost message,
+			// the follower refuses each append of the series that follows it.
 			return
 		}
 		follower.probing = true
@@ -341,8 +341,8 @@
 	c.sendTimeoutNowIfCaughtUp()
 }
 
-// heard notes a sign of life and returns the sender's progress, or nil if this
-// replica does not lead it.
+// heard records contact with a follower and returns its progress, or nil if this replica does not lead
+// it.
 func (c *Core) heard(message Message) *progress {
 	if c.role != Leader {
 		return nil
@@ -352,7 +352,7 @@
 		return nil
 	}
 	if follower.silentTicks > 2*c.options.HeartbeatTicks && follower.probing {
-		// It is back after a silence: what was sent meanwhile is lost.
+		// The follower is reachable again after a gap; what was sent to it in between is lost.
 		follower.inFlight, follower.patience = 0, c.options.HeartbeatTicks
 	}
 	follower.active = true
@@ -361,8 +361,7 @@
 	return follower
 }
 
-// advanceCommit commits the newest entry of the leader's own term that is on
-// the disks of a quorum.
+// advanceCommit commits the newest entry of the leader's own term that is on the disks of a quorum.
 func (c *Core) advanceCommit() {
 	var matches []uint64
 	for _, voter := range c.configuration.Voters() {
@@ -380,7 +379,7 @@
 	c.commitTo(index)
 	c.releaseReads()
 	if !c.isVoter() && c.configurationIndex <= c.log.committed {
-		// The leader's own removal is committed: its work is done.
+		// The leader's own removal is committed, so it steps down.
 		c.becomeFollower(c.hard.Term, 0)
 		return
 	}
@@ -397,7 +396,7 @@
 	}
 }
 
-// releaseReads answers the reads that a quorum has confirmed since they came.
+// releaseReads makes those reads ready that a quorum has confirmed since they were requested.
 func (c *Core) releaseReads() {
 	if c.role != Leader {
 		return
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -9,7 +9,7 @@
 	"github.com/ravenway/ravenway/internal/state/journal"
 )
 
-// leaderOfThree makes replica 1 of three the leader of a new group.
+// leaderOfThree returns replica 1 of three as the leader of a new group.
 func leaderOfThree(t *testing.T) *Core {
 	t.Helper()
 	members := []Member{{ID: 1, Node: "a"}, {ID: 2, Node: "b"}, {ID: 3, Node: "c"}}
@@ -37,7 +37,7 @@
 	return nil
 }
 
-// advance does what a replica does between two steps, and returns what it sends.
+// advance handles all Readys as a replica does between two steps, and returns the messages sent.
 func advance(core *Core) []Message {
 	var sent []Message
 	for {
@@ -50,9 +50,9 @@
 	}
 }
 
-// The finding of the grown drukwacht quiet-1: the leader sent 98 MB in 2 s when
-// seven followers were behind by 2 MB. What a slow follower had not answered
-// within 150 ms was sent again, all of it, each time.
+// Found in run quiet-1 of the enlarged site drukwacht: the leader sent 98 MB in 2 s when seven followers
+// were behind by 2 MB. It resent everything that a slow follower had not acknowledged within 150 ms,
+// each time.
 func TestSlowFollowerIsNotFloodedWithResends(t *testing.T) {
 	const entryBytes, entries = 20 << 10, 200
 	core := leaderOfThree(t)
@@ -78,13 +78,13 @@
 		}
 	}
 	assert.Assert(t, core.Commit() >= entries, "%d", core.Commit())
-	// Replica 3 answers heartbeats, and no append but the first.
+	// Replica 3 replies to heartbeats, but to no append after the first ones.
 	assert.Assert(t, bytes[3] <= entries*entryBytes/2, "%d bytes were sent to a follower that takes nothing", bytes[3])
 }
 
-// The finding of the grown drukwacht scale-1: 120 MB of consensus messages in 2
-// s. Behind a lost message the follower refuses each one of the series, and each
-// refusal was answered with the entries anew.
+// Found in run scale-1 of the enlarged site drukwacht: 120 MB of consensus messages in 2 s. After a lost
+// message the follower refuses each append of the series, and the leader resent the entries for each
+// refusal.
 func TestRefusalsOfASeriesAreAnsweredOnce(t *testing.T) {
 	const entryBytes, series = 100 << 10, 30
 	core := leaderOfThree(t)
--- a/internal/coordination/consensus/types.go
+++ b/internal/coordination/consensus/types.go
@@ -12,15 +12,15 @@
 // ReplicaID is the identity in a replica's data folder; 0 means none.
 type ReplicaID uint64
 
-// Role is what a replica currently does in its term.
+// Role is a replica's role in its current term.
 type Role uint8
 
 const (
 	// Follower replicates a leader's log.
 	Follower Role = iota
-	// PreCandidate asks whether an election could be won, in no new term.
+	// PreCandidate checks whether it could win an election, without starting a new term.
 	PreCandidate
-	// Candidate asks for votes in a new term.
+	// Candidate requests votes in a new term.
 	Candidate
 	// Leader appends to the log.
 	Leader
@@ -38,9 +38,9 @@
 // Member is one replica of the group.
 type Member struct {
 	ID ReplicaID `msgpack:"i"`
-	// Node is the name of the node that holds the replica.
+	// Node is the name of the node that runs the replica.
 	Node string `msgpack:"n"`
-	// Learner replicas hold the log but have no vote.
+	// Learner is set for a replica that stores the log but has no vote.
 	Learner bool `msgpack:"l"`
 }
 
@@ -59,7 +59,7 @@
 	return data
 }
 
-// DecodeConfiguration reads what EncodeConfiguration wrote.
+// DecodeConfiguration decodes the bytes of EncodeConfiguration.
 func DecodeConfiguration(data []byte) (Configuration, error) {
 	var configuration Configuration
 	if err := msgpack.Unmarshal(data, &configuration); err != nil {
@@ -89,7 +89,7 @@
 	return voters
 }
 
-// Quorum is the number of votes that decide.
+// Quorum returns the number of voters that form a majority.
 func (c Configuration) Quorum() int {
 	return len(c.Voters())/2 + 1
 }
@@ -108,52 +108,52 @@
 	return Configuration{Members: members}
 }
 
-// MessageKind tells what a Message asks or answers.
+// MessageKind is the kind of a Message: a request or the reply to one.
 type MessageKind uint8
 
 const (
-	// MessagePreVote asks whether the sender could win an election.
+	// MessagePreVote requests a pre-vote: whether the receiver would vote for the sender.
 	MessagePreVote MessageKind = iota + 1
-	// MessagePreVoteReply answers it.
+	// MessagePreVoteReply is the reply to MessagePreVote.
 	MessagePreVoteReply
-	// MessageVote asks for a vote.
+	// MessageVote requests a vote.
 	MessageVote
-	// MessageVoteReply answers it.
+	// MessageVoteReply is the reply to MessageVote.
 	MessageVoteReply
 	// MessageAppend carries entries from the leader.
 	MessageAppend
 	// MessageAppendReply acknowledges entries on disk, or rejects them.
 	MessageAppendReply
-	// MessageHeartbeat keeps followers from electing, and confirms reads.
+	// MessageHeartbeat keeps followers from starting elections, and confirms reads.
 	MessageHeartbeat
-	// MessageHeartbeatReply answers it.
+	// MessageHeartbeatReply is the reply to MessageHeartbeat.
 	MessageHeartbeatReply
-	// MessageSnapshot replaces a far-behind replica's log.
+	// MessageSnapshot replaces the log of a replica that is too far behind for appends.
 	MessageSnapshot
-	// MessageTimeoutNow makes the receiver start an election at once.
+	// MessageTimeoutNow makes the receiver start an election immediately.
 	MessageTimeoutNow
 )
 
-// Message is what replicas send each other.
+// Message is a message between two replicas.
 type Message struct {
 	Kind MessageKind `msgpack:"k"`
 	From ReplicaID   `msgpack:"f"`
 	To   ReplicaID   `msgpack:"o"`
 	Term uint64      `msgpack:"t"`
-	// Index and LogTerm name the entry before Entries (append), the last entry
-	// (votes), or the last acknowledged entry (replies).
+	// Index and LogTerm identify the entry before Entries (appends) or the last entry (votes). In append
+	// replies Index is the last acknowledged entry, or the refused Index of the append.
 	Index   uint64          `msgpack:"i,omitempty"`
 	LogTerm uint64          `msgpack:"g,omitempty"`
 	Commit  uint64          `msgpack:"c,omitempty"`
 	Entries []journal.Entry `msgpack:"e,omitempty"`
-	// Reject says that a vote or an append is refused; Hint is then the index
-	// from which the leader should try again.
+	// Reject reports that a vote or an append is refused. For an append, Hint is then the last index that
+	// may match; the leader tries again behind it.
 	Reject bool   `msgpack:"r,omitempty"`
 	Hint   uint64 `msgpack:"h,omitempty"`
 	// ReadSequence is the leader's newest read round, echoed by followers.
 	ReadSequence uint64 `msgpack:"s,omitempty"`
-	// Transfer marks an election that the old leader asked for: receivers do
-	// not defend their current leader against it.
+	// Transfer marks an election that the old leader requested by a leadership transfer. Receivers accept
+	// it although they have a live leader.
 	Transfer bool              `msgpack:"x,omitempty"`
 	Snapshot *journal.Snapshot `msgpack:"p,omitempty"`
 }
@@ -161,26 +161,26 @@
 // Ready is what a replica must do before the next step: persist, then send,
 // then apply.
 type Ready struct {
-	// HardState is nil if unchanged.
+	// HardState is the state to persist, nil if unchanged.
 	HardState *journal.HardState
 	// Entries are to be appended; they replace entries with the same index.
 	Entries []journal.Entry
 	// Snapshot replaces the log and the state machine's content.
 	Snapshot *journal.Snapshot
-	// Messages may be sent once the above is synced.
+	// Messages may be sent once HardState, Entries and Snapshot are synced.
 	Messages []Message
 	// Committed entries are to be applied in order.
 	Committed []journal.Entry
-	// Reads may be answered once the entry at their Index is applied.
+	// Reads may be served once the entry at their Index is applied.
 	Reads []ReadReady
 }
 
 // ReadReady is a read that a quorum has confirmed.
 type ReadReady struct {
-	// Context is what RequestRead was given.
+	// Context is the argument of RequestRead.
 	Context uint64
-	// Index must be applied before the read is answered.
+	// Index must be applied before the read is served.
 	Index uint64
-	// Failed says that leadership was lost: the read must be asked again.
+	// Failed reports that leadership was lost; the read must be requested again.
 	Failed bool
 }
