--- a/internal/coordination/consensus/core.go
+++ b/internal/coordination/consensus/core.go
@@ -15,13 +15,13 @@
 	DefaultElectionTicks = 10
 	// DefaultHeartbeatTicks is the time between heartbeats, in ticks.
 	DefaultHeartbeatTicks = 2
-	// startElections is the number of elections after a start for which a replica uses StartTicks. The
-	// first may fail because the other replicas are starting too.
-	startElections = 4
+	// maximumStartElections is the number of elections after a start for which a replica uses
+	// StartTicks. The first may fail because the other replicas are starting too.
+	maximumStartElections = 4
 	// maximumAppendBytes is the maximum data of one append message, in bytes.
 	maximumAppendBytes = 1 << 20
-	// maximumProbeBytes is that maximum while it is not known which entries a follower has, or whether it
-	// accepts any.
+	// maximumProbeBytes is that maximum while it is not known which entries a follower has, or
+	// whether it accepts any.
 	maximumProbeBytes = 64 << 10
 	// maximumInFlight is the maximum number of unacknowledged append messages to one follower.
 	maximumInFlight = 64
@@ -48,8 +48,9 @@
 	ElectionTicks  int
 	HeartbeatTicks int
 	// StartTicks is the minimum election timeout after a start, until the replica has a leader or
-	// startElections elections have failed; 0 means ElectionTicks. If all replicas start together, there
-	// is no leader to wait for; if there is a live leader, the others do not grant the pre-vote.
+	// maximumStartElections elections have failed; 0 means ElectionTicks. If all replicas start together,
+	// there is no leader to wait for; if there is a live leader, the others do not grant the
+	// pre-vote.
 	StartTicks int
 	// Random draws election timeouts.
 	Random *rand.Rand
@@ -70,10 +71,10 @@
 	// since the first append in flight was sent.
 	inFlight  int
 	flightAge int
-	// patience is the maximum wait in ticks for an acknowledgement before the appends in flight count as
-	// lost. It doubles each time; otherwise a slow follower would receive the same entries faster than it
-	// can handle them.
-	patience int
+	// maximumWait is the maximum wait in ticks for an acknowledgement before the appends in flight
+	// count as lost. It doubles each time; otherwise a slow follower would receive the same entries
+	// faster than it can handle them.
+	maximumWait int
 	// snapshotIndex is the index of the snapshot in transit, 0 if there is none.
 	snapshotIndex uint64
 	// snapshotAge counts the ticks since the snapshot was sent.
@@ -82,8 +83,8 @@
 	active bool
 	// readSequence is the newest read round the follower has confirmed.
 	readSequence uint64
-	// silentTicks counts the ticks since the last message.
-	silentTicks int
+	// ticksSinceContact counts the ticks since the last message.
+	ticksSinceContact int
 }
 
 // pendingRead is a read that waits for a quorum to confirm that the leader still leads.
@@ -105,8 +106,8 @@
 
 	configuration Configuration
 	// configurationIndex is the index of the entry or snapshot that the configuration is from.
-	// configurations holds it and the earlier ones, which become active again if their successor's entry is
-	// overwritten.
+	// configurations holds it and the earlier ones, which become active again if their successor's
+	// entry is overwritten.
 	configurationIndex uint64
 	configurations     []indexedConfiguration
 
@@ -116,9 +117,9 @@
 	electionElapsed  int
 	heartbeatElapsed int
 	electionTimeout  int
-	// startElections is the number of coming elections that use StartTicks.
-	startElections int
-	quorumSilence  int
+	// remainingStartElections is the number of coming elections that use StartTicks.
+	remainingStartElections int
+	ticksSinceQuorum        int
 
 	transferTarget ReplicaID
 	readSequence   uint64
@@ -148,7 +149,7 @@
 	}
 	core := &Core{options: options, hard: hard, persistedHard: hard, progress: map[ReplicaID]*progress{}}
 	if options.StartTicks > 0 {
-		core.startElections = startElections
+		core.remainingStartElections = maximumStartElections
 	}
 	if snapshot != nil {
 		core.log.restore(snapshot.Index, snapshot.Term)
@@ -162,7 +163,7 @@
 	core.log.unstable = core.log.lastIndex() + 1
 	core.log.committed = max(core.log.committed, min(hard.Commit, core.log.lastIndex()))
 	core.hard.Commit = core.log.committed
-	if err := core.adoptConfigurations(entries); err != nil {
+	if err := core.activateConfigurations(entries); err != nil {
 		return nil, err
 	}
 	core.resetElectionTimeout()
@@ -218,7 +219,7 @@
 
 // QuorumSilence returns the ticks since the last contact with a quorum: for a leader, since a check
 // found replies from one; for other replicas, since a message from the leader.
-func (c *Core) QuorumSilence() int { return c.quorumSilence }
+func (c *Core) QuorumSilence() int { return c.ticksSinceQuorum }
 
 // EntryTerm returns the term of an entry still in memory.
 func (c *Core) EntryTerm(index uint64) (uint64, bool) { return c.log.term(index) }
@@ -240,7 +241,7 @@
 // SilentTicks returns the ticks since the leader received a message from a member.
 func (c *Core) SilentTicks(id ReplicaID) int {
 	if follower, found := c.progress[id]; found && id != c.options.ID {
-		return follower.silentTicks
+		return follower.ticksSinceContact
 	}
 	return 0
 }
@@ -269,9 +270,9 @@
 		ready.HardState = &hard
 		c.persistedHard = hard
 	}
-	if c.log.handedOut < c.log.committed {
-		ready.Committed = c.log.committedFrom(c.log.handedOut + 1)
-		c.log.handedOut = c.log.committed
+	if c.log.returned < c.log.committed {
+		ready.Committed = c.log.committedFrom(c.log.returned + 1)
+		c.log.returned = c.log.committed
 	}
 	return ready
 }
@@ -291,7 +292,7 @@
 // Tick advances the replica's time by one tick.
 func (c *Core) Tick() {
 	c.electionElapsed++
-	c.quorumSilence++
+	c.ticksSinceQuorum++
 	if c.role == Leader {
 		c.tickLeader()
 		return
@@ -318,8 +319,8 @@
 	if c.role != Leader {
 		return ErrNotLeader
 	}
-	// Until an entry of its own term is committed, a new leader does not know which of its predecessors'
-	// entries are committed.
+	// Until an entry of its own term is committed, a new leader does not know which of its
+	// predecessors' entries are committed.
 	index := max(c.log.committed, c.termStart)
 	c.readSequence++
 	c.reads = append(c.reads, pendingRead{context: context, sequence: c.readSequence, index: index})
@@ -407,8 +408,8 @@
 	c.configurations = append(c.configurations, indexedConfiguration{index: index, configuration: configuration})
 }
 
-// adoptConfigurations makes configurations active when their entries are appended.
-func (c *Core) adoptConfigurations(entries []journal.Entry) error {
+// activateConfigurations makes configurations active when their entries are appended.
+func (c *Core) activateConfigurations(entries []journal.Entry) error {
 	for _, entry := range entries {
 		if entry.Kind != journal.EntryConfiguration {
 			continue
@@ -436,7 +437,7 @@
 	if count := len(kept); count > 0 {
 		c.configuration, c.configurationIndex = kept[count-1].configuration, kept[count-1].index
 	}
-	if err := c.adoptConfigurations(c.log.entries); err != nil {
+	if err := c.activateConfigurations(c.log.entries); err != nil {
 		panic(fmt.Sprintf("consensus: an entry accepted before can't be read: %v", err))
 	}
 }
@@ -449,7 +450,7 @@
 func (c *Core) resetElectionTimeout() {
 	c.electionElapsed = 0
 	shortest := c.options.ElectionTicks
-	if c.startElections > 0 {
+	if c.remainingStartElections > 0 {
 		shortest = c.options.StartTicks
 	}
 	c.electionTimeout = shortest + c.options.Random.IntN(shortest)
--- a/internal/coordination/consensus/election.go
+++ b/internal/coordination/consensus/election.go
@@ -10,7 +10,7 @@
 	c.role = Follower
 	c.leader = leader
 	if leader != 0 {
-		c.startElections = 0
+		c.remainingStartElections = 0
 	}
 	c.transferTarget = 0
 	c.resetElectionTimeout()
@@ -24,7 +24,7 @@
 	c.role = role
 	c.leader = 0
 	c.votes = map[ReplicaID]bool{c.options.ID: true}
-	c.startElections = max(0, c.startElections-1)
+	c.remainingStartElections = max(0, c.remainingStartElections-1)
 	c.resetElectionTimeout()
 	kind, term := MessagePreVote, c.hard.Term+1
 	if role == Candidate {
@@ -67,12 +67,12 @@
 
 func (c *Core) becomeLeader() {
 	c.role = Leader
-	c.startElections = 0
+	c.remainingStartElections = 0
 	c.leader = c.options.ID
 	c.progress = map[ReplicaID]*progress{}
 	c.reads = nil
 	c.transferTarget = 0
-	c.quorumSilence = 0
+	c.ticksSinceQuorum = 0
 	c.electionElapsed = 0
 	c.heartbeatElapsed = 0
 	c.syncProgress()
@@ -140,9 +140,9 @@
 	return refused >= c.configuration.Quorum()
 }
 
-// hearsLeader reports whether the replica is or follows a live leader. It then ignores vote requests of
-// candidates that merely missed the leader's heartbeats.
-func (c *Core) hearsLeader() bool {
+// hasLiveLeader reports whether the replica is or follows a live leader. It then ignores vote
+// requests of candidates that merely missed the leader's heartbeats.
+func (c *Core) hasLiveLeader() bool {
 	if c.role == Leader {
 		return true
 	}
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -9,8 +9,8 @@
 	"github.com/ravenway/ravenway/internal/state/journal"
 )
 
-// startAgain returns replica 1 of three as it starts with a group on its disk.
-func startAgain(t *testing.T, seed uint64) *Core {
+// restartedReplica returns replica 1 of three as it starts with a group on its disk.
+func restartedReplica(t *testing.T, seed uint64) *Core {
 	t.Helper()
 	members := []Member{{ID: 1, Node: "a"}, {ID: 2, Node: "b"}, {ID: 3, Node: "c"}}
 	snapshot := BootstrapSnapshot(members, nil)
@@ -25,7 +25,7 @@
 func ticksToPreVote(core *Core) int {
 	for ticks := 1; ; ticks++ {
 		core.Tick()
-		for _, message := range advance(core) {
+		for _, message := range drainReady(core) {
 			if message.Kind == MessagePreVote {
 				return ticks
 			}
@@ -35,28 +35,28 @@
 
 // After a power loss of all machines there is no leader, and until there is one all requests that
 // require new tokens are refused.
-func TestReplicaThatStartsAmongOthersThatStartAsksSoon(t *testing.T) {
+func TestReplicaRequestsVotesSoonAfterAStart(t *testing.T) {
 	for seed := range uint64(50) {
-		core := startAgain(t, seed)
+		core := restartedReplica(t, seed)
 		assert.Assert(t, ticksToPreVote(core) <= 5)
 		assert.Assert(t, ticksToPreVote(core) <= 5, "the second try")
 	}
 }
 
-func TestReplicaThatHasHeardALeaderWaitsItsWholeTimeout(t *testing.T) {
+func TestReplicaWithALeaderWaitsItsWholeElectionTimeout(t *testing.T) {
 	for seed := range uint64(50) {
-		core := startAgain(t, seed)
+		core := restartedReplica(t, seed)
 		core.Step(Message{Kind: MessageHeartbeat, From: 2, To: 1, Term: 2})
-		advance(core)
+		drainReady(core)
 		assert.Assert(t, ticksToPreVote(core) >= 10)
 	}
 }
 
 // Two replicas that can't reach the third must not go on with short timeouts, at which their elections
 // collide.
-func TestElectionsThatFailOftenTakeTheirWholeTimeout(t *testing.T) {
-	core := startAgain(t, 1)
-	for range startElections {
+func TestRepeatedlyFailedElectionsUseTheWholeTimeout(t *testing.T) {
+	core := restartedReplica(t, 1)
+	for range maximumStartElections {
 		ticksToPreVote(core)
 	}
 	assert.Assert(t, ticksToPreVote(core) >= 10)
--- a/internal/coordination/consensus/log.go
+++ b/internal/coordination/consensus/log.go
@@ -15,8 +15,8 @@
 	// unstable is the index of the first entry that no Ready has returned for persisting.
 	unstable  uint64
 	committed uint64
-	// handedOut is the index of the last committed entry that a Ready has returned.
-	handedOut uint64
+	// returned is the index of the last committed entry that a Ready has returned.
+	returned uint64
 }
 
 func (l *raftLog) lastIndex() uint64 {
@@ -87,7 +87,7 @@
 
 // compact drops entries up to index from memory.
 func (l *raftLog) compact(index uint64) {
-	if index <= l.snapshotIndex || index > l.handedOut {
+	if index <= l.snapshotIndex || index > l.returned {
 		return
 	}
 	term, found := l.term(index)
@@ -105,7 +105,7 @@
 		snapshotTerm:  term,
 		unstable:      index + 1,
 		committed:     index,
-		handedOut:     index,
+		returned:      index,
 	}
 }
 
--- a/internal/coordination/consensus/replica.go
+++ b/internal/coordination/consensus/replica.go
@@ -12,18 +12,19 @@
 const (
 	// DefaultSnapshotEvery is the maximum number of applied entries between snapshots.
 	DefaultSnapshotEvery = 1000
-	// leastSnapshotTail is the minimum number of applied entries between snapshots, because each snapshot
-	// costs two syncs. From there a snapshot is due once the entries since the last one have as many
-	// bytes as it has, so that what a start reads and applies is bounded by the state's size.
-	leastSnapshotTail = 300
+	// minimumSnapshotTail is the minimum number of applied entries between snapshots, because each
+	// snapshot costs two syncs. From there a snapshot is due once the entries since the last one
+	// have as many bytes as it has, so that what a start reads and applies is bounded by the
+	// state's size.
+	minimumSnapshotTail = 300
 )
 
 // ErrOutcomeUnknown reports that a proposal was appended by a leader that then lost its leadership: it
 // may or may not be committed. Sending the same operation id again returns the outcome.
 var ErrOutcomeUnknown = errors.New("consensus: leadership was lost, the outcome is unknown")
 
-// StateMachine is the state that the log's committed commands change. It must be deterministic: the same
-// commands lead to the same state.
+// StateMachine is the state that the log's committed commands change. It must be deterministic: the
+// same commands lead to the same state.
 type StateMachine interface {
 	// Apply executes one committed command and returns its result.
 	Apply(index uint64, command []byte) any
@@ -48,8 +49,8 @@
 	Machine       StateMachine
 	// Send passes a message to the transport; it may be lost.
 	Send func(Message)
-	// Bootstrap makes this replica create a group with these voters, itself among them, if its disk holds
-	// no group yet.
+	// Bootstrap makes this replica create a group with these voters, itself among them, if its disk
+	// holds no group yet.
 	Bootstrap []Member
 }
 
@@ -57,18 +58,18 @@
 // (a goroutine with a mailbox) owns it, passes it inputs, and calls Flush after each batch of them,
 // which costs at most one sync.
 type Replica struct {
-	options  ReplicaOptions
-	core     *Core
-	journal  *journal.Journal
-	applied  uint64
-	waiting  map[uint64]waitingProposal
-	reads    map[uint64]func(error)
-	nextRead uint64
+	options   ReplicaOptions
+	core      *Core
+	journal   *journal.Journal
+	applied   uint64
+	proposals map[uint64]waitingProposal
+	reads     map[uint64]func(error)
+	nextRead  uint64
 	// readable holds confirmed reads that wait for their index to be applied.
 	readable []ReadReady
 	// snapshotIndex is the index of the newest snapshot on disk.
-	snapshotIndex uint64
-	newest        *journal.Snapshot
+	snapshotIndex  uint64
+	newestSnapshot *journal.Snapshot
 	// tailBytes is the size of the entries applied since that snapshot.
 	tailBytes int
 	// RecoveredRecords counts the records read at start-up.
@@ -94,7 +95,7 @@
 	}
 	replica := &Replica{
 		options: options, journal: opened,
-		waiting: map[uint64]waitingProposal{}, reads: map[uint64]func(error){},
+		proposals: map[uint64]waitingProposal{}, reads: map[uint64]func(error){},
 		RecoveredRecords: recovered.RecordsRead, TornBytes: recovered.TornBytes,
 	}
 	if recovered.Snapshot == nil && len(recovered.Entries) == 0 && len(options.Bootstrap) > 0 {
@@ -141,7 +142,7 @@
 		return
 	}
 	r.failProposal(index)
-	r.waiting[index] = waitingProposal{term: term, done: done}
+	r.proposals[index] = waitingProposal{term: term, done: done}
 }
 
 // Read calls done once the state machine holds everything that was committed
@@ -173,7 +174,7 @@
 		r.core.Persisted(r.core.LastIndex())
 		r.apply(ready.Committed)
 		r.readable = append(r.readable, ready.Reads...)
-		r.answerReads()
+		r.serveReads()
 		if r.snapshotDue() {
 			if err := r.SaveSnapshot(); err != nil {
 				return err
@@ -187,7 +188,7 @@
 	if tail >= r.options.SnapshotEvery {
 		return true
 	}
-	return tail >= leastSnapshotTail && r.newest != nil && r.tailBytes >= len(r.newest.Data)
+	return tail >= minimumSnapshotTail && r.newestSnapshot != nil && r.tailBytes >= len(r.newestSnapshot.Data)
 }
 
 // SaveSnapshot writes a snapshot of the applied state now.
@@ -202,7 +203,7 @@
 	if err := r.journal.SaveSnapshot(*snapshot, false); err != nil {
 		return err
 	}
-	r.snapshotIndex, r.newest, r.tailBytes = snapshot.Index, snapshot, 0
+	r.snapshotIndex, r.newestSnapshot, r.tailBytes = snapshot.Index, snapshot, 0
 	// Some entries stay in memory, so that a replica that is a little behind requires no snapshot.
 	if keep := r.options.SnapshotEvery; snapshot.Index > keep {
 		r.core.Compact(snapshot.Index - keep/2)
@@ -212,7 +213,7 @@
 
 // Close closes the journal. Waiting proposals and reads fail.
 func (r *Replica) Close() error {
-	for index := range r.waiting {
+	for index := range r.proposals {
 		r.failProposal(index)
 	}
 	for context, done := range r.reads {
@@ -243,7 +244,7 @@
 	if err := r.options.Machine.Restore(snapshot.Data); err != nil {
 		return fmt.Errorf("restoring the snapshot at entry %d: %w", snapshot.Index, err)
 	}
-	r.applied, r.snapshotIndex, r.newest, r.tailBytes = snapshot.Index, snapshot.Index, snapshot, 0
+	r.applied, r.snapshotIndex, r.newestSnapshot, r.tailBytes = snapshot.Index, snapshot.Index, snapshot, 0
 	return nil
 }
 
@@ -255,7 +256,7 @@
 		if err := r.restore(ready.Snapshot); err != nil {
 			return err
 		}
-		r.failOverwritten()
+		r.failWaitingProposals()
 	}
 	if err := r.journal.Append(ready.HardState, ready.Entries); err != nil {
 		return err
@@ -271,39 +272,39 @@
 		}
 		r.applied = entry.Index
 		r.tailBytes += len(entry.Data)
-		waiting, found := r.waiting[entry.Index]
+		proposal, found := r.proposals[entry.Index]
 		if !found {
 			continue
 		}
-		delete(r.waiting, entry.Index)
-		if waiting.term != entry.Term {
-			waiting.done(nil, ErrOutcomeUnknown)
+		delete(r.proposals, entry.Index)
+		if proposal.term != entry.Term {
+			proposal.done(nil, ErrOutcomeUnknown)
 			continue
 		}
-		waiting.done(result, nil)
+		proposal.done(result, nil)
 	}
-	if r.core.Role() != Leader && len(r.waiting) > 0 {
-		r.failOverwritten()
+	if r.core.Role() != Leader && len(r.proposals) > 0 {
+		r.failWaitingProposals()
 	}
 }
 
-// failOverwritten fails all waiting proposals with ErrOutcomeUnknown, after leadership was lost or a
-// snapshot replaced the log. Their entries may be overwritten or may still be committed, but no caller
-// should wait for that.
-func (r *Replica) failOverwritten() {
-	for index := range r.waiting {
+// failWaitingProposals fails all waiting proposals with ErrOutcomeUnknown, after leadership was
+// lost or a snapshot replaced the log. Their entries may be overwritten or may still be committed,
+// but no caller should wait for that.
+func (r *Replica) failWaitingProposals() {
+	for index := range r.proposals {
 		r.failProposal(index)
 	}
 }
 
 func (r *Replica) failProposal(index uint64) {
-	if waiting, found := r.waiting[index]; found {
-		delete(r.waiting, index)
-		waiting.done(nil, ErrOutcomeUnknown)
+	if proposal, found := r.proposals[index]; found {
+		delete(r.proposals, index)
+		proposal.done(nil, ErrOutcomeUnknown)
 	}
 }
 
-func (r *Replica) answerReads() {
+func (r *Replica) serveReads() {
 	kept := r.readable[:0]
 	for _, read := range r.readable {
 		if !read.Failed && read.Index > r.applied {
@@ -342,7 +343,7 @@
 func (r *Replica) snapshotForPeer() *journal.Snapshot {
 	snapshot, err := r.currentSnapshot()
 	if err != nil {
-		return r.newest
+		return r.newestSnapshot
 	}
 	return snapshot
 }
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -43,7 +43,7 @@
 func (c *Core) acceptTerm(message Message) bool {
 	if message.Term > c.hard.Term {
 		isRequest := message.Kind == MessagePreVote || message.Kind == MessageVote
-		if isRequest && !message.Transfer && c.hearsLeader() {
+		if isRequest && !message.Transfer && c.hasLiveLeader() {
 			return false
 		}
 		if message.Kind == MessagePreVote {
@@ -56,15 +56,15 @@
 		return true
 	}
 	if message.Term < c.hard.Term {
-		c.answerOldTerm(message)
+		c.replyToOldTerm(message)
 		return false
 	}
 	return true
 }
 
-// answerOldTerm sends the current term to the sender of a message with an old one, so that a replica
+// replyToOldTerm sends the current term to the sender of a message with an old one, so that a replica
 // that was partitioned does not stay behind.
-func (c *Core) answerOldTerm(message Message) {
+func (c *Core) replyToOldTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
 		c.send(Message{Kind: MessageAppendReply, To: message.From, Reject: true, Hint: c.log.lastIndex()})
@@ -78,7 +78,7 @@
 		c.becomeFollower(message.Term, message.From)
 	}
 	c.electionElapsed = 0
-	c.quorumSilence = 0
+	c.ticksSinceQuorum = 0
 }
 
 func (c *Core) handleAppend(message Message) {
@@ -101,7 +101,7 @@
 	c.log.appendReceived(message.Entries)
 	if c.log.unstable < before {
 		c.rebuildConfigurations()
-	} else if err := c.adoptConfigurations(newerThan(message.Entries, c.configurationIndex)); err != nil {
+	} else if err := c.activateConfigurations(newerThan(message.Entries, c.configurationIndex)); err != nil {
 		panic("consensus: " + err.Error())
 	}
 	reply.Index = message.Index + uint64(len(message.Entries))
@@ -125,7 +125,8 @@
 }
 
 func (c *Core) handleHeartbeat(message Message) {
-	// The leader never sends a commit index beyond the last entry that it knows to match on this replica.
+	// The leader never sends a commit index beyond the last entry that it knows to match on this
+	// replica.
 	c.commitTo(min(message.Commit, c.log.lastIndex()))
 	c.send(Message{Kind: MessageHeartbeatReply, To: message.From, ReadSequence: message.ReadSequence})
 }
@@ -159,8 +160,8 @@
 
 func (c *Core) tickLeader() {
 	for _, follower := range c.progress {
-		follower.silentTicks++
-		c.ageFlights(follower)
+		follower.ticksSinceContact++
+		c.expireFlights(follower)
 	}
 	if c.electionElapsed >= c.options.ElectionTicks {
 		c.electionElapsed = 0
@@ -191,7 +192,7 @@
 	}
 	enough := active >= c.configuration.Quorum()
 	if enough {
-		c.quorumSilence = 0
+		c.ticksSinceQuorum = 0
 	}
 	return enough
 }
@@ -206,7 +207,7 @@
 	for _, member := range c.configuration.Members {
 		if c.progress[member.ID] == nil {
 			c.progress[member.ID] = &progress{
-				next: c.log.lastIndex() + 1, probing: true, active: true, patience: c.options.HeartbeatTicks,
+				next: c.log.lastIndex() + 1, probing: true, active: true, maximumWait: c.options.HeartbeatTicks,
 			}
 		}
 	}
@@ -274,14 +275,14 @@
 	}
 }
 
-// ageFlights treats appends and snapshots as lost if their replies are overdue.
-func (c *Core) ageFlights(follower *progress) {
+// expireFlights treats appends and snapshots as lost if their replies are overdue.
+func (c *Core) expireFlights(follower *progress) {
 	follower.snapshotAge++
 	follower.flightAge++
 	// The flight counter alone is not reliable: a duplicated reply lowers it twice.
 	unacknowledged := follower.inFlight > 0 || follower.next > follower.match+1
-	if unacknowledged && follower.flightAge > follower.patience {
-		follower.patience = min(2*follower.patience, 2*c.options.ElectionTicks)
+	if unacknowledged && follower.flightAge > follower.maximumWait {
+		follower.maximumWait = min(2*follower.maximumWait, 2*c.options.ElectionTicks)
 		follower.flightAge = 0
 		follower.inFlight = 0
 		follower.probing = true
@@ -293,7 +294,7 @@
 }
 
 func (c *Core) handleHeartbeatReply(message Message) {
-	follower := c.heard(message)
+	follower := c.recordContact(message)
 	if follower == nil {
 		return
 	}
@@ -304,7 +305,7 @@
 }
 
 func (c *Core) handleAppendReply(message Message) {
-	follower := c.heard(message)
+	follower := c.recordContact(message)
 	if follower == nil {
 		return
 	}
@@ -314,8 +315,8 @@
 			return
 		}
 		if follower.probing && message.Index != follower.next-1 {
-			// The refusal is for an append that was sent before the probe in flight. After a lost message,
-			// the follower refuses each append of the series that follows it.
+			// The refusal is for an append that was sent before the probe in flight. After a lost
+			// message, the follower refuses each append of the series that follows it.
 			return
 		}
 		follower.probing = true
@@ -327,7 +328,7 @@
 	if message.Index > follower.match {
 		follower.match = message.Index
 		follower.flightAge = 0
-		follower.patience = c.options.HeartbeatTicks
+		follower.maximumWait = c.options.HeartbeatTicks
 	}
 	if follower.snapshotIndex != 0 && message.Index >= follower.snapshotIndex {
 		follower.snapshotIndex = 0
@@ -341,9 +342,9 @@
 	c.sendTimeoutNowIfCaughtUp()
 }
 
-// heard records contact with a follower and returns its progress, or nil if this replica does not lead
-// it.
-func (c *Core) heard(message Message) *progress {
+// recordContact records contact with a follower and returns its progress, or nil if this replica
+// does not lead it.
+func (c *Core) recordContact(message Message) *progress {
 	if c.role != Leader {
 		return nil
 	}
@@ -351,12 +352,12 @@
 	if follower == nil {
 		return nil
 	}
-	if follower.silentTicks > 2*c.options.HeartbeatTicks && follower.probing {
+	if follower.ticksSinceContact > 2*c.options.HeartbeatTicks && follower.probing {
 		// The follower is reachable again after a gap; what was sent to it in between is lost.
-		follower.inFlight, follower.patience = 0, c.options.HeartbeatTicks
+		follower.inFlight, follower.maximumWait = 0, c.options.HeartbeatTicks
 	}
 	follower.active = true
-	follower.silentTicks = 0
+	follower.ticksSinceContact = 0
 	follower.readSequence = max(follower.readSequence, message.ReadSequence)
 	return follower
 }
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -21,7 +21,7 @@
 	assert.NilError(t, err)
 	for range 100 {
 		core.Tick()
-		for _, message := range advance(core) {
+		for _, message := range drainReady(core) {
 			switch message.Kind {
 			case MessagePreVote:
 				core.Step(Message{Kind: MessagePreVoteReply, From: message.To, To: 1, Term: message.Term})
@@ -37,8 +37,8 @@
 	return nil
 }
 
-// advance handles all Readys as a replica does between two steps, and returns the messages sent.
-func advance(core *Core) []Message {
+// drainReady handles all Readys as a replica does between two steps, and returns the messages sent.
+func drainReady(core *Core) []Message {
 	var sent []Message
 	for {
 		ready := core.Ready()
@@ -50,9 +50,9 @@
 	}
 }
 
-// Found in run quiet-1 of the enlarged site drukwacht: the leader sent 98 MB in 2 s when seven followers
-// were behind by 2 MB. It resent everything that a slow follower had not acknowledged within 150 ms,
-// each time.
+// Found in run quiet-1 of the enlarged site drukwacht: the leader sent 98 MB in 2 s when seven
+// followers were behind by 2 MB. It resent everything that a slow follower had not acknowledged
+// within 150 ms, each time.
 func TestSlowFollowerIsNotFloodedWithResends(t *testing.T) {
 	const entryBytes, entries = 20 << 10, 200
 	core := leaderOfThree(t)
@@ -63,7 +63,7 @@
 		if tick%2 == 0 {
 			core.Tick()
 		}
-		for _, message := range advance(core) {
+		for _, message := range drainReady(core) {
 			for _, entry := range message.Entries {
 				bytes[message.To] += len(entry.Data)
 			}
@@ -82,10 +82,10 @@
 	assert.Assert(t, bytes[3] <= entries*entryBytes/2, "%d bytes were sent to a follower that takes nothing", bytes[3])
 }
 
-// Found in run scale-1 of the enlarged site drukwacht: 120 MB of consensus messages in 2 s. After a lost
-// message the follower refuses each append of the series, and the leader resent the entries for each
-// refusal.
-func TestRefusalsOfASeriesAreAnsweredOnce(t *testing.T) {
+// Found in run scale-1 of the enlarged site drukwacht: 120 MB of consensus messages in 2 s. After a
+// lost message the follower refuses each append of the series, and the leader resent the entries
+// for each refusal.
+func TestRefusalsOfASeriesOfAppendsCauseOneResend(t *testing.T) {
 	const entryBytes, series = 100 << 10, 30
 	core := leaderOfThree(t)
 	acknowledge := func(messages []Message) {
@@ -102,14 +102,14 @@
 	}
 	for range 20 {
 		core.Tick()
-		acknowledge(advance(core))
+		acknowledge(drainReady(core))
 	}
 	known := core.LastIndex()
 	var lost []Message
 	for range series {
 		_, _, err := core.Propose(make([]byte, entryBytes))
 		assert.NilError(t, err)
-		for _, message := range advance(core) {
+		for _, message := range drainReady(core) {
 			if message.Kind == MessageAppend && message.To == 3 {
 				lost = append(lost, message)
 			}
@@ -121,8 +121,8 @@
 		core.Step(Message{
 			Kind: MessageAppendReply, From: 3, To: 1, Term: core.Term(), Reject: true, Index: message.Index, Hint: known,
 		})
-		for _, answer := range advance(core) {
-			for _, entry := range answer.Entries {
+		for _, resend := range drainReady(core) {
+			for _, entry := range resend.Entries {
 				resent += len(entry.Data)
 			}
 		}
--- a/internal/coordination/consensus/types.go
+++ b/internal/coordination/consensus/types.go
@@ -140,20 +140,20 @@
 	From ReplicaID   `msgpack:"f"`
 	To   ReplicaID   `msgpack:"o"`
 	Term uint64      `msgpack:"t"`
-	// Index and LogTerm identify the entry before Entries (appends) or the last entry (votes). In append
-	// replies Index is the last acknowledged entry, or the refused Index of the append.
+	// Index and LogTerm identify the entry before Entries (appends) or the last entry (votes). In
+	// append replies Index is the last acknowledged entry, or the refused Index of the append.
 	Index   uint64          `msgpack:"i,omitempty"`
 	LogTerm uint64          `msgpack:"g,omitempty"`
 	Commit  uint64          `msgpack:"c,omitempty"`
 	Entries []journal.Entry `msgpack:"e,omitempty"`
-	// Reject reports that a vote or an append is refused. For an append, Hint is then the last index that
-	// may match; the leader tries again behind it.
+	// Reject reports that a vote or an append is refused. For an append, Hint is then the last
+	// index that may match; the leader tries again behind it.
 	Reject bool   `msgpack:"r,omitempty"`
 	Hint   uint64 `msgpack:"h,omitempty"`
 	// ReadSequence is the leader's newest read round, echoed by followers.
 	ReadSequence uint64 `msgpack:"s,omitempty"`
-	// Transfer marks an election that the old leader requested by a leadership transfer. Receivers accept
-	// it although they have a live leader.
+	// Transfer marks an election that the old leader requested by a leadership transfer. Receivers
+	// accept it although they have a live leader.
 	Transfer bool              `msgpack:"x,omitempty"`
 	Snapshot *journal.Snapshot `msgpack:"p,omitempty"`
 }
