--- a/internal/coordination/claims/acceptor.go
+++ b/internal/coordination/claims/acceptor.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// DefaultRetention is how long a settled claim with a caller's key is kept, so that a retry gets the
-	// first result and no second charge.
+	// DefaultRetention is how long a settled claim with a caller's key is kept, so that a retry
+	// gets the first result and no second charge.
 	DefaultRetention = 24 * time.Hour
 	// promiseRetention is how long a promise without a value is kept: longer than any message can be in
 	// transit.
@@ -26,8 +26,8 @@
 	Self        string
 	Incarnation uint64
 	Pool        *membership.Pool
-	// Fresh acceptors have no earlier incarnation whose promises were lost, so they require no recovery:
-	// the node has never run, or its records survived on disk.
+	// Fresh acceptors have no earlier incarnation whose promises were lost, so they require no
+	// recovery: the node has never run, or its records survived on disk.
 	Fresh bool
 	// Retention is how long settled claims with callers' keys are kept; 0 means DefaultRetention.
 	Retention time.Duration
--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -14,8 +14,8 @@
 const (
 	// resendInterval is the time after which a request without a response is sent again.
 	resendInterval = 50 * time.Millisecond
-	// firstBackoff is the upper bound of the random delay after a first lost ballot. It doubles with each
-	// further one, up to maximumBackoffDoublings times.
+	// firstBackoff is the upper bound of the random delay after a first lost ballot. It doubles
+	// with each further one, up to maximumBackoffDoublings times.
 	firstBackoff            = 20 * time.Millisecond
 	maximumBackoffDoublings = 5
 )
@@ -68,8 +68,8 @@
 	outgoing  []Outgoing
 	// incarnations is the newest known incarnation of each node.
 	incarnations Vector
-	// owned holds the ballots under which this node's own claims were proposed, with the incarnations of
-	// the acceptors that promised them.
+	// owned holds the ballots under which this node's own claims were proposed, with the
+	// incarnations of the acceptors that promised them.
 	owned map[Register]ownedBallot
 	// missedRequests counts, for each acceptor, the requests in a row that had to be sent again.
 	missedRequests map[string]int
@@ -311,7 +311,8 @@
 			continue
 		}
 		if !p.options.WithoutVectors && response.Incarnation < p.incarnations[acceptor] {
-			// The promise or acceptance was lost with that incarnation. The new one receives the request again.
+			// The promise or acceptance was lost with that incarnation. The new one receives the
+			// request again.
 			delete(started.responses, acceptor)
 			continue
 		}
@@ -372,8 +373,8 @@
 		}
 		p.restart(now, started)
 	case RefusedStale:
-		// Only a promise that was lost with an incarnation requires a new round. An acceptor that had not
-		// promised receives the request again under its new incarnation.
+		// Only a promise that was lost with an incarnation requires a new round. An acceptor that
+		// had not promised receives the request again under its new incarnation.
 		if _, promised := p.owned[started.register()].vector[message.From]; promised {
 			p.restart(now, started)
 			return
--- a/internal/coordination/claims/types.go
+++ b/internal/coordination/claims/types.go
@@ -56,8 +56,8 @@
 	Dispatched State = iota + 1
 	// Settled requests have ended, and their use is known.
 	Settled
-	// Lent claims are not requests. They record the cumulative tokens of a budget that the owner has lent
-	// to the borrower (in Reserved), and are kept until both incarnations have ended.
+	// Lent claims are not requests. They record the cumulative tokens of a budget that the owner
+	// has lent to the borrower (in Reserved), and are kept until both incarnations have ended.
 	Lent
 )
 
@@ -89,8 +89,8 @@
 // Claim is the value of a register.
 type Claim struct {
 	State State `msgpack:"s"`
-	// Owner is the incarnation of the node whose grant pays, and Sequence is the number of its reservation
-	// in the budget.
+	// Owner is the incarnation of the node whose grant pays, and Sequence is the number of its
+	// reservation in the budget.
 	Owner    accounts.HolderID `msgpack:"o"`
 	Budget   string            `msgpack:"b,omitempty"`
 	Sequence uint64            `msgpack:"q,omitempty"`
@@ -127,8 +127,8 @@
 	MessageRecover
 	// MessageRecovered is the response to MessageRecover.
 	MessageRecovered
-	// MessageWatermark carries up to which reservation an owner's settlements are in the root account, so
-	// that their claims may be forgotten. It has no response.
+	// MessageWatermark carries up to which reservation an owner's settlements are in the root
+	// account, so that their claims may be forgotten. It has no response.
 	MessageWatermark
 )
 
@@ -150,8 +150,8 @@
 	Key       Key    `msgpack:"y"`
 	Scope     string `msgpack:"s,omitempty"`
 	Ballot    Ballot `msgpack:"b"`
-	// In a promise, Accepted and Claim are the newest accepted ballot and value. In MessageAccept, Claim
-	// is the value to accept.
+	// In a promise, Accepted and Claim are the newest accepted ballot and value. In MessageAccept,
+	// Claim is the value to accept.
 	Accepted Ballot `msgpack:"a"`
 	Claim    *Claim `msgpack:"c,omitempty"`
 	// Refusal is why an acceptor refused. For RefusedBallot, Ballot is the one that it has promised.
--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -18,8 +18,8 @@
 	// borrowed and lent are cumulative, keyed by the other holder.
 	borrowed map[accounts.HolderID]uint64
 	lent     map[accounts.HolderID]*loanState
-	// open holds the reservations that are not settled yet, by sequence number. settledAhead holds the use
-	// of reservations that were settled while an earlier one is still open.
+	// open holds the reservations that are not settled yet, by sequence number. settledAhead holds
+	// the use of reservations that were settled while an earlier one is still open.
 	open             map[uint64]uint64
 	settledAhead     map[uint64]uint64
 	sequence         uint64
@@ -32,7 +32,8 @@
 	allowances allowances
 	contact    *rootContact
 
-	// summary is the root's last summary of the whole budget; hasSummary reports whether one was received.
+	// summary is the root's last summary of the whole budget; hasSummary reports whether one was
+	// received.
 	summary    Standing
 	hasSummary bool
 	// reportedDesired is the desired amount of the last report to the root.
@@ -52,8 +53,8 @@
 	resendAfter      time.Duration
 	loansRequestedAt time.Duration
 	loansRequested   bool
-	// lenders are the nodes to request loans from for the first waiter, and requestedLenders is how many
-	// of them have been sent a request.
+	// lenders are the nodes to request loans from for the first waiter, and requestedLenders is how
+	// many of them have been sent a request.
 	lenders          []string
 	requestedLenders int
 	// pooled reports whether the node leaves this budget to the zone's pool holders.
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// allowanceAhead is how much future use a holder's allowance covers, so that most small requests
-	// don't wait for the root. It is charged if the holder's incarnation crashes without a final report.
+	// allowanceAhead is how much future use a holder's allowance covers, so that most small
+	// requests don't wait for the root. It is charged if the holder's incarnation crashes without a
+	// final report.
 	allowanceAhead = 400 * time.Millisecond
 	// paceFactor is how much faster than before a holder may use its grant without contact to the root,
 	// because requests arrive in bursts. A lower factor leaves more requests unserved in a partition; a
@@ -17,13 +18,13 @@
 	// contactInterval is the time between a holder's reports if it has nothing else to report. The root
 	// knows the holder to be in contact up to the last report.
 	contactInterval = 250 * time.Millisecond
-	// raiseInterval and lowerInterval are the minimum times between reports that only raise or only lower
-	// an allowance.
+	// raiseInterval and lowerInterval are the minimum times between reports that only raise or only
+	// lower an allowance.
 	raiseInterval = 50 * time.Millisecond
 	lowerInterval = 150 * time.Millisecond
-	// looseAllowanceFactor is the multiple of allowanceAhead's tokens that may be allowed and unused before
-	// the allowance is lowered. What was allowed for requests that were then refused, or that used less,
-	// is charged too if the incarnation is lost.
+	// looseAllowanceFactor is the multiple of allowanceAhead's tokens that may be allowed and
+	// unused before the allowance is lowered. What was allowed for requests that were then refused,
+	// or that used less, is charged too if the incarnation is lost.
 	looseAllowanceFactor = 1.5
 )
 
@@ -34,8 +35,8 @@
 	// latest is the newest contact that a response carried, and latestAt is when it was received.
 	latest   accounts.Contact
 	latestAt time.Duration
-	// reported is the newest contact that may be reported to the root: one at which all allowances covered
-	// the use so far.
+	// reported is the newest contact that may be reported to the root: one at which all allowances
+	// covered the use so far.
 	reported accounts.Contact
 	// reportedAt is when the last report of any budget was sent.
 	reportedAt time.Duration
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -17,9 +17,9 @@
 	DefaultAnswerTimeout = 1500 * time.Millisecond
 	// loanTimeout is how long a node waits for its neighbours after the last loan request.
 	loanTimeout = 300 * time.Millisecond
-	// Loan requests go to the neighbours in rounds. The first round goes to firstLoanRoundSize of them,
-	// and each round increases the total to three times that of the round before. Where many nodes hold a
-	// part, requests from all to all would be most of the load.
+	// Loan requests go to the neighbours in rounds. The first round goes to firstLoanRoundSize of
+	// them, and each round increases the total to three times that of the round before. Where many
+	// nodes hold a part, requests from all to all would be most of the load.
 	firstLoanRoundSize = 8
 	loanRoundTime      = 40 * time.Millisecond
 	// reportInterval is the time between reports of use without a request.
@@ -28,9 +28,9 @@
 	// up to lastResend.
 	firstResend = 300 * time.Millisecond
 	lastResend  = 1200 * time.Millisecond
-	// A node requests more when it holds less than topUpShare of its target, and returns the surplus when
-	// it holds more than surplusShare of it. Between the two it keeps what it holds: the tokens that a
-	// node requires in a partition are the same ones that are lost with the node.
+	// A node requests more when it holds less than topUpShare of its target, and returns the
+	// surplus when it holds more than surplusShare of it. Between the two it keeps what it holds:
+	// the tokens that a node requires in a partition are the same ones that are lost with the node.
 	topUpShare   = 0.85
 	surplusShare = 1.3
 	// demandHalfLife is the half-life of the smoothed demand.
@@ -38,7 +38,8 @@
 	// minimumDemandTime is the minimum time that demand is averaged over, so that a first burst is not
 	// mistaken for a rate.
 	minimumDemandTime = 2 * time.Second
-	// requestSizeMemory is how long after the last request its size still counts for the desired amount.
+	// requestSizeMemory is how long after the last request its size still counts for the desired
+	// amount.
 	requestSizeMemory = 60 * time.Second
 	// topUpInterval is the minimum time between requests ahead of demand.
 	topUpInterval = time.Second
@@ -54,7 +55,8 @@
 	ErrUnreachable = errors.New("escrow: not enough of the budget can be reached")
 	// ErrUnknownBudget reports that the root has no account of the budget.
 	ErrUnknownBudget = errors.New("escrow: no such budget")
-	// ErrClosed reports that this incarnation's accounts are fenced: the root accepts no more use of them.
+	// ErrClosed reports that this incarnation's accounts are fenced: the root accepts no more use
+	// of them.
 	ErrClosed = errors.New("escrow: this life of the node is fenced")
 )
 
@@ -105,8 +107,8 @@
 	// this node itself; none if this node is the first. Pool holders hold a budget for the whole zone.
 	// nil means that each node holds for itself.
 	Pool func(budget string) []string
-	// FarPools returns the first pool holders of the other zones. A pool holder requests loans from them
-	// in place of all neighbours. nil means that there are none.
+	// FarPools returns the first pool holders of the other zones. A pool holder requests loans from
+	// them in place of all neighbours. nil means that there are none.
 	FarPools func(budget string) []string
 	// RootReachable reports whether the root is reachable; nil means always. Nothing is returned while
 	// it is not, because no node could spend what was returned.
@@ -355,7 +357,8 @@
 		return
 	}
 	if !isReachable && found.isKnownShort(found.waiters[0].amount) {
-		// The whole budget held less than this at the last contact with the root, so no neighbour has it.
+		// The whole budget held less than this at the last contact with the root, so no neighbour
+		// has it.
 		h.refuseFirst(now, found, ErrUnreachable)
 		return
 	}
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -10,8 +10,8 @@
 	Reports []accounts.Report `msgpack:"r"`
 	// Recalled holds the recalls that these reports respond to.
 	Recalled []RecallMessage `msgpack:"c,omitempty"`
-	// Allowances reports whether the holder respects allowances. Heard is the newest contact that it has
-	// received, once the allowances cover its use.
+	// Allowances reports whether the holder respects allowances. Heard is the newest contact that
+	// it has received, once the allowances cover its use.
 	Allowances bool             `msgpack:"m,omitempty"`
 	Heard      accounts.Contact `msgpack:"k"`
 }
@@ -27,8 +27,8 @@
 // Answer is the root's response on one budget.
 type Answer struct {
 	accounts.Answer
-	// Unreached is the number of holders that hold a part of the budget and did not respond to a recall.
-	// If it is above 0, a refusal may be due to a partition rather than to a spent budget.
+	// Unreached is the number of holders that hold a part of the budget and did not respond to a
+	// recall. If it is above 0, a refusal may be due to a partition rather than to a spent budget.
 	Unreached int `msgpack:"n,omitempty"`
 }
 
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// LeastPoolNodes is the minimum number of entry nodes at which a zone's nodes leave budgets to pool
-	// holders. With fewer nodes, each holding for itself and borrowing from its neighbours serves more in
-	// a partition, or not much less. The shares of requests refused in RunCutLoans (five seeds),
-	// without and with pools: 0.016 and 0.025 at 10 nodes a zone, 0.025 and 0.018 at 20, 0.033 and
-	// 0.028 at 30, 0.052 and 0.024 at 60.
+	// LeastPoolNodes is the minimum number of entry nodes at which a zone's nodes leave budgets to
+	// pool holders. With fewer nodes, each holding for itself and borrowing from its neighbours
+	// serves more in a partition, or not much less. The shares of requests refused in RunCutLoans
+	// (five seeds), without and with pools: 0.016 and 0.025 at 10 nodes a zone, 0.025 and 0.018 at
+	// 20, 0.033 and 0.028 at 30, 0.052 and 0.024 at 60.
 	LeastPoolNodes = 30
-	// poolRoundTime is how long a node waits for one pool holder before it sends the request to the next:
-	// a few messages within the zone, and the root's response to the pool holder.
+	// poolRoundTime is how long a node waits for one pool holder before it sends the request to the
+	// next: a few messages within the zone, and the root's response to the pool holder.
 	poolRoundTime = 40 * time.Millisecond
 	// PoolHolders is the number of a zone's pool holders of a budget. A request goes to one after the
 	// other before it goes to the root.
@@ -88,9 +88,10 @@
 	found.pooled = h.options.Pool != nil && len(h.options.Pool(found.name)) > 0
 }
 
-// requestFromPool requests the tokens of each waiter from the pool holders, one pool holder after the
-// other. It does so for all waiters at the same time, else each would wait for the round trips of all before
-// it. It returns false if no pool holder is left for the first waiter and the request goes to the root.
+// requestFromPool requests the tokens of each waiter from the pool holders, one pool holder after
+// the other. It does so for all waiters at the same time, else each would wait for the round trips
+// of all before it. It returns false if no pool holder is left for the first waiter and the request
+// goes to the root.
 func (h *Holder) requestFromPool(now time.Duration, found *account) bool {
 	if !found.pooled || found.waiters[0].isLoan() {
 		return false
--- a/internal/coordination/escrow/summary.go
+++ b/internal/coordination/escrow/summary.go
@@ -83,8 +83,8 @@
 // the root's last summary.
 func (a *account) isKnownShort(tokens uint64) bool { return a.hasSummary && a.summary.Unspent < tokens }
 
-// desiredDropped reports whether the root still has a desired amount of this holder that is far too high,
-// so that other holders of a short budget get less.
+// desiredDropped reports whether the root still has a desired amount of this holder that is far too
+// high, so that other holders of a short budget get less.
 func (a *account) desiredDropped(now time.Duration) bool {
 	isShort := a.hasSummary && float64(a.summary.Wished) > a.summary.maximumHeld(a.contact != nil)
 	return isShort && float64(a.desired(now)) < desiredDropShare*float64(a.reportedDesired)
