--- a/internal/coordination/logversion/logversion.go
+++ b/internal/coordination/logversion/logversion.go
@@ -1,8 +1,9 @@
-// Package logversion decides when the version of the replicated log may rise: once all
-// control nodes read what it then may hold, and have done so for a settling time, in which
-// the fleet may be given its earlier build again.
+// Package logversion decides when the version of the replicated log may be raised: once the builds of
+// all control nodes read the new version, and have done so for a settling time in which the fleet can
+// still be rolled back to its earlier build.
 //
-// It is pure: times are those of a steady clock of the caller, and who is heard is told.
+// It has no clock or network access: the caller passes in times of a monotonic clock and the control
+// nodes that are reachable.
 package logversion
 
 import (
@@ -11,28 +12,28 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// Control is a control node that is heard now.
+// Control is a control node that is reachable now.
 type Control struct {
 	Address string
 	// Reads is the newest version of the log that its build reads.
 	Reads machine.LogVersion
 }
 
-// Raise is when the log's version may be raised to this build's. Each control node keeps
-// one, so that a new leader knows since when nobody stands in the way.
+// Raise tracks when the log's version may be raised to that of this build. Each control node keeps one,
+// so that a new leader knows since when no node has prevented the raise.
 type Raise struct {
-	// readySince is since when all control nodes read the newest version, if isReady is set.
+	// readySince is the time since which all control nodes read the newest version, if isReady is set.
 	readySince time.Duration
 	isReady    bool
 	isNewGroup bool
 	waitsFor   []string
 }
 
-// New makes the raise of a node that starts. isNewGroup tells that no earlier build can have
-// held the group's log, as far as it knows.
+// New returns the Raise of a node that starts. isNewGroup reports that, as far as the node knows, no
+// earlier build can have held the group's log.
 func New(isNewGroup bool) Raise { return Raise{isNewGroup: isNewGroup} }
 
-// Look takes the control nodes that are heard, this one included, and the addresses of the
+// Look updates the state from the reachable control nodes, this one included, and the addresses of the
 // group's members.
 func (r *Raise) Look(now time.Duration, heard []Control, members []string) {
 	r.waitsFor = nil
@@ -56,12 +57,12 @@
 	r.isReady = isReady
 }
 
-// IsDue tells whether the log's version is to be raised now.
+// IsDue reports whether the log's version is to be raised now.
 func (r *Raise) IsDue(now, settling time.Duration) bool {
 	return r.isReady && (r.isNewGroup || now-r.readySince >= settling)
 }
 
-// ReadyFor is how long nobody has stood in the way, 0 if somebody does.
+// ReadyFor returns for how long no node has prevented the raise; 0 if one does.
 func (r *Raise) ReadyFor(now time.Duration) time.Duration {
 	if !r.isReady {
 		return 0
@@ -69,10 +70,10 @@
 	return now - r.readySince
 }
 
-// IsNewGroup tells that the group was founded since this node started, and that no earlier
-// build was heard.
+// IsNewGroup reports whether the group was bootstrapped since this node started, and no earlier build
+// was seen since.
 func (r *Raise) IsNewGroup() bool { return r.isNewGroup }
 
-// WaitsFor are the control nodes that don't read the newest version, and members of the
-// group that are not heard.
+// WaitsFor returns the control nodes that don't read the newest version, and the members of the group
+// that are not reachable.
 func (r *Raise) WaitsFor() []string { return r.waitsFor }
--- a/internal/coordination/logversion/logversion_test.go
+++ b/internal/coordination/logversion/logversion_test.go
@@ -13,7 +13,8 @@
 
 var members = []string{"one", "two", "three"}
 
-// controls are some control nodes that read a version, and "older", which reads none.
+// controls returns control nodes that read the newest version, except "older", which reads only the
+// first.
 func controls(names ...string) []Control {
 	var made []Control
 	for _, name := range names {
@@ -47,14 +48,13 @@
 	}
 }
 
-// A node that was given the earlier build again, and then the newer one, begins the settling
-// time anew.
+// A node that is rolled back to the earlier build, and then upgraded again, restarts the settling time.
 func TestSettlingBeginsAnewWhenANodeWasBehind(t *testing.T) {
 	raise := New(true)
 	raise.Look(0, controls(members...), members)
 	raise.Look(settling/2, controls("one", "two", "three", "older"), members)
 	raise.Look(settling/2+1, controls(members...), members)
-	assert.Assert(t, !raise.IsNewGroup(), "an earlier build was heard")
+	assert.Assert(t, !raise.IsNewGroup(), "an earlier build was seen")
 	assert.Assert(t, !raise.IsDue(settling, settling))
 	assert.Assert(t, raise.IsDue(settling+settling/2+1, settling))
 }
