--- a/internal/coordination/replicaset/replicaset.go
+++ b/internal/coordination/replicaset/replicaset.go
@@ -1,8 +1,8 @@
-// Package replicaset decides how the members of the control group change as
-// control nodes come, lose their disks, and go.
+// Package replicaset decides how the members of the control group change as control nodes join, lose
+// their disks, and leave.
 //
-// It is a pure step: what is known of the group and of the nodes in, the next
-// change out. The caller makes one change at a time through the log.
+// It is a pure function from the known state of the group and the control nodes to the next change. The
+// caller makes one change at a time through the log.
 package replicaset
 
 import (
@@ -13,19 +13,19 @@
 )
 
 const (
-	// smallGroup and largeGroup are the numbers of voters: three, or five once
-	// there are five control nodes to hold them.
+	// smallGroup and largeGroup are the numbers of voters: three, or five once there are five control
+	// nodes.
 	smallGroup = 3
 	largeGroup = 5
-	// maximumLearners bounds the replicas that hold the log without a vote.
+	// maximumLearners is the maximum number of replicas that hold the log without a vote.
 	maximumLearners = 2
 )
 
-// Control is a control node that was heard from lately.
+// Control is a control node with recent contact.
 type Control struct {
-	// Node is its name for peers.
+	// Node is the name under which peers know it.
 	Node string
-	// Replica is the identity in its data folder; 0 means that it has none.
+	// Replica is the identity in its data folder; 0 if it has none.
 	Replica consensus.ReplicaID
 }
 
@@ -33,52 +33,51 @@
 type ChangeKind uint8
 
 const (
-	// Nothing is to be changed.
+	// Nothing means that no change is required.
 	Nothing ChangeKind = iota
 	// AddLearner adds a replica without a vote.
 	AddLearner
-	// Promote gives a learner its vote.
+	// Promote makes a learner a voter.
 	Promote
 	// Remove removes a member.
 	Remove
 )
 
-// String names the kind for logs.
+// String returns the kind's name for logs.
 func (k ChangeKind) String() string {
 	return [...]string{"nothing", "add_learner", "promote", "remove"}[k]
 }
 
-// Change is the next change.
+// Change is one membership change.
 type Change struct {
 	Kind   ChangeKind
 	Member consensus.Member
 	Reason string
 }
 
-// State is what the leader knows.
+// State is the leader's knowledge of the group.
 type State struct {
 	Members []consensus.Member
 	// Controls are the live control nodes, the leader's own included.
 	Controls []Control
-	// CaughtUp tells whether a member's disk holds every entry that was committed
-	// a moment ago. While entries are committed all the time nobody but the
-	// quorum holds the very last ones.
+	// CaughtUp reports whether a member's disk holds every entry that was committed a moment ago. While
+	// entries are committed continuously, only the quorum holds the last ones.
 	CaughtUp func(consensus.ReplicaID) bool
-	// Lost tells whether a member has been silent for long.
+	// Lost reports whether a member has been unreachable for long.
 	Lost func(consensus.ReplicaID) bool
-	// Self is the leader.
+	// Self is the leader's identity.
 	Self consensus.ReplicaID
 }
 
-// Next returns the next change.
+// Next returns the next change, or one of kind Nothing.
 func Next(state State) Change {
 	controls := slices.Clone(state.Controls)
 	slices.SortFunc(controls, func(a, b Control) int { return cmp.Compare(a.Node, b.Node) })
 	if change, found := state.removeOldIdentity(controls); found {
 		return change
 	}
-	// A vote that is missing goes before one that is to be moved: the group must
-	// not shrink twice with one learner to take both places.
+	// A missing voter is added before a lost one is removed: otherwise the group could shrink twice
+	// with only one learner to take both places.
 	if change, found := state.promoteLearner(); found {
 		return change
 	}
@@ -91,8 +90,8 @@
 	return state.removeLostLearner(controls)
 }
 
-// removeOldIdentity drops the member of a node whose disk has another identity
-// now: what the old one promised is lost with its disk, so it must not count.
+// removeOldIdentity removes the member of a node whose disk has another identity now: the promises of
+// the old identity were lost with its disk, so it must not count for a quorum.
 func (s State) removeOldIdentity(controls []Control) (Change, bool) {
 	for _, control := range controls {
 		for _, member := range s.Members {
@@ -104,8 +103,8 @@
 	return Change{}, false
 }
 
-// replaceLostVoter drops a silent voter once a learner is there to take its
-// place, so that the group has at no time fewer copies than it may lose.
+// replaceLostVoter removes an unreachable voter once a learner can take its place, so that the group
+// never has too few copies of the log to survive the losses that it is sized for.
 func (s State) replaceLostVoter() (Change, bool) {
 	if !slices.ContainsFunc(s.Members, func(member consensus.Member) bool { return member.Learner && s.usable(member) }) {
 		return Change{}, false
@@ -144,9 +143,8 @@
 	return Change{}, false
 }
 
-// wantedVoters is the size that the group should have. A large group stays one
-// while some control nodes are cut off: what it acknowledged must be on more
-// disks than may be lost.
+// wantedVoters returns the number of voters that the group should have. A large group stays large while
+// control nodes are unreachable: what it acknowledged must be on more disks than may be lost.
 func (s State) wantedVoters() int {
 	if len(s.Controls) >= largeGroup || s.voters() > smallGroup {
 		return largeGroup
@@ -173,7 +171,7 @@
 	return Change{}, false
 }
 
-// removeLostLearner makes room for another one.
+// removeLostLearner removes an unreachable learner, so that another one can be added.
 func (s State) removeLostLearner(controls []Control) Change {
 	for _, member := range s.Members {
 		isAlive := slices.ContainsFunc(controls, func(control Control) bool { return control.Replica == member.ID })
--- a/internal/coordination/replicaset/replicaset_test.go
+++ b/internal/coordination/replicaset/replicaset_test.go
@@ -63,7 +63,7 @@
 	assert.Equal(t, Next(state).Kind, Nothing)
 }
 
-// apply makes the change in the state as the log would.
+// apply makes a change in the state, as the committed log entry would.
 func apply(state *State, change Change) {
 	switch change.Kind {
 	case AddLearner:
@@ -85,10 +85,9 @@
 	}
 }
 
-// The finding of the grown zhf trouble-2, seed 971280330593: in the cut of a zone
-// with two of five voters both were removed for the one learner, and the group
-// was left with three. A final fault then took two disks of the three, and no
-// quorum was ever had again.
+// Found in run trouble-2 of the enlarged site zhf, seed 971280330593: when a zone with two of five
+// voters was partitioned, both were removed in exchange for one learner, which left three. A final
+// fault then destroyed two disks of the three, and the quorum was lost for good.
 func TestLargeGroupStaysLargeInTheCutOfAZone(t *testing.T) {
 	lost := map[consensus.ReplicaID]bool{4: true, 5: true}
 	state := State{
