--- a/internal/coordination/membership/pool.go
+++ b/internal/coordination/membership/pool.go
@@ -1,7 +1,6 @@
-// Package membership decides which nodes hold what: it places the holders of
-// request claims by rendezvous hashing, so that every node computes the same
-// ones from the same list of nodes, and a node more or less moves only its own
-// share.
+// Package membership assigns keys to nodes by rendezvous hashing, for example request claims to their
+// acceptors. Every node computes the same assignment from the same list of nodes, and adding or
+// removing a node moves only that node's share.
 package membership
 
 import (
@@ -11,11 +10,11 @@
 	"github.com/ravenway/ravenway/internal/pairhash"
 )
 
-// HoldersPerKey is the number of holders of each claim.
+// HoldersPerKey is the number of acceptors of each claim.
 const HoldersPerKey = 3
 
-// ScopeGlobal places one holder in each of three zones. Any other scope is the
-// name of the zone whose nodes hold the key.
+// ScopeGlobal places one acceptor in each of three zones. Any other scope is the name of the zone whose
+// nodes are the acceptors.
 const ScopeGlobal = "*"
 
 // Node is one member.
@@ -24,7 +23,7 @@
 	Zone string
 }
 
-// Pool is the list of nodes that hold claims. It does not change.
+// Pool is the list of nodes that are acceptors of claims. It is immutable.
 type Pool struct {
 	nodes  []Node
 	zones  []string
@@ -32,7 +31,7 @@
 	zoneOf map[string]string
 }
 
-// NewPool makes a pool.
+// NewPool returns the pool of the given nodes.
 func NewPool(nodes []Node) *Pool {
 	pool := &Pool{nodes: slices.Clone(nodes), byZone: map[string][]string{}, zoneOf: map[string]string{}}
 	slices.SortFunc(pool.nodes, func(a, b Node) int { return cmp.Compare(a.Name, b.Name) })
@@ -47,10 +46,10 @@
 	return pool
 }
 
-// Nodes returns all members by name.
+// Nodes returns all members, sorted by name.
 func (p *Pool) Nodes() []Node { return p.nodes }
 
-// Zones returns all zones by name.
+// Zones returns all zones, sorted by name.
 func (p *Pool) Zones() []string { return p.zones }
 
 // ZoneOf returns a member's zone, or "".
@@ -59,21 +58,20 @@
 // InZone returns the names of a zone's members.
 func (p *Pool) InZone(zone string) []string { return p.byZone[zone] }
 
-// ZonesFor returns all zones in a key's order of preference: the first is the
-// key's home zone.
+// ZonesFor returns all zones in a key's order of preference. The first is the key's home zone.
 func (p *Pool) ZonesFor(key string) []string {
 	return Rank(key, p.zones)
 }
 
-// Holders returns the holders of a key in a scope. It is three nodes where
-// there are as many; a zone with fewer borrows from the next zones.
+// Holders returns the acceptors of a key in a scope: three nodes if there are as many. A zone with
+// fewer nodes uses nodes of the next zones too.
 func (p *Pool) Holders(scope, key string) []string {
 	if scope == ScopeGlobal {
 		return p.globalHolders(key)
 	}
 	holders := firstOf(Rank(key, p.byZone[scope]), HoldersPerKey)
-	// The neighbour is the same for all keys of a zone: a cut-off zone of two
-	// then shares its keys with one other zone only.
+	// The next zone is the same for all keys of a zone, so a partitioned zone of two nodes shares
+	// its keys with one other zone only.
 	position := slices.Index(p.zones, scope)
 	for step := 1; step < len(p.zones) && len(holders) < HoldersPerKey; step++ {
 		neighbour := p.zones[(position+step)%len(p.zones)]
@@ -90,7 +88,7 @@
 		}
 		holders = append(holders, Rank(key, p.byZone[zone])[0])
 	}
-	// Fewer than three zones: fill up with other nodes.
+	// With fewer than three zones, the remaining acceptors are other nodes.
 	var names []string
 	for _, node := range p.nodes {
 		if !slices.Contains(holders, node.Name) {
@@ -123,7 +121,7 @@
 	return ranked
 }
 
-// Highest is the first of Rank, "" without any names.
+// Highest returns the first of Rank, or "" if there are no names.
 func Highest(key string, names []string) string {
 	var best string
 	var bestScore uint64
