--- a/internal/coordination/clocks/clocks.go
+++ b/internal/coordination/clocks/clocks.go
@@ -1,11 +1,10 @@
-// Package clocks bounds how long a node was without the root of the budgets when
-// its life ended.
+// Package clocks computes an upper bound of how long a node had been without contact to the root of the
+// budgets when its incarnation ended.
 //
-// A steady clock tells how much time has passed only while its process lives,
-// and doesn't count the time for which its machine is suspended. Where it fails,
-// the time of day is all there is, and it may jump on any machine. So it counts
-// only where the control nodes agree on it: a jump is noticed unless it strikes
-// more than half of them alike at the same time.
+// A monotonic clock measures time only within one process, and doesn't count the time for which its
+// machine is suspended. Where it fails, only the wall clock is left, which may jump on any machine.
+// So the wall clock counts only if the control nodes agree on it: a jump is detected unless it affects
+// more than half of them equally at the same time.
 package clocks
 
 import (
@@ -14,29 +13,30 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// Tolerance is how far clocks may be apart and still agree. Machines keep the
-// time of day within some milliseconds of each other, a peer's clock is read a
-// message's way late, and the jumps to be noticed are of a second and more.
+// Tolerance is the maximum difference at which clocks still agree. Machines keep their wall clocks
+// within some milliseconds of each other, a peer's clock is read one message delay late, and the jumps
+// to be detected are of a second and more.
 const Tolerance = 150 * time.Millisecond
 
-// Reading is what the leader's clocks show at one moment.
+// Reading is the state of the leader's clocks at one moment.
 type Reading struct {
-	// Clock names the process that Steady, the time since its start, is from.
+	// Clock identifies the process whose monotonic clock Steady is from. Steady is the time since the
+	// start of that process.
 	Clock  uint64
 	Steady time.Duration
-	// WallMS is the time of day in milliseconds since 1970; 0 if the control
-	// nodes' clocks do not agree on it.
+	// WallMS is the wall clock in milliseconds since 1970; 0 if the control nodes' clocks do not
+	// agree on it.
 	WallMS int64
 }
 
-// Contact returns the reading as the log holds it.
+// Contact returns the reading in the form that the log stores.
 func (r Reading) Contact() accounts.Contact {
 	return accounts.Contact{Clock: r.Clock, SteadyMS: uint64(r.Steady.Milliseconds()), WallMS: r.WallMS}
 }
 
-// Agree tells whether a clock may be believed: of a group of voters more than
-// half, this one included, were read, and none of them differs from it. All are
-// in milliseconds since 1970.
+// Agree reports whether the own wall clock is reliable: the clocks of more than half of the voters,
+// this node included, were read, and none differs from it by more than Tolerance. Clocks are in
+// milliseconds since 1970.
 func Agree(own int64, others []int64, voters int) bool {
 	for _, other := range others {
 		if max(own, other)-min(own, other) > Tolerance.Milliseconds() {
@@ -46,11 +46,11 @@
 	return 2*(len(others)+1) > voters
 }
 
-// Silence bounds how long a life was without the root at its end: it heard of
-// the contact, and was over for sinceOver at least when the clocks were read.
-// The steady clock tells where this process made the contact, unless the time of
-// day shows that its machine was suspended since; else the time of day does, where
-// the control nodes agreed on it then and now.
+// Silence returns an upper bound of the time between an incarnation's last contact with the root
+// and its end. The incarnation had ended at least sinceOver before the clocks were read. If this
+// process recorded the contact, the bound is from the monotonic clock, unless the wall clock shows
+// that its machine was suspended since. Otherwise the bound is from the wall clock, if the control
+// nodes agreed on it both then and now.
 func Silence(contact accounts.Contact, now Reading, sinceOver time.Duration) (silence time.Duration, known bool) {
 	if contact.Index == 0 {
 		return accounts.UnknownSilence, false
@@ -69,8 +69,8 @@
 	return max(0, byDay-sinceOver) + Tolerance, true
 }
 
-// passedByDay is the time since the contact by the time of day, if the control nodes
-// agreed on it then and now.
+// passedByDay returns the time since the contact by the wall clock, if the control nodes agreed on it
+// both then and now.
 func passedByDay(contact accounts.Contact, now Reading) (passed time.Duration, isAgreed bool) {
 	if contact.WallMS == 0 || now.WallMS == 0 {
 		return 0, false
--- a/internal/coordination/clocks/clocks_test.go
+++ b/internal/coordination/clocks/clocks_test.go
@@ -44,17 +44,17 @@
 	assert.Assert(t, !known, "clocks that did not agree then")
 }
 
-// Since the contact the leader's machine was suspended for 6 s, which its steady clock does
-// not count.
+// After the contact the leader's machine was suspended for 6 s, which its monotonic clock does not
+// count.
 func TestSilenceCountsTheTimeForWhichTheLeaderWasSuspended(t *testing.T) {
 	heard := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
 	silence, known := Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 509_000}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, silence, 8*time.Second+Tolerance)
-	// What clocks may be apart is no suspension, and one that ran backwards tells nothing.
+	// A difference within the tolerance is no suspension, and a clock that ran backwards is not used.
 	for _, wall := range []int64{503_000 + Tolerance.Milliseconds(), 499_000, 0} {
 		silence, known = Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: wall}, time.Second)
 		assert.Assert(t, known)
-		assert.Equal(t, silence, 2*time.Second, "time of day %d", wall)
+		assert.Equal(t, silence, 2*time.Second, "wall clock %d", wall)
 	}
 }
