--- a/internal/coordination/logversion/logversion.go
+++ b/internal/coordination/logversion/logversion.go
@@ -35,18 +35,18 @@
 
 // Look updates the state from the reachable control nodes, this one included, and the addresses of the
 // group's members.
-func (r *Raise) Look(now time.Duration, heard []Control, members []string) {
+func (r *Raise) Look(now time.Duration, reachable []Control, members []string) {
 	r.waitsFor = nil
-	isHeard := make(map[string]bool, len(heard))
-	for _, control := range heard {
-		isHeard[control.Address] = true
+	isReachable := make(map[string]bool, len(reachable))
+	for _, control := range reachable {
+		isReachable[control.Address] = true
 		if control.Reads < machine.OwnLogVersion {
 			r.waitsFor = append(r.waitsFor, control.Address)
 			r.isNewGroup = false
 		}
 	}
 	for _, member := range members {
-		if !isHeard[member] {
+		if !isReachable[member] {
 			r.waitsFor = append(r.waitsFor, member)
 		}
 	}
--- a/internal/coordination/logversion/logversion_test.go
+++ b/internal/coordination/logversion/logversion_test.go
@@ -16,18 +16,18 @@
 // controls returns control nodes that read the newest version, except "older", which reads only the
 // first.
 func controls(names ...string) []Control {
-	var made []Control
+	var nodes []Control
 	for _, name := range names {
 		reads := machine.OwnLogVersion
 		if name == "older" {
 			reads = machine.VersionFirst
 		}
-		made = append(made, Control{Address: name, Reads: reads})
+		nodes = append(nodes, Control{Address: name, Reads: reads})
 	}
-	return made
+	return nodes
 }
 
-func TestVersionRisesOnceAllHaveReadItForTheSettlingTime(t *testing.T) {
+func TestVersionIsRaisedOnceAllHaveReadItForTheSettlingTime(t *testing.T) {
 	raise := New(false)
 	raise.Look(0, controls(members...), members)
 	assert.Assert(t, !raise.IsDue(settling-1, settling))
@@ -35,13 +35,13 @@
 	assert.Equal(t, raise.ReadyFor(settling), settling)
 }
 
-func TestVersionWaitsForMembersThatAreNotHeardAndForOlderBuilds(t *testing.T) {
-	for name, heard := range map[string][]Control{
+func TestVersionWaitsForUnreachableMembersAndOlderBuilds(t *testing.T) {
+	for name, reachable := range map[string][]Control{
 		"three": controls("one", "two"), "older": controls("one", "two", "three", "older"),
 	} {
 		raise := New(true)
 		raise.Look(0, controls(members...), members)
-		raise.Look(time.Second, heard, members)
+		raise.Look(time.Second, reachable, members)
 		assert.DeepEqual(t, raise.WaitsFor(), []string{name})
 		assert.Assert(t, !raise.IsDue(2*settling, settling), name)
 		assert.Equal(t, raise.ReadyFor(2*settling), time.Duration(0))
@@ -49,7 +49,7 @@
 }
 
 // A node that is rolled back to the earlier build, and then upgraded again, restarts the settling time.
-func TestSettlingBeginsAnewWhenANodeWasBehind(t *testing.T) {
+func TestSettlingRestartsWhenANodeWasRolledBack(t *testing.T) {
 	raise := New(true)
 	raise.Look(0, controls(members...), members)
 	raise.Look(settling/2, controls("one", "two", "three", "older"), members)
@@ -59,7 +59,7 @@
 	assert.Assert(t, raise.IsDue(settling+settling/2+1, settling))
 }
 
-func TestNewGroupNeedNotSettle(t *testing.T) {
+func TestNewGroupDoesNotWaitForTheSettlingTime(t *testing.T) {
 	raise := New(true)
 	raise.Look(0, controls(members...), members)
 	assert.Assert(t, raise.IsDue(0, settling))
