--- a/internal/coordination/replicaset/replicaset.go
+++ b/internal/coordination/replicaset/replicaset.go
@@ -106,7 +106,7 @@
 // replaceLostVoter removes an unreachable voter once a learner can take its place, so that the group
 // never has too few copies of the log to survive the losses that it is sized for.
 func (s State) replaceLostVoter() (Change, bool) {
-	if !slices.ContainsFunc(s.Members, func(member consensus.Member) bool { return member.Learner && s.usable(member) }) {
+	if !slices.ContainsFunc(s.Members, func(member consensus.Member) bool { return member.Learner && s.canBecomeVoter(member) }) {
 		return Change{}, false
 	}
 	for _, member := range s.Members {
@@ -117,7 +117,7 @@
 	return Change{}, false
 }
 
-func (s State) usable(member consensus.Member) bool {
+func (s State) canBecomeVoter(member consensus.Member) bool {
 	return s.CaughtUp(member.ID) && !s.Lost(member.ID)
 }
 
@@ -132,20 +132,20 @@
 }
 
 func (s State) promoteLearner() (Change, bool) {
-	if s.voters() >= s.wantedVoters() {
+	if s.voters() >= s.targetVoters() {
 		return Change{}, false
 	}
 	for _, member := range s.Members {
-		if member.Learner && s.usable(member) {
+		if member.Learner && s.canBecomeVoter(member) {
 			return Change{Kind: Promote, Member: member, Reason: "holds the log"}, true
 		}
 	}
 	return Change{}, false
 }
 
-// wantedVoters returns the number of voters that the group should have. A large group stays large while
+// targetVoters returns the number of voters that the group should have. A large group stays large while
 // control nodes are unreachable: what it acknowledged must be on more disks than may be lost.
-func (s State) wantedVoters() int {
+func (s State) targetVoters() int {
 	if len(s.Controls) >= largeGroup || s.voters() > smallGroup {
 		return largeGroup
 	}
--- a/internal/coordination/replicaset/replicaset_test.go
+++ b/internal/coordination/replicaset/replicaset_test.go
@@ -8,7 +8,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/consensus"
 )
 
-func group(lost ...consensus.ReplicaID) State {
+func groupOfThree(lost ...consensus.ReplicaID) State {
 	isLost := map[consensus.ReplicaID]bool{}
 	for _, id := range lost {
 		isLost[id] = true
@@ -22,16 +22,16 @@
 	}
 }
 
-func TestWholeGroupIsLeftAlone(t *testing.T) {
-	assert.Equal(t, Next(group()).Kind, Nothing)
+func TestCompleteGroupIsNotChanged(t *testing.T) {
+	assert.Equal(t, Next(groupOfThree()).Kind, Nothing)
 }
 
-func TestCutOffVoterStaysWhileNobodyCanTakeItsPlace(t *testing.T) {
-	assert.Equal(t, Next(group(3)).Kind, Nothing)
+func TestUnreachableVoterStaysWithoutAReplacement(t *testing.T) {
+	assert.Equal(t, Next(groupOfThree(3)).Kind, Nothing)
 }
 
-func TestWipedReplicaLosesItsOldIdentityFirst(t *testing.T) {
-	state := group()
+func TestOldIdentityOfAWipedReplicaIsRemovedFirst(t *testing.T) {
+	state := groupOfThree()
 	state.Controls[2].Replica = 9
 	change := Next(state)
 	assert.Equal(t, change.Kind, Remove)
@@ -44,8 +44,8 @@
 	assert.Equal(t, Next(state).Kind, Promote)
 }
 
-func TestReplacementAtAnotherAddressTakesTheLostVotersPlace(t *testing.T) {
-	state := group(3)
+func TestReplacementAtAnotherAddressReplacesTheLostVoter(t *testing.T) {
+	state := groupOfThree(3)
 	state.Controls = append(state.Controls[:2], Control{Node: "d", Replica: 4})
 	assert.Equal(t, Next(state).Kind, AddLearner)
 	state.Members = append(state.Members, consensus.Member{ID: 4, Node: "d", Learner: true})
@@ -56,15 +56,15 @@
 	assert.Equal(t, Next(state).Kind, Promote)
 }
 
-func TestFourthControlNodeWaitsAsALearner(t *testing.T) {
-	state := group()
+func TestFourthControlNodeStaysALearner(t *testing.T) {
+	state := groupOfThree()
 	state.Controls = append(state.Controls, Control{Node: "d", Replica: 4})
 	state.Members = append(state.Members, consensus.Member{ID: 4, Node: "d", Learner: true})
 	assert.Equal(t, Next(state).Kind, Nothing)
 }
 
-// apply makes a change in the state, as the committed log entry would.
-func apply(state *State, change Change) {
+// applyChange makes a change in the state, as the committed log entry would.
+func applyChange(state *State, change Change) {
 	switch change.Kind {
 	case AddLearner:
 		change.Member.Learner = true
@@ -88,7 +88,7 @@
 // Found in run trouble-2 of the enlarged site zhf, seed 971280330593: when a zone with two of five
 // voters was partitioned, both were removed in exchange for one learner, which left three. A final
 // fault then destroyed two disks of the three, and the quorum was lost for good.
-func TestLargeGroupStaysLargeInTheCutOfAZone(t *testing.T) {
+func TestLargeGroupStaysLargeWhenAZoneIsPartitioned(t *testing.T) {
 	lost := map[consensus.ReplicaID]bool{4: true, 5: true}
 	state := State{
 		Members: []consensus.Member{
@@ -105,14 +105,14 @@
 		if change.Kind == Nothing {
 			break
 		}
-		apply(&state, change)
-		assert.Assert(t, votersOf(state) >= 4, "%d voters after %s of %s", votersOf(state), change.Kind, change.Member.Node)
+		applyChange(&state, change)
+		assert.Assert(t, countVoters(state) >= 4, "%d voters after %s of %s", countVoters(state), change.Kind, change.Member.Node)
 	}
 	assert.Equal(t, Next(state).Kind, Nothing)
-	assert.Equal(t, votersOf(state), 5)
+	assert.Equal(t, countVoters(state), 5)
 }
 
-func votersOf(state State) int {
+func countVoters(state State) int {
 	count := 0
 	for _, member := range state.Members {
 		if !member.Learner {
