--- a/internal/coordination/membership/pool.go
+++ b/internal/coordination/membership/pool.go
@@ -67,35 +67,35 @@
 // fewer nodes uses nodes of the next zones too.
 func (p *Pool) Holders(scope, key string) []string {
 	if scope == ScopeGlobal {
-		return p.globalHolders(key)
+		return p.globalAcceptors(key)
 	}
-	holders := firstOf(Rank(key, p.byZone[scope]), HoldersPerKey)
+	acceptors := firstNames(Rank(key, p.byZone[scope]), HoldersPerKey)
 	// The next zone is the same for all keys of a zone, so a partitioned zone of two nodes shares
 	// its keys with one other zone only.
 	position := slices.Index(p.zones, scope)
-	for step := 1; step < len(p.zones) && len(holders) < HoldersPerKey; step++ {
+	for step := 1; step < len(p.zones) && len(acceptors) < HoldersPerKey; step++ {
 		neighbour := p.zones[(position+step)%len(p.zones)]
-		holders = append(holders, firstOf(Rank(key, p.byZone[neighbour]), HoldersPerKey-len(holders))...)
+		acceptors = append(acceptors, firstNames(Rank(key, p.byZone[neighbour]), HoldersPerKey-len(acceptors))...)
 	}
-	return holders
+	return acceptors
 }
 
-func (p *Pool) globalHolders(key string) []string {
-	var holders []string
+func (p *Pool) globalAcceptors(key string) []string {
+	var acceptors []string
 	for _, zone := range p.ZonesFor(key) {
-		if len(holders) == HoldersPerKey {
-			return holders
+		if len(acceptors) == HoldersPerKey {
+			return acceptors
 		}
-		holders = append(holders, Rank(key, p.byZone[zone])[0])
+		acceptors = append(acceptors, Rank(key, p.byZone[zone])[0])
 	}
 	// With fewer than three zones, the remaining acceptors are other nodes.
 	var names []string
 	for _, node := range p.nodes {
-		if !slices.Contains(holders, node.Name) {
+		if !slices.Contains(acceptors, node.Name) {
 			names = append(names, node.Name)
 		}
 	}
-	return append(holders, firstOf(Rank(key, names), HoldersPerKey-len(holders))...)
+	return append(acceptors, firstNames(Rank(key, names), HoldersPerKey-len(acceptors))...)
 }
 
 // Rank orders names by their rendezvous hash with a key, highest first.
@@ -126,14 +126,14 @@
 	var best string
 	var bestScore uint64
 	for position, name := range names {
-		one := pairhash.Of(name, key)
-		if position == 0 || one > bestScore || one == bestScore && name < best {
-			best, bestScore = name, one
+		score := pairhash.Of(name, key)
+		if position == 0 || score > bestScore || score == bestScore && name < best {
+			best, bestScore = name, score
 		}
 	}
 	return best
 }
 
-func firstOf(names []string, count int) []string {
+func firstNames(names []string, count int) []string {
 	return slices.Clone(names[:min(count, len(names))])
 }
