--- a/internal/coordination/clocks/clocks.go
+++ b/internal/coordination/clocks/clocks.go
@@ -47,31 +47,31 @@
 }
 
 // Silence returns an upper bound of the time between an incarnation's last contact with the root
-// and its end. The incarnation had ended at least sinceOver before the clocks were read. If this
+// and its end. The incarnation had ended at least sinceEnd before the clocks were read. If this
 // process recorded the contact, the bound is from the monotonic clock, unless the wall clock shows
 // that its machine was suspended since. Otherwise the bound is from the wall clock, if the control
 // nodes agreed on it both then and now.
-func Silence(contact accounts.Contact, now Reading, sinceOver time.Duration) (silence time.Duration, known bool) {
+func Silence(contact accounts.Contact, now Reading, sinceEnd time.Duration) (sinceContact time.Duration, known bool) {
 	if contact.Index == 0 {
 		return accounts.UnknownSilence, false
 	}
-	byDay, isAgreed := passedByDay(contact, now)
+	byWallClock, isAgreed := elapsedByWallClock(contact, now)
 	if contact.Clock == now.Clock {
-		passed := now.Steady - time.Duration(contact.SteadyMS)*time.Millisecond
-		if isAgreed && byDay > passed+Tolerance {
-			passed = byDay + Tolerance
+		elapsed := now.Steady - time.Duration(contact.SteadyMS)*time.Millisecond
+		if isAgreed && byWallClock > elapsed+Tolerance {
+			elapsed = byWallClock + Tolerance
 		}
-		return max(0, passed-sinceOver), true
+		return max(0, elapsed-sinceEnd), true
 	}
-	if !isAgreed || byDay-sinceOver < -Tolerance {
+	if !isAgreed || byWallClock-sinceEnd < -Tolerance {
 		return accounts.UnknownSilence, false
 	}
-	return max(0, byDay-sinceOver) + Tolerance, true
+	return max(0, byWallClock-sinceEnd) + Tolerance, true
 }
 
-// passedByDay returns the time since the contact by the wall clock, if the control nodes agreed on it
-// both then and now.
-func passedByDay(contact accounts.Contact, now Reading) (passed time.Duration, isAgreed bool) {
+// elapsedByWallClock returns the time since the contact by the wall clock, if the control nodes
+// agreed on it both then and now.
+func elapsedByWallClock(contact accounts.Contact, now Reading) (elapsed time.Duration, isAgreed bool) {
 	if contact.WallMS == 0 || now.WallMS == 0 {
 		return 0, false
 	}
--- a/internal/coordination/clocks/clocks_test.go
+++ b/internal/coordination/clocks/clocks_test.go
@@ -9,8 +9,8 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-func TestClocksAgreeOnlyWhereMoreThanHalfWereReadAndNoneDiffers(t *testing.T) {
-	for _, one := range []struct {
+func TestClocksAgreeOnlyIfMoreThanHalfWereReadAndNoneDiffers(t *testing.T) {
+	for _, test := range []struct {
 		name   string
 		others []int64
 		voters int
@@ -23,38 +23,38 @@
 		{name: "one has jumped", others: []int64{100_020, 98_000}, voters: 3, agree: false},
 		{name: "three of six", others: []int64{100_000, 100_000}, voters: 6, agree: false},
 	} {
-		assert.Equal(t, Agree(100_000, one.others, one.voters), one.agree, one.name)
+		assert.Equal(t, Agree(100_000, test.others, test.voters), test.agree, test.name)
 	}
 }
 
-func TestSilenceIsBoundedByTheSteadyClockElseByTheTimeOfDay(t *testing.T) {
-	heard := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
-	same, known := Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 1}, time.Second)
+func TestTimeSinceContactUsesTheMonotonicClockElseTheWallClock(t *testing.T) {
+	contact := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
+	sameProcess, known := Silence(contact, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 1}, time.Second)
 	assert.Assert(t, known)
-	assert.Equal(t, same, 2*time.Second)
-	other, known := Silence(heard, Reading{Clock: 8, WallMS: 504_000}, time.Second)
+	assert.Equal(t, sameProcess, 2*time.Second)
+	otherProcess, known := Silence(contact, Reading{Clock: 8, WallMS: 504_000}, time.Second)
 	assert.Assert(t, known)
-	assert.Equal(t, other, 3*time.Second+Tolerance)
-	_, known = Silence(heard, Reading{Clock: 8, WallMS: 498_000}, 0)
+	assert.Equal(t, otherProcess, 3*time.Second+Tolerance)
+	_, known = Silence(contact, Reading{Clock: 8, WallMS: 498_000}, 0)
 	assert.Assert(t, !known, "a clock that ran backwards")
-	_, known = Silence(heard, Reading{Clock: 8}, 0)
+	_, known = Silence(contact, Reading{Clock: 8}, 0)
 	assert.Assert(t, !known, "clocks that do not agree now")
-	heard.WallMS = 0
-	_, known = Silence(heard, Reading{Clock: 8, WallMS: 504_000}, 0)
+	contact.WallMS = 0
+	_, known = Silence(contact, Reading{Clock: 8, WallMS: 504_000}, 0)
 	assert.Assert(t, !known, "clocks that did not agree then")
 }
 
 // After the contact the leader's machine was suspended for 6 s, which its monotonic clock does not
 // count.
-func TestSilenceCountsTheTimeForWhichTheLeaderWasSuspended(t *testing.T) {
-	heard := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
-	silence, known := Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 509_000}, time.Second)
+func TestTimeSinceContactCountsTheSuspensionOfTheLeader(t *testing.T) {
+	contact := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
+	sinceContact, known := Silence(contact, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 509_000}, time.Second)
 	assert.Assert(t, known)
-	assert.Equal(t, silence, 8*time.Second+Tolerance)
+	assert.Equal(t, sinceContact, 8*time.Second+Tolerance)
 	// A difference within the tolerance is no suspension, and a clock that ran backwards is not used.
 	for _, wall := range []int64{503_000 + Tolerance.Milliseconds(), 499_000, 0} {
-		silence, known = Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: wall}, time.Second)
+		sinceContact, known = Silence(contact, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: wall}, time.Second)
 		assert.Assert(t, known)
-		assert.Equal(t, silence, 2*time.Second, "wall clock %d", wall)
+		assert.Equal(t, sinceContact, 2*time.Second, "wall clock %d", wall)
 	}
 }
