--- a/internal/coordination/claims/acceptor.go
+++ b/internal/coordination/claims/acceptor.go
@@ -21,8 +21,8 @@
 	recoverInterval = 200 * time.Millisecond
 )
 
-// HolderOptions set up a Holder.
-type HolderOptions struct {
+// AcceptorOptions set up a Holder.
+type AcceptorOptions struct {
 	Self        string
 	Incarnation uint64
 	Pool        *membership.Pool
@@ -35,10 +35,10 @@
 	WithoutVectors bool
 }
 
-// Holder stores the registers of a node's keys and votes on ballots. It is a state machine without
+// Acceptor stores the registers of a node's keys and votes on ballots. It is a state machine without
 // clock or network access, and is not safe for concurrent use.
-type Holder struct {
-	options HolderOptions
+type Acceptor struct {
+	options AcceptorOptions
 	// incarnations is the newest known incarnation of each node.
 	incarnations Vector
 	records      map[Register]*storedRecord
@@ -61,12 +61,12 @@
 	budget string
 }
 
-// NewHolder returns an acceptor without records.
-func NewHolder(options HolderOptions) *Holder {
+// NewAcceptor returns an acceptor without records.
+func NewAcceptor(options AcceptorOptions) *Acceptor {
 	if options.Retention == 0 {
 		options.Retention = DefaultRetention
 	}
-	acceptor := &Holder{
+	acceptor := &Acceptor{
 		options: options, incarnations: Vector{options.Self: options.Incarnation},
 		records: map[Register]*storedRecord{}, fenced: Vector{}, marks: map[markKey]uint64{}, recovered: map[string]bool{},
 	}
@@ -79,10 +79,10 @@
 }
 
 // Incarnation returns the acceptor's own incarnation.
-func (a *Holder) Incarnation() uint64 { return a.options.Incarnation }
+func (a *Acceptor) Incarnation() uint64 { return a.options.Incarnation }
 
 // Recovering returns the nodes whose response a restarted acceptor still waits for.
-func (a *Holder) Recovering() []string {
+func (a *Acceptor) Recovering() []string {
 	var waiting []string
 	for _, node := range a.options.Pool.Nodes() {
 		if node.Name != a.options.Self && !a.recovered[node.Name] {
@@ -93,10 +93,10 @@
 }
 
 // Length returns the number of registers.
-func (a *Holder) Length() int { return len(a.records) }
+func (a *Acceptor) Length() int { return len(a.records) }
 
 // Tick drops records that are no longer required, and returns the recovery requests that are due.
-func (a *Holder) Tick(now time.Duration) []Outgoing {
+func (a *Acceptor) Tick(now time.Duration) []Outgoing {
 	a.forget(now)
 	waiting := a.Recovering()
 	if len(waiting) == 0 || now < a.nextRecover {
@@ -111,7 +111,7 @@
 }
 
 // Step handles one message and returns the responses.
-func (a *Holder) Step(now time.Duration, message Message) []Outgoing {
+func (a *Acceptor) Step(now time.Duration, message Message) []Outgoing {
 	a.learnIncarnations(message)
 	switch message.Kind {
 	case MessagePrepare:
@@ -123,31 +123,31 @@
 	case MessageRecovered:
 		a.mergeRecords(now, message)
 	case MessageWatermark:
-		a.raiseMarks(message.Marks)
+		a.raiseMarks(message.Watermarks)
 	}
 	return nil
 }
 
 // learnIncarnations records newer incarnations. It runs before the message is handled, so that the
 // response to a restarted acceptor's request already contains its new incarnation.
-func (a *Holder) learnIncarnations(message Message) {
+func (a *Acceptor) learnIncarnations(message Message) {
 	a.learnIncarnation(message.From, message.Incarnation)
 	for node, incarnation := range message.Vector {
 		a.learnIncarnation(node, incarnation)
 	}
 }
 
-func (a *Holder) learnIncarnation(node string, incarnation uint64) {
+func (a *Acceptor) learnIncarnation(node string, incarnation uint64) {
 	if node != a.options.Self && incarnation > a.incarnations[node] {
 		a.incarnations[node] = incarnation
 	}
 }
 
-func (a *Holder) message(kind MessageKind) Message {
+func (a *Acceptor) message(kind MessageKind) Message {
 	return Message{Kind: kind, From: a.options.Self, Incarnation: a.options.Incarnation}
 }
 
-func (a *Holder) respond(request, response Message) []Outgoing {
+func (a *Acceptor) respond(request, response Message) []Outgoing {
 	// The operation and the ballot's proposer identify the request, so the response need not repeat its
 	// key and scope.
 	response.Operation = request.Operation
@@ -156,17 +156,17 @@
 }
 
 // vectorFor returns this acceptor's view of the incarnations of a key's acceptors.
-func (a *Holder) vectorFor(scope string, key Key) Vector {
+func (a *Acceptor) vectorFor(scope string, key Key) Vector {
 	vector := Vector{}
-	for _, node := range a.options.Pool.Holders(scope, string(key[:])) {
+	for _, node := range a.options.Pool.Acceptors(scope, string(key[:])) {
 		vector[node] = a.incarnations[node]
 	}
 	return vector
 }
 
 // hasRecovered reports whether both other acceptors of a key have sent their records since the restart.
-func (a *Holder) hasRecovered(scope string, key Key) bool {
-	for _, node := range a.options.Pool.Holders(scope, string(key[:])) {
+func (a *Acceptor) hasRecovered(scope string, key Key) bool {
+	for _, node := range a.options.Pool.Acceptors(scope, string(key[:])) {
 		if node != a.options.Self && !a.recovered[node] {
 			return false
 		}
@@ -174,7 +174,7 @@
 	return true
 }
 
-func (a *Holder) refuse(kind MessageKind, message Message, refusal Refusal, promised Ballot) Message {
+func (a *Acceptor) refuse(kind MessageKind, message Message, refusal Refusal, promised Ballot) Message {
 	response := a.message(kind)
 	response.Refusal = refusal
 	response.Ballot = promised
@@ -183,7 +183,7 @@
 }
 
 // check returns why a proposal is refused regardless of its ballot, or 0.
-func (a *Holder) check(message Message) Refusal {
+func (a *Acceptor) check(message Message) Refusal {
 	proposer := message.Ballot.Proposer
 	if proposer.Incarnation <= a.fenced[proposer.Node] {
 		return RefusedFenced
@@ -194,7 +194,7 @@
 	return 0
 }
 
-func (a *Holder) prepare(now time.Duration, message Message) Message {
+func (a *Acceptor) prepare(now time.Duration, message Message) Message {
 	if refusal := a.check(message); refusal != 0 {
 		return a.refuse(MessagePromise, message, refusal, Ballot{})
 	}
@@ -213,7 +213,7 @@
 	return response
 }
 
-func (a *Holder) accept(now time.Duration, message Message) Message {
+func (a *Acceptor) accept(now time.Duration, message Message) Message {
 	if refusal := a.check(message); refusal != 0 {
 		return a.refuse(MessageAccepted, message, refusal, Ballot{})
 	}
@@ -235,7 +235,7 @@
 	return response
 }
 
-func (a *Holder) setAccepted(now time.Duration, record *storedRecord, ballot Ballot, claim *Claim) {
+func (a *Acceptor) setAccepted(now time.Duration, record *storedRecord, ballot Ballot, claim *Claim) {
 	record.Accepted = ballot
 	copied := *claim
 	record.Claim = &copied
@@ -244,7 +244,7 @@
 	}
 }
 
-func (a *Holder) record(scope string, key Key) *storedRecord {
+func (a *Acceptor) record(scope string, key Key) *storedRecord {
 	name := Register{Scope: scope, Key: key}
 	record := a.records[name]
 	if record == nil {
@@ -255,22 +255,22 @@
 }
 
 // recordsFor returns a response with everything about the keys that another node is an acceptor of too.
-func (a *Holder) recordsFor(node string) Message {
+func (a *Acceptor) recordsFor(node string) Message {
 	response := a.message(MessageRecovered)
 	response.Vector = maps.Clone(a.incarnations)
 	response.Fences = maps.Clone(a.fenced)
 	for _, record := range a.sortedRecords() {
-		if slices.Contains(a.options.Pool.Holders(record.Scope, string(record.Key[:])), node) {
+		if slices.Contains(a.options.Pool.Acceptors(record.Scope, string(record.Key[:])), node) {
 			response.Records = append(response.Records, record.Record)
 		}
 	}
 	for mark, sequence := range a.marks {
-		response.Marks = append(response.Marks, Watermark{Owner: mark.owner, Budget: mark.budget, Sequence: sequence})
+		response.Watermarks = append(response.Watermarks, Watermark{Owner: mark.owner, Budget: mark.budget, Sequence: sequence})
 	}
 	return response
 }
 
-func (a *Holder) sortedRecords() []*storedRecord {
+func (a *Acceptor) sortedRecords() []*storedRecord {
 	records := slices.Collect(maps.Values(a.records))
 	slices.SortFunc(records, func(left, right *storedRecord) int {
 		return cmp.Or(slices.Compare(left.Key[:], right.Key[:]), cmp.Compare(left.Scope, right.Scope))
@@ -279,14 +279,14 @@
 }
 
 // mergeRecords merges the records of another acceptor after a restart of this one.
-func (a *Holder) mergeRecords(now time.Duration, message Message) {
+func (a *Acceptor) mergeRecords(now time.Duration, message Message) {
 	if a.recovered[message.From] || message.Incarnation < a.incarnations[message.From] {
 		return
 	}
 	for node, incarnation := range message.Fences {
 		a.fenced[node] = max(a.fenced[node], incarnation)
 	}
-	a.raiseMarks(message.Marks)
+	a.raiseMarks(message.Watermarks)
 	for _, received := range message.Records {
 		record := a.record(received.Scope, received.Key)
 		if record.Promised.Less(received.Promised) {
@@ -301,7 +301,7 @@
 
 // Fence refuses all further changes by an incarnation of a node here, and returns the claims that it
 // owns and the loans that it received.
-func (a *Holder) Fence(owner accounts.HolderID) []Record {
+func (a *Acceptor) Fence(owner accounts.HolderID) []Record {
 	a.fenced[owner.Node] = max(a.fenced[owner.Node], owner.Incarnation)
 	var owned []Record
 	for _, record := range a.sortedRecords() {
@@ -313,11 +313,11 @@
 }
 
 // Fenced reports whether an incarnation of a node is fenced here.
-func (a *Holder) Fenced(owner accounts.HolderID) bool {
+func (a *Acceptor) Fenced(owner accounts.HolderID) bool {
 	return owner.Incarnation <= a.fenced[owner.Node]
 }
 
-func (a *Holder) raiseMarks(marks []Watermark) {
+func (a *Acceptor) raiseMarks(marks []Watermark) {
 	for _, mark := range marks {
 		key := markKey{owner: mark.Owner, budget: mark.Budget}
 		a.marks[key] = max(a.marks[key], mark.Sequence)
@@ -326,7 +326,7 @@
 
 // isForgotten reports whether a claim was accounted for and forgotten. A late message must not restore
 // it.
-func (a *Holder) isForgotten(claim *Claim) bool {
+func (a *Acceptor) isForgotten(claim *Claim) bool {
 	if claim.CallerKey || claim.Sequence == 0 {
 		return false
 	}
@@ -335,7 +335,7 @@
 
 // forget drops settled claims that the root has accounted for: those with generated keys immediately,
 // those with callers' keys after the retention.
-func (a *Holder) forget(now time.Duration) {
+func (a *Acceptor) forget(now time.Duration) {
 	for key, record := range a.records {
 		claim := record.Claim
 		if claim == nil && now-record.promisedAt > promiseRetention {
--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -16,12 +16,12 @@
 // acceptorGroup is three acceptors whose messages the test delivers explicitly.
 type acceptorGroup struct {
 	pool           *membership.Pool
-	acceptors      map[string]*Holder
+	acceptors      map[string]*Acceptor
 	withoutVectors bool
 }
 
 func newAcceptorGroup(withoutVectors bool) *acceptorGroup {
-	t := &acceptorGroup{acceptors: map[string]*Holder{}, withoutVectors: withoutVectors}
+	t := &acceptorGroup{acceptors: map[string]*Acceptor{}, withoutVectors: withoutVectors}
 	t.pool = membership.NewPool([]membership.Node{{Name: "h1", Zone: "z"}, {Name: "h2", Zone: "z"}, {Name: "h3", Zone: "z"}})
 	for _, node := range t.pool.Nodes() {
 		t.start(node.Name, 1, true)
@@ -30,7 +30,7 @@
 }
 
 func (t *acceptorGroup) start(name string, incarnation uint64, fresh bool) {
-	t.acceptors[name] = NewHolder(HolderOptions{
+	t.acceptors[name] = NewAcceptor(AcceptorOptions{
 		Self: name, Incarnation: incarnation, Pool: t.pool, Fresh: fresh, WithoutVectors: t.withoutVectors,
 	})
 }
@@ -167,7 +167,7 @@
 func TestLateMessageDoesNotRestoreAForgottenClaim(t *testing.T) {
 	group := newAcceptorGroup(false)
 	owner := accounts.HolderID{Node: "p", Incarnation: 1}
-	mark := Message{Kind: MessageWatermark, From: "p", Incarnation: 1, Marks: []Watermark{{Owner: owner, Budget: "b", Sequence: 7}}}
+	mark := Message{Kind: MessageWatermark, From: "p", Incarnation: 1, Watermarks: []Watermark{{Owner: owner, Budget: "b", Sequence: 7}}}
 	acceptor := group.acceptors["h1"]
 	acceptor.Step(0, mark)
 	late := Message{
--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -124,10 +124,10 @@
 	p.begin(now, started)
 }
 
-// ChangeMinted is the first change of a key that this node has newly generated. No other node can have
+// ChangeNewKey is the first change of a key that this node has newly generated. No other node can have
 // proposed for it with the lowest ballot, so the first round is skipped. An acceptor that has promised
 // a higher ballot refuses.
-func (p *Proposer) ChangeMinted(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
+func (p *Proposer) ChangeNewKey(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
 	started := p.start(deadline, scope, key, change, done)
 	started.ballot = Ballot{Round: generatedRound, Proposer: p.options.ID}
 	started.value, started.changed = change(nil), true
@@ -142,7 +142,7 @@
 	p.lastOperation++
 	started := &operation{
 		id: p.lastOperation, key: key, scope: scope, change: change, done: done, deadline: deadline,
-		acceptors: p.options.Pool.Holders(scope, string(key[:])),
+		acceptors: p.options.Pool.Acceptors(scope, string(key[:])),
 	}
 	p.operations[started.id] = started
 	return started
--- a/internal/coordination/claims/size_test.go
+++ b/internal/coordination/claims/size_test.go
@@ -29,7 +29,7 @@
 	group := newAcceptorGroup(false)
 	proposer := group.proposer("h1")
 	key, claim := realisticClaim()
-	proposer.ChangeMinted(0, testDeadline, "z", key, func(*Claim) *Claim { return claim }, func(Outcome) {})
+	proposer.ChangeNewKey(0, testDeadline, "z", key, func(*Claim) *Claim { return claim }, func(Outcome) {})
 	var request Message
 	for _, outgoing := range proposer.Outgoing() {
 		if outgoing.To != "h1" {
--- a/internal/coordination/claims/types.go
+++ b/internal/coordination/claims/types.go
@@ -158,9 +158,9 @@
 	Refusal Refusal `msgpack:"r,omitempty"`
 	// Records, Fences and Marks are the content of MessageRecovered; Marks is also that of
 	// MessageWatermark.
-	Records []Record    `msgpack:"d,omitempty"`
-	Fences  Vector      `msgpack:"e,omitempty"`
-	Marks   []Watermark `msgpack:"m,omitempty"`
+	Records    []Record    `msgpack:"d,omitempty"`
+	Fences     Vector      `msgpack:"e,omitempty"`
+	Watermarks []Watermark `msgpack:"m,omitempty"`
 }
 
 // Refusal is why an acceptor refused a proposal.
--- a/internal/coordination/clocks/clocks.go
+++ b/internal/coordination/clocks/clocks.go
@@ -22,8 +22,8 @@
 type Reading struct {
 	// Clock identifies the process whose monotonic clock Steady is from. Steady is the time since the
 	// start of that process.
-	Clock  uint64
-	Steady time.Duration
+	Clock     uint64
+	Monotonic time.Duration
 	// WallMS is the wall clock in milliseconds since 1970; 0 if the control nodes' clocks do not
 	// agree on it.
 	WallMS int64
@@ -31,7 +31,7 @@
 
 // Contact returns the reading in the form that the log stores.
 func (r Reading) Contact() accounts.Contact {
-	return accounts.Contact{Clock: r.Clock, SteadyMS: uint64(r.Steady.Milliseconds()), WallMS: r.WallMS}
+	return accounts.Contact{Clock: r.Clock, SteadyMS: uint64(r.Monotonic.Milliseconds()), WallMS: r.WallMS}
 }
 
 // Agree reports whether the own wall clock is reliable: the clocks of more than half of the voters,
@@ -46,18 +46,18 @@
 	return 2*(len(others)+1) > voters
 }
 
-// Silence returns an upper bound of the time between an incarnation's last contact with the root
+// TimeSinceContact returns an upper bound of the time between an incarnation's last contact with the root
 // and its end. The incarnation had ended at least sinceEnd before the clocks were read. If this
 // process recorded the contact, the bound is from the monotonic clock, unless the wall clock shows
 // that its machine was suspended since. Otherwise the bound is from the wall clock, if the control
 // nodes agreed on it both then and now.
-func Silence(contact accounts.Contact, now Reading, sinceEnd time.Duration) (sinceContact time.Duration, known bool) {
+func TimeSinceContact(contact accounts.Contact, now Reading, sinceEnd time.Duration) (sinceContact time.Duration, known bool) {
 	if contact.Index == 0 {
 		return accounts.UnknownSilence, false
 	}
 	byWallClock, isAgreed := elapsedByWallClock(contact, now)
 	if contact.Clock == now.Clock {
-		elapsed := now.Steady - time.Duration(contact.SteadyMS)*time.Millisecond
+		elapsed := now.Monotonic - time.Duration(contact.SteadyMS)*time.Millisecond
 		if isAgreed && byWallClock > elapsed+Tolerance {
 			elapsed = byWallClock + Tolerance
 		}
--- a/internal/coordination/clocks/clocks_test.go
+++ b/internal/coordination/clocks/clocks_test.go
@@ -29,18 +29,18 @@
 
 func TestTimeSinceContactUsesTheMonotonicClockElseTheWallClock(t *testing.T) {
 	contact := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
-	sameProcess, known := Silence(contact, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 1}, time.Second)
+	sameProcess, known := TimeSinceContact(contact, Reading{Clock: 7, Monotonic: 4 * time.Second, WallMS: 1}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, sameProcess, 2*time.Second)
-	otherProcess, known := Silence(contact, Reading{Clock: 8, WallMS: 504_000}, time.Second)
+	otherProcess, known := TimeSinceContact(contact, Reading{Clock: 8, WallMS: 504_000}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, otherProcess, 3*time.Second+Tolerance)
-	_, known = Silence(contact, Reading{Clock: 8, WallMS: 498_000}, 0)
+	_, known = TimeSinceContact(contact, Reading{Clock: 8, WallMS: 498_000}, 0)
 	assert.Assert(t, !known, "a clock that ran backwards")
-	_, known = Silence(contact, Reading{Clock: 8}, 0)
+	_, known = TimeSinceContact(contact, Reading{Clock: 8}, 0)
 	assert.Assert(t, !known, "clocks that do not agree now")
 	contact.WallMS = 0
-	_, known = Silence(contact, Reading{Clock: 8, WallMS: 504_000}, 0)
+	_, known = TimeSinceContact(contact, Reading{Clock: 8, WallMS: 504_000}, 0)
 	assert.Assert(t, !known, "clocks that did not agree then")
 }
 
@@ -48,12 +48,12 @@
 // count.
 func TestTimeSinceContactCountsTheSuspensionOfTheLeader(t *testing.T) {
 	contact := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
-	sinceContact, known := Silence(contact, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 509_000}, time.Second)
+	sinceContact, known := TimeSinceContact(contact, Reading{Clock: 7, Monotonic: 4 * time.Second, WallMS: 509_000}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, sinceContact, 8*time.Second+Tolerance)
 	// A difference within the tolerance is no suspension, and a clock that ran backwards is not used.
 	for _, wall := range []int64{503_000 + Tolerance.Milliseconds(), 499_000, 0} {
-		sinceContact, known = Silence(contact, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: wall}, time.Second)
+		sinceContact, known = TimeSinceContact(contact, Reading{Clock: 7, Monotonic: 4 * time.Second, WallMS: wall}, time.Second)
 		assert.Assert(t, known)
 		assert.Equal(t, sinceContact, 2*time.Second, "wall clock %d", wall)
 	}
--- a/internal/coordination/consensus/core.go
+++ b/internal/coordination/consensus/core.go
@@ -217,9 +217,9 @@
 	return configuration
 }
 
-// QuorumSilence returns the ticks since the last contact with a quorum: for a leader, since a check
+// TicksSinceQuorum returns the ticks since the last contact with a quorum: for a leader, since a check
 // found replies from one; for other replicas, since a message from the leader.
-func (c *Core) QuorumSilence() int { return c.ticksSinceQuorum }
+func (c *Core) TicksSinceQuorum() int { return c.ticksSinceQuorum }
 
 // EntryTerm returns the term of an entry still in memory.
 func (c *Core) EntryTerm(index uint64) (uint64, bool) { return c.log.term(index) }
@@ -238,8 +238,8 @@
 	return c.role == Leader && c.Holds(id, c.log.committed)
 }
 
-// SilentTicks returns the ticks since the leader received a message from a member.
-func (c *Core) SilentTicks(id ReplicaID) int {
+// TicksSinceContact returns the ticks since the leader received a message from a member.
+func (c *Core) TicksSinceContact(id ReplicaID) int {
 	if follower, found := c.progress[id]; found && id != c.options.ID {
 		return follower.ticksSinceContact
 	}
--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -34,7 +34,7 @@
 
 	// summary is the root's last summary of the whole budget; hasSummary reports whether one was
 	// received.
-	summary    Standing
+	summary    BudgetSummary
 	hasSummary bool
 	// reportedDesired is the desired amount of the last report to the root.
 	reportedDesired uint64
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -12,9 +12,9 @@
 const (
 	// DefaultHorizon is the time for which a node holds expected demand ahead.
 	DefaultHorizon = 10 * time.Second
-	// DefaultAnswerTimeout is how long a node waits for the root before it requests loans from its
+	// DefaultResponseTimeout is how long a node waits for the root before it requests loans from its
 	// neighbours.
-	DefaultAnswerTimeout = 1500 * time.Millisecond
+	DefaultResponseTimeout = 1500 * time.Millisecond
 	// loanTimeout is how long a node waits for its neighbours after the last loan request.
 	loanTimeout = 300 * time.Millisecond
 	// Loan requests go to the neighbours in rounds. The first round goes to firstLoanRoundSize of
@@ -99,17 +99,17 @@
 // HolderOptions set up a Holder.
 type HolderOptions struct {
 	ID accounts.HolderID
-	// AnswerTimeout is how long the root may take to respond; 0 means DefaultAnswerTimeout.
-	AnswerTimeout time.Duration
+	// ResponseTimeout is how long the root may take to respond; 0 means DefaultAnswerTimeout.
+	ResponseTimeout time.Duration
 	// Lenders are the nodes to borrow from when the root does not respond.
 	Lenders []string
 	// Pool returns the zone's pool holders of a budget in the order in which requests go to them, up to
 	// this node itself; none if this node is the first. Pool holders hold a budget for the whole zone.
 	// nil means that each node holds for itself.
 	Pool func(budget string) []string
-	// FarPools returns the first pool holders of the other zones. A pool holder requests loans from
+	// RemotePools returns the first pool holders of the other zones. A pool holder requests loans from
 	// them in place of all neighbours. nil means that there are none.
-	FarPools func(budget string) []string
+	RemotePools func(budget string) []string
 	// RootReachable reports whether the root is reachable; nil means always. Nothing is returned while
 	// it is not, because no node could spend what was returned.
 	RootReachable func() bool
@@ -137,13 +137,13 @@
 // OutgoingLoan is a loan message and its receiver.
 type OutgoingLoan struct {
 	To      string
-	Message LendMessage
+	Message LoanMessage
 }
 
 // NewHolder returns a holder with nothing granted.
 func NewHolder(options HolderOptions) *Holder {
-	if options.AnswerTimeout == 0 {
-		options.AnswerTimeout = DefaultAnswerTimeout
+	if options.ResponseTimeout == 0 {
+		options.ResponseTimeout = DefaultResponseTimeout
 	}
 	return &Holder{options: options, accounts: map[string]*account{}}
 }
@@ -353,7 +353,7 @@
 		return
 	}
 	isReachable := h.rootReachable()
-	if now-found.requestedAt < h.options.AnswerTimeout && isReachable {
+	if now-found.requestedAt < h.options.ResponseTimeout && isReachable {
 		return
 	}
 	if !isReachable && found.isKnownShort(found.waiters[0].amount) {
@@ -381,10 +381,10 @@
 // lendersOf returns the nodes to request loans from, in order. For a pool holder they are the pool
 // holders of other zones, because all other nodes hold little.
 func (h *Holder) lendersOf(found *account) []string {
-	if h.options.FarPools == nil || found.pooled {
+	if h.options.RemotePools == nil || found.pooled {
 		return h.options.Lenders
 	}
-	if far := h.options.FarPools(found.name); len(far) > 0 {
+	if far := h.options.RemotePools(found.name); len(far) > 0 {
 		return far
 	}
 	return h.options.Lenders
@@ -395,8 +395,8 @@
 	found.loansRequestedAt = now
 	last := min(len(found.lenders), max(firstLoanRoundSize, 3*found.requestedLenders))
 	for _, lender := range found.lenders[min(found.requestedLenders, last):last] {
-		request := &LoanRequest{Borrower: h.options.ID, Budget: found.name, Need: found.shortfall()}
-		h.loans = append(h.loans, OutgoingLoan{To: lender, Message: LendMessage{Request: request}})
+		request := &LoanRequest{Borrower: h.options.ID, Budget: found.name, Required: found.shortfall()}
+		h.loans = append(h.loans, OutgoingLoan{To: lender, Message: LoanMessage{Request: request}})
 	}
 	found.requestedLenders = last
 }
@@ -428,7 +428,7 @@
 		return ReportMessage{}, false
 	}
 	if h.options.Allowances {
-		message.Heard = h.contactToReport()
+		message.LastContact = h.contactToReport()
 		h.contact.reportedAt = now
 	}
 	return message, true
@@ -438,16 +438,16 @@
 	return slices.ContainsFunc(h.recalled, func(recall RecallMessage) bool { return recall.Budget == budget })
 }
 
-// Take applies the root's responses. It returns those whose watermarks have become durable, so that
+// TakeResponse applies the root's responses. It returns those whose watermarks have become durable, so that
 // the caller can forget the claims up to them.
-func (h *Holder) Take(now time.Duration, message AnswerMessage) []accounts.Answer {
+func (h *Holder) TakeResponse(now time.Duration, message ResponseMessage) []accounts.Answer {
 	if message.Holder != h.options.ID {
 		return nil
 	}
 	h.contact.now = now
 	h.receiveContact(message.Contact)
 	var advanced []accounts.Answer
-	for _, response := range message.Answers {
+	for _, response := range message.Responses {
 		found := h.accounts[response.Budget]
 		if found == nil {
 			continue
@@ -461,7 +461,7 @@
 	return advanced
 }
 
-func (h *Holder) applyResponse(now time.Duration, found *account, response Answer) {
+func (h *Holder) applyResponse(now time.Duration, found *account, response Response) {
 	switch {
 	case response.Closed:
 		h.close()
@@ -483,7 +483,7 @@
 
 // refusalOf returns why a request for amount tokens fell short. Holders that did not respond matter
 // only if what they hold would be enough.
-func refusalOf(response Answer, amount uint64) error {
+func refusalOf(response Response, amount uint64) error {
 	exhausted := &ExhaustedError{Limit: response.Limit, Spent: response.Spent, Left: response.Left, Outstanding: response.Outstanding}
 	if response.Unreached > 0 && !exhausted.IsFinal(amount) {
 		return fmt.Errorf("%w: %d nodes that hold a part of it do not answer", ErrUnreachable, response.Unreached)
@@ -549,8 +549,8 @@
 	}
 }
 
-// Loans removes and returns the loan messages that wait to be sent.
-func (h *Holder) Loans() []OutgoingLoan {
+// TakeOutgoingLoans removes and returns the loan messages that wait to be sent.
+func (h *Holder) TakeOutgoingLoans() []OutgoingLoan {
 	loans := h.loans
 	h.loans = nil
 	return loans
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -26,11 +26,11 @@
 	if !due {
 		return false
 	}
-	response := AnswerMessage{Holder: report.Holder}
+	response := ResponseMessage{Holder: report.Holder}
 	for _, one := range report.Reports {
-		response.Answers = append(response.Answers, Answer{Answer: root.Take(report.Holder, one, 0)})
+		response.Responses = append(response.Responses, Response{Answer: root.Take(report.Holder, one, 0)})
 	}
-	holder.Take(now, response)
+	holder.TakeResponse(now, response)
 	return true
 }
 
@@ -99,7 +99,7 @@
 // Found in run quiet-1 of site zhf: in a partition only every other request sent loan requests; the
 // others were refused because an earlier request had received no loan.
 func TestEachRequestRequestsLoansWhenTheRootDoesNotRespond(t *testing.T) {
-	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond, Lenders: []string{"m"}})
+	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond, Lenders: []string{"m"}})
 	now := time.Duration(0)
 	for turn := range 4 {
 		ended := false
@@ -108,7 +108,7 @@
 		for !ended {
 			now += 40 * time.Millisecond
 			holder.Tick(now)
-			requested += len(holder.Loans())
+			requested += len(holder.TakeOutgoingLoans())
 		}
 		assert.Assert(t, requested > 0, "turn %d", turn)
 		now += time.Second
@@ -124,7 +124,7 @@
 		holder.Reserve(time.Duration(second)*time.Second, time.Hour, "b", 100, Policy{}, func(Reservation, error) {})
 	}
 	report, _ := holder.Report(5 * time.Second)
-	holder.Take(5*time.Second, AnswerMessage{Holder: id, Answers: []Answer{{Answer: accounts.Answer{Budget: "b", Granted: 5000, Request: report.Reports[0].Request, Left: 50000}}}})
+	holder.TakeResponse(5*time.Second, ResponseMessage{Holder: id, Responses: []Response{{Answer: accounts.Answer{Budget: "b", Granted: 5000, Request: report.Reports[0].Request, Left: 50000}}}})
 	holder.SetStopping()
 	for tick := range 50 {
 		now := 5*time.Second + time.Duration(tick)*40*time.Millisecond
@@ -141,10 +141,10 @@
 func TestBudgetIsExhaustedForGoodIfAllPossibleReturnsAreNotEnough(t *testing.T) {
 	short := accounts.Answer{Limit: 100, Spent: 80, Left: 2, Outstanding: 7}
 	var exhausted *ExhaustedError
-	assert.Assert(t, errors.As(refusalOf(Answer{Answer: short, Unreached: 1}, 10), &exhausted))
+	assert.Assert(t, errors.As(refusalOf(Response{Answer: short, Unreached: 1}, 10), &exhausted))
 	assert.Assert(t, exhausted.IsFinal(10) && !exhausted.IsFinal(9))
-	assert.Assert(t, errors.Is(refusalOf(Answer{Answer: short, Unreached: 1}, 9), ErrUnreachable))
-	assert.Assert(t, errors.Is(refusalOf(Answer{Answer: short}, 9), ErrExhausted))
+	assert.Assert(t, errors.Is(refusalOf(Response{Answer: short, Unreached: 1}, 9), ErrUnreachable))
+	assert.Assert(t, errors.Is(refusalOf(Response{Answer: short}, 9), ErrExhausted))
 }
 
 // In a partition a request that the whole budget could not hold before it is refused immediately. Its
@@ -152,7 +152,7 @@
 func TestRequestBeyondTheWholeBudgetIsRefusedImmediatelyInAPartition(t *testing.T) {
 	isReachable := true
 	holder := NewHolder(HolderOptions{
-		ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
+		ID: accounts.HolderID{Node: "n", Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond,
 		Lenders: []string{"m"}, RootReachable: func() bool { return isReachable },
 	})
 	reserve := func(now time.Duration, amount uint64) (refused error) {
@@ -161,13 +161,13 @@
 	}
 	assert.NilError(t, reserve(0, 10))
 	_, _ = holder.Report(0)
-	holder.Take(0, AnswerMessage{Holder: holder.ID(), Answers: []Answer{{Answer: accounts.Answer{
+	holder.TakeResponse(0, ResponseMessage{Holder: holder.ID(), Responses: []Response{{Answer: accounts.Answer{
 		Budget: "b", Request: 1, Short: true, Limit: 1000, Spent: 970, Left: 5, Outstanding: 25,
 	}}}})
 	isReachable = false
 	assert.ErrorIs(t, reserve(time.Second, 40), ErrUnreachable)
-	assert.Equal(t, len(holder.Loans()), 0)
+	assert.Equal(t, len(holder.TakeOutgoingLoans()), 0)
 	// A request that the budget can hold does send a loan request.
 	assert.NilError(t, reserve(2*time.Second, 20))
-	assert.Equal(t, len(holder.Loans()), 1)
+	assert.Equal(t, len(holder.TakeOutgoingLoans()), 1)
 }
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -40,9 +40,9 @@
 	}
 	given := found.loanTo(request.Borrower)
 	if len(found.waiters) == 0 {
-		lend := min(request.Need, found.free()/2)
-		if request.Need <= found.free() {
-			lend = request.Need
+		lend := min(request.Required, found.free()/2)
+		if request.Required <= found.free() {
+			lend = request.Required
 		}
 		given.total += lend
 	}
@@ -62,7 +62,7 @@
 	if len(offer.Budgets) == 0 {
 		return false
 	}
-	h.loans = append(h.loans, OutgoingLoan{To: to, Message: LendMessage{Offer: offer}})
+	h.loans = append(h.loans, OutgoingLoan{To: to, Message: LoanMessage{Offer: offer}})
 	return true
 }
 
@@ -72,13 +72,13 @@
 		return
 	}
 	for _, offered := range offer.Budgets {
-		request := &LoanRequest{Borrower: h.options.ID, Budget: offered.Budget, Need: offered.Free}
-		h.loans = append(h.loans, OutgoingLoan{To: offer.Lender.Node, Message: LendMessage{Request: request}})
+		request := &LoanRequest{Borrower: h.options.ID, Budget: offered.Budget, Required: offered.Free}
+		h.loans = append(h.loans, OutgoingLoan{To: offer.Lender.Node, Message: LoanMessage{Request: request}})
 	}
 }
 
-// LoansTaken reports whether borrowers have confirmed all that was lent.
-func (h *Holder) LoansTaken() bool {
+// LoansConfirmed reports whether borrowers have confirmed all that was lent.
+func (h *Holder) LoansConfirmed() bool {
 	for _, found := range h.accounts {
 		for _, given := range found.lent {
 			if given.confirmed < given.total {
@@ -89,8 +89,8 @@
 	return true
 }
 
-// Agreed records that a loan is in its claim register, and sends it to the borrower.
-func (h *Holder) Agreed(now time.Duration, loan accounts.Loan) {
+// LoanAgreed records that a loan is in its claim register, and sends it to the borrower.
+func (h *Holder) LoanAgreed(now time.Duration, loan accounts.Loan) {
 	found := h.accounts[loan.Budget]
 	if loan.Lender != h.options.ID || found == nil || found.lent[loan.Borrower] == nil {
 		return
@@ -103,7 +103,7 @@
 func (h *Holder) sendLoan(now time.Duration, found *account, borrower accounts.HolderID, given *loanState) {
 	given.sentAt = now
 	loan := accounts.Loan{Lender: h.options.ID, Borrower: borrower, Budget: found.name, Total: given.agreed}
-	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LendMessage{Given: &loan}})
+	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LoanMessage{Loan: &loan}})
 }
 
 // resendLoans resends the loans that a borrower has not confirmed.
@@ -116,8 +116,8 @@
 	}
 }
 
-// LoanTaken records a borrower's confirmation.
-func (h *Holder) LoanTaken(loan accounts.Loan) {
+// LoanConfirmed records a borrower's confirmation.
+func (h *Holder) LoanConfirmed(loan accounts.Loan) {
 	found := h.accounts[loan.Budget]
 	if loan.Lender != h.options.ID || found == nil || found.lent[loan.Borrower] == nil {
 		return
@@ -135,7 +135,7 @@
 	h.contact.now = now
 	found := h.account(loan.Budget)
 	found.borrowed[loan.Lender] = max(found.borrowed[loan.Lender], loan.Total)
-	h.loans = append(h.loans, OutgoingLoan{To: loan.Lender.Node, Message: LendMessage{Taken: &loan}})
+	h.loans = append(h.loans, OutgoingLoan{To: loan.Lender.Node, Message: LoanMessage{Confirmed: &loan}})
 	h.serve(now, found)
 }
 
--- a/internal/coordination/escrow/loans_test.go
+++ b/internal/coordination/escrow/loans_test.go
@@ -12,7 +12,7 @@
 
 func partitionedHolder(lenders int) *Holder {
 	options := HolderOptions{
-		ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
+		ID: accounts.HolderID{Node: "n", Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond,
 		RootReachable: func() bool { return false },
 	}
 	for number := range lenders {
@@ -23,7 +23,7 @@
 
 func countLoanRequests(holder *Holder) int {
 	count := 0
-	for _, one := range holder.Loans() {
+	for _, one := range holder.TakeOutgoingLoans() {
 		if one.Message.Request != nil {
 			count++
 		}
@@ -60,7 +60,7 @@
 // On a site with many nodes every refusal of a spent budget once recalled it from all holders.
 func TestBudgetRecalledWithoutSuccessIsNotRecalledAgainImmediately(t *testing.T) {
 	g := newGroup(100_000, 8)
-	g.root.options.RecallPause = 500 * time.Millisecond
+	g.root.options.RecallInterval = 500 * time.Millisecond
 	recalls := 0
 	recall := g.root.options.Recall
 	g.root.options.Recall = func(to string, message RecallMessage) {
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -12,20 +12,20 @@
 	Recalled []RecallMessage `msgpack:"c,omitempty"`
 	// Allowances reports whether the holder respects allowances. Heard is the newest contact that
 	// it has received, once the allowances cover its use.
-	Allowances bool             `msgpack:"m,omitempty"`
-	Heard      accounts.Contact `msgpack:"k"`
+	Allowances  bool             `msgpack:"m,omitempty"`
+	LastContact accounts.Contact `msgpack:"k"`
 }
 
-// AnswerMessage goes from the root to a holder.
-type AnswerMessage struct {
-	Holder  accounts.HolderID `msgpack:"h"`
-	Answers []Answer          `msgpack:"a"`
+// ResponseMessage goes from the root to a holder.
+type ResponseMessage struct {
+	Holder    accounts.HolderID `msgpack:"h"`
+	Responses []Response        `msgpack:"a"`
 	// Contact is when the root decided, for holders that respect allowances.
 	Contact accounts.Contact `msgpack:"k"`
 }
 
-// Answer is the root's response on one budget.
-type Answer struct {
+// Response is the root's response on one budget.
+type Response struct {
 	accounts.Answer
 	// Unreached is the number of holders that hold a part of the budget and did not respond to a
 	// recall. If it is above 0, a refusal may be due to a partition rather than to a spent budget.
@@ -43,31 +43,31 @@
 	Granted uint64 `msgpack:"g"`
 }
 
-// StandingsMessage carries to a holder the summaries of budgets that have become short.
-type StandingsMessage struct {
+// SummariesMessage carries to a holder the summaries of budgets that have become short.
+type SummariesMessage struct {
 	Holder    accounts.HolderID `msgpack:"h"`
-	Standings []Standing        `msgpack:"s"`
+	Summaries []BudgetSummary   `msgpack:"s"`
 }
 
 // LoanRequest asks another holder for a part of its unused grant.
 type LoanRequest struct {
 	Borrower accounts.HolderID `msgpack:"h"`
 	Budget   string            `msgpack:"b"`
-	Need     uint64            `msgpack:"n"`
+	Required uint64            `msgpack:"n"`
 }
 
-// LendMessage is one step of a loan: one field is set. The borrower sends a Request. The lender
+// LoanMessage is one step of a loan: one field is set. The borrower sends a Request. The lender
 // subtracts the loan, has it agreed in a claim register of the zone, and only then sends it as Given,
 // repeatedly until the borrower has confirmed it with Taken. So a loan is still known when both sides
 // are lost together.
 //
 // A holder that stops while it can't reach the root sends an Offer of what it holds; the receiver
 // requests loans of it.
-type LendMessage struct {
-	Offer   *LoanOffer     `msgpack:"o,omitempty"`
-	Request *LoanRequest   `msgpack:"q,omitempty"`
-	Given   *accounts.Loan `msgpack:"g,omitempty"`
-	Taken   *accounts.Loan `msgpack:"t,omitempty"`
+type LoanMessage struct {
+	Offer     *LoanOffer     `msgpack:"o,omitempty"`
+	Request   *LoanRequest   `msgpack:"q,omitempty"`
+	Loan      *accounts.Loan `msgpack:"g,omitempty"`
+	Confirmed *accounts.Loan `msgpack:"t,omitempty"`
 }
 
 // LoanOffer lists what a holder can lend.
@@ -84,9 +84,9 @@
 
 // AccountsMessage is a message between a holder and the root: one field is set.
 type AccountsMessage struct {
-	Report *ReportMessage `msgpack:"r,omitempty"`
-	Answer *AnswerMessage `msgpack:"a,omitempty"`
-	Recall *RecallMessage `msgpack:"c,omitempty"`
-	// Standings carries summaries of budgets to a holder.
-	Standings *StandingsMessage `msgpack:"s,omitempty"`
+	Report   *ReportMessage   `msgpack:"r,omitempty"`
+	Response *ResponseMessage `msgpack:"a,omitempty"`
+	Recall   *RecallMessage   `msgpack:"c,omitempty"`
+	// Summaries carries summaries of budgets to a holder.
+	Summaries *SummariesMessage `msgpack:"s,omitempty"`
 }
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// LeastPoolNodes is the minimum number of entry nodes at which a zone's nodes leave budgets to
+	// MinimumPoolNodes is the minimum number of entry nodes at which a zone's nodes leave budgets to
 	// pool holders. With fewer nodes, each holding for itself and borrowing from its neighbours
 	// serves more in a partition, or not much less. The shares of requests refused in RunCutLoans
 	// (five seeds), without and with pools: 0.016 and 0.025 at 10 nodes a zone, 0.025 and 0.018 at
 	// 20, 0.033 and 0.028 at 30, 0.052 and 0.024 at 60.
-	LeastPoolNodes = 30
+	MinimumPoolNodes = 30
 	// poolRoundTime is how long a node waits for one pool holder before it sends the request to the
 	// next: a few messages within the zone, and the root's response to the pool holder.
 	poolRoundTime = 40 * time.Millisecond
@@ -28,11 +28,11 @@
 type PoolRequest struct {
 	Borrower accounts.HolderID `msgpack:"h"`
 	Budget   string            `msgpack:"b"`
-	Need     uint64            `msgpack:"n"`
+	Required uint64            `msgpack:"n"`
 	// Number identifies the request; a refusal repeats it.
 	Number uint64 `msgpack:"i"`
-	// PatienceMS is the borrower's maximum wait in milliseconds.
-	PatienceMS uint64 `msgpack:"p"`
+	// MaximumWaitMS is the borrower's maximum wait in milliseconds.
+	MaximumWaitMS uint64 `msgpack:"p"`
 }
 
 // PoolRefusal reports that a pool holder does not lend. A pool holder that lends sends the loan
@@ -75,8 +75,8 @@
 	requestedAt time.Duration
 }
 
-// Pools removes and returns the pool messages that wait to be sent.
-func (h *Holder) Pools() []OutgoingPool {
+// TakeOutgoingPools removes and returns the pool messages that wait to be sent.
+func (h *Holder) TakeOutgoingPools() []OutgoingPool {
 	pools := h.pools
 	h.pools = nil
 	return pools
@@ -112,8 +112,8 @@
 			required = found.shortfall()
 		}
 		request := &PoolRequest{
-			Borrower: h.options.ID, Budget: found.name, Need: required, Number: waiting.number,
-			PatienceMS: uint64(max(0, waiting.deadline-now).Milliseconds()),
+			Borrower: h.options.ID, Budget: found.name, Required: required, Number: waiting.number,
+			MaximumWaitMS: uint64(max(0, waiting.deadline-now).Milliseconds()),
 		}
 		h.pools = append(h.pools, OutgoingPool{To: holders[waiting.search.round], Message: PoolMessage{Request: request}})
 		waiting.search = poolSearch{round: waiting.search.round + 1, requestedAt: now}
@@ -139,10 +139,10 @@
 	}
 	h.contact.now = now
 	found := h.account(request.Budget)
-	found.noteDemand(now, request.Need)
+	found.noteDemand(now, request.Required)
 	h.notePooled(found)
-	deadline := now + time.Duration(request.PatienceMS)*time.Millisecond
-	found.addWaiter(waiter{amount: request.Need, since: now, deadline: deadline, borrower: request.Borrower, done: func(_ Reservation, err error) {
+	deadline := now + time.Duration(request.MaximumWaitMS)*time.Millisecond
+	found.addWaiter(waiter{amount: request.Required, since: now, deadline: deadline, borrower: request.Borrower, done: func(_ Reservation, err error) {
 		if err != nil {
 			h.refusePool(request, poolRefusalOf(err))
 		}
@@ -191,5 +191,5 @@
 func (h *Holder) lendToWaiter(now time.Duration, found *account, next waiter) {
 	given := found.loanTo(next.borrower)
 	given.total += next.amount
-	h.Agreed(now, accounts.Loan{Lender: h.options.ID, Borrower: next.borrower, Budget: found.name, Total: given.total})
+	h.LoanAgreed(now, accounts.Loan{Lender: h.options.ID, Borrower: next.borrower, Budget: found.name, Total: given.total})
 }
--- a/internal/coordination/escrow/pool_test.go
+++ b/internal/coordination/escrow/pool_test.go
@@ -13,7 +13,7 @@
 // pooledHolder returns a holder that leaves its budgets to the given pool holders.
 func pooledHolder(pool ...string) *Holder {
 	return NewHolder(HolderOptions{
-		ID: accounts.HolderID{Node: "n", Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
+		ID: accounts.HolderID{Node: "n", Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond,
 		Pool: func(string) []string { return pool },
 	})
 }
@@ -32,7 +32,7 @@
 
 func sentPoolRequest(t *testing.T, holder *Holder) (to string, request PoolRequest) {
 	t.Helper()
-	pools := holder.Pools()
+	pools := holder.TakeOutgoingPools()
 	assert.Equal(t, len(pools), 1)
 	assert.Assert(t, pools[0].Message.Request != nil)
 	return pools[0].To, *pools[0].Message.Request
@@ -43,10 +43,10 @@
 	one := reserveInPool(holder, time.Second, 10)
 	to, request := sentPoolRequest(t, holder)
 	assert.Equal(t, to, "p")
-	assert.Equal(t, request.Need, uint64(10))
-	assert.Equal(t, request.PatienceMS, uint64(120))
+	assert.Equal(t, request.Required, uint64(10))
+	assert.Equal(t, request.MaximumWaitMS, uint64(120))
 	holder.Tick(time.Second + poolRoundTime/2)
-	assert.Equal(t, len(holder.Pools()), 0)
+	assert.Equal(t, len(holder.TakeOutgoingPools()), 0)
 
 	holder.Tick(time.Second + poolRoundTime)
 	to, _ = sentPoolRequest(t, holder)
@@ -95,9 +95,9 @@
 func TestPoolRequestsOfAllWaitersAreSentTogether(t *testing.T) {
 	holder := pooledHolder("p", "q")
 	first, second := reserveInPool(holder, time.Second, 10), reserveInPool(holder, time.Second, 20)
-	pools := holder.Pools()
+	pools := holder.TakeOutgoingPools()
 	assert.Equal(t, len(pools), 2)
-	assert.Equal(t, pools[1].Message.Request.Need, uint64(20))
+	assert.Equal(t, pools[1].Message.Request.Required, uint64(20))
 	// A refusal ends only the request that it names.
 	holder.takePoolRefusal(time.Second, PoolRefusal{Borrower: holder.ID(), Budget: "b", Number: pools[1].Message.Request.Number})
 	assert.Assert(t, second.ended)
@@ -107,15 +107,15 @@
 // deliver delivers the waiting messages of one holder to another.
 func deliver(now time.Duration, from, to *Holder) {
 	never := func(accounts.HolderID) bool { return false }
-	for _, pool := range from.Pools() {
+	for _, pool := range from.TakeOutgoingPools() {
 		to.TakePool(now, pool.Message)
 	}
-	for _, loan := range from.Loans() {
-		if loan.Message.Given != nil {
-			to.TakeLoan(now, *loan.Message.Given, never)
+	for _, loan := range from.TakeOutgoingLoans() {
+		if loan.Message.Loan != nil {
+			to.TakeLoan(now, *loan.Message.Loan, never)
 		}
-		if loan.Message.Taken != nil {
-			to.LoanTaken(*loan.Message.Taken)
+		if loan.Message.Confirmed != nil {
+			to.LoanConfirmed(*loan.Message.Confirmed)
 		}
 	}
 }
@@ -123,7 +123,7 @@
 func TestPoolHolderLendsTheRequiredAmountAndTheRemainderIsReturned(t *testing.T) {
 	pool := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "p", Incarnation: 1}, Pool: func(string) []string { return nil }})
 	reserveInPool(pool, time.Second, 1)
-	pool.Take(time.Second, AnswerMessage{Holder: pool.ID(), Answers: []Answer{{Answer: accounts.Answer{Budget: "b", Granted: 100, Request: 1, Limit: 1000}}}})
+	pool.TakeResponse(time.Second, ResponseMessage{Holder: pool.ID(), Responses: []Response{{Answer: accounts.Answer{Budget: "b", Granted: 100, Request: 1, Limit: 1000}}}})
 
 	holder := pooledHolder("p")
 	var held Reservation
@@ -136,7 +136,7 @@
 	deliver(time.Second, holder, pool)
 	assert.Equal(t, held.Amount, uint64(30))
 	assert.Equal(t, pool.Free("b"), uint64(69))
-	assert.Assert(t, pool.LoansTaken())
+	assert.Assert(t, pool.LoansConfirmed())
 
 	holder.Settle(time.Second, held, 20)
 	assert.Equal(t, holder.Free("b"), uint64(10))
@@ -152,14 +152,14 @@
 // The pool holder counts the zone's demand as its own and requests tokens for it ahead of demand.
 func TestRequestsOfOtherNodesCountAsThePoolHoldersDemand(t *testing.T) {
 	pool := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "p", Incarnation: 1}, Pool: func(string) []string { return nil }})
-	pool.takePoolRequest(time.Second, PoolRequest{Borrower: accounts.HolderID{Node: "n", Incarnation: 1}, Budget: "b", Need: 50, Number: 1, PatienceMS: 100})
+	pool.takePoolRequest(time.Second, PoolRequest{Borrower: accounts.HolderID{Node: "n", Incarnation: 1}, Budget: "b", Required: 50, Number: 1, MaximumWaitMS: 100})
 	report, due := pool.Report(time.Second)
 	assert.Assert(t, due)
 	assert.Equal(t, report.Reports[0].Need, uint64(50))
 	assert.Assert(t, report.Reports[0].Wish > 50)
 
 	pool.Tick(time.Second + 100*time.Millisecond)
-	pools := pool.Pools()
+	pools := pool.TakeOutgoingPools()
 	assert.Equal(t, len(pools), 1)
 	assert.Equal(t, pools[0].To, "n")
 	assert.Assert(t, pools[0].Message.Refusal.Exhausted == nil)
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -20,17 +20,17 @@
 type RootOptions struct {
 	// HoldersOf returns the holders that hold a part of a budget.
 	HoldersOf func(budget string) []accounts.Holder
-	// Reply and Recall pass messages to the transport.
-	Reply  func(to string, message AnswerMessage)
-	Recall func(to string, message RecallMessage)
-	// StandingOf returns the summary of a budget, and Tell passes the message to the transport. If Tell
+	// Respond and Recall pass messages to the transport.
+	Respond func(to string, message ResponseMessage)
+	Recall  func(to string, message RecallMessage)
+	// SummaryOf returns the summary of a budget, and Tell passes the message to the transport. If Tell
 	// is nil, holders receive summaries only with the responses to their reports.
-	StandingOf func(budget string) Standing
-	Tell       func(to string, message StandingsMessage)
-	// RecallPause is the time after a recall without enough returns in which the budget is not recalled
+	SummaryOf     func(budget string) BudgetSummary
+	SendSummaries func(to string, message SummariesMessage)
+	// RecallInterval is the time after a recall without enough returns in which the budget is not recalled
 	// again. With many holders and that few tokens, each refusal would otherwise cost a message to and
 	// from all of them.
-	RecallPause time.Duration
+	RecallInterval time.Duration
 	// Contact reads the leader's clocks, for holders that respect allowances; nil if there are none.
 	Contact func() accounts.Contact
 	// WithoutRecall is a deliberate defect for the simulation: refusals are sent without a recall.
@@ -88,8 +88,8 @@
 	return &Root{options: options, recalls: map[string]*recall{}, sentSummaries: map[string]sentSummary{}, insufficientRecalls: map[string]time.Duration{}}
 }
 
-// Take queues a holder's report.
-func (r *Root) Take(message ReportMessage) {
+// TakeReport queues a holder's report.
+func (r *Root) TakeReport(message ReportMessage) {
 	r.queue = append(r.queue, pendingReport{message: message})
 }
 
@@ -115,7 +115,7 @@
 		r.holdBackTopUps(pending)
 		batch.Command.Reports = append(batch.Command.Reports, machine.HolderReports{
 			Holder: pending.message.Holder, Reports: pending.message.Reports,
-			Heard: pending.message.Heard, Allowances: pending.message.Allowances,
+			Heard: pending.message.LastContact, Allowances: pending.message.Allowances,
 		})
 	}
 	return batch, true
@@ -153,7 +153,7 @@
 }
 
 func (r *Root) respond(now time.Duration, pending pendingReport, responses []accounts.Answer, contact accounts.Contact) {
-	reply := AnswerMessage{Holder: pending.message.Holder}
+	reply := ResponseMessage{Holder: pending.message.Holder}
 	if pending.message.Allowances {
 		reply.Contact = contact
 	}
@@ -167,16 +167,16 @@
 				continue
 			}
 		}
-		reply.Answers = append(reply.Answers, Answer{Answer: response, Unreached: pending.unreached})
+		reply.Responses = append(reply.Responses, Response{Answer: response, Unreached: pending.unreached})
 	}
-	if len(reply.Answers) > 0 || reply.Contact.Index > 0 {
-		r.options.Reply(pending.message.Holder.Node, reply)
+	if len(reply.Responses) > 0 || reply.Contact.Index > 0 {
+		r.options.Respond(pending.message.Holder.Node, reply)
 	}
 }
 
 func (r *Root) recallWasInsufficient(now time.Duration, budget string) bool {
 	at, found := r.insufficientRecalls[budget]
-	return found && now-at < r.options.RecallPause
+	return found && now-at < r.options.RecallInterval
 }
 
 // startRecall keeps a report that fell short until the holders have returned what they do not use. It
@@ -241,7 +241,7 @@
 
 // Tick ends recalls whose deadline has passed, and sends summaries of budgets to holders.
 func (r *Root) Tick(now time.Duration) {
-	if r.options.Tell != nil {
+	if r.options.SendSummaries != nil {
 		r.sendSummaries(now)
 	}
 	for _, budget := range slices.Sorted(maps.Keys(r.recalls)) {
--- a/internal/coordination/escrow/summary.go
+++ b/internal/coordination/escrow/summary.go
@@ -29,32 +29,32 @@
 	summaryInterval = 200 * time.Millisecond
 )
 
-// Standing is the summary of a whole budget, in tokens.
-type Standing struct {
+// BudgetSummary is the summary of a whole budget, in tokens.
+type BudgetSummary struct {
 	Budget string `msgpack:"b"`
 	// Limit is the budget's limit. Unspent is the part of it that is not known to be spent, whether
 	// granted to holders or not.
 	Limit   uint64 `msgpack:"l"`
 	Unspent uint64 `msgpack:"u"`
-	// Wished is the sum of the holders' desired amounts.
-	Wished uint64 `msgpack:"w"`
+	// TotalDesired is the sum of the holders' desired amounts.
+	TotalDesired uint64 `msgpack:"w"`
 }
 
-// StandingOf returns the summary of a root account.
-func StandingOf(budget *accounts.Budget) Standing {
-	return Standing{
-		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding(), Wished: budget.Wished(),
+// SummaryOf returns the summary of a root account.
+func SummaryOf(budget *accounts.Budget) BudgetSummary {
+	return BudgetSummary{
+		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding(), TotalDesired: budget.Wished(),
 	}
 }
 
-func summaryOfResponse(response accounts.Answer) Standing {
-	return Standing{Budget: response.Budget, Limit: response.Limit, Unspent: response.Left + response.Outstanding, Wished: response.Wished}
+func summaryOfResponse(response accounts.Answer) BudgetSummary {
+	return BudgetSummary{Budget: response.Budget, Limit: response.Limit, Unspent: response.Left + response.Outstanding, TotalDesired: response.Wished}
 }
 
 // maximumHeld returns the maximum tokens that the holders together should hold ahead of demand. What a
 // node holds is lost with it, and a short budget can serve after a partition what it can't serve during
 // it, so the nodes hold little of a short budget.
-func (s Standing) maximumHeld(hasAllowances bool) float64 {
+func (s BudgetSummary) maximumHeld(hasAllowances bool) float64 {
 	if s.Limit == 0 {
 		return 0
 	}
@@ -67,15 +67,15 @@
 
 // share returns the tokens that a holder with a desired amount should hold: all of it, or its share of
 // the maximum that all holders should hold.
-func (s Standing) share(desired uint64, hasAllowances bool) uint64 {
+func (s BudgetSummary) share(desired uint64, hasAllowances bool) uint64 {
 	maximum := s.maximumHeld(hasAllowances)
-	if totalDesired := float64(max(s.Wished, desired)); totalDesired > maximum {
+	if totalDesired := float64(max(s.TotalDesired, desired)); totalDesired > maximum {
 		return uint64(float64(desired) * maximum / totalDesired)
 	}
 	return desired
 }
 
-func (a *account) setSummary(summary Standing) {
+func (a *account) setSummary(summary BudgetSummary) {
 	a.summary, a.hasSummary = summary, true
 }
 
@@ -86,17 +86,17 @@
 // desiredDropped reports whether the root still has a desired amount of this holder that is far too
 // high, so that other holders of a short budget get less.
 func (a *account) desiredDropped(now time.Duration) bool {
-	isShort := a.hasSummary && float64(a.summary.Wished) > a.summary.maximumHeld(a.contact != nil)
+	isShort := a.hasSummary && float64(a.summary.TotalDesired) > a.summary.maximumHeld(a.contact != nil)
 	return isShort && float64(a.desired(now)) < desiredDropShare*float64(a.reportedDesired)
 }
 
-// TakeStandings records summaries of budgets. The next Tick returns what is held beyond the node's
+// TakeSummaries records summaries of budgets. The next Tick returns what is held beyond the node's
 // share.
-func (h *Holder) TakeStandings(message StandingsMessage) {
+func (h *Holder) TakeSummaries(message SummariesMessage) {
 	if message.Holder != h.options.ID {
 		return
 	}
-	for _, summary := range message.Standings {
+	for _, summary := range message.Summaries {
 		if found := h.accounts[summary.Budget]; found != nil {
 			found.setSummary(summary)
 		}
@@ -113,9 +113,9 @@
 // holder without requests reports nothing and would otherwise keep its share of what was left long
 // ago.
 func (r *Root) sendSummaries(now time.Duration) {
-	due := map[accounts.HolderID][]Standing{}
+	due := map[accounts.HolderID][]BudgetSummary{}
 	for _, budget := range r.changed {
-		summary := r.options.StandingOf(budget)
+		summary := r.options.SummaryOf(budget)
 		sent, known := r.sentSummaries[budget]
 		if known && (float64(summary.Unspent) > summaryStep*float64(sent.unspent) || now-sent.at < summaryInterval) {
 			if summary.Unspent > sent.unspent {
@@ -130,6 +130,6 @@
 	}
 	r.changed = r.changed[:0]
 	for _, holder := range slices.SortedFunc(maps.Keys(due), accounts.HolderID.Compare) {
-		r.options.Tell(holder.Node, StandingsMessage{Holder: holder, Standings: due[holder]})
+		r.options.SendSummaries(holder.Node, SummariesMessage{Holder: holder, Summaries: due[holder]})
 	}
 }
--- a/internal/coordination/escrow/summary_test.go
+++ b/internal/coordination/escrow/summary_test.go
@@ -28,10 +28,10 @@
 			}
 			return open
 		},
-		Reply:      func(to string, message AnswerMessage) { made.holders[to].Take(0, message) },
-		Recall:     func(to string, message RecallMessage) { made.holders[to].Recall(message) },
-		StandingOf: func(name string) Standing { return StandingOf(made.accounts.Budget(name)) },
-		Tell:       func(to string, message StandingsMessage) { made.holders[to].TakeStandings(message) },
+		Respond:       func(to string, message ResponseMessage) { made.holders[to].TakeResponse(0, message) },
+		Recall:        func(to string, message RecallMessage) { made.holders[to].Recall(message) },
+		SummaryOf:     func(name string) BudgetSummary { return SummaryOf(made.accounts.Budget(name)) },
+		SendSummaries: func(to string, message SummariesMessage) { made.holders[to].TakeSummaries(message) },
 	})
 	for number := range count {
 		name := fmt.Sprintf("n%d", number)
@@ -45,7 +45,7 @@
 	for _, holder := range g.holders {
 		holder.Tick(now)
 		if report, due := holder.Report(now); due {
-			g.root.Take(report)
+			g.root.TakeReport(report)
 		}
 	}
 	if batch, found := g.root.Batch(); found {
@@ -116,14 +116,14 @@
 		g.step(now + 500*time.Millisecond)
 	}
 	budget := g.accounts.Budget("b")
-	maximum := Standing{Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding()}.maximumHeld(false)
+	maximum := BudgetSummary{Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding()}.maximumHeld(false)
 	assert.Assert(t, float64(g.holders["n0"].Free("b")) > 0.5*maximum, "%d of at most %.0f", g.holders["n0"].Free("b"), maximum)
 }
 
 func TestShareOfAnAmpleBudgetIsTheDesiredAmount(t *testing.T) {
-	summary := Standing{Limit: 1_000_000, Unspent: 900_000, Wished: 200_000}
+	summary := BudgetSummary{Limit: 1_000_000, Unspent: 900_000, TotalDesired: 200_000}
 	assert.Equal(t, summary.share(50_000, false), uint64(50_000))
 	summary.Unspent = 200_000
 	assert.Assert(t, summary.share(50_000, false) < 10_000)
-	assert.Equal(t, Standing{}.share(5, false), uint64(0))
+	assert.Equal(t, BudgetSummary{}.share(5, false), uint64(0))
 }
--- a/internal/coordination/logversion/logversion.go
+++ b/internal/coordination/logversion/logversion.go
@@ -12,8 +12,8 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// Control is a control node that is reachable now.
-type Control struct {
+// ControlNode is a control node that is reachable now.
+type ControlNode struct {
 	Address string
 	// Reads is the newest version of the log that its build reads.
 	Reads machine.LogVersion
@@ -33,9 +33,9 @@
 // earlier build can have held the group's log.
 func New(isNewGroup bool) Raise { return Raise{isNewGroup: isNewGroup} }
 
-// Look updates the state from the reachable control nodes, this one included, and the addresses of the
+// Update updates the state from the reachable control nodes, this one included, and the addresses of the
 // group's members.
-func (r *Raise) Look(now time.Duration, reachable []Control, members []string) {
+func (r *Raise) Update(now time.Duration, reachable []ControlNode, members []string) {
 	r.waitsFor = nil
 	isReachable := make(map[string]bool, len(reachable))
 	for _, control := range reachable {
--- a/internal/coordination/logversion/logversion_test.go
+++ b/internal/coordination/logversion/logversion_test.go
@@ -15,33 +15,33 @@
 
 // controls returns control nodes that read the newest version, except "older", which reads only the
 // first.
-func controls(names ...string) []Control {
-	var nodes []Control
+func controls(names ...string) []ControlNode {
+	var nodes []ControlNode
 	for _, name := range names {
 		reads := machine.OwnLogVersion
 		if name == "older" {
 			reads = machine.VersionFirst
 		}
-		nodes = append(nodes, Control{Address: name, Reads: reads})
+		nodes = append(nodes, ControlNode{Address: name, Reads: reads})
 	}
 	return nodes
 }
 
 func TestVersionIsRaisedOnceAllHaveReadItForTheSettlingTime(t *testing.T) {
 	raise := New(false)
-	raise.Look(0, controls(members...), members)
+	raise.Update(0, controls(members...), members)
 	assert.Assert(t, !raise.IsDue(settling-1, settling))
 	assert.Assert(t, raise.IsDue(settling, settling))
 	assert.Equal(t, raise.ReadyFor(settling), settling)
 }
 
 func TestVersionWaitsForUnreachableMembersAndOlderBuilds(t *testing.T) {
-	for name, reachable := range map[string][]Control{
+	for name, reachable := range map[string][]ControlNode{
 		"three": controls("one", "two"), "older": controls("one", "two", "three", "older"),
 	} {
 		raise := New(true)
-		raise.Look(0, controls(members...), members)
-		raise.Look(time.Second, reachable, members)
+		raise.Update(0, controls(members...), members)
+		raise.Update(time.Second, reachable, members)
 		assert.DeepEqual(t, raise.WaitsFor(), []string{name})
 		assert.Assert(t, !raise.IsDue(2*settling, settling), name)
 		assert.Equal(t, raise.ReadyFor(2*settling), time.Duration(0))
@@ -51,9 +51,9 @@
 // A node that is rolled back to the earlier build, and then upgraded again, restarts the settling time.
 func TestSettlingRestartsWhenANodeWasRolledBack(t *testing.T) {
 	raise := New(true)
-	raise.Look(0, controls(members...), members)
-	raise.Look(settling/2, controls("one", "two", "three", "older"), members)
-	raise.Look(settling/2+1, controls(members...), members)
+	raise.Update(0, controls(members...), members)
+	raise.Update(settling/2, controls("one", "two", "three", "older"), members)
+	raise.Update(settling/2+1, controls(members...), members)
 	assert.Assert(t, !raise.IsNewGroup(), "an earlier build was seen")
 	assert.Assert(t, !raise.IsDue(settling, settling))
 	assert.Assert(t, raise.IsDue(settling+settling/2+1, settling))
@@ -61,6 +61,6 @@
 
 func TestNewGroupDoesNotWaitForTheSettlingTime(t *testing.T) {
 	raise := New(true)
-	raise.Look(0, controls(members...), members)
+	raise.Update(0, controls(members...), members)
 	assert.Assert(t, raise.IsDue(0, settling))
 }
--- a/internal/coordination/membership/pool.go
+++ b/internal/coordination/membership/pool.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/pairhash"
 )
 
-// HoldersPerKey is the number of acceptors of each claim.
-const HoldersPerKey = 3
+// AcceptorsPerKey is the number of acceptors of each claim.
+const AcceptorsPerKey = 3
 
 // ScopeGlobal places one acceptor in each of three zones. Any other scope is the name of the zone whose
 // nodes are the acceptors.
@@ -63,19 +63,19 @@
 	return Rank(key, p.zones)
 }
 
-// Holders returns the acceptors of a key in a scope: three nodes if there are as many. A zone with
+// Acceptors returns the acceptors of a key in a scope: three nodes if there are as many. A zone with
 // fewer nodes uses nodes of the next zones too.
-func (p *Pool) Holders(scope, key string) []string {
+func (p *Pool) Acceptors(scope, key string) []string {
 	if scope == ScopeGlobal {
 		return p.globalAcceptors(key)
 	}
-	acceptors := firstNames(Rank(key, p.byZone[scope]), HoldersPerKey)
+	acceptors := firstNames(Rank(key, p.byZone[scope]), AcceptorsPerKey)
 	// The next zone is the same for all keys of a zone, so a partitioned zone of two nodes shares
 	// its keys with one other zone only.
 	position := slices.Index(p.zones, scope)
-	for step := 1; step < len(p.zones) && len(acceptors) < HoldersPerKey; step++ {
+	for step := 1; step < len(p.zones) && len(acceptors) < AcceptorsPerKey; step++ {
 		neighbour := p.zones[(position+step)%len(p.zones)]
-		acceptors = append(acceptors, firstNames(Rank(key, p.byZone[neighbour]), HoldersPerKey-len(acceptors))...)
+		acceptors = append(acceptors, firstNames(Rank(key, p.byZone[neighbour]), AcceptorsPerKey-len(acceptors))...)
 	}
 	return acceptors
 }
@@ -83,7 +83,7 @@
 func (p *Pool) globalAcceptors(key string) []string {
 	var acceptors []string
 	for _, zone := range p.ZonesFor(key) {
-		if len(acceptors) == HoldersPerKey {
+		if len(acceptors) == AcceptorsPerKey {
 			return acceptors
 		}
 		acceptors = append(acceptors, Rank(key, p.byZone[zone])[0])
@@ -95,7 +95,7 @@
 			names = append(names, node.Name)
 		}
 	}
-	return append(acceptors, firstNames(Rank(key, names), HoldersPerKey-len(acceptors))...)
+	return append(acceptors, firstNames(Rank(key, names), AcceptorsPerKey-len(acceptors))...)
 }
 
 // Rank orders names by their rendezvous hash with a key, highest first.
--- a/internal/coordination/replicaset/replicaset.go
+++ b/internal/coordination/replicaset/replicaset.go
@@ -21,8 +21,8 @@
 	maximumLearners = 2
 )
 
-// Control is a control node with recent contact.
-type Control struct {
+// ControlNode is a control node with recent contact.
+type ControlNode struct {
 	// Node is the name under which peers know it.
 	Node string
 	// Replica is the identity in its data folder; 0 if it has none.
@@ -58,8 +58,8 @@
 // State is the leader's knowledge of the group.
 type State struct {
 	Members []consensus.Member
-	// Controls are the live control nodes, the leader's own included.
-	Controls []Control
+	// ControlNodes are the live control nodes, the leader's own included.
+	ControlNodes []ControlNode
 	// CaughtUp reports whether a member's disk holds every entry that was committed a moment ago. While
 	// entries are committed continuously, only the quorum holds the last ones.
 	CaughtUp func(consensus.ReplicaID) bool
@@ -71,8 +71,8 @@
 
 // Next returns the next change, or one of kind Nothing.
 func Next(state State) Change {
-	controls := slices.Clone(state.Controls)
-	slices.SortFunc(controls, func(a, b Control) int { return cmp.Compare(a.Node, b.Node) })
+	controls := slices.Clone(state.ControlNodes)
+	slices.SortFunc(controls, func(a, b ControlNode) int { return cmp.Compare(a.Node, b.Node) })
 	if change, found := state.removeOldIdentity(controls); found {
 		return change
 	}
@@ -92,7 +92,7 @@
 
 // removeOldIdentity removes the member of a node whose disk has another identity now: the promises of
 // the old identity were lost with its disk, so it must not count for a quorum.
-func (s State) removeOldIdentity(controls []Control) (Change, bool) {
+func (s State) removeOldIdentity(controls []ControlNode) (Change, bool) {
 	for _, control := range controls {
 		for _, member := range s.Members {
 			if member.Node == control.Node && control.Replica != 0 && member.ID != control.Replica && member.ID != s.Self {
@@ -146,13 +146,13 @@
 // targetVoters returns the number of voters that the group should have. A large group stays large while
 // control nodes are unreachable: what it acknowledged must be on more disks than may be lost.
 func (s State) targetVoters() int {
-	if len(s.Controls) >= largeGroup || s.voters() > smallGroup {
+	if len(s.ControlNodes) >= largeGroup || s.voters() > smallGroup {
 		return largeGroup
 	}
 	return smallGroup
 }
 
-func (s State) addLearner(controls []Control) (Change, bool) {
+func (s State) addLearner(controls []ControlNode) (Change, bool) {
 	learners, known := 0, map[consensus.ReplicaID]bool{}
 	for _, member := range s.Members {
 		known[member.ID] = true
@@ -172,9 +172,9 @@
 }
 
 // removeLostLearner removes an unreachable learner, so that another one can be added.
-func (s State) removeLostLearner(controls []Control) Change {
+func (s State) removeLostLearner(controls []ControlNode) Change {
 	for _, member := range s.Members {
-		isAlive := slices.ContainsFunc(controls, func(control Control) bool { return control.Replica == member.ID })
+		isAlive := slices.ContainsFunc(controls, func(control ControlNode) bool { return control.Replica == member.ID })
 		if member.Learner && s.Lost(member.ID) && !isAlive {
 			return Change{Kind: Remove, Member: member, Reason: "a silent learner"}
 		}
--- a/internal/coordination/replicaset/replicaset_test.go
+++ b/internal/coordination/replicaset/replicaset_test.go
@@ -14,11 +14,11 @@
 		isLost[id] = true
 	}
 	return State{
-		Members:  []consensus.Member{{ID: 1, Node: "a"}, {ID: 2, Node: "b"}, {ID: 3, Node: "c"}},
-		Controls: []Control{{Node: "a", Replica: 1}, {Node: "b", Replica: 2}, {Node: "c", Replica: 3}},
-		CaughtUp: func(id consensus.ReplicaID) bool { return !isLost[id] },
-		Lost:     func(id consensus.ReplicaID) bool { return isLost[id] },
-		Self:     1,
+		Members:      []consensus.Member{{ID: 1, Node: "a"}, {ID: 2, Node: "b"}, {ID: 3, Node: "c"}},
+		ControlNodes: []ControlNode{{Node: "a", Replica: 1}, {Node: "b", Replica: 2}, {Node: "c", Replica: 3}},
+		CaughtUp:     func(id consensus.ReplicaID) bool { return !isLost[id] },
+		Lost:         func(id consensus.ReplicaID) bool { return isLost[id] },
+		Self:         1,
 	}
 }
 
@@ -32,7 +32,7 @@
 
 func TestOldIdentityOfAWipedReplicaIsRemovedFirst(t *testing.T) {
 	state := groupOfThree()
-	state.Controls[2].Replica = 9
+	state.ControlNodes[2].Replica = 9
 	change := Next(state)
 	assert.Equal(t, change.Kind, Remove)
 	assert.Equal(t, change.Member.ID, consensus.ReplicaID(3))
@@ -46,7 +46,7 @@
 
 func TestReplacementAtAnotherAddressReplacesTheLostVoter(t *testing.T) {
 	state := groupOfThree(3)
-	state.Controls = append(state.Controls[:2], Control{Node: "d", Replica: 4})
+	state.ControlNodes = append(state.ControlNodes[:2], ControlNode{Node: "d", Replica: 4})
 	assert.Equal(t, Next(state).Kind, AddLearner)
 	state.Members = append(state.Members, consensus.Member{ID: 4, Node: "d", Learner: true})
 	change := Next(state)
@@ -58,7 +58,7 @@
 
 func TestFourthControlNodeStaysALearner(t *testing.T) {
 	state := groupOfThree()
-	state.Controls = append(state.Controls, Control{Node: "d", Replica: 4})
+	state.ControlNodes = append(state.ControlNodes, ControlNode{Node: "d", Replica: 4})
 	state.Members = append(state.Members, consensus.Member{ID: 4, Node: "d", Learner: true})
 	assert.Equal(t, Next(state).Kind, Nothing)
 }
@@ -95,10 +95,10 @@
 			{ID: 1, Node: "a1"}, {ID: 2, Node: "a2"}, {ID: 3, Node: "c1"}, {ID: 4, Node: "b1"}, {ID: 5, Node: "b2"},
 			{ID: 6, Node: "c2", Learner: true},
 		},
-		Controls: []Control{{Node: "a1", Replica: 1}, {Node: "a2", Replica: 2}, {Node: "c1", Replica: 3}, {Node: "c2", Replica: 6}},
-		CaughtUp: func(id consensus.ReplicaID) bool { return !lost[id] },
-		Lost:     func(id consensus.ReplicaID) bool { return lost[id] },
-		Self:     1,
+		ControlNodes: []ControlNode{{Node: "a1", Replica: 1}, {Node: "a2", Replica: 2}, {Node: "c1", Replica: 3}, {Node: "c2", Replica: 6}},
+		CaughtUp:     func(id consensus.ReplicaID) bool { return !lost[id] },
+		Lost:         func(id consensus.ReplicaID) bool { return lost[id] },
+		Self:         1,
 	}
 	for range 10 {
 		change := Next(state)
--- a/internal/gateway/duties_bench_test.go
+++ b/internal/gateway/duties_bench_test.go
@@ -170,7 +170,7 @@
 	for number := range benchTenants {
 		name := fmt.Sprint("tenant-", number)
 		holder.Reserve(node.now(), time.Hour, name, 1000, escrow.Policy{}, func(escrow.Reservation, error) {})
-		holder.Take(node.now(), escrow.AnswerMessage{Holder: holder.ID(), Answers: []escrow.Answer{{Answer: accounts.Answer{
+		holder.TakeResponse(node.now(), escrow.ResponseMessage{Holder: holder.ID(), Responses: []escrow.Response{{Answer: accounts.Answer{
 			Budget: name, Granted: 1 << 20, Request: 1, Limit: 1 << 30, Left: 1 << 29,
 		}}}})
 	}
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -18,7 +18,7 @@
 // of the voters were heard lately and their clocks agree with this node's.
 func (r *replicaDuty) readClocks() clocks.Reading {
 	now := r.node.now()
-	reading := clocks.Reading{Clock: xxhash.Sum64String(r.node.life), Steady: now}
+	reading := clocks.Reading{Clock: xxhash.Sum64String(r.node.life), Monotonic: now}
 	var others []int64
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control && known.WallMS != 0 {
@@ -56,8 +56,8 @@
 			continue
 		}
 		// Its successor had started by then.
-		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Steady - successor.At
-		silence, known := clocks.Silence(r.machine.Accounts().LastContact(holder), reading, sinceOver)
+		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Monotonic - successor.At
+		silence, known := clocks.TimeSinceContact(r.machine.Accounts().LastContact(holder), reading, sinceOver)
 		if !known && r.node.now()-r.leadsSince < clockPatience {
 			continue
 		}
--- a/internal/gateway/logversion.go
+++ b/internal/gateway/logversion.go
@@ -32,17 +32,17 @@
 
 // lookAtLogVersion finds out who the raise of the log's version waits for.
 func (r *replicaDuty) lookAtLogVersion() {
-	heard := []logversion.Control{{Address: r.node.address, Reads: machine.OwnLogVersion}}
+	heard := []logversion.ControlNode{{Address: r.node.address, Reads: machine.OwnLogVersion}}
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control {
-			heard = append(heard, logversion.Control{Address: known.Address, Reads: logVersionOf(known.Hello)})
+			heard = append(heard, logversion.ControlNode{Address: known.Address, Reads: logVersionOf(known.Hello)})
 		}
 	}
 	var members []string
 	for _, member := range r.replica.Core().Configuration().Members {
 		members = append(members, member.Node)
 	}
-	r.raise.Look(r.node.now(), heard, members)
+	r.raise.Update(r.node.now(), heard, members)
 }
 
 // raiseLogVersion raises the log's version once it is due.
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -432,12 +432,12 @@
 	switch {
 	case message.Report != nil && n.replica != nil:
 		n.replica.takeReport(*message.Report)
-	case message.Answer != nil && n.tokens != nil:
-		n.tokens.takeAnswer(*message.Answer)
+	case message.Response != nil && n.tokens != nil:
+		n.tokens.takeAnswer(*message.Response)
 	case message.Recall != nil && n.tokens != nil:
 		n.tokens.takeRecall(*message.Recall)
-	case message.Standings != nil && n.tokens != nil:
-		n.tokens.takeStandings(*message.Standings)
+	case message.Summaries != nil && n.tokens != nil:
+		n.tokens.takeStandings(*message.Summaries)
 	}
 }
 
--- a/internal/gateway/pools.go
+++ b/internal/gateway/pools.go
@@ -27,7 +27,7 @@
 	for _, node := range others {
 		pools.zones[node.Zone] = append(pools.zones[node.Zone], node.Address)
 	}
-	maps.DeleteFunc(pools.zones, func(_ string, nodes []string) bool { return len(nodes) < escrow.LeastPoolNodes })
+	maps.DeleteFunc(pools.zones, func(_ string, nodes []string) bool { return len(nodes) < escrow.MinimumPoolNodes })
 	return pools
 }
 
--- a/internal/gateway/pools_test.go
+++ b/internal/gateway/pools_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestAllNodesAgreeOnPoolHolders(t *testing.T) {
-	nodes := entryNodes(map[string]int{"a": 60, "b": 50, "c": escrow.LeastPoolNodes - 1})
+	nodes := entryNodes(map[string]int{"a": 60, "b": 50, "c": escrow.MinimumPoolNodes - 1})
 	agreed := map[string]string{}
 	holds := map[string]int{}
 	for _, node := range nodes {
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -177,7 +177,7 @@
 func (r *replicaDuty) takeReport(message escrow.ReportMessage) {
 	r.duty.Offer(func() {
 		if r.leading() {
-			r.root.Take(message)
+			r.root.TakeReport(message)
 		}
 	})
 }
@@ -246,29 +246,29 @@
 func (r *replicaDuty) rootOptions() escrow.RootOptions {
 	return escrow.RootOptions{
 		HoldersOf: r.holdersOf,
-		Reply: func(to string, message escrow.AnswerMessage) {
+		Respond: func(to string, message escrow.ResponseMessage) {
 			address, _ := holderAddress(to)
-			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Answer: &message})
+			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Response: &message})
 		},
 		Recall: func(to string, message escrow.RecallMessage) {
 			address, _ := holderAddress(to)
 			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Recall: &message})
 		},
-		RecallPause: recallPause, Contact: func() accounts.Contact { return r.readClocks().Contact() },
-		StandingOf: r.standingOf,
-		Tell: func(to string, message escrow.StandingsMessage) {
+		RecallInterval: recallPause, Contact: func() accounts.Contact { return r.readClocks().Contact() },
+		SummaryOf: r.standingOf,
+		SendSummaries: func(to string, message escrow.SummariesMessage) {
 			address, _ := holderAddress(to)
-			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Standings: &message})
+			r.node.send(address, peer.KindAccounts, &escrow.AccountsMessage{Summaries: &message})
 		},
 	}
 }
 
-func (r *replicaDuty) standingOf(budget string) escrow.Standing {
+func (r *replicaDuty) standingOf(budget string) escrow.BudgetSummary {
 	found := r.machine.Accounts().Budget(budget)
 	if found == nil {
-		return escrow.Standing{Budget: budget}
+		return escrow.BudgetSummary{Budget: budget}
 	}
-	return escrow.StandingOf(found)
+	return escrow.SummaryOf(found)
 }
 
 func (r *replicaDuty) holdersOf(budget string) []accounts.Holder {
@@ -356,7 +356,7 @@
 	if r.replica != nil {
 		core := r.replica.Core()
 		view.leading, view.term, view.replica = r.leading(), core.Term(), r.id
-		view.quorumSilence = time.Duration(core.QuorumSilence()) * replicaTick
+		view.quorumSilence = time.Duration(core.TicksSinceQuorum()) * replicaTick
 		view.hasGroup = r.hasGroup()
 		view.logVersion, view.waitsFor = r.machine.LogVersion(), r.raise.WaitsFor()
 		if member, found := core.Configuration().Member(core.Leader()); found {
@@ -372,7 +372,7 @@
 func countVoters(core *consensus.Core) (voters, caughtUp int) {
 	for _, voter := range core.Configuration().Voters() {
 		voters++
-		if core.ConfigurationCommitted() && core.CaughtUp(voter) && core.SilentTicks(voter) <= electionTicks {
+		if core.ConfigurationCommitted() && core.CaughtUp(voter) && core.TicksSinceContact(voter) <= electionTicks {
 			caughtUp++
 		}
 	}
@@ -395,13 +395,13 @@
 	r.committedBefore = core.Commit()
 	state := replicaset.State{
 		Members: core.Configuration().Members, Self: r.id,
-		CaughtUp: func(id consensus.ReplicaID) bool { return committedBefore > 0 && core.Holds(id, committedBefore) },
-		Lost:     func(id consensus.ReplicaID) bool { return core.SilentTicks(id) > lostTicks },
-		Controls: []replicaset.Control{{Node: r.node.address, Replica: r.id}},
+		CaughtUp:     func(id consensus.ReplicaID) bool { return committedBefore > 0 && core.Holds(id, committedBefore) },
+		Lost:         func(id consensus.ReplicaID) bool { return core.TicksSinceContact(id) > lostTicks },
+		ControlNodes: []replicaset.ControlNode{{Node: r.node.address, Replica: r.id}},
 	}
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control && !known.Stopping {
-			state.Controls = append(state.Controls, replicaset.Control{Node: known.Address, Replica: consensus.ReplicaID(known.Replica)})
+			state.ControlNodes = append(state.ControlNodes, replicaset.ControlNode{Node: known.Address, Replica: consensus.ReplicaID(known.Replica)})
 		}
 	}
 	change := replicaset.Next(state)
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -91,7 +91,7 @@
 		}
 		core := n.replica.replica.Core()
 		for _, member := range core.Configuration().Members {
-			if member.Learner || member.ID == n.replica.id || !core.CaughtUp(member.ID) || core.SilentTicks(member.ID) > electionTicks {
+			if member.Learner || member.ID == n.replica.id || !core.CaughtUp(member.ID) || core.TicksSinceContact(member.ID) > electionTicks {
 				continue
 			}
 			err := core.TransferLeadership(member.ID)
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -36,10 +36,10 @@
 func newTokensDuty(node *Node) *tokensDuty {
 	tokens := &tokensDuty{node: node, duty: duty.New("tokens", tokensTick), pools: newTokenPools(node.address, node.settings.Load().Node.Zone, nil)}
 	tokens.holder = escrow.NewHolder(escrow.HolderOptions{
-		ID: accounts.HolderID{Node: holderName(node.address, node.life), Incarnation: onlyLife}, AnswerTimeout: rootTimeout,
+		ID: accounts.HolderID{Node: holderName(node.address, node.life), Incarnation: onlyLife}, ResponseTimeout: rootTimeout,
 		RootReachable: node.hearsRoot, Allowances: true,
-		Pool:     func(budget string) []string { return tokens.pools.before(budget) },
-		FarPools: func(budget string) []string { return tokens.pools.far(budget) },
+		Pool:        func(budget string) []string { return tokens.pools.before(budget) },
+		RemotePools: func(budget string) []string { return tokens.pools.far(budget) },
 	})
 	tokens.duty.Tick = tokens.tick
 	tokens.duty.Flush = tokens.flush
@@ -52,11 +52,11 @@
 			t.node.send(leader, peer.KindAccounts, &escrow.AccountsMessage{Report: &report})
 		}
 	}
-	for _, pool := range t.holder.Pools() {
+	for _, pool := range t.holder.TakeOutgoingPools() {
 		address, _ := holderAddress(pool.To)
 		t.node.send(address, peer.KindPool, &pool.Message)
 	}
-	for _, loan := range t.holder.Loans() {
+	for _, loan := range t.holder.TakeOutgoingLoans() {
 		address, _ := holderAddress(loan.To)
 		t.node.send(address, peer.KindLend, &loan.Message)
 	}
@@ -117,22 +117,22 @@
 	return nil, errors.Join(forward.ErrNotReserved, err)
 }
 
-func (t *tokensDuty) takeAnswer(message escrow.AnswerMessage) {
-	t.duty.Offer(func() { t.holder.Take(t.node.now(), message) })
+func (t *tokensDuty) takeAnswer(message escrow.ResponseMessage) {
+	t.duty.Offer(func() { t.holder.TakeResponse(t.node.now(), message) })
 }
 
 func (t *tokensDuty) takeRecall(message escrow.RecallMessage) {
 	t.duty.Offer(func() { t.holder.Recall(message) })
 }
 
-func (t *tokensDuty) takeStandings(message escrow.StandingsMessage) {
-	t.duty.Offer(func() { t.holder.TakeStandings(message) })
+func (t *tokensDuty) takeStandings(message escrow.SummariesMessage) {
+	t.duty.Offer(func() { t.holder.TakeSummaries(message) })
 }
 
 // takeLend handles one step of a loan. A loan stays charged to its lender's
 // grant for good: when a life ends all that it was granted is charged, so a
 // loan that is known to nobody any more can't be spent twice.
-func (t *tokensDuty) takeLend(message escrow.LendMessage) {
+func (t *tokensDuty) takeLend(message escrow.LoanMessage) {
 	t.duty.Offer(func() {
 		now := t.node.now()
 		switch {
@@ -143,12 +143,12 @@
 		case message.Request != nil:
 			if loan, given := t.holder.Lend(*message.Request, neverFenced); given {
 				t.node.log.Info().Str("event", "loan_given").Str("borrower", loan.Borrower.Node).Str("tenant", loan.Budget).Uint64("total", loan.Total).Send()
-				t.holder.Agreed(now, loan)
+				t.holder.LoanAgreed(now, loan)
 			}
-		case message.Given != nil:
-			t.holder.TakeLoan(now, *message.Given, neverFenced)
-		case message.Taken != nil:
-			t.holder.LoanTaken(*message.Taken)
+		case message.Loan != nil:
+			t.holder.TakeLoan(now, *message.Loan, neverFenced)
+		case message.Confirmed != nil:
+			t.holder.LoanConfirmed(*message.Confirmed)
 		}
 	})
 }
@@ -189,7 +189,7 @@
 			return err
 		}
 		pause.For(ctx, handOverTry)
-		taken, err := duty.Ask(ctx, t.duty, func(answer func(bool)) { answer(t.holder.LoansTaken()) })
+		taken, err := duty.Ask(ctx, t.duty, func(answer func(bool)) { answer(t.holder.LoansConfirmed()) })
 		if err != nil {
 			return err
 		}
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -77,22 +77,22 @@
 			Kind: consensus.MessageSnapshot, From: 1, To: 2, Term: 9, Snapshot: &journal.Snapshot{Index: 300, Term: 8, Configuration: []byte("members"), Data: []byte("state")},
 		}},
 		{"report", peer.KindAccounts, &escrow.AccountsMessage{Report: &escrow.ReportMessage{
-			Holder: sampleHolder, Allowances: true, Heard: contact, Recalled: []escrow.RecallMessage{{Holder: sampleHolder, Budget: "hule930", Number: 4, Granted: 500}},
+			Holder: sampleHolder, Allowances: true, LastContact: contact, Recalled: []escrow.RecallMessage{{Holder: sampleHolder, Budget: "hule930", Number: 4, Granted: 500}},
 			Reports: []accounts.Report{{Budget: "hule930", Settled: 12000, Returned: 100, Watermark: 20000, WatermarkSettled: 11000, Request: 3, Need: 4, Want: 5, Wish: 3000, Allowance: allowance}},
 		}}},
-		{"answer", peer.KindAccounts, &escrow.AccountsMessage{Answer: &escrow.AnswerMessage{Holder: sampleHolder, Contact: contact, Answers: []escrow.Answer{{
+		{"answer", peer.KindAccounts, &escrow.AccountsMessage{Response: &escrow.ResponseMessage{Holder: sampleHolder, Contact: contact, Responses: []escrow.Response{{
 			Unreached: 2, Answer: accounts.Answer{
 				Budget: "hule930", Granted: 30000, Settled: 12000, Returned: 100, Watermark: 20000, Request: 3, Short: true, Left: 100000, Limit: 400000, Spent: 200000,
 				Outstanding: 30000, Holders: 73, Wished: 9, Unknown: true, Closed: true, Allowance: allowance,
 			},
 		}}}}},
 		{"recall", peer.KindAccounts, &escrow.AccountsMessage{Recall: &escrow.RecallMessage{Holder: sampleHolder, Budget: "hule930", Number: 4, Granted: 500}}},
-		{"standings", peer.KindAccounts, &escrow.AccountsMessage{Standings: &escrow.StandingsMessage{Holder: sampleHolder, Standings: []escrow.Standing{{Budget: "hule930", Limit: 9, Unspent: 8, Wished: 7}}}}},
-		{"loan offered", peer.KindLend, &escrow.LendMessage{Offer: &escrow.LoanOffer{Lender: sampleHolder, Budgets: []escrow.OfferedBudget{{Budget: "hule930", Free: 50}}}}},
-		{"loan asked for", peer.KindLend, &escrow.LendMessage{Request: &escrow.LoanRequest{Borrower: sampleHolder, Budget: "hule930", Need: 70}}},
-		{"loan given", peer.KindLend, &escrow.LendMessage{Given: &loan}},
-		{"loan taken", peer.KindLend, &escrow.LendMessage{Taken: &loan}},
-		{"pool asked", peer.KindPool, &escrow.PoolMessage{Request: &escrow.PoolRequest{Borrower: sampleHolder, Budget: "hule930", Need: 70, Number: 2, PatienceMS: 100}}},
+		{"standings", peer.KindAccounts, &escrow.AccountsMessage{Summaries: &escrow.SummariesMessage{Holder: sampleHolder, Summaries: []escrow.BudgetSummary{{Budget: "hule930", Limit: 9, Unspent: 8, TotalDesired: 7}}}}},
+		{"loan offered", peer.KindLend, &escrow.LoanMessage{Offer: &escrow.LoanOffer{Lender: sampleHolder, Budgets: []escrow.OfferedBudget{{Budget: "hule930", Free: 50}}}}},
+		{"loan asked for", peer.KindLend, &escrow.LoanMessage{Request: &escrow.LoanRequest{Borrower: sampleHolder, Budget: "hule930", Required: 70}}},
+		{"loan given", peer.KindLend, &escrow.LoanMessage{Loan: &loan}},
+		{"loan taken", peer.KindLend, &escrow.LoanMessage{Confirmed: &loan}},
+		{"pool asked", peer.KindPool, &escrow.PoolMessage{Request: &escrow.PoolRequest{Borrower: sampleHolder, Budget: "hule930", Required: 70, Number: 2, MaximumWaitMS: 100}}},
 		{"pool refused", peer.KindPool, &escrow.PoolMessage{Refusal: &escrow.PoolRefusal{Borrower: sampleHolder, Budget: "hule930", Number: 2, Stopping: true, Exhausted: &escrow.ExhaustedError{Limit: 9, Spent: 8, Left: 1, Outstanding: 1}}}},
 		{"loads", peer.KindLoads, &balance.LoadReport{Scope: balance.ZoneLoads, Zone: "a", Loads: []byte("loads"), Parts: []byte("parts"), AgeMS: 20000}},
 		{"call", peer.KindCall, &peer.Call{ID: 9, Method: peer.MethodReadDocument, Body: mustMarshal(&readQuestion{Have: 77})}},
@@ -159,8 +159,8 @@
 		return decodedBody[consensus.Message](envelope)
 	case *escrow.AccountsMessage:
 		return decodedBody[escrow.AccountsMessage](envelope)
-	case *escrow.LendMessage:
-		return decodedBody[escrow.LendMessage](envelope)
+	case *escrow.LoanMessage:
+		return decodedBody[escrow.LoanMessage](envelope)
 	case *escrow.PoolMessage:
 		return decodedBody[escrow.PoolMessage](envelope)
 	case *balance.LoadReport:
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -206,8 +206,8 @@
 			}
 			return holders
 		},
-		Reply: func(to string, message escrow.AnswerMessage) {
-			s.network.Send(rootName, to, func() { s.withHolder(to, func(holder *escrow.Holder) { holder.Take(s.world.Now, message) }) })
+		Respond: func(to string, message escrow.ResponseMessage) {
+			s.network.Send(rootName, to, func() { s.withHolder(to, func(holder *escrow.Holder) { holder.TakeResponse(s.world.Now, message) }) })
 		},
 		Recall: func(to string, message escrow.RecallMessage) {
 			s.network.Send(rootName, to, func() { s.withHolder(to, func(holder *escrow.Holder) { holder.Recall(message) }) })
@@ -276,14 +276,14 @@
 // flush sends what a node's holder has to say.
 func (s *BudgetSimulation) flush(node *budgetNode) {
 	if report, due := node.holder.Report(s.world.Now); due {
-		s.network.Send(node.name, rootName, func() { s.root.Take(report) })
+		s.network.Send(node.name, rootName, func() { s.root.TakeReport(report) })
 	}
-	for _, loan := range node.holder.Loans() {
+	for _, loan := range node.holder.TakeOutgoingLoans() {
 		s.sendLend(node.name, loan.To, loan.Message)
 	}
 }
 
-func (s *BudgetSimulation) sendLend(from, to string, message escrow.LendMessage) {
+func (s *BudgetSimulation) sendLend(from, to string, message escrow.LoanMessage) {
 	s.network.Send(from, to, func() {
 		s.withHolder(to, func(holder *escrow.Holder) {
 			switch {
@@ -291,11 +291,11 @@
 				if loan, given := holder.Lend(*message.Request, s.accounts.Fenced); given {
 					s.agreeLoan(to, loan)
 				}
-			case message.Given != nil:
+			case message.Loan != nil:
 				s.world.Fault("loan")
-				holder.TakeLoan(s.world.Now, *message.Given, s.accounts.Fenced)
-			case message.Taken != nil:
-				holder.LoanTaken(*message.Taken)
+				holder.TakeLoan(s.world.Now, *message.Loan, s.accounts.Fenced)
+			case message.Confirmed != nil:
+				holder.LoanConfirmed(*message.Confirmed)
 			}
 		})
 	})
@@ -310,7 +310,7 @@
 		}
 		key := registeredLoan{pair: loan.Pair()}
 		s.registered[key] = max(s.registered[key], loan.Total)
-		s.withHolder(lender, func(holder *escrow.Holder) { holder.Agreed(s.world.Now, loan) })
+		s.withHolder(lender, func(holder *escrow.Holder) { holder.LoanAgreed(s.world.Now, loan) })
 	})
 }
 
--- a/internal/lab/simulate/claims.go
+++ b/internal/lab/simulate/claims.go
@@ -34,7 +34,7 @@
 // claimsNode is one simulated machine without a disk.
 type claimsNode struct {
 	name     string
-	holder   *claims.Holder
+	holder   *claims.Acceptor
 	proposer *claims.Proposer
 	id       accounts.HolderID
 	life     int
@@ -93,7 +93,7 @@
 	life := node.life
 	node.id = accounts.HolderID{Node: node.name, Incarnation: uint64(s.World.Now) + 1}
 	s.nodes[node.name] = node
-	node.holder = claims.NewHolder(claims.HolderOptions{
+	node.holder = claims.NewAcceptor(claims.AcceptorOptions{
 		Self: node.name, Incarnation: node.id.Incarnation, Pool: s.pool,
 		Fresh:          fresh || s.defect == ClaimsWithoutRecovery,
 		WithoutVectors: s.defect == ClaimsWithoutVectors,
@@ -161,7 +161,7 @@
 	s.minted++
 	key := claims.NewKey("minted", fmt.Sprint(s.minted))
 	mine := &claims.Claim{State: claims.Dispatched, Owner: node.id, RequestID: node.id.String(), Budget: "b", Sequence: s.minted}
-	node.proposer.ChangeMinted(s.World.Now, s.World.Now+claimsTimeout, "a", key, func(current *claims.Claim) *claims.Claim {
+	node.proposer.ChangeNewKey(s.World.Now, s.World.Now+claimsTimeout, "a", key, func(current *claims.Claim) *claims.Claim {
 		if current != nil {
 			return nil
 		}
--- a/internal/lab/simulate/consensus.go
+++ b/internal/lab/simulate/consensus.go
@@ -467,7 +467,7 @@
 func (s *ConsensusSimulation) repaired(leader *controlNode) bool {
 	core := leader.replica.Core()
 	voters := core.Configuration().Voters()
-	if len(voters) != len(s.nodes) || core.QuorumSilence() > consensus.DefaultElectionTicks {
+	if len(voters) != len(s.nodes) || core.TicksSinceQuorum() > consensus.DefaultElectionTicks {
 		return false
 	}
 	for _, voter := range voters {
--- a/internal/lab/simulate/cutloans.go
+++ b/internal/lab/simulate/cutloans.go
@@ -128,12 +128,12 @@
 	}
 	for _, node := range s.nodes {
 		options := escrow.HolderOptions{
-			ID: accounts.HolderID{Node: node.name(), Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
+			ID: accounts.HolderID{Node: node.name(), Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond,
 			Lenders: s.lendersOf(node), RootReachable: func() bool { return s.world.Now < cutBegins+time.Second }, Allowances: true,
 		}
 		if s.options.Policy == PoolInZone {
 			options.Pool = func(budget string) []string { return s.poolBefore(node, budget) }
-			options.FarPools = func(budget string) []string { return s.farPools(node, budget) }
+			options.RemotePools = func(budget string) []string { return s.farPools(node, budget) }
 		}
 		node.holder = escrow.NewHolder(options)
 		s.world.Every(holderTick, func() bool {
@@ -179,13 +179,13 @@
 	}
 	s.root = escrow.NewRoot(escrow.RootOptions{
 		HoldersOf: func(string) []accounts.Holder { return nil },
-		Reply: func(to string, message escrow.AnswerMessage) {
-			s.toNode(to, func(node *cutNode) { node.holder.Take(s.world.Now, message) })
+		Respond: func(to string, message escrow.ResponseMessage) {
+			s.toNode(to, func(node *cutNode) { node.holder.TakeResponse(s.world.Now, message) })
 		},
-		Recall:     func(string, escrow.RecallMessage) {},
-		StandingOf: func(budget string) escrow.Standing { return escrow.StandingOf(s.accounts.Budget(budget)) },
-		Tell: func(to string, message escrow.StandingsMessage) {
-			s.toNode(to, func(node *cutNode) { node.holder.TakeStandings(message) })
+		Recall:    func(string, escrow.RecallMessage) {},
+		SummaryOf: func(budget string) escrow.BudgetSummary { return escrow.SummaryOf(s.accounts.Budget(budget)) },
+		SendSummaries: func(to string, message escrow.SummariesMessage) {
+			s.toNode(to, func(node *cutNode) { node.holder.TakeSummaries(message) })
 		},
 		Contact: func() accounts.Contact {
 			return accounts.Contact{Clock: 1, SteadyMS: uint64(s.world.Now.Milliseconds())}
@@ -232,17 +232,17 @@
 	if report, due := node.holder.Report(s.world.Now); due && !s.isCut() {
 		s.world.After(nodeDelay, func() {
 			if !s.isCut() {
-				s.root.Take(report)
+				s.root.TakeReport(report)
 			}
 		})
 	}
-	for _, pooled := range node.holder.Pools() {
+	for _, pooled := range node.holder.TakeOutgoingPools() {
 		to := s.named(pooled.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
 		s.world.After(nodeDelay, func() { s.takePool(to, pooled.Message) })
 	}
-	for _, loan := range node.holder.Loans() {
+	for _, loan := range node.holder.TakeOutgoingLoans() {
 		to := s.named(loan.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
@@ -250,7 +250,7 @@
 	}
 }
 
-func (s *cutLoans) takeLend(node *cutNode, message escrow.LendMessage) {
+func (s *cutLoans) takeLend(node *cutNode, message escrow.LoanMessage) {
 	node.received++
 	takeLend(node.holder, s.world.Now, message)
 	s.flush(node)
--- a/internal/lab/simulate/lostlives.go
+++ b/internal/lab/simulate/lostlives.go
@@ -189,12 +189,12 @@
 		}
 	}
 	options := escrow.HolderOptions{
-		ID: accounts.HolderID{Node: fmt.Sprintf("%s#%d", one.name, life), Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
+		ID: accounts.HolderID{Node: fmt.Sprintf("%s#%d", one.name, life), Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond,
 		Lenders: lenders, RootReachable: func() bool { return s.world.Now-one.heardRoot < time.Second }, Allowances: !s.options.WholeGrants,
 	}
 	if s.options.Pooled {
 		options.Pool = func(budget string) []string { return s.poolBefore(one, budget) }
-		options.FarPools = func(budget string) []string { return s.poolHolders(budget, one)[:1] }
+		options.RemotePools = func(budget string) []string { return s.poolHolders(budget, one)[:1] }
 	}
 	one.holder = escrow.NewHolder(options)
 	s.world.Every(holderTick, func() bool {
@@ -229,15 +229,15 @@
 	if report, due := one.holder.Report(now); due {
 		s.send(one.name, rootName, func() {
 			if s.root != nil {
-				s.root.Take(report)
+				s.root.TakeReport(report)
 			}
 		})
 	}
-	for _, pool := range one.holder.Pools() {
+	for _, pool := range one.holder.TakeOutgoingPools() {
 		other := s.named(pool.To)
 		s.send(one.name, pool.To, func() { s.atNode(other, func() { s.takePool(other, pool.Message) }) })
 	}
-	for _, loan := range one.holder.Loans() {
+	for _, loan := range one.holder.TakeOutgoingLoans() {
 		other := s.named(loan.To)
 		s.send(one.name, loan.To, func() { s.atNode(other, func() { s.takeLend(other, loan.Message) }) })
 	}
@@ -281,7 +281,7 @@
 }
 
 // takeLend is the part of a node that hands loans to its holder.
-func (s *lostLives) takeLend(one *spender, message escrow.LendMessage) {
+func (s *lostLives) takeLend(one *spender, message escrow.LoanMessage) {
 	if one.down {
 		return
 	}
@@ -290,17 +290,17 @@
 }
 
 // takeLend is one step of a loan whose agreement needs no register.
-func takeLend(holder *escrow.Holder, now time.Duration, message escrow.LendMessage) {
+func takeLend(holder *escrow.Holder, now time.Duration, message escrow.LoanMessage) {
 	neverFenced := func(accounts.HolderID) bool { return false }
 	switch {
 	case message.Request != nil:
 		if loan, given := holder.Lend(*message.Request, neverFenced); given {
-			holder.Agreed(now, loan)
+			holder.LoanAgreed(now, loan)
 		}
-	case message.Given != nil:
-		holder.TakeLoan(now, *message.Given, neverFenced)
-	case message.Taken != nil:
-		holder.LoanTaken(*message.Taken)
+	case message.Loan != nil:
+		holder.TakeLoan(now, *message.Loan, neverFenced)
+	case message.Confirmed != nil:
+		holder.LoanConfirmed(*message.Confirmed)
 	}
 }
 
@@ -323,16 +323,16 @@
 			}
 			return holders
 		},
-		Reply: func(to string, message escrow.AnswerMessage) {
-			s.toHolder(to, func(one *spender) { one.holder.Take(s.sinceBoot(one), message) })
+		Respond: func(to string, message escrow.ResponseMessage) {
+			s.toHolder(to, func(one *spender) { one.holder.TakeResponse(s.sinceBoot(one), message) })
 		},
 		Recall: func(to string, message escrow.RecallMessage) {
 			s.toHolder(to, func(one *spender) { one.holder.Recall(message) })
 		},
-		RecallPause: 500 * time.Millisecond,
-		StandingOf:  func(budget string) escrow.Standing { return escrow.StandingOf(s.accounts.Budget(budget)) },
-		Tell: func(to string, message escrow.StandingsMessage) {
-			s.toHolder(to, func(one *spender) { one.holder.TakeStandings(message) })
+		RecallInterval: 500 * time.Millisecond,
+		SummaryOf:      func(budget string) escrow.BudgetSummary { return escrow.SummaryOf(s.accounts.Budget(budget)) },
+		SendSummaries: func(to string, message escrow.SummariesMessage) {
+			s.toHolder(to, func(one *spender) { one.holder.TakeSummaries(message) })
 		},
 	}
 	if !s.options.WholeGrants {
@@ -370,7 +370,7 @@
 
 // readClocks reads the leader's clocks and what it last heard of the others'.
 func (s *lostLives) readClocks(leader int) clocks.Reading {
-	reading := clocks.Reading{Clock: s.process.name, Steady: s.process.clock.read(s.world.Now)}
+	reading := clocks.Reading{Clock: s.process.name, Monotonic: s.process.clock.read(s.world.Now)}
 	var others []int64
 	for number, wall := range s.walls {
 		if number != leader {
@@ -436,7 +436,7 @@
 		}
 		reading := s.readClocks(leader)
 		age := max(0, s.sinceBoot(successor)-s.world.Between(0, helloAge))
-		silence, known := clocks.Silence(s.accounts.LastContact(id), reading, age)
+		silence, known := clocks.TimeSinceContact(s.accounts.LastContact(id), reading, age)
 		if !known && s.world.Now-leadsSince < 3*time.Second {
 			continue
 		}
--- a/internal/lab/simulate/upgrade.go
+++ b/internal/lab/simulate/upgrade.go
@@ -135,17 +135,17 @@
 
 // look tells the raise who is heard.
 func (b *upgradedBuild) look(now time.Duration, members []consensus.Member) {
-	var heard []logversion.Control
+	var heard []logversion.ControlNode
 	for name, said := range b.heard {
 		if now-said.at <= roster.AliveFor {
-			heard = append(heard, logversion.Control{Address: name, Reads: said.reads})
+			heard = append(heard, logversion.ControlNode{Address: name, Reads: said.reads})
 		}
 	}
 	var names []string
 	for _, member := range members {
 		names = append(names, member.Node)
 	}
-	b.raise.Look(now, heard, names)
+	b.raise.Update(now, heard, names)
 }
 
 // needs draws the version that a write of a node, the leader, needs: one in two is of the
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -30,7 +30,7 @@
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
-	holder   *claims.Holder
+	holder   *claims.Acceptor
 	proposer *claims.Proposer
 	outgoing map[string][]claims.Message
 	wasReady bool
@@ -59,7 +59,7 @@
 func newClaimsDuty(node *Node) *claimsDuty {
 	owner := &claimsDuty{node: node, duty: duty.New("claims", claimsTick), outgoing: map[string][]claims.Message{}, fenced: map[string]uint64{}, unreached: map[string]time.Duration{},
 		marks: map[markName]uint64{}, changedNear: map[markName]struct{}{}, changedFar: map[markName]struct{}{}}
-	owner.holder = claims.NewHolder(claims.HolderOptions{
+	owner.holder = claims.NewAcceptor(claims.AcceptorOptions{
 		Self: node.name, Incarnation: node.incarnation, Pool: node.pool, Fresh: len(node.pool.Nodes()) == 1,
 	})
 	owner.begin(accounts.HolderID{Node: node.name, Incarnation: node.incarnation})
@@ -148,7 +148,7 @@
 func (c *claimsDuty) changeMinted(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
 	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
 		now := c.node.now()
-		c.proposer.ChangeMinted(now, now+claimTimeout, c.node.zone, key, change, answer)
+		c.proposer.ChangeNewKey(now, now+claimTimeout, c.node.zone, key, change, answer)
 	})
 	if err != nil {
 		return claims.Outcome{}, err
@@ -213,7 +213,7 @@
 	}
 	message := claims.Message{Kind: claims.MessageWatermark, From: c.node.name, Incarnation: c.node.incarnation}
 	for name := range changed {
-		message.Marks = append(message.Marks, claims.Watermark{Owner: name.owner, Budget: name.budget, Sequence: c.marks[name]})
+		message.Watermarks = append(message.Watermarks, claims.Watermark{Owner: name.owner, Budget: name.budget, Sequence: c.marks[name]})
 	}
 	clear(changed)
 	for _, name := range to {
@@ -224,7 +224,7 @@
 // nearHolders are the nodes that may hold this zone's keys.
 func (c *claimsDuty) nearHolders() []string {
 	near := slices.Clone(c.node.pool.InZone(c.node.zone))
-	if len(near) >= membership.HoldersPerKey {
+	if len(near) >= membership.AcceptorsPerKey {
 		return near
 	}
 	for _, member := range c.node.pool.Nodes() {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -189,7 +189,7 @@
 	var key claims.Key
 	for attempt := range maximumMints {
 		key = claims.NewKey(accepted.tenant.GetName(), fmt.Sprintf("%s minted %d", accepted.id, attempt))
-		if slices.Contains(n.pool.Holders(n.zone, string(key[:])), n.name) {
+		if slices.Contains(n.pool.Acceptors(n.zone, string(key[:])), n.name) {
 			return key
 		}
 	}
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -59,7 +59,7 @@
 			e.node.send(leader, peer.KindAccounts, &escrow.AccountsMessage{Report: &report})
 		}
 	}
-	for _, loan := range e.holder.Loans() {
+	for _, loan := range e.holder.TakeOutgoingLoans() {
 		e.node.send(loan.To, peer.KindLend, &loan.Message)
 	}
 }
@@ -120,9 +120,9 @@
 	})
 }
 
-func (e *escrowDuty) takeAnswer(message escrow.AnswerMessage) {
+func (e *escrowDuty) takeAnswer(message escrow.ResponseMessage) {
 	e.duty.Offer(func() {
-		advanced := e.holder.Take(e.node.now(), message)
+		advanced := e.holder.TakeResponse(e.node.now(), message)
 		if len(advanced) == 0 {
 			return
 		}
@@ -138,18 +138,18 @@
 	e.duty.Offer(func() { e.holder.Recall(message) })
 }
 
-func (e *escrowDuty) takeLend(from string, message escrow.LendMessage) {
+func (e *escrowDuty) takeLend(from string, message escrow.LoanMessage) {
 	e.duty.Offer(func() {
 		switch {
 		case message.Request != nil:
-			e.node.log.Info().Str("event", "loan_asked").Str("borrower", from).Str("budget", message.Request.Budget).Uint64("need", message.Request.Need).Send()
+			e.node.log.Info().Str("event", "loan_asked").Str("borrower", from).Str("budget", message.Request.Budget).Uint64("need", message.Request.Required).Send()
 			if loan, given := e.holder.Lend(*message.Request, e.node.claims.fencedHere); given {
 				go e.agreeLoan(loan)
 			}
-		case message.Given != nil:
-			e.holder.TakeLoan(e.node.now(), *message.Given, e.node.claims.fencedHere)
-		case message.Taken != nil:
-			e.holder.LoanTaken(*message.Taken)
+		case message.Loan != nil:
+			e.holder.TakeLoan(e.node.now(), *message.Loan, e.node.claims.fencedHere)
+		case message.Confirmed != nil:
+			e.holder.LoanConfirmed(*message.Confirmed)
 		}
 	})
 }
@@ -170,7 +170,7 @@
 		e.node.log.Info().Str("event", "loan_not_agreed").Str("borrower", loan.Borrower.Node).AnErr("error", err).Send()
 		return
 	}
-	_ = e.duty.Do(e.node.life, func() { e.holder.Agreed(e.node.now(), loan) })
+	_ = e.duty.Do(e.node.life, func() { e.holder.LoanAgreed(e.node.now(), loan) })
 }
 
 // returnAll gives back the node's unused grant and waits until the root has
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -78,7 +78,7 @@
 	case peer.KindReports:
 		return peer.Dispatch(envelope, n.backends.takeReports)
 	case peer.KindLend:
-		return peer.Dispatch(envelope, func(message escrow.LendMessage) { n.escrow.takeLend(from, message) })
+		return peer.Dispatch(envelope, func(message escrow.LoanMessage) { n.escrow.takeLend(from, message) })
 	}
 	return fmt.Errorf("kind %d has no duty", envelope.Kind)
 }
@@ -93,8 +93,8 @@
 	switch {
 	case message.Report != nil && n.replica != nil:
 		n.replica.takeReport(*message.Report)
-	case message.Answer != nil:
-		n.escrow.takeAnswer(*message.Answer)
+	case message.Response != nil:
+		n.escrow.takeAnswer(*message.Response)
 	case message.Recall != nil:
 		n.escrow.takeRecall(*message.Recall)
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -110,7 +110,7 @@
 func (r *replicaDuty) takeReport(message escrow.ReportMessage) {
 	r.duty.Offer(func() {
 		if r.leading() {
-			r.root.Take(message)
+			r.root.TakeReport(message)
 		}
 	})
 }
@@ -137,8 +137,8 @@
 	node := r.node
 	return escrow.RootOptions{
 		HoldersOf: r.holdersOf,
-		Reply: func(to string, message escrow.AnswerMessage) {
-			node.send(to, peer.KindAccounts, &escrow.AccountsMessage{Answer: &message})
+		Respond: func(to string, message escrow.ResponseMessage) {
+			node.send(to, peer.KindAccounts, &escrow.AccountsMessage{Response: &message})
 		},
 		Recall: func(to string, message escrow.RecallMessage) {
 			node.send(to, peer.KindAccounts, &escrow.AccountsMessage{Recall: &message})
@@ -195,12 +195,12 @@
 	core := r.replica.Core()
 	view := &replicaView{
 		leading: r.leading(), term: core.Term(), commit: core.Commit(), configuration: core.Configuration(),
-		quorumSilence: time.Duration(core.QuorumSilence()) * replicaTick,
+		quorumSilence: time.Duration(core.TicksSinceQuorum()) * replicaTick,
 		hasGroup:      len(core.Configuration().Members) > 0,
 	}
 	for _, voter := range core.Configuration().Voters() {
 		// A voter that is silent may be gone, whatever it once held.
-		if core.ConfigurationCommitted() && core.CaughtUp(voter) && core.SilentTicks(voter) <= electionTicks {
+		if core.ConfigurationCommitted() && core.CaughtUp(voter) && core.TicksSinceContact(voter) <= electionTicks {
 			view.caughtUpVoters++
 		}
 	}
