--- a/internal/coordination/claims/acceptor.go
+++ b/internal/coordination/claims/acceptor.go
@@ -21,7 +21,7 @@
 	recoverInterval = 200 * time.Millisecond
 )
 
-// AcceptorOptions set up a Holder.
+// AcceptorOptions set up an Acceptor.
 type AcceptorOptions struct {
 	Self        string
 	Incarnation uint64
--- a/internal/coordination/claims/types.go
+++ b/internal/coordination/claims/types.go
@@ -156,7 +156,7 @@
 	Claim    *Claim `msgpack:"c,omitempty"`
 	// Refusal is why an acceptor refused. For RefusedBallot, Ballot is the one that it has promised.
 	Refusal Refusal `msgpack:"r,omitempty"`
-	// Records, Fences and Marks are the content of MessageRecovered; Marks is also that of
+	// Records, Fences and Watermarks are the content of MessageRecovered; Watermarks is also that of
 	// MessageWatermark.
 	Records    []Record    `msgpack:"d,omitempty"`
 	Fences     Vector      `msgpack:"e,omitempty"`
--- a/internal/coordination/clocks/clocks.go
+++ b/internal/coordination/clocks/clocks.go
@@ -20,8 +20,8 @@
 
 // Reading is the state of the leader's clocks at one moment.
 type Reading struct {
-	// Clock identifies the process whose monotonic clock Steady is from. Steady is the time since the
-	// start of that process.
+	// Clock identifies the process whose monotonic clock Monotonic is from. Monotonic is the time
+	// since the start of that process.
 	Clock     uint64
 	Monotonic time.Duration
 	// WallMS is the wall clock in milliseconds since 1970; 0 if the control nodes' clocks do not
@@ -46,11 +46,11 @@
 	return 2*(len(others)+1) > voters
 }
 
-// TimeSinceContact returns an upper bound of the time between an incarnation's last contact with the root
-// and its end. The incarnation had ended at least sinceEnd before the clocks were read. If this
-// process recorded the contact, the bound is from the monotonic clock, unless the wall clock shows
-// that its machine was suspended since. Otherwise the bound is from the wall clock, if the control
-// nodes agreed on it both then and now.
+// TimeSinceContact returns an upper bound of the time between an incarnation's last contact with
+// the root and its end. The incarnation had ended at least sinceEnd before the clocks were read. If
+// this process recorded the contact, the bound is from the monotonic clock, unless the wall clock
+// shows that its machine was suspended since. Otherwise the bound is from the wall clock, if the
+// control nodes agreed on it both then and now.
 func TimeSinceContact(contact accounts.Contact, now Reading, sinceEnd time.Duration) (sinceContact time.Duration, known bool) {
 	if contact.Index == 0 {
 		return accounts.UnknownSilence, false
--- a/internal/coordination/consensus/core.go
+++ b/internal/coordination/consensus/core.go
@@ -48,9 +48,9 @@
 	ElectionTicks  int
 	HeartbeatTicks int
 	// StartTicks is the minimum election timeout after a start, until the replica has a leader or
-	// maximumStartElections elections have failed; 0 means ElectionTicks. If all replicas start together,
-	// there is no leader to wait for; if there is a live leader, the others do not grant the
-	// pre-vote.
+	// maximumStartElections elections have failed; 0 means ElectionTicks. If all replicas start
+	// together, there is no leader to wait for; if there is a live leader, the others do not grant
+	// the pre-vote.
 	StartTicks int
 	// Random draws election timeouts.
 	Random *rand.Rand
--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -189,8 +189,8 @@
 // totalWaiting returns the tokens that all waiters require.
 func (a *account) totalWaiting() uint64 {
 	var total uint64
-	for _, one := range a.waiters {
-		total += one.amount
+	for _, waiting := range a.waiters {
+		total += waiting.amount
 	}
 	return total
 }
@@ -308,8 +308,8 @@
 
 func (a *account) lentTotal() uint64 {
 	var total uint64
-	for _, given := range a.lent {
-		total += given.total
+	for _, state := range a.lent {
+		total += state.total
 	}
 	return total
 }
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -62,12 +62,12 @@
 
 // binding returns the allowance that the holder respects.
 func (c *allowances) binding() accounts.Allowance {
-	least := c.confirmed
-	for _, one := range c.sent {
-		least.Tokens = min(least.Tokens, one.Tokens)
-		least.Pace = min(least.Pace, one.Pace)
+	minimum := c.confirmed
+	for _, allowance := range c.sent {
+		minimum.Tokens = min(minimum.Tokens, allowance.Tokens)
+		minimum.Pace = min(minimum.Pace, allowance.Pace)
 	}
-	return least
+	return minimum
 }
 
 // last returns the newest allowance that was sent.
@@ -84,9 +84,9 @@
 	if last.Sequence > 0 && last.Tokens == tokens && last.Pace == pace {
 		return last
 	}
-	made := accounts.Allowance{Sequence: last.Sequence + 1, Tokens: tokens, Pace: pace}
-	c.sent = append(c.sent, made)
-	return made
+	next := accounts.Allowance{Sequence: last.Sequence + 1, Tokens: tokens, Pace: pace}
+	c.sent = append(c.sent, next)
+	return next
 }
 
 // confirm records the allowance that a response reports to be in the log.
@@ -96,9 +96,9 @@
 	}
 	c.confirmed = logged
 	kept := c.sent[:0]
-	for _, one := range c.sent {
-		if one.Sequence > logged.Sequence {
-			kept = append(kept, one)
+	for _, allowance := range c.sent {
+		if allowance.Sequence > logged.Sequence {
+			kept = append(kept, allowance)
 		}
 	}
 	c.sent = kept
@@ -159,8 +159,8 @@
 // contactToReport returns the newest contact that may be reported to the root. The root then measures
 // the time without contact from there, so the allowances must cover all earlier use.
 func (h *Holder) contactToReport() accounts.Contact {
-	for _, found := range h.accounts {
-		if !found.isCovered() {
+	for _, budgetAccount := range h.accounts {
+		if !budgetAccount.isCovered() {
 			return h.contact.reported
 		}
 	}
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -163,16 +163,16 @@
 
 // Free returns the tokens that the node can reserve now.
 func (h *Holder) Free(budget string) uint64 {
-	if found := h.accounts[budget]; found != nil {
-		return found.free()
+	if budgetAccount := h.accounts[budget]; budgetAccount != nil {
+		return budgetAccount.free()
 	}
 	return 0
 }
 
 // Held returns the tokens that the node may spend in all, free and reserved.
 func (h *Holder) Held(budget string) uint64 {
-	if found := h.accounts[budget]; found != nil {
-		return found.unreserved() + found.reserved
+	if budgetAccount := h.accounts[budget]; budgetAccount != nil {
+		return budgetAccount.unreserved() + budgetAccount.reserved
 	}
 	return 0
 }
@@ -180,8 +180,8 @@
 // OwnUse returns the tokens that the node has used of its own grants: what it settled, reserved or
 // lent, less what it borrowed.
 func (h *Holder) OwnUse(budget string) uint64 {
-	if found := h.accounts[budget]; found != nil {
-		return found.ownUse()
+	if budgetAccount := h.accounts[budget]; budgetAccount != nil {
+		return budgetAccount.ownUse()
 	}
 	return 0
 }
@@ -212,87 +212,87 @@
 		return
 	}
 	h.contact.now = now
-	found := h.account(budget)
+	budgetAccount := h.account(budget)
 	if policy.Horizon > 0 {
-		found.policy = policy
+		budgetAccount.policy = policy
 	}
-	found.noteDemand(now, amount)
-	h.notePooled(found)
-	found.addWaiter(waiter{amount: amount, since: now, deadline: deadline, done: done})
-	h.serve(now, found)
+	budgetAccount.noteDemand(now, amount)
+	h.notePooled(budgetAccount)
+	budgetAccount.addWaiter(waiter{amount: amount, since: now, deadline: deadline, done: done})
+	h.serve(now, budgetAccount)
 }
 
 // serve gives the free tokens to the waiters in order, and requests what is missing.
-func (h *Holder) serve(now time.Duration, found *account) {
-	for len(found.waiters) > 0 && found.waiters[0].amount <= found.free() {
-		next := found.waiters[0]
-		found.waiters = found.waiters[1:]
-		found.reserving.add(now, next.amount)
+func (h *Holder) serve(now time.Duration, budgetAccount *account) {
+	for len(budgetAccount.waiters) > 0 && budgetAccount.waiters[0].amount <= budgetAccount.free() {
+		next := budgetAccount.waiters[0]
+		budgetAccount.waiters = budgetAccount.waiters[1:]
+		budgetAccount.reserving.add(now, next.amount)
 		if next.isLoan() {
-			h.lendToWaiter(now, found, next)
+			h.lendToWaiter(now, budgetAccount, next)
 			next.done(Reservation{}, nil)
 			continue
 		}
-		next.done(found.reserve(next.amount), nil)
+		next.done(budgetAccount.reserve(next.amount), nil)
 	}
-	if len(found.waiters) > 0 && !found.requested && !h.requestFromPool(now, found) {
-		found.startRequest(now)
+	if len(budgetAccount.waiters) > 0 && !budgetAccount.requested && !h.requestFromPool(now, budgetAccount) {
+		budgetAccount.startRequest(now)
 	}
-	h.borrow(now, found)
+	h.borrow(now, budgetAccount)
 }
 
 // Settle ends a reservation with its use and frees the remainder. Use beyond the reservation should
 // not happen, because the engine receives the bound with the request. If it does, Settle reduces it to
 // the reservation, and the caller reports it.
 func (h *Holder) Settle(now time.Duration, reservation Reservation, used uint64) {
-	found := h.accounts[reservation.Budget]
-	if found == nil {
+	budgetAccount := h.accounts[reservation.Budget]
+	if budgetAccount == nil {
 		return
 	}
-	amount, open := found.open[reservation.Sequence]
+	amount, open := budgetAccount.open[reservation.Sequence]
 	if !open {
 		return
 	}
 	h.contact.now = now
 	used = min(used, amount)
-	delete(found.open, reservation.Sequence)
-	found.reserved -= amount
-	found.settled += used
-	found.settledAhead[reservation.Sequence] = used
+	delete(budgetAccount.open, reservation.Sequence)
+	budgetAccount.reserved -= amount
+	budgetAccount.settled += used
+	budgetAccount.settledAhead[reservation.Sequence] = used
 	for {
-		next, settled := found.settledAhead[found.watermark+1]
+		next, settled := budgetAccount.settledAhead[budgetAccount.watermark+1]
 		if !settled {
 			break
 		}
-		found.watermark++
-		found.watermarkSettled += next
-		delete(found.settledAhead, found.watermark)
+		budgetAccount.watermark++
+		budgetAccount.watermarkSettled += next
+		delete(budgetAccount.settledAhead, budgetAccount.watermark)
 	}
-	h.serve(now, found)
+	h.serve(now, budgetAccount)
 }
 
 // Shrink lowers a reservation to its known use without settling it, and frees the remainder. The use
 // may still turn out to be billed elsewhere.
 func (h *Holder) Shrink(now time.Duration, reservation Reservation, used uint64) {
-	found := h.accounts[reservation.Budget]
-	if found == nil {
+	budgetAccount := h.accounts[reservation.Budget]
+	if budgetAccount == nil {
 		return
 	}
-	amount, open := found.open[reservation.Sequence]
+	amount, open := budgetAccount.open[reservation.Sequence]
 	if !open || used >= amount {
 		return
 	}
 	h.contact.now = now
-	found.open[reservation.Sequence] = used
-	found.reserved -= amount - used
-	h.serve(now, found)
+	budgetAccount.open[reservation.Sequence] = used
+	budgetAccount.reserved -= amount - used
+	h.serve(now, budgetAccount)
 }
 
 // OpenReservations returns the number of reservations that are not settled yet.
 func (h *Holder) OpenReservations() int {
 	count := 0
-	for _, found := range h.accounts {
-		count += len(found.open)
+	for _, budgetAccount := range h.accounts {
+		count += len(budgetAccount.open)
 	}
 	return count
 }
@@ -303,41 +303,41 @@
 	h.contact.now = now
 	reachable := h.rootReachable()
 	for _, name := range h.names {
-		found := h.accounts[name]
-		h.expire(now, found)
-		h.notePooled(found)
-		if found.contact != nil || found.pooled {
+		budgetAccount := h.accounts[name]
+		h.expire(now, budgetAccount)
+		h.notePooled(budgetAccount)
+		if budgetAccount.contact != nil || budgetAccount.pooled {
 			// The pace may allow more by now, and a request to the next pool holder may be due.
-			h.serve(now, found)
+			h.serve(now, budgetAccount)
 		}
-		h.borrow(now, found)
-		h.resendLoans(now, found)
-		if h.stopping && reachable && len(found.waiters) == 0 {
-			found.returned += found.unreserved()
+		h.borrow(now, budgetAccount)
+		h.resendLoans(now, budgetAccount)
+		if h.stopping && reachable && len(budgetAccount.waiters) == 0 {
+			budgetAccount.returned += budgetAccount.unreserved()
 		}
 		if h.stopping {
 			continue
 		}
 		if reachable {
-			found.returnSurplus(now)
+			budgetAccount.returnSurplus(now)
 		}
-		found.topUp(now)
+		budgetAccount.topUp(now)
 	}
 }
 
-func (h *Holder) expire(now time.Duration, found *account) {
-	kept := found.waiters[:0]
+func (h *Holder) expire(now time.Duration, budgetAccount *account) {
+	kept := budgetAccount.waiters[:0]
 	var expired []waiter
-	for _, one := range found.waiters {
-		if now >= one.deadline {
-			expired = append(expired, one)
+	for _, waiting := range budgetAccount.waiters {
+		if now >= waiting.deadline {
+			expired = append(expired, waiting)
 			continue
 		}
-		kept = append(kept, one)
+		kept = append(kept, waiting)
 	}
-	found.waiters = kept
-	for _, one := range expired {
-		one.done(Reservation{}, ErrUnreachable)
+	budgetAccount.waiters = kept
+	for _, waiting := range expired {
+		waiting.done(Reservation{}, ErrUnreachable)
 	}
 }
 
@@ -348,69 +348,69 @@
 // borrow requests loans from the neighbours for the first waiter, once the root has not responded for
 // AnswerTimeout, or immediately if it is known to be unreachable. It refuses the waiter if no loan
 // arrives in time.
-func (h *Holder) borrow(now time.Duration, found *account) {
-	if len(found.waiters) == 0 || !found.requested {
+func (h *Holder) borrow(now time.Duration, budgetAccount *account) {
+	if len(budgetAccount.waiters) == 0 || !budgetAccount.requested {
 		return
 	}
 	isReachable := h.rootReachable()
-	if now-found.requestedAt < h.options.ResponseTimeout && isReachable {
+	if now-budgetAccount.requestedAt < h.options.ResponseTimeout && isReachable {
 		return
 	}
-	if !isReachable && found.isKnownShort(found.waiters[0].amount) {
+	if !isReachable && budgetAccount.isKnownShort(budgetAccount.waiters[0].amount) {
 		// The whole budget held less than this at the last contact with the root, so no neighbour
 		// has it.
-		h.refuseFirst(now, found, ErrUnreachable)
+		h.refuseFirst(now, budgetAccount, ErrUnreachable)
 		return
 	}
 	// Neighbours that had nothing for an earlier request may have enough for this one.
-	if !found.loansRequested || found.waiters[0].since > found.loansRequestedAt {
-		found.loansRequested, found.requestedLenders, found.lenders = true, 0, h.lendersOf(found)
-		h.requestLoans(now, found)
+	if !budgetAccount.loansRequested || budgetAccount.waiters[0].since > budgetAccount.loansRequestedAt {
+		budgetAccount.loansRequested, budgetAccount.requestedLenders, budgetAccount.lenders = true, 0, h.lendersOf(budgetAccount)
+		h.requestLoans(now, budgetAccount)
 		return
 	}
-	if found.requestedLenders < len(found.lenders) && now-found.loansRequestedAt >= loanRoundTime {
-		h.requestLoans(now, found)
+	if budgetAccount.requestedLenders < len(budgetAccount.lenders) && now-budgetAccount.loansRequestedAt >= loanRoundTime {
+		h.requestLoans(now, budgetAccount)
 		return
 	}
-	if now-found.loansRequestedAt >= loanTimeout {
-		found.loansRequested = false
-		h.refuseFirst(now, found, ErrUnreachable)
+	if now-budgetAccount.loansRequestedAt >= loanTimeout {
+		budgetAccount.loansRequested = false
+		h.refuseFirst(now, budgetAccount, ErrUnreachable)
 	}
 }
 
 // lendersOf returns the nodes to request loans from, in order. For a pool holder they are the pool
 // holders of other zones, because all other nodes hold little.
-func (h *Holder) lendersOf(found *account) []string {
-	if h.options.RemotePools == nil || found.pooled {
+func (h *Holder) lendersOf(budgetAccount *account) []string {
+	if h.options.RemotePools == nil || budgetAccount.pooled {
 		return h.options.Lenders
 	}
-	if far := h.options.RemotePools(found.name); len(far) > 0 {
-		return far
+	if remote := h.options.RemotePools(budgetAccount.name); len(remote) > 0 {
+		return remote
 	}
 	return h.options.Lenders
 }
 
 // requestLoans requests what the first waiter lacks from the next round of lenders.
-func (h *Holder) requestLoans(now time.Duration, found *account) {
-	found.loansRequestedAt = now
-	last := min(len(found.lenders), max(firstLoanRoundSize, 3*found.requestedLenders))
-	for _, lender := range found.lenders[min(found.requestedLenders, last):last] {
-		request := &LoanRequest{Borrower: h.options.ID, Budget: found.name, Required: found.shortfall()}
+func (h *Holder) requestLoans(now time.Duration, budgetAccount *account) {
+	budgetAccount.loansRequestedAt = now
+	last := min(len(budgetAccount.lenders), max(firstLoanRoundSize, 3*budgetAccount.requestedLenders))
+	for _, lender := range budgetAccount.lenders[min(budgetAccount.requestedLenders, last):last] {
+		request := &LoanRequest{Borrower: h.options.ID, Budget: budgetAccount.name, Required: budgetAccount.shortfall()}
 		h.loans = append(h.loans, OutgoingLoan{To: lender, Message: LoanMessage{Request: request}})
 	}
-	found.requestedLenders = last
+	budgetAccount.requestedLenders = last
 }
 
-func (h *Holder) refuseFirst(now time.Duration, found *account, err error) {
-	h.refuse(now, found, 0, err)
+func (h *Holder) refuseFirst(now time.Duration, budgetAccount *account, err error) {
+	h.refuse(now, budgetAccount, 0, err)
 }
 
 // refuse ends the wait of one waiter with an error, and then serves the others.
-func (h *Holder) refuse(now time.Duration, found *account, position int, err error) {
-	refused := found.waiters[position]
-	found.waiters = slices.Delete(found.waiters, position, position+1)
+func (h *Holder) refuse(now time.Duration, budgetAccount *account, position int, err error) {
+	refused := budgetAccount.waiters[position]
+	budgetAccount.waiters = slices.Delete(budgetAccount.waiters, position, position+1)
 	refused.done(Reservation{}, err)
-	h.serve(now, found)
+	h.serve(now, budgetAccount)
 }
 
 // Report returns the report that is due to the root now, and whether there is one.
@@ -418,9 +418,9 @@
 	h.contact.now = now
 	message := ReportMessage{Holder: h.options.ID, Recalled: h.recalled, Allowances: h.options.Allowances}
 	for _, name := range h.names {
-		found := h.accounts[name]
-		if found.reportDue(now) || h.isRecalled(name) {
-			message.Reports = append(message.Reports, found.report(now))
+		budgetAccount := h.accounts[name]
+		if budgetAccount.reportDue(now) || h.isRecalled(name) {
+			message.Reports = append(message.Reports, budgetAccount.report(now))
 		}
 	}
 	h.recalled = nil
@@ -438,8 +438,8 @@
 	return slices.ContainsFunc(h.recalled, func(recall RecallMessage) bool { return recall.Budget == budget })
 }
 
-// TakeResponse applies the root's responses. It returns those whose watermarks have become durable, so that
-// the caller can forget the claims up to them.
+// TakeResponse applies the root's responses. It returns those whose watermarks have become durable,
+// so that the caller can forget the claims up to them.
 func (h *Holder) TakeResponse(now time.Duration, message ResponseMessage) []accounts.Answer {
 	if message.Holder != h.options.ID {
 		return nil
@@ -448,37 +448,37 @@
 	h.receiveContact(message.Contact)
 	var advanced []accounts.Answer
 	for _, response := range message.Responses {
-		found := h.accounts[response.Budget]
-		if found == nil {
+		budgetAccount := h.accounts[response.Budget]
+		if budgetAccount == nil {
 			continue
 		}
-		found.granted = max(found.granted, response.Granted)
-		if found.confirm(response.Answer) {
+		budgetAccount.granted = max(budgetAccount.granted, response.Granted)
+		if budgetAccount.confirm(response.Answer) {
 			advanced = append(advanced, response.Answer)
 		}
-		h.applyResponse(now, found, response)
+		h.applyResponse(now, budgetAccount, response)
 	}
 	return advanced
 }
 
-func (h *Holder) applyResponse(now time.Duration, found *account, response Response) {
+func (h *Holder) applyResponse(now time.Duration, budgetAccount *account, response Response) {
 	switch {
 	case response.Closed:
 		h.close()
 		return
 	case response.Unknown:
-		found.requested = false
-		h.refuseAll(found, ErrUnknownBudget)
+		budgetAccount.requested = false
+		h.refuseAll(budgetAccount, ErrUnknownBudget)
 		return
 	}
-	if response.Request == found.requestNumber {
-		found.requested = false
-		if response.Short && found.shortfall() > 0 {
-			h.refuseFirst(now, found, refusalOf(response, found.waiters[0].amount))
+	if response.Request == budgetAccount.requestNumber {
+		budgetAccount.requested = false
+		if response.Short && budgetAccount.shortfall() > 0 {
+			h.refuseFirst(now, budgetAccount, refusalOf(response, budgetAccount.waiters[0].amount))
 			return
 		}
 	}
-	h.serve(now, found)
+	h.serve(now, budgetAccount)
 }
 
 // refusalOf returns why a request for amount tokens fell short. Holders that did not respond matter
@@ -498,11 +498,11 @@
 	}
 }
 
-func (h *Holder) refuseAll(found *account, err error) {
-	waiters := found.waiters
-	found.waiters = nil
-	for _, one := range waiters {
-		one.done(Reservation{}, err)
+func (h *Holder) refuseAll(budgetAccount *account, err error) {
+	waiters := budgetAccount.waiters
+	budgetAccount.waiters = nil
+	for _, waiting := range waiters {
+		waiting.done(Reservation{}, err)
 	}
 }
 
@@ -513,26 +513,26 @@
 	if recall.Holder != h.options.ID {
 		return
 	}
-	found := h.account(recall.Budget)
-	found.granted = max(found.granted, recall.Granted)
-	found.returned += found.unreserved()
+	budgetAccount := h.account(recall.Budget)
+	budgetAccount.granted = max(budgetAccount.granted, recall.Granted)
+	budgetAccount.returned += budgetAccount.unreserved()
 	h.recalled = append(h.recalled, recall)
 }
 
 // ReturnAll returns everything that is free, for a planned stop.
 func (h *Holder) ReturnAll() {
-	for _, found := range h.accounts {
-		if held := found.unreserved(); held > 0 {
-			found.returned += held
-			found.reportedAt = 0
+	for _, budgetAccount := range h.accounts {
+		if held := budgetAccount.unreserved(); held > 0 {
+			budgetAccount.returned += held
+			budgetAccount.reportedAt = 0
 		}
 	}
 }
 
 // Unreported reports whether the root may lack a report, for a planned stop.
 func (h *Holder) Unreported() bool {
-	for _, found := range h.accounts {
-		if found.unconfirmed() {
+	for _, budgetAccount := range h.accounts {
+		if budgetAccount.unconfirmed() {
 			return true
 		}
 	}
@@ -542,9 +542,9 @@
 // ReportAgain makes the next Report repeat everything that the root has not confirmed, for a planned
 // stop.
 func (h *Holder) ReportAgain() {
-	for _, found := range h.accounts {
-		if found.unconfirmed() {
-			found.reportedAt = 0
+	for _, budgetAccount := range h.accounts {
+		if budgetAccount.unconfirmed() {
+			budgetAccount.reportedAt = 0
 		}
 	}
 }
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -27,8 +27,8 @@
 		return false
 	}
 	response := ResponseMessage{Holder: report.Holder}
-	for _, one := range report.Reports {
-		response.Responses = append(response.Responses, Response{Answer: root.Take(report.Holder, one, 0)})
+	for _, budgetReport := range report.Reports {
+		response.Responses = append(response.Responses, Response{Answer: root.Take(report.Holder, budgetReport, 0)})
 	}
 	holder.TakeResponse(now, response)
 	return true
@@ -37,9 +37,9 @@
 func reserveOne(t *testing.T, root *accounts.Accounts, holder *Holder, amount uint64) Reservation {
 	t.Helper()
 	var reserved Reservation
-	holder.Reserve(time.Second, time.Hour, "b", amount, Policy{}, func(given Reservation, err error) {
+	holder.Reserve(time.Second, time.Hour, "b", amount, Policy{}, func(reservation Reservation, err error) {
 		assert.NilError(t, err)
-		reserved = given
+		reserved = reservation
 	})
 	assert.Assert(t, exchange(time.Second, root, holder))
 	assert.Equal(t, reserved.Amount, amount)
@@ -87,12 +87,12 @@
 // If all entry nodes are partitioned from the root seconds after traffic began, what they hold must
 // follow the demand from the start, not only after several half-lives.
 func TestTargetFollowsDemandFromTheStart(t *testing.T) {
-	found := NewHolder(HolderOptions{}).account("b")
+	budgetAccount := NewHolder(HolderOptions{}).account("b")
 	const perSecond = 1000
 	for second := range 5 {
-		found.noteDemand(time.Duration(second)*time.Second, perSecond)
+		budgetAccount.noteDemand(time.Duration(second)*time.Second, perSecond)
 	}
-	target := found.target(5 * time.Second)
+	target := budgetAccount.target(5 * time.Second)
 	assert.Assert(t, target > 8*perSecond && target < 14*perSecond, "%d", target)
 }
 
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -22,32 +22,32 @@
 
 // loanTo returns the loan to another holder, and creates an empty one on first use.
 func (a *account) loanTo(borrower accounts.HolderID) *loanState {
-	given := a.lent[borrower]
-	if given == nil {
-		given = &loanState{}
-		a.lent[borrower] = given
+	state := a.lent[borrower]
+	if state == nil {
+		state = &loanState{}
+		a.lent[borrower] = state
 	}
-	return given
+	return state
 }
 
 // Lend subtracts a loan for another holder: what it requires if that much is free, else half of what
 // is free. It reports whether there is a loan to agree; the caller has it agreed in the claim register
 // and then calls Agreed.
 func (h *Holder) Lend(request LoanRequest, fenced func(accounts.HolderID) bool) (accounts.Loan, bool) {
-	found := h.accounts[request.Budget]
-	if found == nil || h.closed || request.Borrower.Node == h.options.ID.Node || fenced(request.Borrower) {
+	budgetAccount := h.accounts[request.Budget]
+	if budgetAccount == nil || h.closed || request.Borrower.Node == h.options.ID.Node || fenced(request.Borrower) {
 		return accounts.Loan{}, false
 	}
-	given := found.loanTo(request.Borrower)
-	if len(found.waiters) == 0 {
-		lend := min(request.Required, found.free()/2)
-		if request.Required <= found.free() {
+	state := budgetAccount.loanTo(request.Borrower)
+	if len(budgetAccount.waiters) == 0 {
+		lend := min(request.Required, budgetAccount.free()/2)
+		if request.Required <= budgetAccount.free() {
 			lend = request.Required
 		}
-		given.total += lend
+		state.total += lend
 	}
-	loan := accounts.Loan{Lender: h.options.ID, Borrower: request.Borrower, Budget: request.Budget, Total: given.total}
-	return loan, given.total > given.agreed
+	loan := accounts.Loan{Lender: h.options.ID, Borrower: request.Borrower, Budget: request.Budget, Total: state.total}
+	return loan, state.total > state.agreed
 }
 
 // Offer offers all that is free to another holder's node, for a planned stop while the root is
@@ -79,9 +79,9 @@
 
 // LoansConfirmed reports whether borrowers have confirmed all that was lent.
 func (h *Holder) LoansConfirmed() bool {
-	for _, found := range h.accounts {
-		for _, given := range found.lent {
-			if given.confirmed < given.total {
+	for _, budgetAccount := range h.accounts {
+		for _, state := range budgetAccount.lent {
+			if state.confirmed < state.total {
 				return false
 			}
 		}
@@ -91,39 +91,39 @@
 
 // LoanAgreed records that a loan is in its claim register, and sends it to the borrower.
 func (h *Holder) LoanAgreed(now time.Duration, loan accounts.Loan) {
-	found := h.accounts[loan.Budget]
-	if loan.Lender != h.options.ID || found == nil || found.lent[loan.Borrower] == nil {
+	budgetAccount := h.accounts[loan.Budget]
+	if loan.Lender != h.options.ID || budgetAccount == nil || budgetAccount.lent[loan.Borrower] == nil {
 		return
 	}
-	given := found.lent[loan.Borrower]
-	given.agreed = max(given.agreed, loan.Total)
-	h.sendLoan(now, found, loan.Borrower, given)
+	state := budgetAccount.lent[loan.Borrower]
+	state.agreed = max(state.agreed, loan.Total)
+	h.sendLoan(now, budgetAccount, loan.Borrower, state)
 }
 
-func (h *Holder) sendLoan(now time.Duration, found *account, borrower accounts.HolderID, given *loanState) {
-	given.sentAt = now
-	loan := accounts.Loan{Lender: h.options.ID, Borrower: borrower, Budget: found.name, Total: given.agreed}
+func (h *Holder) sendLoan(now time.Duration, budgetAccount *account, borrower accounts.HolderID, state *loanState) {
+	state.sentAt = now
+	loan := accounts.Loan{Lender: h.options.ID, Borrower: borrower, Budget: budgetAccount.name, Total: state.agreed}
 	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LoanMessage{Loan: &loan}})
 }
 
 // resendLoans resends the loans that a borrower has not confirmed.
-func (h *Holder) resendLoans(now time.Duration, found *account) {
-	for _, borrower := range slices.SortedFunc(maps.Keys(found.lent), accounts.HolderID.Compare) {
-		given := found.lent[borrower]
-		if given.agreed > given.confirmed && now-given.sentAt >= loanResend {
-			h.sendLoan(now, found, borrower, given)
+func (h *Holder) resendLoans(now time.Duration, budgetAccount *account) {
+	for _, borrower := range slices.SortedFunc(maps.Keys(budgetAccount.lent), accounts.HolderID.Compare) {
+		state := budgetAccount.lent[borrower]
+		if state.agreed > state.confirmed && now-state.sentAt >= loanResend {
+			h.sendLoan(now, budgetAccount, borrower, state)
 		}
 	}
 }
 
 // LoanConfirmed records a borrower's confirmation.
 func (h *Holder) LoanConfirmed(loan accounts.Loan) {
-	found := h.accounts[loan.Budget]
-	if loan.Lender != h.options.ID || found == nil || found.lent[loan.Borrower] == nil {
+	budgetAccount := h.accounts[loan.Budget]
+	if loan.Lender != h.options.ID || budgetAccount == nil || budgetAccount.lent[loan.Borrower] == nil {
 		return
 	}
-	given := found.lent[loan.Borrower]
-	given.confirmed = max(given.confirmed, loan.Total)
+	state := budgetAccount.lent[loan.Borrower]
+	state.confirmed = max(state.confirmed, loan.Total)
 }
 
 // TakeLoan adds what another holder has lent, and confirms it. It ignores a loan of an incarnation
@@ -133,10 +133,10 @@
 		return
 	}
 	h.contact.now = now
-	found := h.account(loan.Budget)
-	found.borrowed[loan.Lender] = max(found.borrowed[loan.Lender], loan.Total)
+	budgetAccount := h.account(loan.Budget)
+	budgetAccount.borrowed[loan.Lender] = max(budgetAccount.borrowed[loan.Lender], loan.Total)
 	h.loans = append(h.loans, OutgoingLoan{To: loan.Lender.Node, Message: LoanMessage{Confirmed: &loan}})
-	h.serve(now, found)
+	h.serve(now, budgetAccount)
 }
 
 // LoansWith returns this holder's own loans from and to an incarnation that is fenced here. This report
@@ -144,12 +144,12 @@
 func (h *Holder) LoansWith(other accounts.HolderID) []accounts.Loan {
 	var loans []accounts.Loan
 	for _, name := range h.names {
-		found := h.accounts[name]
-		if given := found.lent[other]; given != nil {
-			loans = append(loans, accounts.Loan{Lender: h.options.ID, Borrower: other, Budget: name, Total: given.total})
+		budgetAccount := h.accounts[name]
+		if state := budgetAccount.lent[other]; state != nil {
+			loans = append(loans, accounts.Loan{Lender: h.options.ID, Borrower: other, Budget: name, Total: state.total})
 		}
 		// Included also with a total of 0: a loan in transit is not accepted any more.
-		loans = append(loans, accounts.Loan{Lender: other, Borrower: h.options.ID, Budget: name, Total: found.borrowed[other]})
+		loans = append(loans, accounts.Loan{Lender: other, Borrower: h.options.ID, Budget: name, Total: budgetAccount.borrowed[other]})
 	}
 	return loans
 }
--- a/internal/coordination/escrow/loans_test.go
+++ b/internal/coordination/escrow/loans_test.go
@@ -23,8 +23,8 @@
 
 func countLoanRequests(holder *Holder) int {
 	count := 0
-	for _, one := range holder.TakeOutgoingLoans() {
-		if one.Message.Request != nil {
+	for _, outgoing := range holder.TakeOutgoingLoans() {
+		if outgoing.Message.Request != nil {
 			count++
 		}
 	}
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -84,22 +84,22 @@
 
 // notePooled records whether the node leaves a budget to its zone's pool holders. A node with much
 // demand does so too: requests that it forwards to other nodes require the same tokens.
-func (h *Holder) notePooled(found *account) {
-	found.pooled = h.options.Pool != nil && len(h.options.Pool(found.name)) > 0
+func (h *Holder) notePooled(budgetAccount *account) {
+	budgetAccount.pooled = h.options.Pool != nil && len(h.options.Pool(budgetAccount.name)) > 0
 }
 
 // requestFromPool requests the tokens of each waiter from the pool holders, one pool holder after
 // the other. It does so for all waiters at the same time, else each would wait for the round trips
 // of all before it. It returns false if no pool holder is left for the first waiter and the request
 // goes to the root.
-func (h *Holder) requestFromPool(now time.Duration, found *account) bool {
-	if !found.pooled || found.waiters[0].isLoan() {
+func (h *Holder) requestFromPool(now time.Duration, budgetAccount *account) bool {
+	if !budgetAccount.pooled || budgetAccount.waiters[0].isLoan() {
 		return false
 	}
-	holders := h.options.Pool(found.name)
+	holders := h.options.Pool(budgetAccount.name)
 	noHolderLeft := false
-	for position := range found.waiters {
-		waiting := &found.waiters[position]
+	for position := range budgetAccount.waiters {
+		waiting := &budgetAccount.waiters[position]
 		if waiting.isLoan() || waiting.search.round > 0 && now-waiting.search.requestedAt < poolRoundTime {
 			continue
 		}
@@ -109,10 +109,10 @@
 		}
 		required := waiting.amount
 		if position == 0 {
-			required = found.shortfall()
+			required = budgetAccount.shortfall()
 		}
 		request := &PoolRequest{
-			Borrower: h.options.ID, Budget: found.name, Required: required, Number: waiting.number,
+			Borrower: h.options.ID, Budget: budgetAccount.name, Required: required, Number: waiting.number,
 			MaximumWaitMS: uint64(max(0, waiting.deadline-now).Milliseconds()),
 		}
 		h.pools = append(h.pools, OutgoingPool{To: holders[waiting.search.round], Message: PoolMessage{Request: request}})
@@ -138,16 +138,16 @@
 		return
 	}
 	h.contact.now = now
-	found := h.account(request.Budget)
-	found.noteDemand(now, request.Required)
-	h.notePooled(found)
+	budgetAccount := h.account(request.Budget)
+	budgetAccount.noteDemand(now, request.Required)
+	h.notePooled(budgetAccount)
 	deadline := now + time.Duration(request.MaximumWaitMS)*time.Millisecond
-	found.addWaiter(waiter{amount: request.Required, since: now, deadline: deadline, borrower: request.Borrower, done: func(_ Reservation, err error) {
+	budgetAccount.addWaiter(waiter{amount: request.Required, since: now, deadline: deadline, borrower: request.Borrower, done: func(_ Reservation, err error) {
 		if err != nil {
 			h.refusePool(request, poolRefusalOf(err))
 		}
 	}})
-	h.serve(now, found)
+	h.serve(now, budgetAccount)
 }
 
 func poolRefusalOf(err error) PoolRefusal {
@@ -166,30 +166,30 @@
 // takePoolRefusal ends the wait for a pool holder: it refuses the waiter, or tries the next pool holder
 // if this one is stopping.
 func (h *Holder) takePoolRefusal(now time.Duration, refusal PoolRefusal) {
-	found := h.accounts[refusal.Budget]
-	if refusal.Borrower != h.options.ID || found == nil {
+	budgetAccount := h.accounts[refusal.Budget]
+	if refusal.Borrower != h.options.ID || budgetAccount == nil {
 		return
 	}
-	position := slices.IndexFunc(found.waiters, func(one waiter) bool { return one.number == refusal.Number })
+	position := slices.IndexFunc(budgetAccount.waiters, func(candidate waiter) bool { return candidate.number == refusal.Number })
 	if position < 0 {
 		return
 	}
 	h.contact.now = now
 	switch {
 	case refusal.Stopping:
-		found.waiters[position].search.requestedAt = now - poolRoundTime
-		h.serve(now, found)
+		budgetAccount.waiters[position].search.requestedAt = now - poolRoundTime
+		h.serve(now, budgetAccount)
 	case refusal.Exhausted != nil:
-		h.refuse(now, found, position, refusal.Exhausted)
+		h.refuse(now, budgetAccount, position, refusal.Exhausted)
 	default:
 		// The pool holder has also requested loans from the other zones' pool holders.
-		h.refuse(now, found, position, ErrUnreachable)
+		h.refuse(now, budgetAccount, position, ErrUnreachable)
 	}
 }
 
 // lendToWaiter lends a waiting request of another node its tokens.
-func (h *Holder) lendToWaiter(now time.Duration, found *account, next waiter) {
-	given := found.loanTo(next.borrower)
-	given.total += next.amount
-	h.LoanAgreed(now, accounts.Loan{Lender: h.options.ID, Borrower: next.borrower, Budget: found.name, Total: given.total})
+func (h *Holder) lendToWaiter(now time.Duration, budgetAccount *account, next waiter) {
+	state := budgetAccount.loanTo(next.borrower)
+	state.total += next.amount
+	h.LoanAgreed(now, accounts.Loan{Lender: h.options.ID, Borrower: next.borrower, Budget: budgetAccount.name, Total: state.total})
 }
--- a/internal/coordination/escrow/pool_test.go
+++ b/internal/coordination/escrow/pool_test.go
@@ -25,9 +25,9 @@
 }
 
 func reserveInPool(holder *Holder, now time.Duration, amount uint64) *outcome {
-	one := &outcome{}
-	holder.Reserve(now, now+120*time.Millisecond, "b", amount, Policy{}, func(_ Reservation, err error) { one.ended, one.err = true, err })
-	return one
+	result := &outcome{}
+	holder.Reserve(now, now+120*time.Millisecond, "b", amount, Policy{}, func(_ Reservation, err error) { result.ended, result.err = true, err })
+	return result
 }
 
 func sentPoolRequest(t *testing.T, holder *Holder) (to string, request PoolRequest) {
@@ -40,7 +40,7 @@
 
 func TestRequestsGoToPoolHoldersBeforeTheRoot(t *testing.T) {
 	holder := pooledHolder("p", "q")
-	one := reserveInPool(holder, time.Second, 10)
+	result := reserveInPool(holder, time.Second, 10)
 	to, request := sentPoolRequest(t, holder)
 	assert.Equal(t, to, "p")
 	assert.Equal(t, request.Required, uint64(10))
@@ -58,18 +58,18 @@
 	report, due := holder.Report(time.Second + 2*poolRoundTime)
 	assert.Assert(t, due)
 	assert.Equal(t, report.Reports[0].Need, uint64(10))
-	assert.Assert(t, !one.ended)
+	assert.Assert(t, !result.ended)
 }
 
 func TestPoolRefusalEndsOnlyTheRequestItNames(t *testing.T) {
 	holder := pooledHolder("p", "q")
-	one := reserveInPool(holder, time.Second, 10)
+	first := reserveInPool(holder, time.Second, 10)
 	_, request := sentPoolRequest(t, holder)
 	refusal := PoolRefusal{Borrower: holder.ID(), Budget: "b", Number: request.Number}
 	stale := refusal
 	stale.Number++
 	holder.takePoolRefusal(time.Second, stale)
-	assert.Assert(t, !one.ended)
+	assert.Assert(t, !first.ended)
 
 	stopping := refusal
 	stopping.Stopping = true
@@ -79,15 +79,15 @@
 
 	refusal.Exhausted = &ExhaustedError{Limit: 100, Spent: 95}
 	holder.takePoolRefusal(time.Second, refusal)
-	assert.Assert(t, errors.Is(one.err, ErrExhausted))
+	assert.Assert(t, errors.Is(first.err, ErrExhausted))
 	var exhausted *ExhaustedError
-	assert.Assert(t, errors.As(one.err, &exhausted))
+	assert.Assert(t, errors.As(first.err, &exhausted))
 	assert.Equal(t, exhausted.Spent, uint64(95))
 
-	other := reserveInPool(holder, 2*time.Second, 10)
+	second := reserveInPool(holder, 2*time.Second, 10)
 	_, request = sentPoolRequest(t, holder)
 	holder.takePoolRefusal(2*time.Second, PoolRefusal{Borrower: holder.ID(), Budget: "b", Number: request.Number})
-	assert.Assert(t, errors.Is(other.err, ErrUnreachable))
+	assert.Assert(t, errors.Is(second.err, ErrUnreachable))
 }
 
 // A node once requested the tokens of one waiter at a time, which limits it to 50 requests a second of
@@ -126,19 +126,19 @@
 	pool.TakeResponse(time.Second, ResponseMessage{Holder: pool.ID(), Responses: []Response{{Answer: accounts.Answer{Budget: "b", Granted: 100, Request: 1, Limit: 1000}}}})
 
 	holder := pooledHolder("p")
-	var held Reservation
+	var reservation Reservation
 	holder.Reserve(time.Second, 2*time.Second, "b", 30, Policy{}, func(reserved Reservation, err error) {
 		assert.NilError(t, err)
-		held = reserved
+		reservation = reserved
 	})
 	deliver(time.Second, holder, pool)
 	deliver(time.Second, pool, holder)
 	deliver(time.Second, holder, pool)
-	assert.Equal(t, held.Amount, uint64(30))
+	assert.Equal(t, reservation.Amount, uint64(30))
 	assert.Equal(t, pool.Free("b"), uint64(69))
 	assert.Assert(t, pool.LoansConfirmed())
 
-	holder.Settle(time.Second, held, 20)
+	holder.Settle(time.Second, reservation, 20)
 	assert.Equal(t, holder.Free("b"), uint64(10))
 	holder.Tick(time.Second)
 	assert.Equal(t, holder.Free("b"), uint64(0))
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -23,13 +23,14 @@
 	// Respond and Recall pass messages to the transport.
 	Respond func(to string, message ResponseMessage)
 	Recall  func(to string, message RecallMessage)
-	// SummaryOf returns the summary of a budget, and Tell passes the message to the transport. If Tell
-	// is nil, holders receive summaries only with the responses to their reports.
+	// SummaryOf returns the summary of a budget, and SendSummaries passes summaries to the
+	// transport. If SendSummaries is nil, holders receive summaries only with the responses to
+	// their reports.
 	SummaryOf     func(budget string) BudgetSummary
 	SendSummaries func(to string, message SummariesMessage)
-	// RecallInterval is the time after a recall without enough returns in which the budget is not recalled
-	// again. With many holders and that few tokens, each refusal would otherwise cost a message to and
-	// from all of them.
+	// RecallInterval is the time after a recall without enough returns in which the budget is not
+	// recalled again. With many holders and that few tokens, each refusal would otherwise cost a
+	// message to and from all of them.
 	RecallInterval time.Duration
 	// Contact reads the leader's clocks, for holders that respect allowances; nil if there are none.
 	Contact func() accounts.Contact
@@ -153,9 +154,9 @@
 }
 
 func (r *Root) respond(now time.Duration, pending pendingReport, responses []accounts.Answer, contact accounts.Contact) {
-	reply := ResponseMessage{Holder: pending.message.Holder}
+	message := ResponseMessage{Holder: pending.message.Holder}
 	if pending.message.Allowances {
-		reply.Contact = contact
+		message.Contact = contact
 	}
 	for position, response := range responses {
 		if response.Short && pending.afterRecall {
@@ -167,10 +168,10 @@
 				continue
 			}
 		}
-		reply.Responses = append(reply.Responses, Response{Answer: response, Unreached: pending.unreached})
+		message.Responses = append(message.Responses, Response{Answer: response, Unreached: pending.unreached})
 	}
-	if len(reply.Responses) > 0 || reply.Contact.Index > 0 {
-		r.options.Respond(pending.message.Holder.Node, reply)
+	if len(message.Responses) > 0 || message.Contact.Index > 0 {
+		r.options.Respond(pending.message.Holder.Node, message)
 	}
 }
 
@@ -199,9 +200,9 @@
 	started := &recall{number: r.number, deadline: now + recallTimeout, pendingHolders: map[accounts.HolderID]struct{}{}}
 	started.keepShortReport(short)
 	r.recalls[report.Budget] = started
-	for _, one := range holders {
-		started.pendingHolders[one.ID] = struct{}{}
-		r.recallFrom(report.Budget, one)
+	for _, recalled := range holders {
+		started.pendingHolders[recalled.ID] = struct{}{}
+		r.recallFrom(report.Budget, recalled)
 	}
 	return true
 }
--- a/internal/coordination/escrow/summary_test.go
+++ b/internal/coordination/escrow/summary_test.go
@@ -19,25 +19,25 @@
 }
 
 func newGroup(limit uint64, count int) *group {
-	made := &group{accounts: rootWith(limit), holders: map[string]*Holder{}}
-	made.root = NewRoot(RootOptions{
+	created := &group{accounts: rootWith(limit), holders: map[string]*Holder{}}
+	created.root = NewRoot(RootOptions{
 		HoldersOf: func(string) []accounts.Holder {
 			var open []accounts.Holder
-			for _, one := range made.accounts.Budget("b").OpenHolders() {
-				open = append(open, *one)
+			for _, holder := range created.accounts.Budget("b").OpenHolders() {
+				open = append(open, *holder)
 			}
 			return open
 		},
-		Respond:       func(to string, message ResponseMessage) { made.holders[to].TakeResponse(0, message) },
-		Recall:        func(to string, message RecallMessage) { made.holders[to].Recall(message) },
-		SummaryOf:     func(name string) BudgetSummary { return SummaryOf(made.accounts.Budget(name)) },
-		SendSummaries: func(to string, message SummariesMessage) { made.holders[to].TakeSummaries(message) },
+		Respond:       func(to string, message ResponseMessage) { created.holders[to].TakeResponse(0, message) },
+		Recall:        func(to string, message RecallMessage) { created.holders[to].Recall(message) },
+		SummaryOf:     func(name string) BudgetSummary { return SummaryOf(created.accounts.Budget(name)) },
+		SendSummaries: func(to string, message SummariesMessage) { created.holders[to].TakeSummaries(message) },
 	})
 	for number := range count {
 		name := fmt.Sprintf("n%d", number)
-		made.holders[name] = NewHolder(HolderOptions{ID: accounts.HolderID{Node: name, Incarnation: 1}})
+		created.holders[name] = NewHolder(HolderOptions{ID: accounts.HolderID{Node: name, Incarnation: 1}})
 	}
-	return made
+	return created
 }
 
 // step lets all holders report and the root respond.
@@ -50,12 +50,12 @@
 	}
 	if batch, found := g.root.Batch(); found {
 		var responses [][]accounts.Answer
-		for _, one := range batch.Command.Reports {
-			var given []accounts.Answer
-			for _, report := range one.Reports {
-				given = append(given, g.accounts.Take(one.Holder, report, 0))
+		for _, holderReports := range batch.Command.Reports {
+			var holderResponses []accounts.Answer
+			for _, report := range holderReports.Reports {
+				holderResponses = append(holderResponses, g.accounts.Take(holderReports.Holder, report, 0))
 			}
-			responses = append(responses, given)
+			responses = append(responses, holderResponses)
 		}
 		g.root.Applied(now, batch, machine.Result{Answers: responses})
 	}
@@ -67,10 +67,10 @@
 	t.Helper()
 	served := false
 	holder := g.holders[name]
-	holder.Reserve(now, now+time.Hour, "b", amount, Policy{}, func(given Reservation, err error) {
+	holder.Reserve(now, now+time.Hour, "b", amount, Policy{}, func(reservation Reservation, err error) {
 		assert.NilError(t, err)
 		served = true
-		holder.Settle(now, given, amount)
+		holder.Settle(now, reservation, amount)
 	})
 	for range 4 {
 		g.step(now)
--- a/internal/coordination/logversion/logversion.go
+++ b/internal/coordination/logversion/logversion.go
@@ -33,8 +33,8 @@
 // earlier build can have held the group's log.
 func New(isNewGroup bool) Raise { return Raise{isNewGroup: isNewGroup} }
 
-// Update updates the state from the reachable control nodes, this one included, and the addresses of the
-// group's members.
+// Update updates the state from the reachable control nodes, this one included, and the addresses
+// of the group's members.
 func (r *Raise) Update(now time.Duration, reachable []ControlNode, members []string) {
 	r.waitsFor = nil
 	isReachable := make(map[string]bool, len(reachable))
