--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -135,7 +135,7 @@
 	p.beginAccept(now, started)
 }
 
-// generatedRound is the round of ChangeMinted, and the lowest one; other proposals begin above it.
+// generatedRound is the round of ChangeNewKey, and the lowest one; other proposals begin above it.
 const generatedRound = 1
 
 func (p *Proposer) start(deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) *operation {
--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -20,8 +20,10 @@
 	lent     map[accounts.HolderID]*loanState
 	// open holds the reservations that are not settled yet, by sequence number. settledAhead holds
 	// the use of reservations that were settled while an earlier one is still open.
-	open             map[uint64]uint64
-	settledAhead     map[uint64]uint64
+	open         map[uint64]uint64
+	settledAhead map[uint64]uint64
+	// sequence is the number of the newest reservation. All reservations up to watermark are settled,
+	// with watermarkSettled as the sum of their use.
 	sequence         uint64
 	watermark        uint64
 	watermarkSettled uint64
@@ -41,7 +43,8 @@
 
 	waiters []waiter
 	// lastWaiter is the number of the newest waiter. Waiters are numbered from 1.
-	lastWaiter    uint64
+	lastWaiter uint64
+	// requestNumber numbers the requests to the root; a response repeats it.
 	requestNumber uint64
 	// requested is set while a request to the root has no response; reportedAt is when the last report
 	// was sent.
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -51,8 +51,10 @@
 	return c.now - c.latestAt
 }
 
-// allowances are a holder's allowances on one budget. The root's log may hold any allowance that was
-// sent and not confirmed, so the holder respects the minimum of them.
+// allowances are a holder's allowances on one budget. An allowance limits the use of a grant, so that
+// the root knows what an incarnation can have used when it crashes; see accounts.Allowance. The root's
+// log may hold any allowance that was sent and not confirmed, so the holder respects the minimum of
+// them.
 type allowances struct {
 	// confirmed is the newest allowance that is known to be in the log; sent holds the later ones, in
 	// order.
--- a/internal/coordination/escrow/doc.go
+++ b/internal/coordination/escrow/doc.go
@@ -6,9 +6,11 @@
 // and what its recent demand will require, and returns what it no longer requires. A grant is the
 // amount of a budget that the root has moved to a holder. Before the root refuses a request because
 // the budget is spent, it recalls the unused grants of every node that it reaches, so that the
-// refusal is correct while the nodes are connected. In a partitioned zone, nodes lend to each other.
+// refusal is correct while the nodes are connected. In a partitioned zone, nodes lend to each
+// other.
 //
 // All amounts in messages are cumulative, so a lost, late, duplicated or reordered message changes
 // nothing. Grants never expire: neither clocks nor missing contact prove that a grant is unspent.
-// What a lost node held returns to the budget when its incarnation is fenced and its claims are known.
+// What a lost node held returns to the budget when its incarnation is fenced, so that it can't
+// spend any more, and its claims (package claims) are known.
 package escrow
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -99,7 +99,7 @@
 // HolderOptions set up a Holder.
 type HolderOptions struct {
 	ID accounts.HolderID
-	// ResponseTimeout is how long the root may take to respond; 0 means DefaultAnswerTimeout.
+	// ResponseTimeout is how long the root may take to respond; 0 means DefaultResponseTimeout.
 	ResponseTimeout time.Duration
 	// Lenders are the nodes to borrow from when the root does not respond.
 	Lenders []string
@@ -346,7 +346,7 @@
 }
 
 // borrow requests loans from the neighbours for the first waiter, once the root has not responded for
-// AnswerTimeout, or immediately if it is known to be unreachable. It refuses the waiter if no loan
+// ResponseTimeout, or immediately if it is known to be unreachable. It refuses the waiter if no loan
 // arrives in time.
 func (h *Holder) borrow(now time.Duration, budgetAccount *account) {
 	if len(budgetAccount.waiters) == 0 || !budgetAccount.requested {
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -10,8 +10,8 @@
 	Reports []accounts.Report `msgpack:"r"`
 	// Recalled holds the recalls that these reports respond to.
 	Recalled []RecallMessage `msgpack:"c,omitempty"`
-	// Allowances reports whether the holder respects allowances. Heard is the newest contact that
-	// it has received, once the allowances cover its use.
+	// Allowances reports whether the holder respects allowances. LastContact is the newest contact
+	// that it has received, once the allowances cover its use.
 	Allowances  bool             `msgpack:"m,omitempty"`
 	LastContact accounts.Contact `msgpack:"k"`
 }
@@ -20,7 +20,7 @@
 type ResponseMessage struct {
 	Holder    accounts.HolderID `msgpack:"h"`
 	Responses []Response        `msgpack:"a"`
-	// Contact is when the root decided, for holders that respect allowances.
+	// Contact is when the root decided, for holders that respect allowances; else it is zero.
 	Contact accounts.Contact `msgpack:"k"`
 }
 
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -23,8 +23,7 @@
 	PoolHolders = 2
 )
 
-// PoolRequest asks a zone's pool holder of a budget to lend the tokens of one
-// request.
+// PoolRequest asks a zone's pool holder of a budget to lend the tokens of one request.
 type PoolRequest struct {
 	Borrower accounts.HolderID `msgpack:"h"`
 	Budget   string            `msgpack:"b"`
