--- a/internal/coordination/backoff/said.go
+++ b/internal/coordination/backoff/said.go
@@ -1,14 +1,14 @@
-// Package backoff keeps what instances ask of this node in their answers: to send them
-// nothing for a time, or nothing more since they leave.
+// Package backoff tracks the instances whose responses request a pause (no requests for a
+// time) or announce that they are leaving (no further requests).
 //
-// It goes by lives of instances. A pause ends with its time, that an instance leaves holds
-// for the rest of its life; neither changes of the registry nor of the configuration end
-// one. Nothing is written to an instance in its pause, and after it few requests show first
-// whether the instance takes work again.
+// The state is kept per incarnation, one run of an instance's process. A pause ends when its
+// time has passed; leaving lasts for the rest of the incarnation. Changes of the registry or
+// of the configuration end neither. No request is written to an instance during its pause.
+// After the pause a few trial requests first show whether the instance accepts work again.
 //
-// The package has no network and no clock: times are those of a steady clock of the caller.
-// Such a clock doesn't count the time for which the machine is suspended, so that a pause
-// never ends early.
+// The package uses no network and no clock: times are those of the caller's monotonic clock.
+// Such a clock doesn't count the time for which the machine is suspended, so a pause never
+// ends early.
 package backoff
 
 import (
@@ -20,26 +20,28 @@
 	"time"
 )
 
-// MaximumPause bounds what an instance may ask for: one that needs longer asks again.
+// MaximumPause bounds the pause of one response. An instance that needs longer requests
+// another one.
 const MaximumPause = 24 * time.Hour
 
-// errNotAPause says that a pause is no number of seconds.
+// errNotAPause reports a pause that is not a number of seconds.
 var errNotAPause = errors.New("backoff: not a number of seconds")
 
-// Said is what one answer of an instance asks for.
+// Said is what one response of an instance asks of this node.
 type Said struct {
-	// Pause is how long the instance wants no request from this node; 0 if it doesn't ask.
+	// Pause is how long this node is to send the instance no request; 0 if none is requested.
 	Pause time.Duration
-	// IsLeaving tells that the instance leaves: it wants nothing more.
+	// IsLeaving reports whether the instance is leaving and wants no further requests.
 	IsLeaving bool
-	// HasRun tells that the instance took the request and ran it.
+	// HasRun reports whether the instance accepted the request and ran it.
 	HasRun bool
-	// Fault is why a field can't be read. That field asks for nothing.
+	// Fault is the error of a field that can't be read. Such a field is ignored.
 	Fault error
 }
 
-// ReadPause reads the values of the field that asks for a pause: seconds, with or without
-// decimals. Of several the longest holds. One above MaximumPause is taken for that.
+// ReadPause reads the values of the field that requests a pause, in seconds with or without
+// decimals. The longest of several values applies. A value above MaximumPause counts as
+// MaximumPause. One unreadable value makes the whole field unreadable.
 func ReadPause(values []string) Said {
 	var said Said
 	for _, value := range values {
@@ -52,11 +54,11 @@
 	return said
 }
 
-// errNotAFlag says that a flag is neither 0 nor 1.
+// errNotAFlag reports a flag that is neither 0 nor 1.
 var errNotAFlag = errors.New("backoff: neither 0 nor 1")
 
-// WithLeaving adds what the values of the field say that tells of an instance that leaves:
-// 1 if it does, 0 if not. Of several any 1 holds.
+// WithLeaving returns the signal with the values of the field that announces a leaving
+// instance: 1 if it is leaving, 0 if not. Any 1 among several values applies.
 func (s Said) WithLeaving(values []string) Said {
 	for _, value := range values {
 		switch strings.TrimSpace(value) {
--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -14,158 +14,162 @@
 )
 
 const (
-	// unlistedMemory is how long an instance is remembered that nobody lists any more: a late
-	// word may list it again.
+	// unlistedMemory is how long the state of an instance is kept that no listing contains any
+	// more: a delayed update may list it again.
 	unlistedMemory = 10 * time.Minute
-	// unreadableKept bounds the lives that are remembered to have asked for what can't be
-	// read.
+	// unreadableKept bounds the number of incarnations that are remembered for having sent
+	// unreadable fields.
 	unreadableKept = 1024
 )
 
-// ReturnPolicy is how requests come back to an instance after its pause.
+// ReturnPolicy is how requests to an instance resume after its pause.
 type ReturnPolicy struct {
-	// Spread is the part of the pause over which nodes come back one by one, LongestSpread
-	// bounds it. They were all asked at about the same time.
+	// Spread is the fraction of the pause over which the nodes resume one by one, and
+	// LongestSpread bounds that time. Without it all nodes would resume at about the same
+	// moment, since the instance requested the pause from all of them at about the same time.
 	Spread        float64
 	LongestSpread time.Duration
-	// FirstTrials is the number of requests that may be unanswered there at first; each one
-	// that ran doubles it.
+	// FirstTrials is the number of trial requests that may be in flight at first; each one
+	// that ran doubles the number.
 	FirstTrials int
-	// FullTrials is the number from which the instance counts as back.
+	// FullTrials is the number from which the instance counts as recovered.
 	FullTrials int
-	// LongestTrials is the time after which it counts as back anyway: nobody may have asked
-	// it.
+	// LongestTrials is the time after which the instance counts as recovered anyway, since
+	// this node may have had no request to send to it.
 	LongestTrials time.Duration
 }
 
-// DefaultReturn has an instance tried by one request at a time, from a moment that each node
-// draws.
+// DefaultReturn starts with one trial request at a time, from a moment that each node draws
+// at random.
 var DefaultReturn = ReturnPolicy{Spread: 0.25, LongestSpread: 2 * time.Second, FirstTrials: 1, FullTrials: 4, LongestTrials: 2 * time.Second}
 
-// longestSpread is by how much a node may keep a pause longer than it was asked for.
+// longestSpread is by how much, in nanoseconds, a node may prolong a requested pause.
 func (p ReturnPolicy) longestSpread(asked time.Duration) float64 {
 	return min(p.Spread*float64(asked), float64(p.LongestSpread))
 }
 
-// Phase is what an instance takes from this node.
+// Phase is which requests an instance accepts from this node.
 type Phase uint8
 
 // Phases.
 const (
-	// Open: whatever it is sent.
+	// Open: all requests.
 	Open Phase = iota
-	// Paused: nothing until its pause is over.
+	// Paused: none until the pause has expired.
 	Paused
-	// Returning: its pause is over, and no request has shown yet that it takes work again.
+	// Returning: the pause has expired. Only trial requests are sent until enough of them
+	// have shown that the instance accepts work again.
 	Returning
-	// Leaving: nothing more.
+	// Leaving: none for the rest of the incarnation.
 	Leaving
 )
 
-// String names the phase.
+// String returns the name of the phase.
 func (p Phase) String() string { return [...]string{"open", "paused", "returning", "leaving"}[p] }
 
-// Standing is what is known of one life of an instance.
+// Standing is the pause state of one incarnation of an instance.
 type Standing struct {
 	Phase Phase
-	// Wait is how long its pause lasts on.
+	// Wait is the time until the pause expires.
 	Wait time.Duration
-	// HasTrial tells whether a Returning one may have another request.
+	// HasTrial reports whether a Returning instance may be sent another trial request.
 	HasTrial bool
 }
 
-// Tracker is what one node knows of the instances that asked it for a pause or told it that
-// they leave. Safe for concurrent use.
+// Tracker keeps the instances that requested a pause from this node or announced that they
+// are leaving. It is safe for concurrent use.
 type Tracker struct {
 	mutex   sync.Mutex
 	entries map[registry.Life]*entry
-	// known is the number of entries: without any, no request pays for them.
+	// known is the number of entries. While it is 0, requests take no lock.
 	known  atomic.Int64
 	policy ReturnPolicy
-	// random draws a number from 0 to below 1.
+	// random returns a number in [0, 1).
 	random func() float64
-	// unreadable are the lives that asked for what can't be read, told once each.
+	// unreadable are the incarnations that sent unreadable fields; each is reported once.
 	unreadable *bounded.Set[registry.Life]
 }
 
-// entry is a life that asked for a pause, or leaves.
+// entry is the state of an incarnation that requested a pause or is leaving.
 type entry struct {
 	life registry.Life
-	// askedAt is when the pause began, askedUntil the end that was asked for, until the
-	// later one that this node keeps.
+	// askedAt is when the pause began, askedUntil its requested end, and until the later end,
+	// with the random spread, that this node applies.
 	askedAt, askedUntil, until time.Duration
-	// asked are the answers that asked for it, and request the first one's.
+	// asked is the number of responses that requested the pause; request is the ID of the
+	// request whose response was the first of them.
 	asked   int
 	request string
-	// isOver tells that its end was noted.
+	// isOver reports whether the end of the pause was reported.
 	isOver bool
-	// trials are the requests under way that were chosen since the pause was over, and
-	// allowed is how many there may be.
+	// trials is the number of requests in flight for which the instance was chosen after the
+	// pause had expired; allowed is its bound.
 	trials, allowed int
-	// isLeaving tells that the instance leaves.
-	isLeaving bool
-	// listedAt is when it was last listed, or first asked for something.
+	isLeaving       bool
+	// listedAt is when the instance was last listed, or when the entry was made.
 	listedAt time.Duration
 }
 
-// NewTracker makes a tracker that knows of no pause.
+// NewTracker returns a tracker without entries.
 func NewTracker(policy ReturnPolicy) *Tracker {
 	return &Tracker{
 		entries: map[registry.Life]*entry{}, unreadable: bounded.NewSet[registry.Life](unreadableKept), policy: policy, random: rand.Float64,
 	}
 }
 
-// SetRandom replaces the source of random numbers from 0 to below 1, before the first use.
+// SetRandom replaces the source of random numbers in [0, 1). It must be called before the
+// first use.
 func (t *Tracker) SetRandom(random func() float64) { t.random = random }
 
-// ChangeKind tells what became of a pause.
+// ChangeKind is what changed in the state of an instance.
 type ChangeKind uint8
 
 // Kinds of changes.
 const (
-	// Unchanged: nothing new.
+	// Unchanged: no change.
 	Unchanged ChangeKind = iota
-	// Began: an instance asks for a pause.
+	// Began: the instance requested a pause.
 	Began
-	// Extended: it asks for one that ends later.
+	// Extended: the instance requested a pause that ends later than the current one.
 	Extended
-	// Ended: the pause is over.
+	// Ended: the pause has expired.
 	Ended
-	// Back: the instance takes work as before.
+	// Back: the instance accepts work as before the pause.
 	Back
-	// Left: it leaves.
+	// Left: the instance announced that it is leaving.
 	Left
-	// Unreadable: it asks for what can't be read.
+	// Unreadable: a field of the instance's response can't be read.
 	Unreadable
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k ChangeKind) String() string {
 	return [...]string{"unchanged", "began", "extended", "ended", "back", "leaving", "unreadable"}[k]
 }
 
-// Change is what an answer, or the time, changed.
+// Change is a change of state by a response or by the passing of time.
 type Change struct {
 	Kind ChangeKind
 	Life registry.Life
-	// Asked is the pause that was asked for, Left what is left of it.
+	// Asked is the length of the requested pause, Left the time until it expires.
 	Asked, Left time.Duration
-	// Request is the one whose answer began the pause, Answers how many asked for it.
+	// Request is the ID of the request whose response began the pause; Answers is the number of
+	// responses that requested it.
 	Request string
 	Answers int
-	// Fault is why an Unreadable one can't be read.
+	// Fault is the error of an Unreadable field.
 	Fault error
 }
 
-// Request is the one that an instance answers.
+// Request is the request to which an instance responds.
 type Request struct {
 	ID string
-	// WrittenAt is when it was written to the instance; 0 if that isn't known.
+	// WrittenAt is when the request was written to the instance; 0 if unknown.
 	WrittenAt time.Duration
 }
 
-// Learn takes what an instance's answer to a request asks for, which comes now. No answer
-// shortens a pause, and none takes back that the instance leaves.
+// Learn applies what an instance's response to a request, received now, asks for. No response
+// shortens a pause, and none revokes that the instance is leaving.
 func (t *Tracker) Learn(now time.Duration, life registry.Life, request Request, said Said) []Change {
 	if said.Pause == 0 && !said.IsLeaving && said.Fault == nil && t.known.Load() == 0 {
 		return nil
@@ -199,7 +203,7 @@
 	return Change{Kind: Unreadable, Life: life, Fault: fault}
 }
 
-// entry returns what is known of a life, made if need be.
+// entry returns the entry of an incarnation and creates it if there is none.
 func (t *Tracker) entry(now time.Duration, life registry.Life) *entry {
 	known := t.entries[life]
 	if known == nil {
@@ -240,8 +244,8 @@
 	return Change{Kind: kind, Life: e.life, Asked: e.askedUntil - e.askedAt, Left: max(0, e.until-now), Request: e.request, Answers: e.asked}
 }
 
-// accept notes that an instance ran a request. Each one written after its pause lets twice as
-// many come, until it counts as back.
+// accept records that an instance ran a request. Each request that was written after the pause
+// doubles the allowed trials, until the instance counts as recovered.
 func (t *Tracker) accept(now time.Duration, life registry.Life, writtenAt time.Duration) Change {
 	known := t.entries[life]
 	if known == nil || known.isLeaving || writtenAt < known.until {
@@ -255,7 +259,7 @@
 	return known.change(Back, now)
 }
 
-// Standing tells what a life takes from this node.
+// Standing returns the pause state of an incarnation.
 func (t *Tracker) Standing(now time.Duration, life registry.Life) Standing {
 	if !t.Any() {
 		return Standing{}
@@ -281,17 +285,17 @@
 	return Standing{Phase: Returning, HasTrial: e.trials < e.allowed}
 }
 
-// IsLeaving tells whether an instance has said that it leaves.
+// IsLeaving reports whether an instance has announced that it is leaving.
 func (t *Tracker) IsLeaving(life registry.Life) bool { return t.Standing(0, life).Phase == Leaving }
 
-// Any tells whether any instance is not Open.
+// Any reports whether any instance is not Open.
 func (t *Tracker) Any() bool { return t != nil && t.known.Load() > 0 }
 
-// Count is the number of instances that are not Open.
+// Count returns the number of instances that are not Open.
 func (t *Tracker) Count() int64 { return t.known.Load() }
 
-// BeginTrial notes that a request is chosen for a life, and tells whether EndTrial is due
-// when it is over.
+// BeginTrial records that a request will be sent to an incarnation. It reports whether the
+// request counts as a trial: then the caller must call EndTrial once the request has ended.
 func (t *Tracker) BeginTrial(now time.Duration, life registry.Life) bool {
 	if !t.Any() {
 		return false
@@ -306,7 +310,7 @@
 	return true
 }
 
-// EndTrial ends what BeginTrial began.
+// EndTrial ends a trial that BeginTrial counted.
 func (t *Tracker) EndTrial(life registry.Life) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -315,7 +319,7 @@
 	}
 }
 
-// Forget drops what is known of a life that a newer one has replaced.
+// Forget drops the state of an incarnation that a newer one has replaced.
 func (t *Tracker) Forget(life registry.Life) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -330,8 +334,8 @@
 	}
 }
 
-// Look returns the pauses that are over since the last call, and drops instances that are
-// back.
+// Look returns the pauses that have expired since the last call and drops the instances that
+// count as recovered by the time since then.
 func (t *Tracker) Look(now time.Duration) []Change {
 	if !t.Any() {
 		return nil
@@ -354,8 +358,8 @@
 	return changes
 }
 
-// Prune drops instances that have not been listed for long. Who lists them may ask the
-// tracker meanwhile.
+// Prune drops the instances that have not been listed for unlistedMemory. It calls isListed
+// without holding the lock, so isListed may call the tracker.
 func (t *Tracker) Prune(now time.Duration, isListed func(life registry.Life) bool) {
 	if !t.Any() {
 		return
@@ -376,25 +380,25 @@
 	}
 }
 
-// lives returns the lives that are known.
+// lives returns the incarnations that have entries.
 func (t *Tracker) lives() []registry.Life {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.Collect(maps.Keys(t.entries))
 }
 
-// Listed is one instance that is not Open, for operators.
+// Listed is an instance that is not Open, as it is shown to operators.
 type Listed struct {
 	Life     registry.Life
 	Standing Standing
-	// Asked is the latest pause, Request the one whose answer began it, Answers how many
-	// asked for it.
+	// Asked is the length of the latest pause, Request the ID of the request whose response
+	// began it, and Answers the number of responses that requested it.
 	Asked   time.Duration
 	Request string
 	Answers int
 }
 
-// List returns the instances that are not Open, the longest pause first.
+// List returns the instances that are not Open, those with the longest remaining pause first.
 func (t *Tracker) List(now time.Duration) []Listed {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/coordination/backoff/tracker_test.go
+++ b/internal/coordination/backoff/tracker_test.go
@@ -12,10 +12,11 @@
 
 var life = registry.Life{ID: "i-1", Born: 1000}
 
-// exactEnd ends pauses when they were asked to end.
+// exactEnd ends pauses exactly at their requested end.
 var exactEnd = ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
 
-// learn is Learn where one change at most is expected, of an answer that comes at once.
+// learn calls Learn with a response that follows its request immediately, and returns the
+// first change.
 func learn(tracker *Tracker, now time.Duration, life registry.Life, request string, said Said) Change {
 	changes := tracker.Learn(now, life, Request{ID: request, WrittenAt: now}, said)
 	if len(changes) == 0 {
@@ -53,14 +54,14 @@
 func TestInstanceIsBackOnceRequestsRanAfterItsPause(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, life, "r1", asks(3))
-	assert.Assert(t, !tracker.BeginTrial(time.Second, life), "what was chosen in the pause shows nothing")
+	assert.Assert(t, !tracker.BeginTrial(time.Second, life), "a request chosen during the pause is no trial")
 	now := 4 * time.Second
 	for allowed := 1; allowed < exactEnd.FullTrials; allowed *= 2 {
 		for range allowed {
 			assert.Assert(t, tracker.Standing(now, life).HasTrial)
 			assert.Assert(t, tracker.BeginTrial(now, life))
 		}
-		assert.Assert(t, !tracker.Standing(now, life).HasTrial, "%d at once", allowed)
+		assert.Assert(t, !tracker.Standing(now, life).HasTrial, "%d trials in flight", allowed)
 		for range allowed {
 			tracker.EndTrial(life)
 		}
@@ -71,7 +72,8 @@
 	assert.Equal(t, tracker.Count(), int64(0))
 }
 
-// Guards against an instance that counts as back by requests that it took before its pause.
+// Guards against an instance that counts as recovered because of requests that it accepted
+// before its pause.
 func TestRequestsFromBeforeTheEndOfAPauseDoNotShowThatItIsOver(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, time.Second, life, "r1", asks(3))
@@ -80,7 +82,7 @@
 	}
 	assert.Equal(t, tracker.Standing(5*time.Second, life).Phase, Returning)
 	assert.Assert(t, tracker.BeginTrial(5*time.Second, life))
-	assert.Assert(t, !tracker.Standing(5*time.Second, life).HasTrial, "one at a time")
+	assert.Assert(t, !tracker.Standing(5*time.Second, life).HasTrial, "one trial at a time")
 }
 
 func TestSecondPauseBeginsTheTrialsAnew(t *testing.T) {
@@ -89,7 +91,7 @@
 	tracker.BeginTrial(2*time.Second, life)
 	learn(tracker, 2*time.Second, life, "r2", Said{HasRun: true})
 	assert.DeepEqual(t, learn(tracker, 2*time.Second, life, "r3", asks(1)), Change{Kind: Began, Life: life, Asked: time.Second, Left: time.Second, Request: "r3", Answers: 1})
-	assert.Assert(t, !tracker.Standing(3*time.Second, life).HasTrial, "the first trial is under way")
+	assert.Assert(t, !tracker.Standing(3*time.Second, life).HasTrial, "the first trial is in flight")
 	tracker.EndTrial(life)
 	assert.Assert(t, tracker.Standing(3*time.Second, life).HasTrial)
 }
@@ -129,7 +131,7 @@
 	assert.DeepEqual(t, all[1].Standing, Standing{Phase: Returning, HasTrial: true})
 }
 
-// Guards against a cost of pauses for requests where no instance asks for any.
+// Guards against pauses costing requests time while no instance requests any.
 func BenchmarkStandingWithoutPauses(b *testing.B) {
 	tracker := NewTracker(exactEnd)
 	for b.Loop() {
@@ -137,7 +139,7 @@
 	}
 }
 
-// 10,000 instances of which a third ask for a pause.
+// 10,000 instances of which a third requested a pause.
 func BenchmarkStandingOfAThirdPaused(b *testing.B) {
 	tracker := NewTracker(exactEnd)
 	lives := make([]registry.Life, 10_000)
@@ -165,8 +167,8 @@
 	assert.Equal(t, tracker.Standing(time.Hour, registry.Life{ID: life.ID, Born: 2000}).Phase, Open)
 }
 
-// Guards against a word on its way that lists an instance again which has left, and against
-// instances that are remembered for ever: the longest pause is a day.
+// Guards against a delayed update that lists an instance again after it has left, and against
+// entries that are kept for ever: the longest pause is a day.
 func TestInstanceIsRememberedUntilItHasNotBeenListedForLong(t *testing.T) {
 	for _, said := range []Said{{IsLeaving: true}, {Pause: MaximumPause}} {
 		tracker := NewTracker(exactEnd)
@@ -211,8 +213,8 @@
 	assert.Equal(t, tracker.Standing(3*time.Second+exactEnd.LongestTrials, life).Phase, Open)
 }
 
-// BenchmarkThirdOfManyAsk has a third of 10,000 instances ask for a pause, and looks at them
-// once.
+// BenchmarkThirdOfManyAsk has a third of 10,000 instances request a pause, and looks for
+// expired pauses once.
 func BenchmarkThirdOfManyAsk(b *testing.B) {
 	lives := make([]registry.Life, 10_000/3)
 	for number := range lives {
