--- a/internal/coordination/backoff/said.go
+++ b/internal/coordination/backoff/signal.go
@@ -24,8 +24,8 @@
 // another one.
 const MaximumPause = 24 * time.Hour
 
-// errNotAPause reports a pause that is not a number of seconds.
-var errNotAPause = errors.New("backoff: not a number of seconds")
+// errInvalidPause reports a pause that is not a number of seconds.
+var errInvalidPause = errors.New("backoff: not a number of seconds")
 
 // Said is what one response of an instance asks of this node.
 type Said struct {
@@ -43,19 +43,19 @@
 // decimals. The longest of several values applies. A value above MaximumPause counts as
 // MaximumPause. One unreadable value makes the whole field unreadable.
 func ReadPause(values []string) Said {
-	var said Said
+	var signal Said
 	for _, value := range values {
-		asked, err := readSeconds(value)
+		requested, err := parseSeconds(value)
 		if err != nil {
 			return Said{Fault: err}
 		}
-		said.Pause = max(said.Pause, asked)
+		signal.Pause = max(signal.Pause, requested)
 	}
-	return said
+	return signal
 }
 
-// errNotAFlag reports a flag that is neither 0 nor 1.
-var errNotAFlag = errors.New("backoff: neither 0 nor 1")
+// errInvalidFlag reports a flag that is neither 0 nor 1.
+var errInvalidFlag = errors.New("backoff: neither 0 nor 1")
 
 // WithLeaving returns the signal with the values of the field that announces a leaving
 // instance: 1 if it is leaving, 0 if not. Any 1 among several values applies.
@@ -66,23 +66,23 @@
 		case "1":
 			s.IsLeaving = true
 		default:
-			s.Fault = errors.Join(s.Fault, fmt.Errorf("%w: %q", errNotAFlag, value))
+			s.Fault = errors.Join(s.Fault, fmt.Errorf("%w: %q", errInvalidFlag, value))
 		}
 	}
 	return s
 }
 
-func readSeconds(value string) (time.Duration, error) {
+func parseSeconds(value string) (time.Duration, error) {
 	trimmed := strings.TrimSpace(value)
 	if trimmed == "" || strings.Trim(trimmed, "0123456789.") != "" {
-		return 0, fmt.Errorf("%w: %q", errNotAPause, value)
+		return 0, fmt.Errorf("%w: %q", errInvalidPause, value)
 	}
 	seconds, err := strconv.ParseFloat(trimmed, 64)
 	if errors.Is(err, strconv.ErrRange) {
 		return MaximumPause, nil
 	}
 	if err != nil {
-		return 0, fmt.Errorf("%w: %q", errNotAPause, value)
+		return 0, fmt.Errorf("%w: %q", errInvalidPause, value)
 	}
 	if seconds >= MaximumPause.Seconds() {
 		return MaximumPause, nil
--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// unlistedMemory is how long the state of an instance is kept that no listing contains any
+	// unlistedRetention is how long the state of an instance is kept that no listing contains any
 	// more: a delayed update may list it again.
-	unlistedMemory = 10 * time.Minute
-	// unreadableKept bounds the number of incarnations that are remembered for having sent
+	unlistedRetention = 10 * time.Minute
+	// maximumUnreadable bounds the number of incarnations that are remembered for having sent
 	// unreadable fields.
-	unreadableKept = 1024
+	maximumUnreadable = 1024
 )
 
 // ReturnPolicy is how requests to an instance resume after its pause.
@@ -43,9 +43,9 @@
 // at random.
 var DefaultReturn = ReturnPolicy{Spread: 0.25, LongestSpread: 2 * time.Second, FirstTrials: 1, FullTrials: 4, LongestTrials: 2 * time.Second}
 
-// longestSpread is by how much, in nanoseconds, a node may prolong a requested pause.
-func (p ReturnPolicy) longestSpread(asked time.Duration) float64 {
-	return min(p.Spread*float64(asked), float64(p.LongestSpread))
+// maximumSpread is by how much, in nanoseconds, a node may prolong a requested pause.
+func (p ReturnPolicy) maximumSpread(requested time.Duration) float64 {
+	return min(p.Spread*float64(requested), float64(p.LongestSpread))
 }
 
 // Phase is which requests an instance accepts from this node.
@@ -81,9 +81,9 @@
 type Tracker struct {
 	mutex   sync.Mutex
 	entries map[registry.Life]*entry
-	// known is the number of entries. While it is 0, requests take no lock.
-	known  atomic.Int64
-	policy ReturnPolicy
+	// entryCount is the number of entries. While it is 0, requests take no lock.
+	entryCount atomic.Int64
+	policy     ReturnPolicy
 	// random returns a number in [0, 1).
 	random func() float64
 	// unreadable are the incarnations that sent unreadable fields; each is reported once.
@@ -92,20 +92,20 @@
 
 // entry is the state of an incarnation that requested a pause or is leaving.
 type entry struct {
-	life registry.Life
-	// askedAt is when the pause began, askedUntil its requested end, and until the later end,
+	incarnation registry.Life
+	// pausedAt is when the pause began, requestedUntil its requested end, and until the later end,
 	// with the random spread, that this node applies.
-	askedAt, askedUntil, until time.Duration
-	// asked is the number of responses that requested the pause; request is the ID of the
+	pausedAt, requestedUntil, until time.Duration
+	// responses is the number of responses that requested the pause; requestID is the ID of the
 	// request whose response was the first of them.
-	asked   int
-	request string
-	// isOver reports whether the end of the pause was reported.
-	isOver bool
+	responses int
+	requestID string
+	// isEndReported reports whether a Change has reported the end of the pause.
+	isEndReported bool
 	// trials is the number of requests in flight for which the instance was chosen after the
-	// pause had expired; allowed is its bound.
-	trials, allowed int
-	isLeaving       bool
+	// pause had expired; allowedTrials is its bound.
+	trials, allowedTrials int
+	isLeaving             bool
 	// listedAt is when the instance was last listed, or when the entry was made.
 	listedAt time.Duration
 }
@@ -113,7 +113,7 @@
 // NewTracker returns a tracker without entries.
 func NewTracker(policy ReturnPolicy) *Tracker {
 	return &Tracker{
-		entries: map[registry.Life]*entry{}, unreadable: bounded.NewSet[registry.Life](unreadableKept), policy: policy, random: rand.Float64,
+		entries: map[registry.Life]*entry{}, unreadable: bounded.NewSet[registry.Life](maximumUnreadable), policy: policy, random: rand.Float64,
 	}
 }
 
@@ -170,8 +170,8 @@
 
 // Learn applies what an instance's response to a request, received now, asks for. No response
 // shortens a pause, and none revokes that the instance is leaving.
-func (t *Tracker) Learn(now time.Duration, life registry.Life, request Request, said Said) []Change {
-	if said.Pause == 0 && !said.IsLeaving && said.Fault == nil && t.known.Load() == 0 {
+func (t *Tracker) Learn(now time.Duration, incarnation registry.Life, request Request, signal Said) []Change {
+	if signal.Pause == 0 && !signal.IsLeaving && signal.Fault == nil && t.entryCount.Load() == 0 {
 		return nil
 	}
 	t.mutex.Lock()
@@ -182,127 +182,129 @@
 			changes = append(changes, change)
 		}
 	}
-	if said.Fault != nil {
-		note(t.noteUnreadable(life, said.Fault))
+	if signal.Fault != nil {
+		note(t.recordUnreadable(incarnation, signal.Fault))
 	}
-	if said.Pause > 0 {
-		note(t.pause(now, life, request.ID, said.Pause))
-	} else if said.HasRun {
-		note(t.accept(now, life, request.WrittenAt))
+	if signal.Pause > 0 {
+		note(t.pause(now, incarnation, request.ID, signal.Pause))
+	} else if signal.HasRun {
+		note(t.recordRun(now, incarnation, request.WrittenAt))
 	}
-	if said.IsLeaving {
-		note(t.leave(now, life, request.ID))
+	if signal.IsLeaving {
+		note(t.leave(now, incarnation, request.ID))
 	}
 	return changes
 }
 
-func (t *Tracker) noteUnreadable(life registry.Life, fault error) Change {
-	if !t.unreadable.Add(life) {
+func (t *Tracker) recordUnreadable(incarnation registry.Life, fault error) Change {
+	if !t.unreadable.Add(incarnation) {
 		return Change{}
 	}
-	return Change{Kind: Unreadable, Life: life, Fault: fault}
+	return Change{Kind: Unreadable, Life: incarnation, Fault: fault}
 }
 
 // entry returns the entry of an incarnation and creates it if there is none.
-func (t *Tracker) entry(now time.Duration, life registry.Life) *entry {
-	known := t.entries[life]
+func (t *Tracker) entry(now time.Duration, incarnation registry.Life) *entry {
+	known := t.entries[incarnation]
 	if known == nil {
-		known = &entry{life: life, isOver: true, listedAt: now}
-		t.entries[life] = known
-		t.known.Add(1)
+		known = &entry{incarnation: incarnation, isEndReported: true, listedAt: now}
+		t.entries[incarnation] = known
+		t.entryCount.Add(1)
 	}
 	return known
 }
 
-func (t *Tracker) leave(now time.Duration, life registry.Life, request string) Change {
-	known := t.entry(now, life)
+func (t *Tracker) leave(now time.Duration, incarnation registry.Life, request string) Change {
+	known := t.entry(now, incarnation)
 	if known.isLeaving {
 		return Change{}
 	}
 	known.isLeaving = true
-	return Change{Kind: Left, Life: life, Request: request, Answers: 1}
+	return Change{Kind: Left, Life: incarnation, Request: request, Answers: 1}
 }
 
-func (t *Tracker) pause(now time.Duration, life registry.Life, request string, asked time.Duration) Change {
+func (t *Tracker) pause(now time.Duration, incarnation registry.Life, request string, requested time.Duration) Change {
 	kind := Extended
-	known := t.entry(now, life)
+	known := t.entry(now, incarnation)
 	if now >= known.until {
 		kind = Began
-		known.askedAt, known.asked, known.request = now, 0, request
+		known.pausedAt, known.responses, known.requestID = now, 0, request
 	}
-	known.asked++
-	end := now + asked
-	if end <= known.askedUntil {
+	known.responses++
+	end := now + requested
+	if end <= known.requestedUntil {
 		return Change{}
 	}
-	known.askedUntil, known.isOver, known.allowed = end, false, t.policy.FirstTrials
-	known.until = max(known.until, end+time.Duration(t.random()*t.policy.longestSpread(asked)))
+	known.requestedUntil, known.isEndReported, known.allowedTrials = end, false, t.policy.FirstTrials
+	known.until = max(known.until, end+time.Duration(t.random()*t.policy.maximumSpread(requested)))
 	return known.change(kind, now)
 }
 
 func (e *entry) change(kind ChangeKind, now time.Duration) Change {
-	return Change{Kind: kind, Life: e.life, Asked: e.askedUntil - e.askedAt, Left: max(0, e.until-now), Request: e.request, Answers: e.asked}
+	return Change{Kind: kind, Life: e.incarnation, Asked: e.requestedUntil - e.pausedAt, Left: max(0, e.until-now), Request: e.requestID, Answers: e.responses}
 }
 
-// accept records that an instance ran a request. Each request that was written after the pause
+// recordRun records that an instance ran a request. Each request that was written after the pause
 // doubles the allowed trials, until the instance counts as recovered.
-func (t *Tracker) accept(now time.Duration, life registry.Life, writtenAt time.Duration) Change {
-	known := t.entries[life]
+func (t *Tracker) recordRun(now time.Duration, incarnation registry.Life, writtenAt time.Duration) Change {
+	known := t.entries[incarnation]
 	if known == nil || known.isLeaving || writtenAt < known.until {
 		return Change{}
 	}
-	known.allowed *= 2
-	if known.allowed < t.policy.FullTrials {
+	known.allowedTrials *= 2
+	if known.allowedTrials < t.policy.FullTrials {
 		return Change{}
 	}
-	t.drop(life)
+	t.drop(incarnation)
 	return known.change(Back, now)
 }
 
 // Standing returns the pause state of an incarnation.
-func (t *Tracker) Standing(now time.Duration, life registry.Life) Standing {
+func (t *Tracker) Standing(now time.Duration, incarnation registry.Life) Standing {
 	if !t.Any() {
 		return Standing{}
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.entries[life]
+	known := t.entries[incarnation]
 	if known == nil {
 		return Standing{}
 	}
-	return known.standing(now, t.policy.LongestTrials)
+	return known.status(now, t.policy.LongestTrials)
 }
 
-func (e *entry) standing(now, longestTrials time.Duration) Standing {
+func (e *entry) status(now, maximumTrials time.Duration) Standing {
 	switch {
 	case e.isLeaving:
 		return Standing{Phase: Leaving}
 	case now < e.until:
 		return Standing{Phase: Paused, Wait: e.until - now}
-	case now >= e.until+longestTrials:
+	case now >= e.until+maximumTrials:
 		return Standing{}
 	}
-	return Standing{Phase: Returning, HasTrial: e.trials < e.allowed}
+	return Standing{Phase: Returning, HasTrial: e.trials < e.allowedTrials}
 }
 
 // IsLeaving reports whether an instance has announced that it is leaving.
-func (t *Tracker) IsLeaving(life registry.Life) bool { return t.Standing(0, life).Phase == Leaving }
+func (t *Tracker) IsLeaving(incarnation registry.Life) bool {
+	return t.Standing(0, incarnation).Phase == Leaving
+}
 
 // Any reports whether any instance is not Open.
-func (t *Tracker) Any() bool { return t != nil && t.known.Load() > 0 }
+func (t *Tracker) Any() bool { return t != nil && t.entryCount.Load() > 0 }
 
 // Count returns the number of instances that are not Open.
-func (t *Tracker) Count() int64 { return t.known.Load() }
+func (t *Tracker) Count() int64 { return t.entryCount.Load() }
 
 // BeginTrial records that a request will be sent to an incarnation. It reports whether the
 // request counts as a trial: then the caller must call EndTrial once the request has ended.
-func (t *Tracker) BeginTrial(now time.Duration, life registry.Life) bool {
+func (t *Tracker) BeginTrial(now time.Duration, incarnation registry.Life) bool {
 	if !t.Any() {
 		return false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.entries[life]
+	known := t.entries[incarnation]
 	if known == nil || now < known.until {
 		return false
 	}
@@ -311,26 +313,26 @@
 }
 
 // EndTrial ends a trial that BeginTrial counted.
-func (t *Tracker) EndTrial(life registry.Life) {
+func (t *Tracker) EndTrial(incarnation registry.Life) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.entries[life]; known != nil {
+	if known := t.entries[incarnation]; known != nil {
 		known.trials = max(0, known.trials-1)
 	}
 }
 
 // Forget drops the state of an incarnation that a newer one has replaced.
-func (t *Tracker) Forget(life registry.Life) {
+func (t *Tracker) Forget(incarnation registry.Life) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.drop(life)
-	t.unreadable.Remove(life)
+	t.drop(incarnation)
+	t.unreadable.Remove(incarnation)
 }
 
-func (t *Tracker) drop(life registry.Life) {
-	if _, isKnown := t.entries[life]; isKnown {
-		delete(t.entries, life)
-		t.known.Add(-1)
+func (t *Tracker) drop(incarnation registry.Life) {
+	if _, isKnown := t.entries[incarnation]; isKnown {
+		delete(t.entries, incarnation)
+		t.entryCount.Add(-1)
 	}
 }
 
@@ -343,16 +345,16 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []Change
-	for life, known := range t.entries {
+	for incarnation, known := range t.entries {
 		if now < known.until {
 			continue
 		}
-		if !known.isOver {
-			known.isOver = true
+		if !known.isEndReported {
+			known.isEndReported = true
 			changes = append(changes, known.change(Ended, now))
 		}
 		if !known.isLeaving && now >= known.until+t.policy.LongestTrials {
-			t.drop(life)
+			t.drop(incarnation)
 		}
 	}
 	return changes
@@ -360,28 +362,28 @@
 
 // Prune drops the instances that have not been listed for unlistedMemory. It calls isListed
 // without holding the lock, so isListed may call the tracker.
-func (t *Tracker) Prune(now time.Duration, isListed func(life registry.Life) bool) {
+func (t *Tracker) Prune(now time.Duration, isListed func(incarnation registry.Life) bool) {
 	if !t.Any() {
 		return
 	}
-	listed := slices.DeleteFunc(t.lives(), func(life registry.Life) bool { return !isListed(life) })
+	listed := slices.DeleteFunc(t.incarnations(), func(incarnation registry.Life) bool { return !isListed(incarnation) })
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, life := range listed {
-		if known := t.entries[life]; known != nil {
+	for _, incarnation := range listed {
+		if known := t.entries[incarnation]; known != nil {
 			known.listedAt = now
 		}
 	}
-	for life, known := range t.entries {
-		if now-known.listedAt > unlistedMemory {
-			t.drop(life)
-			t.unreadable.Remove(life)
+	for incarnation, known := range t.entries {
+		if now-known.listedAt > unlistedRetention {
+			t.drop(incarnation)
+			t.unreadable.Remove(incarnation)
 		}
 	}
 }
 
-// lives returns the incarnations that have entries.
-func (t *Tracker) lives() []registry.Life {
+// incarnations returns the incarnations that have entries.
+func (t *Tracker) incarnations() []registry.Life {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.Collect(maps.Keys(t.entries))
@@ -403,8 +405,8 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	listed := make([]Listed, 0, len(t.entries))
-	for life, known := range t.entries {
-		listed = append(listed, Listed{Life: life, Standing: known.standing(now, t.policy.LongestTrials), Asked: known.askedUntil - known.askedAt, Request: known.request, Answers: known.asked})
+	for incarnation, known := range t.entries {
+		listed = append(listed, Listed{Life: incarnation, Standing: known.status(now, t.policy.LongestTrials), Asked: known.requestedUntil - known.pausedAt, Request: known.requestID, Answers: known.responses})
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
 		return cmp.Or(cmp.Compare(other.Standing.Wait, one.Standing.Wait), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.Born, other.Life.Born))
