--- a/internal/coordination/ratelimit/holders.go
+++ b/internal/coordination/ratelimit/holders.go
@@ -8,41 +8,41 @@
 )
 
 const (
-	// TakeoverTime is how long a node must have been the holder in all that it knew before
-	// it gives permits out: others learn within that time who is there, and what they
-	// were granted elsewhere is used up.
+	// TakeoverTime is how long a node must have been the issuer in all its views before it
+	// grants permits. Within that time other nodes learn which nodes are live, and the permits
+	// that they were granted by an earlier issuer are used up.
 	TakeoverTime = 3 * time.Second
-	// AbsentMemory is how long a node that is not heard of counts as one that may still
-	// use its part.
+	// AbsentMemory is how long a node counts as one that may still use its share of the rate
+	// after it was last live.
 	AbsentMemory = 2 * time.Minute
-	// viewsKept bounds the views of one zone's nodes that are compared.
+	// viewsKept bounds the number of views that are kept of one zone.
 	viewsKept = 64
 )
 
 // Node is an entry node.
 type Node struct{ Address, Zone string }
 
-// allZones stands for the nodes of all zones, who hold the limits of instances in whose
-// zone no entry node was ever seen.
+// allZones stands for the nodes of all zones. They issue the permits of instances in whose zone
+// no entry node was seen recently.
 const allZones = ""
 
-// view is who was live in a zone from a time on.
+// view is the set of nodes that were live in a zone from a time on.
 type view struct {
 	since time.Duration
 	nodes []string
 }
 
-// holders tells who holds the limits.
+// holders determines which node is the issuer of an instance's permits.
 type holders struct {
 	self string
-	// views are those of each zone in the last TakeoverTime, the newest last.
+	// views are the views of each zone within the last TakeoverTime, the newest last.
 	views map[string][]view
-	// absent is when nodes that are not live any more were last seen, by zone.
+	// absent is when nodes that are no longer live were last seen, by zone and address.
 	absent map[string]map[string]time.Duration
-	// isSure tells that this node knows who is live, since sureSince.
+	// isSure reports whether this node reliably knows which nodes are live, since sureSince.
 	isSure    bool
 	sureSince time.Duration
-	// asked is when other nodes last asked this one for a permit.
+	// asked is when each node last requested a permit from this one, by address.
 	asked map[string]time.Duration
 }
 
@@ -52,7 +52,7 @@
 	}
 }
 
-// SetNodes tells which entry nodes are live, this one included.
+// SetNodes sets the live entry nodes, including this one.
 func (l *Limits) SetNodes(now time.Duration, nodes []Node) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -72,9 +72,9 @@
 	}
 }
 
-// SetSure tells whether this node knows who is live: control nodes are heard, and they
-// count this node in. One that is cut off from them can't tell whether the others count on
-// it, or have taken its place.
+// SetSure sets whether this node reliably knows which nodes are live: it is in contact with
+// control nodes, and they list it as live. A node that is partitioned from them can't tell
+// whether the others still use it as the issuer or have replaced it.
 func (l *Limits) SetSure(now time.Duration, isSure bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -114,16 +114,16 @@
 			delete(h.asked, node)
 		}
 	}
-	// A view that was replaced before the last TakeoverTime matters no more.
+	// A view that was replaced more than TakeoverTime ago has no effect any more.
 	for len(views) > 1 && (now-views[1].since >= TakeoverTime || len(views) >= viewsKept) {
 		views = views[1:]
 	}
 	h.views[zone] = append(views, view{since: now, nodes: live})
 }
 
-// domain is the zone whose nodes hold the limits of an instance, "" if all do. It has none
-// where the instance's zone had entry nodes of late and none is live: they may only be
-// out of this node's reach.
+// domain returns the zone whose nodes issue the permits of an instance, allZones if the nodes
+// of all zones do. hasAny is false if no node may: the instance's zone had entry nodes recently
+// but none is live, so they may only be unreachable from this node.
 func (h *holders) domain(now time.Duration, zone string) (domain string, hasAny bool) {
 	if views := h.views[zone]; len(views) > 0 && len(views[len(views)-1].nodes) > 0 {
 		return zone, true
@@ -136,7 +136,7 @@
 	return allZones, len(h.views[allZones]) > 0
 }
 
-// of returns the address of an instance's holder, "" if there is none.
+// of returns the address of an instance's issuer, "" if there is none.
 func (h *holders) of(now time.Duration, instance, zone string) string {
 	domain, hasAny := h.domain(now, zone)
 	if !hasAny {
@@ -146,8 +146,9 @@
 	return membership.Highest(instance, views[len(views)-1].nodes)
 }
 
-// part is the part of an instance's rate that this node gives out, 0 if it is not the
-// holder, or was not for long enough; then the wait tells when it may be.
+// part returns the fraction of an instance's rate that this node grants. It is 0 if the node is
+// not the issuer, or has not been for long enough; in the latter case wait is the time until
+// it may grant permits.
 func (h *holders) part(now time.Duration, instance, zone string) (part float64, wait time.Duration) {
 	domain, hasAny := h.domain(now, zone)
 	if !hasAny {
@@ -175,14 +176,14 @@
 		}
 	}
 	if !h.isSure || now-h.sureSince < TakeoverTime {
-		// Others may have taken its place for the nodes that don't ask here.
+		// Another node may be the issuer for the nodes that request no permits here.
 		live = h.countAsking(now, known)
 	}
 	return float64(live) / float64(all), 0
 }
 
-// countAsking is how many of some nodes count on this one: itself, and those that asked it
-// of late. A node asks one holder at a time.
+// countAsking returns how many of some nodes use this one as the issuer: itself and those that
+// requested a permit from it within the last TakeoverTime. A node uses one issuer at a time.
 func (h *holders) countAsking(now time.Duration, nodes []string) int {
 	asking := 1
 	for _, node := range nodes {
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -7,64 +7,65 @@
 )
 
 const (
-	// PermitLife is how long after it was asked for a permit may be used: a node that
-	// stood still meanwhile asks again.
+	// PermitLife is how long after its request a permit may be used. A node that was
+	// suspended meanwhile requests another one.
 	PermitLife = time.Second
-	// unusedTime is how far back unused permits count: small differences in when requests
-	// come cost none of the rate, and a rest earns no burst.
+	// unusedTime is how long an unused permit stays available. Small variations in the arrival
+	// of requests therefore cost none of the rate, and an idle time allows no burst.
 	unusedTime = 250 * time.Millisecond
-	// heldShare is the part of the unused time for which a slot is held back from the least
+	// heldShare is the fraction of unusedTime for which a slot is reserved against the least
 	// urgent requests.
 	heldShare = 0.8
-	// silentHolder is how long an instance is left alone whose holder did not answer, or
-	// that has none.
+	// silentHolder is how long no request is sent to an instance whose issuer did not respond,
+	// or that has no issuer.
 	silentHolder = 300 * time.Millisecond
-	// longestFree bounds the wait for a permit that a holder may tell of.
+	// longestFree bounds the wait for the next permit in a response of an issuer.
 	longestFree = time.Minute
 )
 
-// Ask asks the holder for a permit.
+// Ask is a request to the issuer for a permit.
 type Ask struct {
-	// Word is what the asking node knows of the limit.
+	// Word is what the requesting node knows of the limit.
 	Word Word   `msgpack:"w"`
 	Zone string `msgpack:"z"`
 	Need `msgpack:",inline"`
 }
 
-// Need is what a request needs of a permit.
+// Need is what a request needs of a permit before it can be sent.
 type Need struct {
-	// PatienceMS is how long the request can wait for it.
+	// PatienceMS is how long the request can wait for the permit, in milliseconds.
 	PatienceMS uint64 `msgpack:"p,omitempty"`
-	// Priority is its rank, the most urgent first.
+	// Priority is the rank of the request; 0 is the most urgent.
 	Priority uint8 `msgpack:"u,omitempty"`
 }
 
-// Patience is how long the request can wait.
+// Patience returns how long the request can wait.
 func (n Need) Patience() time.Duration { return time.Duration(n.PatienceMS) * time.Millisecond }
 
-// Answer is the holder's.
+// Answer is the issuer's response to a request for a permit.
 type Answer struct {
 	IsGranted bool `msgpack:"g,omitempty"`
-	// DelayMS is the time until a granted permit may be used.
+	// DelayMS is the time until a granted permit may be used, in milliseconds.
 	DelayMS uint64 `msgpack:"d,omitempty"`
-	// FreeMS is the time until the holder has another one.
+	// FreeMS is the time until the issuer has another permit, in milliseconds.
 	FreeMS uint64 `msgpack:"f,omitempty"`
-	// Words is the holder's word of the limit if it knows a newer one.
+	// Words is the issuer's update of the limit if it knows a newer one.
 	Words []Word `msgpack:"w,omitempty"`
 }
 
-// slots are the moments at which permits may be used.
+// slots is the schedule of the moments at which permits may be used.
 type slots struct {
-	// next is the first that was not given out.
+	// next is the first slot that was not granted.
 	next time.Duration
 }
 
-// begin starts without any permit: what was sent before is not known.
+// begin starts the schedule one interval from now: it isn't known what other nodes sent just
+// before.
 func (s *slots) begin(now, between time.Duration) { s.next = now + between }
 
-// take gives out the next slot if it comes within a request's patience. One that is less
-// urgent takes only a slot that has been free for a moment: what is scarce goes to the
-// urgent first, and what they leave to the others.
+// take grants the next slot if it lies within a request's maximum wait. A less urgent request
+// is granted only a slot that has been free for a while. Scarce slots thus go to urgent
+// requests first and the remaining ones to the others.
 func (s *slots) take(now, between time.Duration, need Need) (wait time.Duration, isTaken bool) {
 	unused := min(unusedTime, between)
 	slot := max(s.next, now-unused)
@@ -76,8 +77,9 @@
 	return max(0, slot-now), true
 }
 
-// Ask prepares to ask for a permit: whom, and with what. It is not limited if the life has
-// no limit; without a holder nobody may send for now.
+// Ask returns a request for a permit and the address of the issuer to which it goes. isLimited
+// is false if the incarnation has no limit and needs no permit. The address is "" if there is
+// no issuer; no request may be sent to the instance then.
 func (l *Limits) Ask(now time.Duration, life registry.Life, zone string, need Need) (ask Ask, holder string, isLimited bool) {
 	if !l.Any() {
 		return Ask{}, "", false
@@ -91,7 +93,7 @@
 	return Ask{Word: known.word(life).sentAt(now), Zone: zone, Need: need}, l.holders.of(now, life.ID, zone), true
 }
 
-// Grant answers a node, this one or another, as the holder.
+// Grant responds to a permit request of a node, this one or another, as the issuer.
 func (l *Limits) Grant(now time.Duration, from string, ask Ask) Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -100,7 +102,7 @@
 	l.hear(now, word)
 	known := l.entries[word.Life]
 	if known == nil {
-		// What the other node says of the limit makes no sense here.
+		// The update in the request is not valid.
 		return Answer{FreeMS: uint64(silentHolder.Milliseconds())}
 	}
 	answer := Answer{}
@@ -125,7 +127,7 @@
 	return answer
 }
 
-// Answered notes a holder's answer.
+// Answered records an issuer's response.
 func (l *Limits) Answered(now time.Duration, life registry.Life, answer Answer) []Change {
 	changes := l.Hear(now, Received(now, answer.Words))
 	l.mutex.Lock()
@@ -150,7 +152,7 @@
 	return changes
 }
 
-// Unanswered notes that a holder did not answer, or that there is none.
+// Unanswered records that the issuer did not respond, or that there is none.
 func (l *Limits) Unanswered(now time.Duration, life registry.Life) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/coordination/ratelimit/ratelimit.go
+++ b/internal/coordination/ratelimit/ratelimit.go
@@ -1,23 +1,24 @@
-// Package ratelimit keeps the limits that instances in need name in their answers: the
-// requests a second that one takes from all nodes together.
+// Package ratelimit enforces the rate limits that overloaded instances name in their
+// responses: the requests per second that an instance accepts from all nodes together.
 //
-// A request to a limited instance needs a permit, which is asked for right before it is
-// written. For each limited instance one entry node, the holder, gives them out at the
-// named rate; rendezvous hashing over the live entry nodes of the instance's zone names
-// it, the same at all nodes. So the sum holds whatever the number of nodes is, a node that
-// wants a part of the rate has it within one round trip, and a cut leaves the rate to the
-// side of the instance.
+// A request to a limited instance needs a permit, which is requested right before the request
+// is written. For each limited instance one entry node, the issuer, grants permits at the
+// named rate. Rendezvous hashing over the live entry nodes of the instance's zone selects the
+// issuer, so all nodes select the same one. The sum therefore keeps to the limit regardless of
+// the number of nodes, a node obtains its share of the rate within one round trip, and in a
+// partition the rate stays on the side of the instance.
 //
-// Who is live may be seen differently for a while, and always errs to fewer permits: a
-// node gives none before it was the holder in all it knew for TakeoverTime; while nodes of
-// the zone are missing, the holder gives out the parts of those that it sees, and while it
-// can't tell who is there its own part and those of the nodes that ask it.
+// Nodes may have different views of the live nodes for a while. The rules then err towards
+// fewer permits. A node grants none until it has been the issuer in all its views for
+// TakeoverTime. While nodes of the zone are missing, the issuer grants only the shares of the
+// nodes that it sees. While it can't tell which nodes are live, it grants only its own share
+// and those of the nodes that request permits from it.
 //
-// What is known of limits passes between the nodes beside their loads (Words). None of it
-// has to come: a node that doesn't know a limit learns it with the first answer, one that
-// doesn't know its end learns that with the next permit.
+// Nodes send each other updates about limits along with their loads. No update has to arrive:
+// a node that doesn't know a limit learns it from the first response of the instance, and one
+// that doesn't know that a limit has ended learns it from the next permit response.
 //
-// The package has no network and no clock: times are those of a steady clock of the caller.
+// The package uses no network and no clock: times are those of the caller's monotonic clock.
 package ratelimit
 
 import (
@@ -32,56 +33,59 @@
 )
 
 const (
-	// LeastRate is the rate, in requests a second, at which an instance is asked that
-	// names a lower one: only an answer can tell that its limit is over.
+	// LeastRate is the rate, in requests per second, that applies to an instance which names
+	// a lower one: only a response can show that its limit has ended.
 	LeastRate = 0.1
-	// entryMemory is how long a limit counts that no answer and no node speaks of.
+	// entryMemory is how long a limit applies that no response and no update confirms.
 	entryMemory = 10 * time.Minute
-	// endMemory is how long an ended limit is remembered, so that an older word of it,
-	// late on its way, doesn't bring it back.
+	// endMemory is how long an ended limit is remembered, so that a delayed older update
+	// doesn't restore it.
 	endMemory = 10 * time.Second
-	// sameRate is the ratio of two rates from which they count as different.
+	// sameRate is the ratio of two rates above which they count as different.
 	sameRate = 1.01
-	// pressureMemory is how long it matters to the choice of an instance that permits
-	// were scarce there.
+	// pressureMemory is how long a shortage of permits at an instance affects the choice of
+	// an instance.
 	pressureMemory = 5 * time.Second
-	// pressureWeight is the weight of one answer of the holder in the pressure.
+	// pressureWeight is the weight of one permit response in the moving average of the pressure.
 	pressureWeight = 0.3
-	// unreadableKept bounds the lives that are remembered to have named what can't be read.
+	// unreadableKept bounds the number of incarnations that are remembered for having named an
+	// unreadable limit.
 	unreadableKept = 1024
 )
 
-// Limits is what one node knows of the instances' limits. Safe for concurrent use.
+// Limits keeps what one node knows of the instances' limits. It is safe for concurrent use.
 type Limits struct {
 	mutex   sync.Mutex
 	entries map[registry.Life]*entry
-	// known is the number of entries: without any, no request pays for limits.
+	// known is the number of entries. While it is 0, requests take no lock.
 	known atomic.Int64
-	// news are the lives whose limits have begun, changed or ended here, to be told.
+	// news are the incarnations whose limits have begun, changed or ended here and are still to
+	// be sent to other nodes.
 	news map[registry.Life]struct{}
-	// unreadable are the lives that named what can't be read, told once each.
+	// unreadable are the incarnations that named an unreadable limit; each is reported once.
 	unreadable *bounded.Set[registry.Life]
 	holders    holders
 }
 
-// entry is the limit of one life of an instance.
+// entry is the limit of one incarnation of an instance.
 type entry struct {
 	perSecond float64
 	hasEnded  bool
-	// at is when the newest word of it came.
+	// at is the time of the newest response that named the limit or showed its end.
 	at time.Duration
-	// freeAt is when the holder has its next permit, as this node knows, and pressure how
-	// scarce they were of late, from 0 to 1, at pressureAt.
+	// freeAt is when the issuer has its next permit, as far as this node knows. pressure is
+	// how scarce permits were recently, from 0 to 1, as of pressureAt.
 	freeAt     time.Duration
 	pressure   float64
 	pressureAt time.Duration
-	// granted and denied are the permits that this node asked for since the last Use.
+	// granted and denied count the responses to this node's permit requests since the last
+	// call of TakeUse.
 	granted, denied int
-	// slots are the permits that this node gives out as the holder.
+	// slots are the permits that this node grants as the issuer.
 	slots slots
 }
 
-// New makes the limits of a node at an address.
+// New returns the limits of the node at an address, without entries.
 func New(self string) *Limits {
 	return &Limits{
 		entries: map[registry.Life]*entry{}, news: map[registry.Life]struct{}{}, unreadable: bounded.NewSet[registry.Life](unreadableKept),
@@ -89,43 +93,44 @@
 	}
 }
 
-// ChangeKind tells what became of a limit.
+// ChangeKind is what changed in a limit.
 type ChangeKind uint8
 
 // Kinds of changes.
 const (
-	// Unchanged: nothing new.
+	// Unchanged: no change.
 	Unchanged ChangeKind = iota
-	// Began: an instance names a limit.
+	// Began: the instance named a limit for the first time, or again after one had ended.
 	Began
-	// Changed: it names another one.
+	// Changed: the instance named another limit.
 	Changed
-	// Ended: it names none any more.
+	// Ended: the instance names no limit any more.
 	Ended
-	// Unreadable: it names what can't be read.
+	// Unreadable: the limit that the instance named can't be read.
 	Unreadable
 )
 
-// String names the kind.
+// String returns the name of the kind.
 func (k ChangeKind) String() string {
 	return [...]string{"unchanged", "began", "changed", "ended", "unreadable"}[k]
 }
 
-// Change is what a word changed here.
+// Change is a change of a limit by a response or an update.
 type Change struct {
 	Kind ChangeKind
 	Life registry.Life
-	// PerSecond is the limit in force, Before the one before it.
+	// PerSecond is the limit in effect and Before the previous one, in requests per second.
 	PerSecond, Before float64
-	// Age is how old the word was.
+	// Age is the time since the response that caused the change.
 	Age time.Duration
-	// Fault is why an Unreadable one can't be read.
+	// Fault is the error of an Unreadable limit.
 	Fault error
 }
 
-// Learn takes what the answer of an instance to a request of this node says, which was
-// written at a time. An answer to a request older than the newest word may have been
-// overtaken: it does not lift the limit, nor raise it. A refusal or failure lifts none.
+// Learn applies the signal of an instance's response to a request of this node that was
+// written at writtenAt. If that is before the newest signal, the response may be out of date:
+// it neither ends nor raises the limit. A rejection or failure that names no limit doesn't end
+// one either.
 func (l *Limits) Learn(now time.Duration, life registry.Life, said Said, writtenAt time.Duration) Change {
 	if !said.IsNamed && said.Fault == nil && l.known.Load() == 0 {
 		return Change{}
@@ -157,7 +162,7 @@
 	return Change{Kind: Unreadable, Life: life, Fault: fault}
 }
 
-// set puts a word in force.
+// set applies an update.
 func (l *Limits) set(now time.Duration, word Word) Change {
 	known := l.entries[word.Life]
 	if known == nil {
@@ -192,12 +197,12 @@
 
 func differs(one, other float64) bool { return one > other*sameRate || other > one*sameRate }
 
-// interval is the time between two permits at a rate.
+// interval is the time between two permits at a rate in requests per second.
 func interval(perSecond float64) time.Duration {
 	return time.Duration(float64(time.Second) / max(perSecond, LeastRate))
 }
 
-// Forget drops what is known of a life that is over: the next one names its own limit.
+// Forget drops the state of an incarnation that has ended: the next one names its own limit.
 func (l *Limits) Forget(life registry.Life) {
 	if l.known.Load() == 0 {
 		return
@@ -216,7 +221,8 @@
 	l.unreadable.Remove(life)
 }
 
-// Prune drops limits that ended a while ago, and those that nobody has spoken of for long.
+// Prune drops limits that ended longer than endMemory ago and those that no response or update
+// has confirmed for entryMemory.
 func (l *Limits) Prune(now time.Duration) {
 	if l.known.Load() == 0 {
 		return
@@ -231,7 +237,7 @@
 	}
 }
 
-// inForce returns a life's limit, nil if it has none.
+// inForce returns the limit in effect of an incarnation, or nil if it has none.
 func (l *Limits) inForce(life registry.Life) *entry {
 	known := l.entries[life]
 	if known == nil || known.hasEnded {
@@ -240,23 +246,23 @@
 	return known
 }
 
-// Count is the number of limits that are known, those that ended a moment ago included.
+// Count returns the number of known limits, including those that ended recently.
 func (l *Limits) Count() int64 { return l.known.Load() }
 
-// Any tells whether any limit is known.
+// Any reports whether any limit is known.
 func (l *Limits) Any() bool { return l != nil && l.known.Load() > 0 }
 
-// Room is what the choice of an instance weighs of its limit.
+// Room is the headroom of a limit, for the choice among instances.
 type Room struct {
-	// Wait is how long it is until the next permit, as far as is known here.
+	// Wait is the time until the next permit is available, as far as this node knows.
 	Wait time.Duration
-	// Pressure is how scarce permits were of late, from 0 to 1.
+	// Pressure is how scarce permits were recently, from 0 to 1.
 	Pressure float64
-	// PerSecond is the limit.
+	// PerSecond is the limit in requests per second.
 	PerSecond float64
 }
 
-// Room tells whether a life is limited, and what room it has.
+// Room returns the headroom of an incarnation and reports whether it is limited.
 func (l *Limits) Room(now time.Duration, life registry.Life) (Room, bool) {
 	if !l.Any() {
 		return Room{}, false
@@ -274,21 +280,21 @@
 	return Room{Wait: max(0, e.freeAt-now), Pressure: e.pressureNow(now), PerSecond: e.perSecond}
 }
 
-// pressureNow is the pressure, which fades with the time since it was seen: an instance
-// that nobody asks would stay limited.
+// pressureNow returns the pressure, which decays linearly over pressureMemory since it was
+// observed. Without the decay an instance that receives no requests would look limited for ever.
 func (e *entry) pressureNow(now time.Duration) float64 {
 	return e.pressure * max(0, 1-float64(now-e.pressureAt)/float64(pressureMemory))
 }
 
-// Use is what this node made of a limit.
+// Use is how this node used a limit.
 type Use struct {
 	Life registry.Life
 	Room
-	// Granted and Denied are its permits.
+	// Granted and Denied count the responses to the node's permit requests.
 	Granted, Denied int
 }
 
-// TakeUse returns the use of the limits in force since the last call.
+// TakeUse returns the use of the limits since the last call.
 func (l *Limits) TakeUse(now time.Duration) []Use {
 	if !l.Any() {
 		return nil
@@ -306,15 +312,15 @@
 	return used
 }
 
-// Listed is one limit in force, for operators.
+// Listed is a limit in effect, as it is shown to operators.
 type Listed struct {
 	Life registry.Life
 	Room
-	// Age is the time since the newest word of it.
+	// Age is the time since the newest response that named the limit.
 	Age time.Duration
 }
 
-// List returns the limits in force, the scarcest first.
+// List returns the limits in effect, those with the scarcest permits first.
 func (l *Limits) List(now time.Duration) []Listed {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -330,8 +336,8 @@
 	return listed
 }
 
-// Holder returns the node that gives out the permits of an instance in a zone, "" if none
-// may now.
+// Holder returns the address of the node that issues the permits of an instance in a zone, ""
+// if no node may issue them now.
 func (l *Limits) Holder(now time.Duration, instance, zone string) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
--- a/internal/coordination/ratelimit/ratelimit_bench_test.go
+++ b/internal/coordination/ratelimit/ratelimit_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Sizes of fleets in the benchmarks.
+// fleetSizes are the numbers of entry nodes in the benchmarks.
 var fleetSizes = []int{300, 1000, 2000}
 
 const (
@@ -32,7 +32,7 @@
 	return registry.Life{ID: fmt.Sprintf("i-%010d", number), Born: 1700000000000}
 }
 
-// withLimits are a node's limits when a third of 10,000 engines has named one.
+// withLimits returns a node's limits when a third of 10,000 engines has named one.
 func withLimits(nodes []Node) *Limits {
 	limits := limitsAt(nodes[0].Address, nodes)
 	for number := range limitedEngines {
@@ -41,19 +41,19 @@
 	return limits
 }
 
-// What each request pays while no engine names a limit.
+// Cost of each request while no engine names a limit.
 func BenchmarkRequestWithoutAnyLimit(b *testing.B) {
 	limits := limitsAt("a-0", nodesOf("a", 3))
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, _, isLimited := limits.Ask(start, engine, "a", Need{}); isLimited {
-			b.Fatal("a limit")
+			b.Fatal("a limit is in effect")
 		}
 		limits.Learn(start, engine, none, start)
 	}
 }
 
-// atFleetSizes runs a benchmark with the nodes and the limits of fleets of each size.
+// atFleetSizes runs a benchmark at each fleet size.
 func atFleetSizes(b *testing.B, step func(number int, now time.Duration, nodes []Node, limits *Limits)) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// What the holder pays for a permit.
+// The issuer's cost of a permit.
 func BenchmarkPermit(b *testing.B) {
 	atFleetSizes(b, func(number int, now time.Duration, nodes []Node, limits *Limits) {
 		ask, _, _ := limits.Ask(now, lifeOf(number%limitedEngines), nodes[0].Zone, Need{PatienceMS: 100})
@@ -75,14 +75,14 @@
 	})
 }
 
-// What a node pays when another one starts or ends.
+// Cost for a node of another node starting or stopping.
 func BenchmarkNodesChange(b *testing.B) {
 	atFleetSizes(b, func(number int, now time.Duration, nodes []Node, limits *Limits) {
 		limits.SetNodes(now, nodes[:len(nodes)-number%2])
 	})
 }
 
-// What a node hears when a third of 10,000 engines names limits.
+// Cost of receiving the updates when a third of 10,000 engines names limits.
 func BenchmarkHearThousandsOfLimits(b *testing.B) {
 	words := withLimits(fleetOf(300)).InForce()
 	b.ReportAllocs()
@@ -91,7 +91,8 @@
 	}
 }
 
-// The memory for limits follows the engines that name one, and not the nodes.
+// The memory for limits grows with the number of engines that name one, not with the number of
+// nodes.
 func TestMemoryOfThousandsOfLimitsIsBounded(t *testing.T) {
 	heap := func() int64 {
 		runtime.GC()
@@ -103,7 +104,7 @@
 	kept := withLimits(fleetOf(1000))
 	grown := heap() - before
 	t.Logf("%d bytes for %d limits", grown, limitedEngines)
-	// A hundredth of a node's 256 MB for control.
+	// A hundredth of the 256 MB that a node has for control.
 	assert.Assert(t, grown < 256<<20/100)
 	runtime.KeepAlive(kept)
 }
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -17,10 +17,10 @@
 	none   = Said{}
 )
 
-// start is a moment long after the nodes' own start.
+// start is a time long after the nodes have started.
 const start = time.Minute
 
-// nodesOf are some nodes of a zone.
+// nodesOf returns a number of nodes of a zone.
 func nodesOf(zone string, count int) []Node {
 	var nodes []Node
 	for number := range count {
@@ -37,7 +37,7 @@
 	return addresses
 }
 
-// limitsAt are the limits of a node that has known its fleet for long.
+// limitsAt returns the limits of a node that has known its fleet for long.
 func limitsAt(self string, nodes []Node) *Limits {
 	limits := New(self)
 	limits.SetNodes(0, nodes)
@@ -45,8 +45,8 @@
 	return limits
 }
 
-// granted asks a holder for permits of the engine each 10 ms for a time, and returns when
-// they may be used.
+// granted requests permits of the engine every 10 ms for a time, and returns when the granted
+// ones may be used.
 func granted(limits *Limits, from, lasting time.Duration, zone string) []time.Duration {
 	var moments []time.Duration
 	for now := from; now < from+lasting; now += 10 * time.Millisecond {
@@ -117,7 +117,7 @@
 	assert.Equal(t, limits.Hear(start, word(2, false, start-time.Second))[0].Kind, Began)
 	assert.Equal(t, len(limits.Hear(start, word(0, true, start-2*time.Second))), 0)
 	assert.Equal(t, limits.Hear(start, word(0, true, start-time.Millisecond))[0].Kind, Ended)
-	// The older word comes late.
+	// An older update is delayed.
 	assert.Equal(t, len(limits.Hear(start, word(2, false, start-time.Second))), 0)
 	limits.Prune(start + endMemory + time.Second)
 	assert.Assert(t, !limits.Any())
@@ -128,8 +128,8 @@
 		limits := limitsAt("a-0", nodesOf("a", 1))
 		limits.Learn(start, engine, Said{IsNamed: true, PerSecond: perSecond}, start)
 		moments := granted(limits, start, 100*time.Second, "a")
-		assert.Assert(t, moments[0] >= start+interval(perSecond)-time.Millisecond, "%g: the first after %s", perSecond, moments[0]-start)
-		assert.Assert(t, float64(len(moments)) <= 100*perSecond && float64(len(moments)) >= 95*perSecond-1, "%g: %d", perSecond, len(moments))
+		assert.Assert(t, moments[0] >= start+interval(perSecond)-time.Millisecond, "%g: the first permit after %s", perSecond, moments[0]-start)
+		assert.Assert(t, float64(len(moments)) <= 100*perSecond && float64(len(moments)) >= 95*perSecond-1, "%g: %d permits", perSecond, len(moments))
 	}
 }
 
@@ -144,7 +144,7 @@
 	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 8}, start)
 	assert.Equal(t, len(granted(limits, start+time.Hour, 10*time.Millisecond, "a")), 1)
 	later := start + 2*time.Hour
-	// What may be made up for is a quarter of a second, two at this rate.
+	// Unused permits of a quarter of a second are still available: two at this rate.
 	assert.Assert(t, len(granted(limits, later, 250*time.Millisecond, "a")) <= 4)
 }
 
@@ -159,7 +159,7 @@
 			delays = append(delays, answer.DelayMS)
 		}
 	}
-	// The slot that just passed, this one, and one within the patience.
+	// The slot that just passed, the current one, and one within the maximum wait.
 	assert.DeepEqual(t, delays, []uint64{0, 0, 100})
 }
 
@@ -194,10 +194,10 @@
 	lost := start + 10*time.Second
 	limits.SetNodes(lost, rest)
 	moments := granted(limits, start, 70*time.Second, "a")
-	assert.Assert(t, moments[0] >= lost+TakeoverTime, "the first %s after the loss", moments[0]-lost)
+	assert.Assert(t, moments[0] >= lost+TakeoverTime, "the first permit %s after the loss", moments[0]-lost)
 	// The lost node may still use its third of the rate.
 	assert.Assert(t, len(moments) >= 100 && len(moments) <= 115, "%d permits in 57 s", len(moments))
-	// It comes back.
+	// The lost node is live again.
 	limits.SetNodes(start+80*time.Second, nodes)
 	assert.Equal(t, len(granted(limits, start+80*time.Second, 5*time.Second, "a")), 0)
 }
@@ -215,9 +215,9 @@
 			break
 		}
 	}
-	// With one more, two of four parts.
+	// One more node requested a permit: two of four shares.
 	assert.Assert(t, len(granted(limits, start+20*time.Second, 2*time.Second, "a")) <= 5)
-	// Sure again, the others may still count on another holder.
+	// The view is reliable again, but the others may still use another issuer.
 	limits.SetSure(start+25*time.Second, true)
 	assert.Assert(t, len(granted(limits, start+25*time.Second, TakeoverTime, "a")) <= 4)
 	assert.Assert(t, len(granted(limits, start+30*time.Second, 20*time.Second, "a")) >= 75)
@@ -278,8 +278,8 @@
 	assert.Equal(t, returns.Next(start, "portal", 0, 2), leastReturn)
 }
 
-// A slot that is free now is the urgent request's; the other takes it once it was free for
-// a part of the time for which unused slots count.
+// A slot that has just become free is reserved for the most urgent requests. Less urgent ones
+// are granted it once it has been free for a fraction of unusedTime.
 func TestSlotIsHeldBackFromLessUrgentRequests(t *testing.T) {
 	take := func(priority uint8, freeFor time.Duration) bool {
 		held := slots{next: start - freeFor}
--- a/internal/coordination/ratelimit/returns.go
+++ b/internal/coordination/ratelimit/returns.go
@@ -7,27 +7,30 @@
 )
 
 const (
-	// longestReturn bounds the time after which a caller is told to come back.
+	// longestReturn bounds the time after which a refused caller is told to retry.
 	longestReturn = 10 * time.Second
-	// leastReturn is the least of it: a permit that is free sooner is another request's.
+	// leastReturn is the minimum of that time: a permit that is free sooner goes to another
+	// request.
 	leastReturn = 200 * time.Millisecond
 )
 
-// Returns spreads the returns of callers whose requests no limit had room for: each is
-// told the next moment at which the limits have room for one more. Safe for concurrent use.
+// Returns spreads the retries of callers whose requests were refused because no limit had
+// headroom: each is told the next moment at which the limits allow one more request. It is
+// safe for concurrent use.
 type Returns struct {
 	mutex sync.Mutex
-	// next is the first moment of each service that nobody was told yet.
+	// next is, by service, the first moment that no caller has been told yet.
 	next map[string]time.Duration
 }
 
-// NewReturns makes a spread without any returns.
+// NewReturns returns a spread that has told no retry time yet.
 func NewReturns() *Returns { return &Returns{next: map[string]time.Duration{}} }
 
-// Next returns after which time one more caller of a service may come back, where the
-// first permit is free after a wait and this node's part of the limits is some requests
-// a second. Beyond longestReturn the limits have no room for it at all: it is told a time
-// drawn from the second half of that.
+// Next returns the time after which one more caller of a service may retry. wait is the time
+// until the first permit is free, and perSecond is this node's share of the limits in requests
+// per second. If the next moment lies beyond longestReturn, the limits have no headroom for
+// the caller at all; it is then told a time drawn at random from the second half of
+// longestReturn.
 func (r *Returns) Next(now time.Duration, service string, wait time.Duration, perSecond float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/coordination/ratelimit/said.go
+++ b/internal/coordination/ratelimit/said.go
@@ -7,29 +7,29 @@
 	"strings"
 )
 
-// MaximumRate bounds what an instance may name, in requests a second: beyond it a limit
-// is none.
+// MaximumRate bounds the limit that an instance may name, in requests per second. A higher
+// value counts as MaximumRate, since a limit beyond it has no effect.
 const MaximumRate = 1e5
 
-// errNotARate says that a limit is no number of requests a second.
+// errNotARate reports a limit that is not a number of requests per second.
 var errNotARate = errors.New("ratelimit: not a number of requests a second")
 
-// Said is what one answer of an instance says of its limit.
+// Said is what one response of an instance asks for by its rate limit.
 type Said struct {
-	// IsNamed tells that it names one, of PerSecond requests a second.
+	// IsNamed reports whether the response names a limit, of PerSecond requests per second.
 	IsNamed   bool
 	PerSecond float64
-	// IsFailure tells that the instance turned the request away or failed it: such an answer
-	// may say nothing else, so that it names no limit does not end one.
+	// IsFailure reports whether the instance rejected or failed the request. Such a response
+	// may omit the limit, so a missing limit in it does not end one.
 	IsFailure bool
-	// Fault is why what it names can't be read. Such an answer neither sets a limit nor
-	// lifts one.
+	// Fault is the error of a limit that can't be read. Such a response neither sets nor ends
+	// a limit.
 	Fault error
 }
 
-// Read reads the values of the field that names a limit: a decimal number, from 0 on, with
-// or without an exponent. Of several the lowest holds. One above MaximumRate is taken for
-// MaximumRate.
+// Read parses the values of the field that names a limit: decimal numbers from 0 on, with or
+// without an exponent. The lowest of several values applies. A value above MaximumRate counts
+// as MaximumRate. One unreadable value makes the whole field unreadable.
 func Read(values []string) Said {
 	said := Said{PerSecond: MaximumRate}
 	for _, value := range values {
--- a/internal/coordination/ratelimit/words.go
+++ b/internal/coordination/ratelimit/words.go
@@ -6,30 +6,32 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Word is what one node tells another of a limit that has begun, changed or ended.
+// Word is what one node sends another about a limit that has begun, changed or ended.
 type Word struct {
 	Life      registry.Life `msgpack:"l"`
 	PerSecond float64       `msgpack:"r"`
 	HasEnded  bool          `msgpack:"e,omitempty"`
-	// AgeMS is the time since the answer that said it, when the word was sent.
+	// AgeMS is the time in milliseconds from the response that caused the update to the sending
+	// of the update.
 	AgeMS uint64 `msgpack:"a,omitempty"`
-	// At is the moment of that answer by the clock of the node that has the word.
+	// At is the time of that response on the clock of the node that has the update. It is not
+	// sent, since nodes' clocks differ.
 	At time.Duration `msgpack:"-"`
 }
 
-// sentAt is the word as it is sent at a time, with its age.
+// sentAt returns the update with its age at the time of sending.
 func (w Word) sentAt(now time.Duration) Word {
 	w.AgeMS = uint64(max(0, now-w.At).Milliseconds())
 	return w
 }
 
-// receivedAt is a word that another node sent, with its moment.
+// receivedAt returns an update of another node with its time on this node's clock.
 func (w Word) receivedAt(now time.Duration) Word {
 	w.At = now - time.Duration(w.AgeMS)*time.Millisecond
 	return w
 }
 
-// Received sets the moment of words that another node sent.
+// Received sets the time of updates of another node on this node's clock.
 func Received(now time.Duration, words []Word) []Word {
 	for position, word := range words {
 		words[position] = word.receivedAt(now)
@@ -37,8 +39,8 @@
 	return words
 }
 
-// ForSending sets the age of words that are about to be sent. Those beyond MaximumInForce
-// are left out: nodes learn of them from the instances themselves.
+// ForSending returns updates with their age at the time of sending. Updates beyond
+// MaximumInForce are left out: nodes learn of those limits from the instances themselves.
 func ForSending(now time.Duration, words []Word) []Word {
 	if len(words) == 0 {
 		return nil
@@ -51,14 +53,14 @@
 }
 
 const (
-	// maximumNews bounds the words that a node tells at a time, to some 10 KB.
+	// maximumNews bounds the updates that a node sends at a time, to some 10 KB.
 	maximumNews = 256
-	// MaximumInForce bounds the words of one message, to some 160 KB: what a node that
-	// starts is told, and what the nodes of a zone tell together.
+	// MaximumInForce bounds the updates of one message, to some 160 KB. Such a message goes to
+	// a node that starts, or carries the updates of all nodes of a zone.
 	MaximumInForce = 4096
 )
 
-// InForce returns the words of all limits in force, for a node that has just started.
+// InForce returns the updates of all limits in effect, for a node that has just started.
 func (l *Limits) InForce() []Word {
 	if !l.Any() {
 		return nil
@@ -74,7 +76,7 @@
 	return words
 }
 
-// Hear takes words of other nodes. The newest of a life's words holds.
+// Hear applies updates of other nodes. The newest update of an incarnation applies.
 func (l *Limits) Hear(now time.Duration, words []Word) []Change {
 	if len(words) == 0 {
 		return nil
@@ -101,8 +103,8 @@
 	return l.set(now, word)
 }
 
-// TakeNews returns the words that this node has to tell, at most as many as one message
-// bears; the others come with the next.
+// TakeNews returns the updates that this node has to send, at most as many as one message
+// holds. The next call returns further ones.
 func (l *Limits) TakeNews() []Word {
 	if !l.Any() {
 		return nil
