--- a/internal/coordination/ratelimit/holders.go
+++ b/internal/coordination/ratelimit/issuers.go
@@ -15,8 +15,8 @@
 	// AbsentMemory is how long a node counts as one that may still use its share of the rate
 	// after it was last live.
 	AbsentMemory = 2 * time.Minute
-	// viewsKept bounds the number of views that are kept of one zone.
-	viewsKept = 64
+	// maximumViews bounds the number of views that are kept of one zone.
+	maximumViews = 64
 )
 
 // Node is an entry node.
@@ -32,23 +32,23 @@
 	nodes []string
 }
 
-// holders determines which node is the issuer of an instance's permits.
-type holders struct {
+// issuers determines which node is the issuer of an instance's permits.
+type issuers struct {
 	self string
 	// views are the views of each zone within the last TakeoverTime, the newest last.
 	views map[string][]view
 	// absent is when nodes that are no longer live were last seen, by zone and address.
 	absent map[string]map[string]time.Duration
-	// isSure reports whether this node reliably knows which nodes are live, since sureSince.
-	isSure    bool
-	sureSince time.Duration
-	// asked is when each node last requested a permit from this one, by address.
-	asked map[string]time.Duration
+	// isReliable reports whether this node reliably knows which nodes are live, since reliableSince.
+	isReliable    bool
+	reliableSince time.Duration
+	// requestedAt is when each node last requested a permit from this one, by address.
+	requestedAt map[string]time.Duration
 }
 
-func newHolders(self string) holders {
-	return holders{
-		self: self, views: map[string][]view{}, absent: map[string]map[string]time.Duration{}, asked: map[string]time.Duration{},
+func newIssuers(self string) issuers {
+	return issuers{
+		self: self, views: map[string][]view{}, absent: map[string]map[string]time.Duration{}, requestedAt: map[string]time.Duration{},
 	}
 }
 
@@ -61,31 +61,31 @@
 		byZone[node.Zone] = append(byZone[node.Zone], node.Address)
 		byZone[allZones] = append(byZone[allZones], node.Address)
 	}
-	for zone := range l.holders.views {
+	for zone := range l.issuers.views {
 		if _, isLive := byZone[zone]; !isLive {
 			byZone[zone] = nil
 		}
 	}
 	for zone, live := range byZone {
 		slices.Sort(live)
-		l.holders.see(now, zone, live)
+		l.issuers.addView(now, zone, live)
 	}
 }
 
 // SetSure sets whether this node reliably knows which nodes are live: it is in contact with
 // control nodes, and they list it as live. A node that is partitioned from them can't tell
 // whether the others still use it as the issuer or have replaced it.
-func (l *Limits) SetSure(now time.Duration, isSure bool) {
+func (l *Limits) SetSure(now time.Duration, isReliable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if isSure && !l.holders.isSure {
-		l.holders.sureSince = now
+	if isReliable && !l.issuers.isReliable {
+		l.issuers.reliableSince = now
 	}
-	l.holders.isSure = isSure
+	l.issuers.isReliable = isReliable
 }
 
-func (h *holders) see(now time.Duration, zone string, live []string) {
-	views := h.views[zone]
+func (i *issuers) addView(now time.Duration, zone string, live []string) {
+	views := i.views[zone]
 	var before []string
 	if len(views) > 0 {
 		before = views[len(views)-1].nodes
@@ -93,10 +93,10 @@
 			return
 		}
 	}
-	absent := h.absent[zone]
+	absent := i.absent[zone]
 	if absent == nil {
 		absent = map[string]time.Duration{}
-		h.absent[zone] = absent
+		i.absent[zone] = absent
 	}
 	for _, node := range before {
 		absent[node] = now
@@ -109,58 +109,58 @@
 			delete(absent, node)
 		}
 	}
-	for node, at := range h.asked {
+	for node, at := range i.requestedAt {
 		if now-at >= TakeoverTime {
-			delete(h.asked, node)
+			delete(i.requestedAt, node)
 		}
 	}
 	// A view that was replaced more than TakeoverTime ago has no effect any more.
-	for len(views) > 1 && (now-views[1].since >= TakeoverTime || len(views) >= viewsKept) {
+	for len(views) > 1 && (now-views[1].since >= TakeoverTime || len(views) >= maximumViews) {
 		views = views[1:]
 	}
-	h.views[zone] = append(views, view{since: now, nodes: live})
+	i.views[zone] = append(views, view{since: now, nodes: live})
 }
 
 // domain returns the zone whose nodes issue the permits of an instance, allZones if the nodes
 // of all zones do. hasAny is false if no node may: the instance's zone had entry nodes recently
 // but none is live, so they may only be unreachable from this node.
-func (h *holders) domain(now time.Duration, zone string) (domain string, hasAny bool) {
-	if views := h.views[zone]; len(views) > 0 && len(views[len(views)-1].nodes) > 0 {
+func (i *issuers) domain(now time.Duration, zone string) (domain string, hasAny bool) {
+	if views := i.views[zone]; len(views) > 0 && len(views[len(views)-1].nodes) > 0 {
 		return zone, true
 	}
-	for _, seen := range h.absent[zone] {
+	for _, seen := range i.absent[zone] {
 		if now-seen <= AbsentMemory {
 			return zone, false
 		}
 	}
-	return allZones, len(h.views[allZones]) > 0
+	return allZones, len(i.views[allZones]) > 0
 }
 
 // of returns the address of an instance's issuer, "" if there is none.
-func (h *holders) of(now time.Duration, instance, zone string) string {
-	domain, hasAny := h.domain(now, zone)
+func (i *issuers) of(now time.Duration, instance, zone string) string {
+	domain, hasAny := i.domain(now, zone)
 	if !hasAny {
 		return ""
 	}
-	views := h.views[domain]
+	views := i.views[domain]
 	return membership.Highest(instance, views[len(views)-1].nodes)
 }
 
-// part returns the fraction of an instance's rate that this node grants. It is 0 if the node is
+// share returns the fraction of an instance's rate that this node grants. It is 0 if the node is
 // not the issuer, or has not been for long enough; in the latter case wait is the time until
 // it may grant permits.
-func (h *holders) part(now time.Duration, instance, zone string) (part float64, wait time.Duration) {
-	domain, hasAny := h.domain(now, zone)
+func (i *issuers) share(now time.Duration, instance, zone string) (share float64, wait time.Duration) {
+	domain, hasAny := i.domain(now, zone)
 	if !hasAny {
 		return 0, 0
 	}
-	views := h.views[domain]
+	views := i.views[domain]
 	if now-views[0].since < TakeoverTime {
 		return 0, TakeoverTime - (now - views[0].since)
 	}
 	for position, one := range views {
 		isOld := position+1 < len(views) && now-views[position+1].since >= TakeoverTime
-		if isOld || membership.Highest(instance, one.nodes) == h.self {
+		if isOld || membership.Highest(instance, one.nodes) == i.self {
 			continue
 		}
 		if position+1 == len(views) {
@@ -170,26 +170,26 @@
 	}
 	known := views[len(views)-1].nodes
 	live, all := len(known), len(known)
-	for _, seen := range h.absent[domain] {
+	for _, seen := range i.absent[domain] {
 		if now-seen <= AbsentMemory {
 			all++
 		}
 	}
-	if !h.isSure || now-h.sureSince < TakeoverTime {
+	if !i.isReliable || now-i.reliableSince < TakeoverTime {
 		// Another node may be the issuer for the nodes that request no permits here.
-		live = h.countAsking(now, known)
+		live = i.countRequesting(now, known)
 	}
 	return float64(live) / float64(all), 0
 }
 
-// countAsking returns how many of some nodes use this one as the issuer: itself and those that
+// countRequesting returns how many of some nodes use this one as the issuer: itself and those that
 // requested a permit from it within the last TakeoverTime. A node uses one issuer at a time.
-func (h *holders) countAsking(now time.Duration, nodes []string) int {
-	asking := 1
+func (i *issuers) countRequesting(now time.Duration, nodes []string) int {
+	requesting := 1
 	for _, node := range nodes {
-		if at, hasAsked := h.asked[node]; hasAsked && node != h.self && now-at < TakeoverTime {
-			asking++
+		if at, hasRequested := i.requestedAt[node]; hasRequested && node != i.self && now-at < TakeoverTime {
+			requesting++
 		}
 	}
-	return asking
+	return requesting
 }
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -10,17 +10,17 @@
 	// PermitLife is how long after its request a permit may be used. A node that was
 	// suspended meanwhile requests another one.
 	PermitLife = time.Second
-	// unusedTime is how long an unused permit stays available. Small variations in the arrival
+	// unusedPermitTime is how long an unused permit stays available. Small variations in the arrival
 	// of requests therefore cost none of the rate, and an idle time allows no burst.
-	unusedTime = 250 * time.Millisecond
-	// heldShare is the fraction of unusedTime for which a slot is reserved against the least
+	unusedPermitTime = 250 * time.Millisecond
+	// reservedShare is the fraction of unusedPermitTime for which a slot is reserved against the least
 	// urgent requests.
-	heldShare = 0.8
-	// silentHolder is how long no request is sent to an instance whose issuer did not respond,
-	// or that has no issuer.
-	silentHolder = 300 * time.Millisecond
-	// longestFree bounds the wait for the next permit in a response of an issuer.
-	longestFree = time.Minute
+	reservedShare = 0.8
+	// unreachableIssuerDelay is how long no request is sent to an instance whose issuer did not
+	// respond, or that has no issuer.
+	unreachableIssuerDelay = 300 * time.Millisecond
+	// maximumPermitWait bounds the wait for the next permit in a response of an issuer.
+	maximumPermitWait = time.Minute
 )
 
 // Ask is a request to the issuer for a permit.
@@ -66,11 +66,11 @@
 // take grants the next slot if it lies within a request's maximum wait. A less urgent request
 // is granted only a slot that has been free for a while. Scarce slots thus go to urgent
 // requests first and the remaining ones to the others.
-func (s *slots) take(now, between time.Duration, need Need) (wait time.Duration, isTaken bool) {
-	unused := min(unusedTime, between)
+func (s *slots) take(now, between time.Duration, needs Need) (wait time.Duration, isTaken bool) {
+	unused := min(unusedPermitTime, between)
 	slot := max(s.next, now-unused)
-	held := time.Duration(heldShare * float64(unused) * float64(need.Priority) / float64(1+int(need.Priority)))
-	if slot+held-now > need.Patience() {
+	held := time.Duration(reservedShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
+	if slot+held-now > needs.Patience() {
 		return slot + held - now, false
 	}
 	s.next = slot + between
@@ -80,67 +80,67 @@
 // Ask returns a request for a permit and the address of the issuer to which it goes. isLimited
 // is false if the incarnation has no limit and needs no permit. The address is "" if there is
 // no issuer; no request may be sent to the instance then.
-func (l *Limits) Ask(now time.Duration, life registry.Life, zone string, need Need) (ask Ask, holder string, isLimited bool) {
+func (l *Limits) Ask(now time.Duration, incarnation registry.Life, zone string, needs Need) (request Ask, issuer string, isLimited bool) {
 	if !l.Any() {
 		return Ask{}, "", false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.inForce(life)
+	known := l.active(incarnation)
 	if known == nil {
 		return Ask{}, "", false
 	}
-	return Ask{Word: known.word(life).sentAt(now), Zone: zone, Need: need}, l.holders.of(now, life.ID, zone), true
+	return Ask{Word: known.update(incarnation).sentAt(now), Zone: zone, Need: needs}, l.issuers.of(now, incarnation.ID, zone), true
 }
 
 // Grant responds to a permit request of a node, this one or another, as the issuer.
-func (l *Limits) Grant(now time.Duration, from string, ask Ask) Answer {
+func (l *Limits) Grant(now time.Duration, from string, request Ask) Answer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.holders.asked[from] = now
-	word := ask.Word.receivedAt(now)
-	l.hear(now, word)
-	known := l.entries[word.Life]
+	l.issuers.requestedAt[from] = now
+	update := request.Word.receivedAt(now)
+	l.receive(now, update)
+	known := l.entries[update.Life]
 	if known == nil {
 		// The update in the request is not valid.
-		return Answer{FreeMS: uint64(silentHolder.Milliseconds())}
+		return Answer{FreeMS: uint64(unreachableIssuerDelay.Milliseconds())}
 	}
-	answer := Answer{}
-	if known.at > word.At || known.hasEnded {
-		answer.Words = ForSending(now, []Word{known.word(word.Life)})
+	response := Answer{}
+	if known.at > update.At || known.hasEnded {
+		response.Words = ForSending(now, []Word{known.update(update.Life)})
 	}
 	if known.hasEnded {
-		return answer
+		return response
 	}
-	part, wait := l.holders.part(now, word.Life.ID, ask.Zone)
-	if part <= 0 {
-		answer.FreeMS = uint64(max(wait, silentHolder).Milliseconds())
-		return answer
+	share, wait := l.issuers.share(now, update.Life.ID, request.Zone)
+	if share <= 0 {
+		response.FreeMS = uint64(max(wait, unreachableIssuerDelay).Milliseconds())
+		return response
 	}
-	between := time.Duration(float64(interval(known.perSecond)) / part)
-	delay, isTaken := known.slots.take(now, between, ask.Need)
-	answer.IsGranted = isTaken
+	between := time.Duration(float64(interval(known.perSecond)) / share)
+	delay, isTaken := known.slots.take(now, between, request.Need)
+	response.IsGranted = isTaken
 	if isTaken {
-		answer.DelayMS = uint64(delay.Milliseconds())
+		response.DelayMS = uint64(delay.Milliseconds())
 	}
-	answer.FreeMS = uint64(max(0, min(longestFree, known.slots.next-now)).Milliseconds())
-	return answer
+	response.FreeMS = uint64(max(0, min(maximumPermitWait, known.slots.next-now)).Milliseconds())
+	return response
 }
 
 // Answered records an issuer's response.
-func (l *Limits) Answered(now time.Duration, life registry.Life, answer Answer) []Change {
-	changes := l.Hear(now, Received(now, answer.Words))
+func (l *Limits) Answered(now time.Duration, incarnation registry.Life, response Answer) []Change {
+	changes := l.Hear(now, Received(now, response.Words))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.inForce(life)
+	known := l.active(incarnation)
 	if known == nil {
 		return changes
 	}
 	scarce := 1.0
 	switch {
-	case !answer.IsGranted:
+	case !response.IsGranted:
 		known.denied++
-	case answer.DelayMS > 0:
+	case response.DelayMS > 0:
 		known.granted++
 	default:
 		known.granted++
@@ -148,15 +148,15 @@
 	}
 	pressure := known.pressureNow(now)
 	known.pressure, known.pressureAt = pressure+(scarce-pressure)*pressureWeight, now
-	known.freeAt = now + min(longestFree, time.Duration(answer.FreeMS)*time.Millisecond)
+	known.freeAt = now + min(maximumPermitWait, time.Duration(response.FreeMS)*time.Millisecond)
 	return changes
 }
 
 // Unanswered records that the issuer did not respond, or that there is none.
-func (l *Limits) Unanswered(now time.Duration, life registry.Life) {
+func (l *Limits) Unanswered(now time.Duration, incarnation registry.Life) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.inForce(life); known != nil {
-		known.freeAt = now + silentHolder
+	if known := l.active(incarnation); known != nil {
+		known.freeAt = now + unreachableIssuerDelay
 	}
 }
--- a/internal/coordination/ratelimit/ratelimit.go
+++ b/internal/coordination/ratelimit/ratelimit.go
@@ -36,35 +36,35 @@
 	// LeastRate is the rate, in requests per second, that applies to an instance which names
 	// a lower one: only a response can show that its limit has ended.
 	LeastRate = 0.1
-	// entryMemory is how long a limit applies that no response and no update confirms.
-	entryMemory = 10 * time.Minute
-	// endMemory is how long an ended limit is remembered, so that a delayed older update
+	// entryRetention is how long a limit applies that no response and no update confirms.
+	entryRetention = 10 * time.Minute
+	// endedRetention is how long an ended limit is remembered, so that a delayed older update
 	// doesn't restore it.
-	endMemory = 10 * time.Second
-	// sameRate is the ratio of two rates above which they count as different.
-	sameRate = 1.01
-	// pressureMemory is how long a shortage of permits at an instance affects the choice of
+	endedRetention = 10 * time.Second
+	// rateTolerance is the ratio of two rates above which they count as different.
+	rateTolerance = 1.01
+	// pressureDecayTime is how long a shortage of permits at an instance affects the choice of
 	// an instance.
-	pressureMemory = 5 * time.Second
+	pressureDecayTime = 5 * time.Second
 	// pressureWeight is the weight of one permit response in the moving average of the pressure.
 	pressureWeight = 0.3
-	// unreadableKept bounds the number of incarnations that are remembered for having named an
+	// maximumUnreadable bounds the number of incarnations that are remembered for having named an
 	// unreadable limit.
-	unreadableKept = 1024
+	maximumUnreadable = 1024
 )
 
 // Limits keeps what one node knows of the instances' limits. It is safe for concurrent use.
 type Limits struct {
 	mutex   sync.Mutex
 	entries map[registry.Life]*entry
-	// known is the number of entries. While it is 0, requests take no lock.
-	known atomic.Int64
-	// news are the incarnations whose limits have begun, changed or ended here and are still to
-	// be sent to other nodes.
-	news map[registry.Life]struct{}
+	// entryCount is the number of entries. While it is 0, requests take no lock.
+	entryCount atomic.Int64
+	// pendingUpdates are the incarnations whose limits have begun, changed or ended here and for
+	// which an update is still to be sent.
+	pendingUpdates map[registry.Life]struct{}
 	// unreadable are the incarnations that named an unreadable limit; each is reported once.
 	unreadable *bounded.Set[registry.Life]
-	holders    holders
+	issuers    issuers
 }
 
 // entry is the limit of one incarnation of an instance.
@@ -88,8 +88,8 @@
 // New returns the limits of the node at an address, without entries.
 func New(self string) *Limits {
 	return &Limits{
-		entries: map[registry.Life]*entry{}, news: map[registry.Life]struct{}{}, unreadable: bounded.NewSet[registry.Life](unreadableKept),
-		holders: newHolders(self),
+		entries: map[registry.Life]*entry{}, pendingUpdates: map[registry.Life]struct{}{}, unreadable: bounded.NewSet[registry.Life](maximumUnreadable),
+		issuers: newIssuers(self),
 	}
 }
 
@@ -131,55 +131,55 @@
 // written at writtenAt. If that is before the newest signal, the response may be out of date:
 // it neither ends nor raises the limit. A rejection or failure that names no limit doesn't end
 // one either.
-func (l *Limits) Learn(now time.Duration, life registry.Life, said Said, writtenAt time.Duration) Change {
-	if !said.IsNamed && said.Fault == nil && l.known.Load() == 0 {
+func (l *Limits) Learn(now time.Duration, incarnation registry.Life, signal Said, writtenAt time.Duration) Change {
+	if !signal.IsNamed && signal.Fault == nil && l.entryCount.Load() == 0 {
 		return Change{}
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.entries[life]
+	known := l.entries[incarnation]
 	isOvertaken := known != nil && writtenAt < known.at
-	isEnd := !said.IsNamed && !said.IsFailure && !isOvertaken
+	isEnd := !signal.IsNamed && !signal.IsFailure && !isOvertaken
 	switch {
-	case said.Fault != nil:
-		return l.noteUnreadable(life, said.Fault)
-	case !said.IsNamed && (known == nil || known.hasEnded || !isEnd):
+	case signal.Fault != nil:
+		return l.recordUnreadable(incarnation, signal.Fault)
+	case !signal.IsNamed && (known == nil || known.hasEnded || !isEnd):
 		return Change{}
-	case known != nil && !known.hasEnded && isOvertaken && said.PerSecond > known.perSecond:
+	case known != nil && !known.hasEnded && isOvertaken && signal.PerSecond > known.perSecond:
 		return Change{}
 	}
-	change := l.set(now, Word{Life: life, PerSecond: said.PerSecond, HasEnded: !said.IsNamed, At: now})
+	change := l.apply(now, Word{Life: incarnation, PerSecond: signal.PerSecond, HasEnded: !signal.IsNamed, At: now})
 	if change.Kind != Unchanged {
-		l.news[life] = struct{}{}
+		l.pendingUpdates[incarnation] = struct{}{}
 	}
 	return change
 }
 
-func (l *Limits) noteUnreadable(life registry.Life, fault error) Change {
-	if !l.unreadable.Add(life) {
+func (l *Limits) recordUnreadable(incarnation registry.Life, fault error) Change {
+	if !l.unreadable.Add(incarnation) {
 		return Change{}
 	}
-	return Change{Kind: Unreadable, Life: life, Fault: fault}
+	return Change{Kind: Unreadable, Life: incarnation, Fault: fault}
 }
 
-// set applies an update.
-func (l *Limits) set(now time.Duration, word Word) Change {
-	known := l.entries[word.Life]
+// apply applies an update.
+func (l *Limits) apply(now time.Duration, update Word) Change {
+	known := l.entries[update.Life]
 	if known == nil {
 		known = &entry{hasEnded: true}
-		l.entries[word.Life] = known
-		l.known.Add(1)
+		l.entries[update.Life] = known
+		l.entryCount.Add(1)
 	}
 	before, wasEnded := known.perSecond, known.hasEnded
-	known.at, known.hasEnded = word.At, word.HasEnded
-	if !word.HasEnded {
-		known.perSecond = word.PerSecond
+	known.at, known.hasEnded = update.At, update.HasEnded
+	if !update.HasEnded {
+		known.perSecond = update.PerSecond
 	}
-	change := Change{Life: word.Life, PerSecond: known.perSecond, Before: before, Age: now - word.At}
+	change := Change{Life: update.Life, PerSecond: known.perSecond, Before: before, Age: now - update.At}
 	switch {
-	case word.HasEnded && wasEnded:
+	case update.HasEnded && wasEnded:
 		return Change{}
-	case word.HasEnded:
+	case update.HasEnded:
 		change.Kind = Ended
 	case wasEnded:
 		change.Kind = Began
@@ -195,7 +195,7 @@
 	return change
 }
 
-func differs(one, other float64) bool { return one > other*sameRate || other > one*sameRate }
+func differs(one, other float64) bool { return one > other*rateTolerance || other > one*rateTolerance }
 
 // interval is the time between two permits at a rate in requests per second.
 func interval(perSecond float64) time.Duration {
@@ -203,43 +203,43 @@
 }
 
 // Forget drops the state of an incarnation that has ended: the next one names its own limit.
-func (l *Limits) Forget(life registry.Life) {
-	if l.known.Load() == 0 {
+func (l *Limits) Forget(incarnation registry.Life) {
+	if l.entryCount.Load() == 0 {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.drop(life)
+	l.drop(incarnation)
 }
 
-func (l *Limits) drop(life registry.Life) {
-	if _, isKnown := l.entries[life]; isKnown {
-		delete(l.entries, life)
-		l.known.Add(-1)
+func (l *Limits) drop(incarnation registry.Life) {
+	if _, isKnown := l.entries[incarnation]; isKnown {
+		delete(l.entries, incarnation)
+		l.entryCount.Add(-1)
 	}
-	delete(l.news, life)
-	l.unreadable.Remove(life)
+	delete(l.pendingUpdates, incarnation)
+	l.unreadable.Remove(incarnation)
 }
 
-// Prune drops limits that ended longer than endMemory ago and those that no response or update
-// has confirmed for entryMemory.
+// Prune drops limits that ended longer than endedRetention ago and those that no response or update
+// has confirmed for entryRetention.
 func (l *Limits) Prune(now time.Duration) {
-	if l.known.Load() == 0 {
+	if l.entryCount.Load() == 0 {
 		return
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	for life, known := range l.entries {
+	for incarnation, known := range l.entries {
 		age := now - known.at
-		if known.hasEnded && age > endMemory || age > entryMemory {
-			l.drop(life)
+		if known.hasEnded && age > endedRetention || age > entryRetention {
+			l.drop(incarnation)
 		}
 	}
 }
 
-// inForce returns the limit in effect of an incarnation, or nil if it has none.
-func (l *Limits) inForce(life registry.Life) *entry {
-	known := l.entries[life]
+// active returns the limit in effect of an incarnation, or nil if it has none.
+func (l *Limits) active(incarnation registry.Life) *entry {
+	known := l.entries[incarnation]
 	if known == nil || known.hasEnded {
 		return nil
 	}
@@ -247,10 +247,10 @@
 }
 
 // Count returns the number of known limits, including those that ended recently.
-func (l *Limits) Count() int64 { return l.known.Load() }
+func (l *Limits) Count() int64 { return l.entryCount.Load() }
 
 // Any reports whether any limit is known.
-func (l *Limits) Any() bool { return l != nil && l.known.Load() > 0 }
+func (l *Limits) Any() bool { return l != nil && l.entryCount.Load() > 0 }
 
 // Room is the headroom of a limit, for the choice among instances.
 type Room struct {
@@ -263,27 +263,27 @@
 }
 
 // Room returns the headroom of an incarnation and reports whether it is limited.
-func (l *Limits) Room(now time.Duration, life registry.Life) (Room, bool) {
+func (l *Limits) Room(now time.Duration, incarnation registry.Life) (Room, bool) {
 	if !l.Any() {
 		return Room{}, false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.inForce(life)
+	known := l.active(incarnation)
 	if known == nil {
 		return Room{}, false
 	}
-	return known.room(now), true
+	return known.headroom(now), true
 }
 
-func (e *entry) room(now time.Duration) Room {
+func (e *entry) headroom(now time.Duration) Room {
 	return Room{Wait: max(0, e.freeAt-now), Pressure: e.pressureNow(now), PerSecond: e.perSecond}
 }
 
-// pressureNow returns the pressure, which decays linearly over pressureMemory since it was
+// pressureNow returns the pressure, which decays linearly over pressureDecayTime since it was
 // observed. Without the decay an instance that receives no requests would look limited for ever.
 func (e *entry) pressureNow(now time.Duration) float64 {
-	return e.pressure * max(0, 1-float64(now-e.pressureAt)/float64(pressureMemory))
+	return e.pressure * max(0, 1-float64(now-e.pressureAt)/float64(pressureDecayTime))
 }
 
 // Use is how this node used a limit.
@@ -302,11 +302,11 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var used []Use
-	for life, known := range l.entries {
+	for incarnation, known := range l.entries {
 		if known.granted+known.denied == 0 {
 			continue
 		}
-		used = append(used, Use{Life: life, Room: known.room(now), Granted: known.granted, Denied: known.denied})
+		used = append(used, Use{Life: incarnation, Room: known.headroom(now), Granted: known.granted, Denied: known.denied})
 		known.granted, known.denied = 0, 0
 	}
 	return used
@@ -325,9 +325,9 @@
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var listed []Listed
-	for life, known := range l.entries {
+	for incarnation, known := range l.entries {
 		if !known.hasEnded {
-			listed = append(listed, Listed{Life: life, Room: known.room(now), Age: now - known.at})
+			listed = append(listed, Listed{Life: incarnation, Room: known.headroom(now), Age: now - known.at})
 		}
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
@@ -341,5 +341,5 @@
 func (l *Limits) Holder(now time.Duration, instance, zone string) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.holders.of(now, instance, zone)
+	return l.issuers.of(now, instance, zone)
 }
--- a/internal/coordination/ratelimit/ratelimit_bench_test.go
+++ b/internal/coordination/ratelimit/ratelimit_bench_test.go
@@ -28,7 +28,7 @@
 	return nodes
 }
 
-func lifeOf(number int) registry.Life {
+func incarnationOf(number int) registry.Life {
 	return registry.Life{ID: fmt.Sprintf("i-%010d", number), Born: 1700000000000}
 }
 
@@ -36,7 +36,7 @@
 func withLimits(nodes []Node) *Limits {
 	limits := limitsAt(nodes[0].Address, nodes)
 	for number := range limitedEngines {
-		limits.Learn(start, lifeOf(number), two, start)
+		limits.Learn(start, incarnationOf(number), two, start)
 	}
 	return limits
 }
@@ -70,8 +70,8 @@
 // The issuer's cost of a permit.
 func BenchmarkPermit(b *testing.B) {
 	atFleetSizes(b, func(number int, now time.Duration, nodes []Node, limits *Limits) {
-		ask, _, _ := limits.Ask(now, lifeOf(number%limitedEngines), nodes[0].Zone, Need{PatienceMS: 100})
-		limits.Grant(now, nodes[1].Address, ask)
+		request, _, _ := limits.Ask(now, incarnationOf(number%limitedEngines), nodes[0].Zone, Need{PatienceMS: 100})
+		limits.Grant(now, nodes[1].Address, request)
 	})
 }
 
@@ -83,11 +83,11 @@
 }
 
 // Cost of receiving the updates when a third of 10,000 engines names limits.
-func BenchmarkHearThousandsOfLimits(b *testing.B) {
-	words := withLimits(fleetOf(300)).InForce()
+func BenchmarkReceiveThousandsOfLimits(b *testing.B) {
+	updates := withLimits(fleetOf(300)).InForce()
 	b.ReportAllocs()
 	for b.Loop() {
-		New("a-0").Hear(start+time.Second, words)
+		New("a-0").Hear(start+time.Second, updates)
 	}
 }
 
@@ -109,7 +109,7 @@
 	runtime.KeepAlive(kept)
 }
 
-func TestRequestPaysNothingWhileNoEngineNamesALimit(t *testing.T) {
+func TestRequestAllocatesNothingWhileNoEngineNamesALimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 3))
 	allocated := testing.AllocsPerRun(100, func() {
 		limits.Ask(start, engine, "a", Need{})
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -50,18 +50,18 @@
 func granted(limits *Limits, from, lasting time.Duration, zone string) []time.Duration {
 	var moments []time.Duration
 	for now := from; now < from+lasting; now += 10 * time.Millisecond {
-		ask, _, isLimited := limits.Ask(now, engine, zone, Need{})
+		request, _, isLimited := limits.Ask(now, engine, zone, Need{})
 		if !isLimited {
 			return moments
 		}
-		if answer := limits.Grant(now, limits.holders.self, ask); answer.IsGranted {
-			moments = append(moments, now+time.Duration(answer.DelayMS)*time.Millisecond)
+		if response := limits.Grant(now, limits.issuers.self, request); response.IsGranted {
+			moments = append(moments, now+time.Duration(response.DelayMS)*time.Millisecond)
 		}
 	}
 	return moments
 }
 
-func TestAnswerWithoutALimitEndsItOnlyForARequestWrittenAfterTheLimitWasKnown(t *testing.T) {
+func TestResponseWithoutALimitEndsItOnlyForARequestWrittenAfterTheLimitWasKnown(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	assert.Equal(t, limits.Learn(start, engine, two, start).Kind, Began)
 	assert.Equal(t, limits.Learn(start+time.Second, engine, none, start-time.Millisecond).Kind, Unchanged)
@@ -78,7 +78,7 @@
 	assert.Equal(t, limits.Learn(start+5, engine, none, start+4).Kind, Ended)
 }
 
-func TestOvertakenAnswerLowersALimitAndDoesNotRaiseIt(t *testing.T) {
+func TestOutdatedResponseLowersALimitAndDoesNotRaiseIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
 	assert.Equal(t, limits.Learn(start+1, engine, Said{IsNamed: true, PerSecond: 9}, start-1).Kind, Unchanged)
@@ -86,12 +86,12 @@
 	assert.Equal(t, limits.Learn(start+4, engine, Said{IsNamed: true, PerSecond: 9}, start+3).Kind, Changed)
 }
 
-func TestWhatCannotBeReadNeitherSetsNorEndsALimitAndIsToldOnce(t *testing.T) {
+func TestUnreadableLimitNeitherSetsNorEndsALimitAndIsReportedOnce(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	spoiled := Read([]string{"many"})
 	change := limits.Learn(start, engine, spoiled, start)
 	assert.Equal(t, change.Kind, Unreadable)
-	assert.ErrorIs(t, change.Fault, errNotARate)
+	assert.ErrorIs(t, change.Fault, errInvalidRate)
 	assert.Equal(t, limits.Learn(start, engine, spoiled, start).Kind, Unchanged)
 	assert.Assert(t, !limits.Any())
 	limits.Learn(start, engine, two, start)
@@ -100,7 +100,7 @@
 	assert.Assert(t, isLimited)
 }
 
-func TestNewLifeOfAnInstanceHasNoLimit(t *testing.T) {
+func TestNewIncarnationOfAnInstanceHasNoLimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
 	_, _, isLimited := limits.Ask(start, registry.Life{ID: engine.ID, Born: 8}, "a", Need{})
@@ -109,21 +109,21 @@
 	assert.Assert(t, !limits.Any())
 }
 
-func TestNewestWordOfOtherNodesHolds(t *testing.T) {
+func TestNewestUpdateOfOtherNodesApplies(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	word := func(perSecond float64, hasEnded bool, at time.Duration) []Word {
+	update := func(perSecond float64, hasEnded bool, at time.Duration) []Word {
 		return []Word{{Life: engine, PerSecond: perSecond, HasEnded: hasEnded, At: at}}
 	}
-	assert.Equal(t, limits.Hear(start, word(2, false, start-time.Second))[0].Kind, Began)
-	assert.Equal(t, len(limits.Hear(start, word(0, true, start-2*time.Second))), 0)
-	assert.Equal(t, limits.Hear(start, word(0, true, start-time.Millisecond))[0].Kind, Ended)
+	assert.Equal(t, limits.Hear(start, update(2, false, start-time.Second))[0].Kind, Began)
+	assert.Equal(t, len(limits.Hear(start, update(0, true, start-2*time.Second))), 0)
+	assert.Equal(t, limits.Hear(start, update(0, true, start-time.Millisecond))[0].Kind, Ended)
 	// An older update is delayed.
-	assert.Equal(t, len(limits.Hear(start, word(2, false, start-time.Second))), 0)
-	limits.Prune(start + endMemory + time.Second)
+	assert.Equal(t, len(limits.Hear(start, update(2, false, start-time.Second))), 0)
+	limits.Prune(start + endedRetention + time.Second)
 	assert.Assert(t, !limits.Any())
 }
 
-func TestHolderGivesOutTheNamedRateAndBeginsWithoutAnyPermit(t *testing.T) {
+func TestIssuerGrantsTheNamedRateAndStartsWithoutPermits(t *testing.T) {
 	for _, perSecond := range []float64{0.1, 1, 5, 50} {
 		limits := limitsAt("a-0", nodesOf("a", 1))
 		limits.Learn(start, engine, Said{IsNamed: true, PerSecond: perSecond}, start)
@@ -133,13 +133,13 @@
 	}
 }
 
-func TestLimitOfZeroIsAskedRarelyForOnlyAnAnswerCanEndIt(t *testing.T) {
+func TestLimitOfZeroAllowsTheMinimumRateSinceOnlyAResponseCanEndIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, Said{IsNamed: true}, start)
 	assert.Equal(t, len(granted(limits, start, 100*time.Second, "a")), 9)
 }
 
-func TestTimeWithoutRequestsEarnsNoBurst(t *testing.T) {
+func TestIdleTimeAllowsNoBurst(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 8}, start)
 	assert.Equal(t, len(granted(limits, start+time.Hour, 10*time.Millisecond, "a")), 1)
@@ -148,51 +148,51 @@
 	assert.Assert(t, len(granted(limits, later, 250*time.Millisecond, "a")) <= 4)
 }
 
-func TestWaitingRequestIsGivenThePermitOfALaterMoment(t *testing.T) {
+func TestRequestThatCanWaitIsGrantedALaterSlot(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 10}, start)
 	now := start + time.Second
-	ask, _, _ := limits.Ask(now, engine, "a", Need{PatienceMS: 150})
+	request, _, _ := limits.Ask(now, engine, "a", Need{PatienceMS: 150})
 	var delays []uint64
 	for range 4 {
-		if answer := limits.Grant(now, limits.holders.self, ask); answer.IsGranted {
-			delays = append(delays, answer.DelayMS)
+		if response := limits.Grant(now, limits.issuers.self, request); response.IsGranted {
+			delays = append(delays, response.DelayMS)
 		}
 	}
 	// The slot that just passed, the current one, and one within the maximum wait.
 	assert.DeepEqual(t, delays, []uint64{0, 0, 100})
 }
 
-func TestOneNodeOfTheInstancesZoneIsTheHolderForAll(t *testing.T) {
+func TestAllNodesSelectTheSameIssuerInTheInstancesZone(t *testing.T) {
 	nodes := append(nodesOf("a", 3), nodesOf("b", 3)...)
 	expected := membership.Highest(engine.ID, addressesOf(nodesOf("b", 3)))
-	holders := 0
+	issuers := 0
 	for _, node := range nodes {
 		limits := limitsAt(node.Address, nodes)
 		limits.Learn(start, engine, two, start)
-		_, holder, _ := limits.Ask(start, engine, "b", Need{})
-		assert.Equal(t, holder, expected)
+		_, issuer, _ := limits.Ask(start, engine, "b", Need{})
+		assert.Equal(t, issuer, expected)
 		if len(granted(limits, start, 5*time.Second, "b")) > 0 {
-			holders++
+			issuers++
 		}
 	}
-	assert.Equal(t, holders, 1)
+	assert.Equal(t, issuers, 1)
 }
 
-func TestNodeThatBecomesTheHolderGivesNothingForTheTakeoverTime(t *testing.T) {
+func TestNewIssuerGrantsNothingForTheTakeoverTime(t *testing.T) {
 	nodes := nodesOf("a", 3)
 	first := membership.Highest(engine.ID, addressesOf(nodes))
-	var rest []Node
+	var remaining []Node
 	for _, node := range nodes {
 		if node.Address != first {
-			rest = append(rest, node)
+			remaining = append(remaining, node)
 		}
 	}
-	second := membership.Highest(engine.ID, addressesOf(rest))
+	second := membership.Highest(engine.ID, addressesOf(remaining))
 	limits := limitsAt(second, nodes)
 	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 3}, start)
 	lost := start + 10*time.Second
-	limits.SetNodes(lost, rest)
+	limits.SetNodes(lost, remaining)
 	moments := granted(limits, start, 70*time.Second, "a")
 	assert.Assert(t, moments[0] >= lost+TakeoverTime, "the first permit %s after the loss", moments[0]-lost)
 	// The lost node may still use its third of the rate.
@@ -202,15 +202,15 @@
 	assert.Equal(t, len(granted(limits, start+80*time.Second, 5*time.Second, "a")), 0)
 }
 
-func TestNodeThatCannotTellWhoIsLiveGivesOutThePartsOfThoseThatAskIt(t *testing.T) {
+func TestIssuerWithoutAReliableViewGrantsOnlyTheSharesOfRequestingNodes(t *testing.T) {
 	nodes := nodesOf("a", 4)
-	holder := membership.Highest(engine.ID, addressesOf(nodes))
-	limits := limitsAt(holder, nodes)
+	issuer := membership.Highest(engine.ID, addressesOf(nodes))
+	limits := limitsAt(issuer, nodes)
 	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 4}, start)
 	limits.SetSure(start, false)
 	assert.Assert(t, len(granted(limits, start, 20*time.Second, "a")) <= 20)
 	for _, node := range nodes {
-		if node.Address != holder {
+		if node.Address != issuer {
 			limits.Grant(start+20*time.Second, node.Address, Ask{Word: Word{Life: engine, PerSecond: 4}, Zone: "a"})
 			break
 		}
@@ -223,48 +223,48 @@
 	assert.Assert(t, len(granted(limits, start+30*time.Second, 20*time.Second, "a")) >= 75)
 }
 
-func TestZoneWhoseNodesAreOutOfReachHasNoHolderElsewhereUntilTheyAreForgotten(t *testing.T) {
+func TestZoneWithUnreachableNodesHasNoIssuerElsewhereUntilTheyAreForgotten(t *testing.T) {
 	nodes := append(nodesOf("a", 2), nodesOf("b", 2)...)
 	limits := limitsAt("a-0", nodes)
 	limits.Learn(start, engine, two, start)
 	limits.SetNodes(start, nodesOf("a", 2))
-	_, holder, isLimited := limits.Ask(start+time.Minute, engine, "b", Need{})
+	_, issuer, isLimited := limits.Ask(start+time.Minute, engine, "b", Need{})
 	assert.Assert(t, isLimited)
-	assert.Equal(t, holder, "")
-	_, holder, _ = limits.Ask(start+AbsentMemory+time.Second, engine, "b", Need{})
-	assert.Equal(t, holder, membership.Highest(engine.ID, addressesOf(nodesOf("a", 2))))
+	assert.Equal(t, issuer, "")
+	_, issuer, _ = limits.Ask(start+AbsentMemory+time.Second, engine, "b", Need{})
+	assert.Equal(t, issuer, membership.Highest(engine.ID, addressesOf(nodesOf("a", 2))))
 }
 
-func TestHolderTellsANodeThatALimitHasEnded(t *testing.T) {
-	limits, asking := limitsAt("a-0", nodesOf("a", 2)), limitsAt("a-1", nodesOf("a", 2))
-	asking.Learn(start, engine, two, start)
-	ask, _, _ := asking.Ask(start, engine, "a", Need{})
-	limits.Grant(start, "a-1", ask)
+func TestIssuerSendsARequestingNodeTheEndOfALimit(t *testing.T) {
+	limits, requesting := limitsAt("a-0", nodesOf("a", 2)), limitsAt("a-1", nodesOf("a", 2))
+	requesting.Learn(start, engine, two, start)
+	request, _, _ := requesting.Ask(start, engine, "a", Need{})
+	limits.Grant(start, "a-1", request)
 	limits.Learn(start+time.Second, engine, none, start+time.Millisecond)
-	ask, _, _ = asking.Ask(start+2*time.Second, engine, "a", Need{})
-	answer := limits.Grant(start+2*time.Second, "a-1", ask)
-	changes := asking.Answered(start+2*time.Second, engine, answer)
+	request, _, _ = requesting.Ask(start+2*time.Second, engine, "a", Need{})
+	response := limits.Grant(start+2*time.Second, "a-1", request)
+	changes := requesting.Answered(start+2*time.Second, engine, response)
 	assert.Equal(t, changes[0].Kind, Ended)
 }
 
-func TestScarcityFadesOnceNobodyAsks(t *testing.T) {
+func TestPressureDecaysWithoutPermitRequests(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
 	for range 20 {
 		limits.Answered(start, engine, Answer{FreeMS: 400})
 	}
-	room, _ := limits.Room(start, engine)
-	assert.Equal(t, room.Wait, 400*time.Millisecond)
-	assert.Assert(t, room.Pressure > 0.9)
-	room, _ = limits.Room(start+pressureMemory, engine)
-	assert.DeepEqual(t, room, Room{PerSecond: 2})
+	headroom, _ := limits.Room(start, engine)
+	assert.Equal(t, headroom.Wait, 400*time.Millisecond)
+	assert.Assert(t, headroom.Pressure > 0.9)
+	headroom, _ = limits.Room(start+pressureDecayTime, engine)
+	assert.DeepEqual(t, headroom, Room{PerSecond: 2})
 }
 
-func TestReturnsAreSpreadAtTheRateOfTheLimits(t *testing.T) {
-	returns := NewReturns()
+func TestRetriesAreSpreadAtTheRateOfTheLimits(t *testing.T) {
+	retries := NewReturns()
 	var last time.Duration
 	for number := range 10 {
-		after := returns.Next(start, "model", 300*time.Millisecond, 2)
+		after := retries.Next(start, "model", 300*time.Millisecond, 2)
 		if number == 0 {
 			assert.Equal(t, after, 300*time.Millisecond)
 		} else {
@@ -273,14 +273,14 @@
 		last = after
 	}
 	for range 100 {
-		assert.Assert(t, returns.Next(start, "model", 0, 2) <= longestReturn)
+		assert.Assert(t, retries.Next(start, "model", 0, 2) <= maximumRetryTime)
 	}
-	assert.Equal(t, returns.Next(start, "portal", 0, 2), leastReturn)
+	assert.Equal(t, retries.Next(start, "portal", 0, 2), minimumRetryTime)
 }
 
 // A slot that has just become free is reserved for the most urgent requests. Less urgent ones
-// are granted it once it has been free for a fraction of unusedTime.
-func TestSlotIsHeldBackFromLessUrgentRequests(t *testing.T) {
+// are granted it once it has been free for a fraction of unusedPermitTime.
+func TestSlotIsReservedAgainstLessUrgentRequests(t *testing.T) {
 	take := func(priority uint8, freeFor time.Duration) bool {
 		held := slots{next: start - freeFor}
 		_, isTaken := held.take(start, time.Second, Need{Priority: priority})
@@ -289,5 +289,5 @@
 	assert.Assert(t, take(0, 0))
 	assert.Assert(t, !take(1, 90*time.Millisecond) && take(1, 110*time.Millisecond))
 	assert.Assert(t, !take(3, 140*time.Millisecond) && take(3, 160*time.Millisecond))
-	assert.Assert(t, take(255, unusedTime))
+	assert.Assert(t, take(255, unusedPermitTime))
 }
--- a/internal/coordination/ratelimit/returns.go
+++ b/internal/coordination/ratelimit/retries.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// longestReturn bounds the time after which a refused caller is told to retry.
-	longestReturn = 10 * time.Second
-	// leastReturn is the minimum of that time: a permit that is free sooner goes to another
+	// maximumRetryTime bounds the time after which a refused caller is told to retry.
+	maximumRetryTime = 10 * time.Second
+	// minimumRetryTime is the minimum of that time: a permit that is free sooner goes to another
 	// request.
-	leastReturn = 200 * time.Millisecond
+	minimumRetryTime = 200 * time.Millisecond
 )
 
 // Returns spreads the retries of callers whose requests were refused because no limit had
@@ -28,17 +28,17 @@
 
 // Next returns the time after which one more caller of a service may retry. wait is the time
 // until the first permit is free, and perSecond is this node's share of the limits in requests
-// per second. If the next moment lies beyond longestReturn, the limits have no headroom for
+// per second. If the next moment lies beyond maximumRetryTime, the limits have no headroom for
 // the caller at all; it is then told a time drawn at random from the second half of
-// longestReturn.
+// maximumRetryTime.
 func (r *Returns) Next(now time.Duration, service string, wait time.Duration, perSecond float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	at := max(r.next[service], now+max(wait, leastReturn))
+	at := max(r.next[service], now+max(wait, minimumRetryTime))
 	after := at - now
-	if after > longestReturn {
-		return longestReturn/2 + rand.N(longestReturn/2)
+	if after > maximumRetryTime {
+		return maximumRetryTime/2 + rand.N(maximumRetryTime/2)
 	}
-	r.next[service] = at + min(longestReturn, interval(perSecond))
+	r.next[service] = at + min(maximumRetryTime, interval(perSecond))
 	return after
 }
--- a/internal/coordination/ratelimit/said.go
+++ b/internal/coordination/ratelimit/signal.go
@@ -11,8 +11,8 @@
 // value counts as MaximumRate, since a limit beyond it has no effect.
 const MaximumRate = 1e5
 
-// errNotARate reports a limit that is not a number of requests per second.
-var errNotARate = errors.New("ratelimit: not a number of requests a second")
+// errInvalidRate reports a limit that is not a number of requests per second.
+var errInvalidRate = errors.New("ratelimit: not a number of requests a second")
 
 // Said is what one response of an instance asks for by its rate limit.
 type Said struct {
@@ -31,31 +31,31 @@
 // without an exponent. The lowest of several values applies. A value above MaximumRate counts
 // as MaximumRate. One unreadable value makes the whole field unreadable.
 func Read(values []string) Said {
-	said := Said{PerSecond: MaximumRate}
+	signal := Said{PerSecond: MaximumRate}
 	for _, value := range values {
-		perSecond, err := readRate(value)
+		perSecond, err := parseRate(value)
 		if err != nil {
 			return Said{Fault: err}
 		}
-		said.IsNamed, said.PerSecond = true, min(said.PerSecond, perSecond)
+		signal.IsNamed, signal.PerSecond = true, min(signal.PerSecond, perSecond)
 	}
-	if !said.IsNamed {
+	if !signal.IsNamed {
 		return Said{}
 	}
-	return said
+	return signal
 }
 
-func readRate(value string) (float64, error) {
+func parseRate(value string) (float64, error) {
 	trimmed := strings.TrimSpace(value)
 	if trimmed == "" || strings.Trim(trimmed, "0123456789.eE+-") != "" {
-		return 0, fmt.Errorf("%w: %q", errNotARate, value)
+		return 0, fmt.Errorf("%w: %q", errInvalidRate, value)
 	}
 	perSecond, err := strconv.ParseFloat(trimmed, 64)
 	if errors.Is(err, strconv.ErrRange) && perSecond > 0 {
 		return MaximumRate, nil
 	}
 	if err != nil || perSecond < 0 {
-		return 0, fmt.Errorf("%w: %q", errNotARate, value)
+		return 0, fmt.Errorf("%w: %q", errInvalidRate, value)
 	}
 	return perSecond, nil
 }
--- a/internal/coordination/ratelimit/words.go
+++ b/internal/coordination/ratelimit/updates.go
@@ -32,29 +32,29 @@
 }
 
 // Received sets the time of updates of another node on this node's clock.
-func Received(now time.Duration, words []Word) []Word {
-	for position, word := range words {
-		words[position] = word.receivedAt(now)
+func Received(now time.Duration, updates []Word) []Word {
+	for position, update := range updates {
+		updates[position] = update.receivedAt(now)
 	}
-	return words
+	return updates
 }
 
 // ForSending returns updates with their age at the time of sending. Updates beyond
 // MaximumInForce are left out: nodes learn of those limits from the instances themselves.
-func ForSending(now time.Duration, words []Word) []Word {
-	if len(words) == 0 {
+func ForSending(now time.Duration, updates []Word) []Word {
+	if len(updates) == 0 {
 		return nil
 	}
-	sent := make([]Word, 0, min(len(words), MaximumInForce))
-	for _, word := range words[:min(len(words), MaximumInForce)] {
-		sent = append(sent, word.sentAt(now))
+	sent := make([]Word, 0, min(len(updates), MaximumInForce))
+	for _, update := range updates[:min(len(updates), MaximumInForce)] {
+		sent = append(sent, update.sentAt(now))
 	}
 	return sent
 }
 
 const (
-	// maximumNews bounds the updates that a node sends at a time, to some 10 KB.
-	maximumNews = 256
+	// maximumUpdates bounds the updates that a node sends at a time, to some 10 KB.
+	maximumUpdates = 256
 	// MaximumInForce bounds the updates of one message, to some 160 KB. Such a message goes to
 	// a node that starts, or carries the updates of all nodes of a zone.
 	MaximumInForce = 4096
@@ -67,40 +67,40 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var words []Word
-	for life, known := range l.entries {
+	var updates []Word
+	for incarnation, known := range l.entries {
 		if !known.hasEnded {
-			words = append(words, known.word(life))
+			updates = append(updates, known.update(incarnation))
 		}
 	}
-	return words
+	return updates
 }
 
 // Hear applies updates of other nodes. The newest update of an incarnation applies.
-func (l *Limits) Hear(now time.Duration, words []Word) []Change {
-	if len(words) == 0 {
+func (l *Limits) Hear(now time.Duration, updates []Word) []Change {
+	if len(updates) == 0 {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var changes []Change
-	for _, word := range words {
-		if change := l.hear(now, word); change.Kind != Unchanged {
+	for _, update := range updates {
+		if change := l.receive(now, update); change.Kind != Unchanged {
 			changes = append(changes, change)
 		}
 	}
 	return changes
 }
 
-func (l *Limits) hear(now time.Duration, word Word) Change {
-	known := l.entries[word.Life]
+func (l *Limits) receive(now time.Duration, update Word) Change {
+	known := l.entries[update.Life]
 	switch {
-	case known == nil && word.HasEnded, known != nil && word.At <= known.at:
+	case known == nil && update.HasEnded, known != nil && update.At <= known.at:
 		return Change{}
-	case !word.HasEnded && !(word.PerSecond >= 0 && word.PerSecond <= MaximumRate):
+	case !update.HasEnded && !(update.PerSecond >= 0 && update.PerSecond <= MaximumRate):
 		return Change{}
 	}
-	return l.set(now, word)
+	return l.apply(now, update)
 }
 
 // TakeNews returns the updates that this node has to send, at most as many as one message
@@ -111,17 +111,17 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var words []Word
-	for life := range l.news {
-		if len(words) >= maximumNews {
+	var updates []Word
+	for incarnation := range l.pendingUpdates {
+		if len(updates) >= maximumUpdates {
 			break
 		}
-		words = append(words, l.entries[life].word(life))
-		delete(l.news, life)
+		updates = append(updates, l.entries[incarnation].update(incarnation))
+		delete(l.pendingUpdates, incarnation)
 	}
-	return words
+	return updates
 }
 
-func (e *entry) word(life registry.Life) Word {
-	return Word{Life: life, PerSecond: e.perSecond, HasEnded: e.hasEnded, At: e.at}
+func (e *entry) update(incarnation registry.Life) Word {
+	return Word{Life: incarnation, PerSecond: e.perSecond, HasEnded: e.hasEnded, At: e.at}
 }
