--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -7,23 +7,24 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Verdict says that a request has come into quarantine, or out of it.
+// Verdict reports that a request has entered or left quarantine.
 type Verdict struct {
 	Record
-	// IsQuarantined tells which, Counted is how many ends are held against it.
+	// IsQuarantined reports which of both; Counted is the number of crashes that count against
+	// the request.
 	IsQuarantined bool
 	Counted       int
-	// Beside is how many other requests were at those ends.
+	// Beside is the number of other requests that were in flight at its crashes.
 	Beside int
 }
 
-// IsDue tells whether there is anything to decide on.
+// IsDue reports whether Decide has anything to derive.
 func (t *Tracker) IsDue(now time.Duration) bool {
 	t.expire(now)
 	return t.isOutdated || t.settles != 0 && now >= t.settles
 }
 
-// Decide derives who is in quarantine, and returns what has changed.
+// Decide derives which requests are in quarantine and returns the changes.
 func (t *Tracker) Decide(now time.Duration) []Verdict {
 	if !t.IsDue(now) {
 		return nil
@@ -55,26 +56,27 @@
 	return suspects
 }
 
-// weighing is one derivation.
+// weighing is the state of one derivation.
 type weighing struct {
-	// present are the requests at each end, strongest the highest suspicion there.
+	// present are the requests in flight at each crash, strongest is the highest suspicion
+	// there.
 	present   map[registry.Life][]*suspect
 	strongest map[registry.Life]Suspicion
-	// explained are the ends that a quarantined request was at.
+	// explained are the crashes at which a quarantined request was in flight.
 	explained map[registry.Life]bool
 	settled   func(end) bool
 }
 
-// weigh puts requests into quarantine one after the other, the most certain first: what
-// it explains counts against nobody else.
+// weigh puts requests into quarantine one after the other, the most certain first. The crashes
+// that a quarantined request explains count against no other request.
 func (t *Tracker) weigh(now time.Duration) *weighing {
 	found := &weighing{
 		present: map[registry.Life][]*suspect{}, strongest: map[registry.Life]Suspicion{}, explained: map[registry.Life]bool{},
 		settled: func(held end) bool { return held.at+settleTime <= now },
 	}
 	t.settles = 0
-	// open are those that may be guilty. Most of what is held are requests that were at
-	// one end only, which need no count: no rival of a guilty one has so few.
+	// open are the candidates for quarantine. Most recorded requests were in flight at one
+	// crash only. They need no count: a rival of a candidate has more.
 	var open []*suspect
 	for _, one := range t.suspects {
 		one.isQuarantined, one.counted = false, 0
@@ -107,8 +109,8 @@
 	}
 }
 
-// counted are the ends that count against a request: nobody there was more suspicious,
-// and nothing explains them.
+// counted returns the crashes that count against a request: no other request there was more
+// suspicious, and no quarantined request explains them.
 func (w *weighing) counted(one *suspect) []registry.Life {
 	var lives []registry.Life
 	for life, held := range one.ends {
@@ -119,11 +121,12 @@
 	return lives
 }
 
-// mostCertain returns the place of the request that is to be quarantined next, or -1 if
-// there is none: of those at certainEnds the one at the most ends, else the one that
-// most ends count against. At certainEnds no other request is an explanation any more for
-// one that was likeliest each time: two that end engines side by side would else take
-// turns in each other's excuse.
+// mostCertain returns the index of the request that is to be quarantined next, or -1 if there
+// is none. Requests with at least certainEnds crashes come first, the one with the most
+// crashes leading; then the one that most crashes count against. From certainEnds crashes on,
+// another request no longer explains the crashes of one that was the most suspicious each
+// time. Otherwise two poison requests at the same engines would alternately explain each
+// other's crashes.
 func (w *weighing) mostCertain(open []*suspect) int {
 	best, bestEnds, bestCounted := -1, 0, 0
 	for position, one := range open {
@@ -139,14 +142,14 @@
 	return best
 }
 
-// isStrongest tells whether nobody at an end was more suspicious, and there is any
-// suspicion at all.
+// isStrongest reports whether no other request at a crash was more suspicious, and the request
+// was suspicious at all.
 func (w *weighing) isStrongest(life registry.Life, held end) bool {
 	return held.suspicion > Excused && held.suspicion == w.strongest[life]
 }
 
-// isProven tells whether enough ends count against a request alone. Invariant: a request
-// at fewer than provenEnds ends is never in quarantine.
+// isProven reports whether enough crashes count against a request alone. Invariant: a request
+// with fewer than provenEnds crashes is never in quarantine.
 func (w *weighing) isProven(one *suspect) bool {
 	if one.counted < provenEnds {
 		return false
@@ -160,8 +163,8 @@
 	return alone >= provenEnds
 }
 
-// unexplained is how many ends the request was at that nothing explains. Those at which
-// it was Excused count once they are as many as are held of a request.
+// unexplained returns the number of a request's crashes that no quarantined request explains.
+// Those at which it was Excused count only if the number reaches endsKept.
 func (w *weighing) unexplained(one *suspect) int {
 	ends := w.count(one, func(life registry.Life, _ end) bool { return !w.explained[life] })
 	if ends >= endsKept {
@@ -170,12 +173,12 @@
 	return w.count(one, func(life registry.Life, held end) bool { return !w.explained[life] && held.suspicion > Excused })
 }
 
-// likeliest is at how many ends nobody was more suspicious than the request.
+// likeliest returns at how many crashes no other request was more suspicious.
 func (w *weighing) likeliest(one *suspect) int {
 	return w.count(one, func(life registry.Life, held end) bool { return w.isStrongest(life, held) })
 }
 
-// count counts the ends of a request that have settled and meet a condition.
+// count returns the number of a request's settled crashes that meet a condition.
 func (w *weighing) count(one *suspect, meets func(registry.Life, end) bool) int {
 	count := 0
 	for life, held := range one.ends {
@@ -186,15 +189,15 @@
 	return count
 }
 
-// hasRival tells whether another request that counts at an end has as many ends against
-// it: which of the two it was the next end will tell.
+// hasRival reports whether another request that counts at a crash has at least as many crashes
+// against it. Only a further crash can then distinguish the two.
 func (w *weighing) hasRival(one *suspect, life registry.Life) bool {
 	return slices.ContainsFunc(w.present[life], func(other *suspect) bool {
 		return other != one && !other.isQuarantined && other.counted >= one.counted && other.ends[life].suspicion == w.strongest[life]
 	})
 }
 
-// beside is how many other requests were at a request's ends.
+// beside returns the number of other requests that were in flight at a request's crashes.
 func (w *weighing) beside(one *suspect) int {
 	others := map[Fingerprint]bool{}
 	for life := range one.ends {
--- a/internal/coordination/quarantine/doc.go
+++ b/internal/coordination/quarantine/doc.go
@@ -1,21 +1,22 @@
-// Package quarantine finds requests that end the engines which run them ("poison
-// requests"), and keeps them from further engines.
+// Package quarantine detects requests that crash the engines which run them ("poison
+// requests") and keeps them from further engines. Such a request is in quarantine: it is
+// refused until the crashes recorded against it are too old to count.
 //
-// A request is named by its Fingerprint, since each return of it has another id and
-// comes to another node. Nodes report the ends of engines that their runs broke with
-// as Evidence; a Tracker holds who was there when which life of an engine ended, and
-// derives from that alone who is quarantined. What it holds only grows, and a record's
-// later generation replaces the earlier one, so nodes may exchange it in any order and
-// any number of times, and those that were cut off from each other agree once they are
-// joined.
+// A request is identified by its Fingerprint, since each retry has another id and may arrive
+// at another node. Nodes report the engine crashes that broke their runs as Evidence. A
+// Tracker records which requests were in flight when which incarnation of an engine crashed,
+// and derives from that alone which requests are in quarantine. Its records only grow, and a
+// record's later generation replaces the earlier ones. Nodes may therefore exchange records in
+// any order and any number of times, and partitioned nodes agree once the partition heals.
 //
-// An engine's end takes all that ran there along, so being there proves nothing yet:
+// A crash breaks every run in flight at the engine, so a request's presence alone proves
+// nothing:
 //
-//   - Of the runs at one end only the likeliest count: those that had just begun, else
-//     those of which nothing was heard yet.
-//   - An end that a quarantined request explains counts against nobody else.
-//   - A request that ran to its end at any engine is cleared.
+//   - Of the runs at one crash only the most suspicious count: those whose response had just
+//     begun, otherwise those without any response yet.
+//   - A crash that a quarantined request explains counts against no other request.
+//   - A request that ran to completion at any engine is cleared.
 //
-// The package reads no clock and sends nothing. Guard is what the paths of requests
-// ask; it alone is safe for concurrent use.
+// The package reads no clock and sends nothing. Guard is the interface to the request paths.
+// It alone is safe for concurrent use.
 package quarantine
--- a/internal/coordination/quarantine/evidence.go
+++ b/internal/coordination/quarantine/evidence.go
@@ -6,21 +6,22 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Suspicion ranks how likely a run is why its engine ended.
+// Suspicion ranks how likely a run caused the crash of its engine.
 type Suspicion uint8
 
 const (
-	// Excused: its request ran to its end at the same node of late.
+	// Excused: the same request ran to completion at the same node recently.
 	Excused Suspicion = iota + 1
-	// Unlikely: it had run for a while.
+	// Unlikely: the run had lasted for a while.
 	Unlikely
-	// Possible: nothing of its answer had come, so it may have waited or have begun.
+	// Possible: no part of the response had arrived, so the run may have been queued or just
+	// begun.
 	Possible
-	// Likely: its answer had just begun.
+	// Likely: the response had just begun.
 	Likely
 )
 
-// String names the suspicion.
+// String returns the name of the suspicion.
 func (s Suspicion) String() string {
 	names := [...]string{"none", "excused", "unlikely", "possible", "likely"}
 	if int(s) < len(names) {
@@ -29,22 +30,22 @@
 	return "unknown"
 }
 
-// freshRun is how long after the beginning of its answer a run is still Likely. A
-// request that engines can't bear ends them as they begin it: 34 to 113 ms after, in
-// the ends that were seen; engines may be eight times slower at times.
+// freshRun is how long after the beginning of its response a run is still Likely. A poison
+// request crashes the engine as the run begins: 34 to 113 ms after, in the crashes observed so
+// far. Engines may be eight times slower at times.
 const freshRun = time.Second
 
-// Run is one run of a request that broke off at an engine.
+// Run is a run of a request that broke off at an engine.
 type Run struct {
-	// AnswerBegan tells that its answer had begun, BeganFor since when.
+	// AnswerBegan reports whether the response had begun, and BeganFor how long ago.
 	AnswerBegan bool
 	BeganFor    time.Duration
-	// BeginsAtHead tells that engines answer such a request's head as they begin to
-	// run it, as they do with streams; others they answer when they are done.
+	// BeginsAtHead reports whether engines send the head of the response as they begin to run
+	// the request, as they do with streams. For other requests they send it after the run.
 	BeginsAtHead bool
 }
 
-// Suspicion ranks the run.
+// Suspicion returns the rank of the run.
 func (r Run) Suspicion() Suspicion {
 	switch {
 	case !r.AnswerBegan:
@@ -55,11 +56,11 @@
 	return Unlikely
 }
 
-// Evidence says that a run of a request was at an engine when that ended.
+// Evidence is a report of a run that was in flight at an engine when the engine crashed.
 type Evidence struct {
 	Fingerprint Fingerprint
 	Life        registry.Life
 	Suspicion   Suspicion
-	// Route and Tenant are for operators.
+	// Route and Tenant are shown to operators.
 	Route, Tenant string
 }
--- a/internal/coordination/quarantine/fingerprint_test.go
+++ b/internal/coordination/quarantine/fingerprint_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// A body of the usual size and the largest one that a deployment takes.
+// Bodies of usual sizes and the largest one that a deployment accepts.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, length := range []int{4 << 10, 64 << 10, 4 << 20} {
 		b.Run(fmt.Sprintf("%dKB", length>>10), func(b *testing.B) {
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -8,21 +8,22 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Standing is how a request stands.
+// Standing is the quarantine status of a request.
 type Standing uint8
 
 const (
-	// Unknown: nothing is held against it.
+	// Unknown: no crash is recorded against it.
 	Unknown Standing = iota
-	// Known: it was at the end of an engine.
+	// Known: it was in flight when an engine crashed.
 	Known
-	// Suspected: it may be why several ended.
+	// Suspected: it may have caused several crashes.
 	Suspected
-	// Quarantined: it must reach no further engine.
+	// Quarantined: it must not be sent to any further engine.
 	Quarantined
 )
 
-// View is what a Tracker says of each request, to be read by many at once.
+// View is an immutable snapshot of the status of each request in a Tracker, for concurrent
+// readers.
 type View struct {
 	byScope map[uint64][]standingOf
 }
@@ -32,7 +33,7 @@
 	standing Standing
 }
 
-// View returns the tracker's word on each request that it holds something against.
+// View returns the status of each request against which crashes are recorded.
 func (t *Tracker) View() *View {
 	view := &View{byScope: map[uint64][]standingOf{}}
 	for _, one := range t.suspects {
@@ -53,19 +54,19 @@
 	return Known
 }
 
-// Request is a request as a Guard is asked of it. Its body is hashed only if something
-// is held against a request of the same scope and length.
+// Request is a request whose status a Guard looks up. Its body is hashed only if crashes are
+// recorded against a request of the same scope and length.
 type Request interface {
 	Scope() uint64
 	Body() []byte
 }
 
-// FingerprintOfRequest names a request.
+// FingerprintOfRequest returns the fingerprint of a request.
 func FingerprintOfRequest(request Request) Fingerprint {
 	return FingerprintOf(request.Scope(), request.Body())
 }
 
-// Standing looks a request up.
+// Standing returns the status of a request.
 func (v *View) Standing(request Request) Standing {
 	if v == nil || len(v.byScope) == 0 {
 		return Unknown
@@ -84,36 +85,37 @@
 	return Unknown
 }
 
-// Sink takes what the requests' paths find out. It must not wait.
+// Sink receives the reports of the request paths. Its methods must not block.
 type Sink interface {
-	// EnginesEnded takes evidence.
+	// EnginesEnded receives reports of runs that were in flight when an engine crashed.
 	EnginesEnded(evidence []Evidence)
-	// RanToItsEnd clears a request.
+	// RanToItsEnd receives a request that ran to completion, which clears it.
 	RanToItsEnd(fingerprint Fingerprint)
 }
 
-// completedKept is how many requests that ran to their end a Guard remembers at least,
-// at some 60 bytes each: at 24 requests a second, those of the last minute.
+// completedKept is the minimum number of completed requests that a Guard remembers once so many
+// have completed, at some 60 bytes each. At 24 requests per second these are the requests of
+// the last minute.
 const completedKept = 1500
 
-// Guard stands between the paths of requests and a Tracker. It is safe for concurrent
-// use.
+// Guard connects the request paths with a Tracker. It is safe for concurrent use.
 type Guard struct {
 	view atomic.Pointer[View]
 	sink Sink
 
 	mutex sync.Mutex
-	// completed and completedBefore are requests that ran to their end here of late.
+	// completed and completedBefore are the requests that recently ran to completion here, in
+	// two generations.
 	completed, completedBefore map[Fingerprint]struct{}
 }
 
-// noSink drops what it takes.
+// noSink drops all reports.
 type noSink struct{}
 
 func (noSink) EnginesEnded([]Evidence) {}
 func (noSink) RanToItsEnd(Fingerprint) {}
 
-// NewGuard makes a guard that knows of nothing; a nil sink drops what it takes.
+// NewGuard returns a guard without a view. With a nil sink it drops its reports.
 func NewGuard(sink Sink) *Guard {
 	if sink == nil {
 		sink = noSink{}
@@ -121,13 +123,13 @@
 	return &Guard{sink: sink, completed: map[Fingerprint]struct{}{}, completedBefore: map[Fingerprint]struct{}{}}
 }
 
-// SetView replaces what is known.
+// SetView replaces the view in which requests are looked up.
 func (g *Guard) SetView(view *View) { g.view.Store(view) }
 
-// Standing tells how a request stands.
+// Standing returns the status of a request in the current view.
 func (g *Guard) Standing(request Request) Standing { return g.view.Load().Standing(request) }
 
-// Completed notes that a request ran to its end at an engine.
+// Completed records that a request ran to completion at an engine.
 func (g *Guard) Completed(request Request) {
 	fingerprint := FingerprintOfRequest(request)
 	g.mutex.Lock()
@@ -141,16 +143,16 @@
 	}
 }
 
-// Present is a run that was at an engine when that ended.
+// Present is a run that was in flight at an engine when the engine crashed.
 type Present struct {
 	Fingerprint   Fingerprint
 	Run           Run
 	Route, Tenant string
 }
 
-// Ended takes the runs that were at an engine whose end is certain. Those of a request
-// that ran to its end here of late are Excused: requests that many callers send alike are
-// at the ends of many engines.
+// Ended reports the runs that were in flight at an engine that has certainly crashed. Those of a
+// request that recently ran to completion here are Excused: identical requests that many
+// callers send are in flight at the crashes of many engines.
 func (g *Guard) Ended(life registry.Life, present []Present) {
 	evidence := make([]Evidence, 0, len(present))
 	for _, one := range present {
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -12,73 +12,76 @@
 )
 
 const (
-	// provenEnds is how many ends that nothing else explains put a request into
-	// quarantine: the fourth engine is the first that the users' rule counts. Of 1,840
-	// other requests in 40 s none is taken for a poison one so, whether engines fail for
-	// other reasons or not (simulate.RunPoison, 40 seeds).
+	// provenEnds is the number of crashes without another explanation that put a request into
+	// quarantine: the users' rule counts crashes from the fourth engine on. With this number none
+	// of 1,840 other requests in 40 s is quarantined by mistake, whether or not engines also
+	// crash for other reasons (simulate.RunPoison, 40 seeds).
 	provenEnds = 3
-	// certainEnds is how many ends do so whoever else was there: a request that is sent to
-	// two engines each time and comes back once is at four ends at most.
+	// certainEnds is the number of crashes that do so regardless of other requests in flight
+	// there. An innocent request stays below it: one that is sent to two engines each time and
+	// is retried once is in flight at four crashes at most.
 	certainEnds = 5
-	// suspectEnds is at how many ends a request is one that others are told of, so that a
-	// run of it to its end is noticed at any node; so many that count make it a suspect.
+	// suspectEnds is the number of crashes from which a request's record is sent to the other
+	// nodes, so that any node notices when it runs to completion. A request that so many
+	// crashes count against is Suspected.
 	suspectEnds = 2
-	// endsKept bounds the ends held of one request.
+	// endsKept bounds the crashes recorded of one request.
 	endsKept = 8
-	// expireInterval is the time between looks for ends that are too old to count.
+	// expireInterval is the time between checks for crashes that are too old to count.
 	expireInterval = time.Second
-	// settleTime is how long after the word of an end it counts: by then the other
-	// nodes whose runs broke with it have said so.
+	// settleTime is how long after its report a crash begins to count: by then the other nodes
+	// whose runs it broke have reported it too.
 	settleTime = 60 * time.Millisecond
 )
 
 // Defaults of Options.
 const (
-	// DefaultMemory is how long ends count: a request that ends engines again and
-	// again costs one of them in that time.
+	// DefaultMemory is how long crashes count: a request that crashes engines again and again
+	// costs one engine in that time, once it has been in quarantine.
 	DefaultMemory = 30 * time.Minute
-	// DefaultRequests bounds the requests held, at some 300 bytes each.
+	// DefaultRequests bounds the recorded requests, at some 300 bytes each.
 	DefaultRequests = 1024
 )
 
-// Options bound a Tracker.
+// Options are the bounds of a Tracker.
 type Options struct {
-	// Memory is how long an end counts; 0 means the default.
+	// Memory is how long a crash counts; 0 means DefaultMemory.
 	Memory time.Duration
-	// Requests is the most requests held; 0 means the default. Beyond it those with
-	// the fewest ends are forgotten first, and of these the oldest.
+	// Requests is the maximum number of recorded requests; 0 means DefaultRequests. Beyond it
+	// those with the fewest crashes are forgotten first, and of these the oldest. Quarantined
+	// requests are forgotten last.
 	Requests int
 }
 
-// End is one end of an engine with a run of the request there.
+// End is a crash of an engine at which a run of the request was in flight.
 type End struct {
 	Life      registry.Life `msgpack:"l"`
 	Suspicion Suspicion     `msgpack:"s"`
-	// Age is how long ago it was, when this was sent.
+	// Age is the time from the crash to the sending of the record, in nanoseconds.
 	Age time.Duration `msgpack:"a"`
 }
 
-// Record is what one node tells another of a request.
+// Record is what one node sends another about a request.
 type Record struct {
 	Fingerprint Fingerprint `msgpack:"f"`
-	// Generation counts how often the request was cleared. The record of a higher one
-	// replaces those of lower ones.
+	// Generation is the number of times the request was cleared. A record replaces those with a
+	// lower generation.
 	Generation uint32 `msgpack:"g"`
 	Route      string `msgpack:"r"`
 	Tenant     string `msgpack:"t"`
 	Ends       []End  `msgpack:"e"`
 }
 
-// suspect is a request that was at the end of some engine.
+// suspect is a request that was in flight when some engine crashed.
 type suspect struct {
 	Fingerprint
 	generation    uint32
 	route, tenant string
 	ends          map[registry.Life]end
-	// counted and isQuarantined are derived from the ends of all suspects.
+	// counted and isQuarantined are derived from the crashes of all suspects.
 	counted       int
 	isQuarantined bool
-	// changed is when the last end or clearing was noted.
+	// changed is the time of the last crash or clearing.
 	changed time.Duration
 }
 
@@ -87,27 +90,29 @@
 	at        time.Duration
 }
 
-// Tracker holds which requests were there when engines ended, and derives which are in
-// quarantine. It is not safe for concurrent use. Times are those of a steady clock.
+// Tracker records which requests were in flight when engines crashed, and derives which are in
+// quarantine. It is not safe for concurrent use. Times are those of a monotonic clock.
 type Tracker struct {
 	options  Options
 	suspects map[Fingerprint]*suspect
-	// isOutdated tells that the derived part is, settles when the next end counts.
+	// isOutdated reports whether the derived fields are out of date; settles is when the next
+	// crash begins to count, 0 if none is due.
 	isOutdated bool
 	settles    time.Duration
-	// expires is when the next end may be too old to count.
+	// expires is the time of the next check for crashes that are too old to count.
 	expires time.Duration
-	// news are the requests with own changes since TakeNews, told what TakeChanged
-	// last returned of each.
+	// news are the requests that this node changed since the last call of TakeNews. told is the
+	// hash of the state of each request that TakeChanged last returned.
 	news map[Fingerprint]struct{}
 	told map[Fingerprint]uint64
-	// digest is that of what is told, while isDigestKnown: it is compared with each hello
-	// of a control node, some 40 a second of 25, and made anew only after a change.
+	// digest is the digest of the records that are sent to other nodes, valid while
+	// isDigestKnown. It is compared with each hello of a control node, some 40 per second from
+	// 25 control nodes, so it is computed again only after a change.
 	digest        uint64
 	isDigestKnown bool
 }
 
-// NewTracker makes an empty tracker.
+// NewTracker returns an empty tracker.
 func NewTracker(options Options) *Tracker {
 	options.Memory = cmp.Or(options.Memory, DefaultMemory)
 	options.Requests = cmp.Or(options.Requests, DefaultRequests)
@@ -116,7 +121,7 @@
 	}
 }
 
-// Report takes this node's own evidence.
+// Report records a crash report of this node.
 func (t *Tracker) Report(now time.Duration, evidence Evidence) {
 	one := t.find(evidence.Fingerprint, now, 1)
 	if one == nil {
@@ -128,8 +133,8 @@
 	}
 }
 
-// Clear forgets the ends of a request: it ran to its end somewhere, or an operator says
-// so. It returns whether the request was known.
+// Clear removes the crashes of a request that ran to completion somewhere or that an operator
+// clears. It reports whether any were recorded.
 func (t *Tracker) Clear(now time.Duration, fingerprint Fingerprint) bool {
 	one := t.suspects[fingerprint]
 	if one == nil || len(one.ends) == 0 {
@@ -143,7 +148,7 @@
 	return true
 }
 
-// Merge takes what another node holds.
+// Merge adds the records of another node.
 func (t *Tracker) Merge(now time.Duration, records []Record) {
 	for _, record := range records {
 		t.merge(now, record)
@@ -172,7 +177,7 @@
 	}
 }
 
-// newest is when the record's latest end was, by the receiver's clock.
+// newest returns the time of the record's latest crash on the receiver's clock.
 func (r Record) newest(now time.Duration) time.Duration {
 	age := time.Duration(0)
 	for position, told := range r.Ends {
@@ -183,9 +188,9 @@
 	return now - age
 }
 
-// find returns a request's suspect, a new one if there is none. It returns nil if there
-// is no room, and everything held is worth more than a request with so many ends at
-// that time: so nodes that exchange what they hold come to hold the same.
+// find returns a request's suspect and creates it if there is none. It returns nil if the
+// tracker is full and every recorded suspect ranks higher than one with so many crashes at
+// that time. Nodes that exchange records therefore converge to the same ones.
 func (t *Tracker) find(fingerprint Fingerprint, changed time.Duration, ends int) *suspect {
 	one := t.suspects[fingerprint]
 	if one != nil {
@@ -203,7 +208,7 @@
 	return made
 }
 
-// least is the suspect that it would cost the least to forget.
+// least returns the lowest-ranking suspect, which is the first to be forgotten.
 func (t *Tracker) least() *suspect {
 	var least *suspect
 	for _, one := range t.suspects {
@@ -214,8 +219,9 @@
 	return least
 }
 
-// compareWorth compares what it would cost to forget a suspect with so many ends and
-// another one: one in quarantine the most, then one with more ends, then a later one.
+// compareWorth compares the ranks by which suspects are kept, of a suspect with so many crashes
+// and another one: quarantined ones rank highest, then those with more crashes, then the later
+// ones.
 func (s *suspect) compareWorth(ends int, other *suspect) int {
 	rank := func(one *suspect, ends int) int {
 		if one.isQuarantined {
@@ -228,7 +234,7 @@
 	)
 }
 
-// outdate notes a change of what is held.
+// outdate marks the derived fields and the digest as out of date.
 func (t *Tracker) outdate() { t.isOutdated, t.isDigestKnown = true, false }
 
 func (t *Tracker) forget(fingerprint Fingerprint) {
@@ -238,7 +244,7 @@
 	t.outdate()
 }
 
-// addEnd notes an end and tells whether that is new.
+// addEnd records a crash and reports whether it changes the suspect.
 func (t *Tracker) addEnd(one *suspect, told End, at time.Duration) bool {
 	known, found := one.ends[told.Life]
 	if found && known.suspicion >= told.Suspicion || !found && len(one.ends) >= endsKept {
@@ -253,9 +259,9 @@
 	return true
 }
 
-// expire forgets ends that are too old to count. A request that comes out of
-// quarantine so is on probation: its two latest ends count once more as long, so that
-// one further end puts it back.
+// expire forgets the requests whose latest crash is too old to count. A request that leaves
+// quarantine by this is on probation: its two latest crashes count for the same time again, so
+// one further crash puts it back into quarantine.
 func (t *Tracker) expire(now time.Duration) {
 	if now < t.expires {
 		return
@@ -279,14 +285,14 @@
 	}
 }
 
-// latest returns the lives of the latest ends.
+// latest returns the incarnations of the latest crashes.
 func (s *suspect) latest(count int) []registry.Life {
 	lives := s.lives()
 	slices.SortStableFunc(lives, func(a, b registry.Life) int { return cmp.Compare(s.ends[b].at, s.ends[a].at) })
 	return lives[:min(count, len(lives))]
 }
 
-// lives returns the lives that ended with the request there, in order.
+// lives returns the incarnations that crashed with the request in flight, in order.
 func (s *suspect) lives() []registry.Life {
 	lives := make([]registry.Life, 0, len(s.ends))
 	for life := range s.ends {
@@ -300,12 +306,12 @@
 	return cmp.Or(cmp.Compare(f.Scope, other.Scope), cmp.Compare(f.Length, other.Length), cmp.Compare(f.Body, other.Body))
 }
 
-// isTold tells whether other nodes are told of the request.
+// isTold reports whether the request's record is sent to the other nodes.
 func (s *suspect) isTold() bool {
 	return s.isQuarantined || len(s.ends) >= suspectEnds || s.generation > 0
 }
 
-// state covers what others are told of the request.
+// state returns a hash of what is sent to other nodes about the request.
 func (s *suspect) state() uint64 {
 	var encoded []byte
 	for _, number := range []uint64{s.Scope, s.Length, s.Body, uint64(s.generation), uint64(len(s.ends)), uint64(s.counted)} {
@@ -326,18 +332,18 @@
 	return record
 }
 
-// Records returns all that is held, in order, for a node that may have nothing.
+// Records returns all records, in order, for a node that may have none.
 func (t *Tracker) Records(now time.Duration) []Record {
 	return t.recordsOf(now, func(*suspect) bool { return true })
 }
 
-// Told returns what all nodes are told, in order.
+// Told returns the records that are sent to all nodes, in order.
 func (t *Tracker) Told(now time.Duration) []Record {
 	return t.recordsOf(now, (*suspect).isTold)
 }
 
-// TakeNews returns the requests with evidence or clearings of this node since the last
-// call.
+// TakeNews returns the records of the requests that crash reports or clearings of this node have
+// changed since the last call.
 func (t *Tracker) TakeNews(now time.Duration) []Record {
 	if len(t.news) == 0 {
 		return nil
@@ -350,7 +356,7 @@
 	return news
 }
 
-// TakeChanged returns what all nodes are to be told since the last call.
+// TakeChanged returns the records to be sent to all nodes that have changed since the last call.
 func (t *Tracker) TakeChanged(now time.Duration) []Record {
 	return t.recordsOf(now, func(one *suspect) bool {
 		state := one.state()
@@ -373,7 +379,7 @@
 	return records
 }
 
-// Digest is equal on nodes that would tell the same; 0 on those with nothing to tell.
+// Digest is equal on nodes that would send the same records, and 0 on nodes without any to send.
 func (t *Tracker) Digest() uint64 {
 	if !t.isDigestKnown {
 		t.digest, t.isDigestKnown = t.computeDigest(), true
@@ -391,15 +397,15 @@
 	return digest
 }
 
-// Held is what is held against one request, for operators.
+// Held is what is recorded against a request, as it is shown to operators.
 type Held struct {
 	Record
 	IsQuarantined bool
 	Counted       int
 }
 
-// Held lists what is held, those in quarantine first and then those that most ends count
-// against.
+// Held returns the requests with recorded crashes, those in quarantine first and then those that
+// most crashes count against.
 func (t *Tracker) Held(now time.Duration) []Held {
 	var held []Held
 	for _, one := range t.suspects {
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -11,21 +11,21 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// named is a request as tests know it.
+// named returns the fingerprint of a numbered request.
 func named(number int) Fingerprint { return Fingerprint{Scope: uint64(number) + 1, Length: 1} }
 
 func life(number int) registry.Life {
 	return registry.Life{ID: fmt.Sprintf("engine-%d", number), Born: 1}
 }
 
-// at reports runs of requests at an engine's end.
+// at reports runs of requests that were in flight when an engine crashed.
 func at(t *Tracker, now time.Duration, ended registry.Life, suspicion Suspicion, requests ...Fingerprint) {
 	for _, one := range requests {
 		t.Report(now, Evidence{Fingerprint: one, Life: ended, Suspicion: suspicion})
 	}
 }
 
-// decided is how a request stands once everything reported counts.
+// decided returns the status of a request once all reported crashes count.
 func decided(t *Tracker, now time.Duration, request Fingerprint) Standing {
 	t.Decide(now + settleTime)
 	if one := t.suspects[request]; one != nil && len(one.ends) > 0 {
@@ -39,14 +39,14 @@
 	poison := named(0)
 	for number, wanted := range []Standing{Known, Suspected, Quarantined} {
 		at(tracker, 0, life(number), Likely, poison)
-		// Other nodes' copies of it at the same end are no further ends.
+		// Further copies of the request at the same crash don't add crashes.
 		at(tracker, 0, life(number), Likely, poison)
 		assert.Equal(t, decided(tracker, 0, poison), wanted)
 	}
 }
 
-// The incident: 1 to 46 streams of other callers broke with each engine, some of them
-// three times.
+// Guards against quarantining requests that merely ran at the crashing engines. In the incident
+// behind this test each crash broke 1 to 46 streams of other callers, some of them three times.
 func TestRequestsBesideAPoisonOneAreNotTakenForIt(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -68,8 +68,8 @@
 	}
 }
 
-// Two requests at the same three ends: which one it was the next end tells, and at the
-// latest the fifth puts both into quarantine.
+// Two requests at the same three crashes can't be distinguished: a further crash does so, and the
+// fifth crash at the latest puts both into quarantine.
 func TestRequestsThatCanNotBeToldApartWaitForTheNextEnd(t *testing.T) {
 	tracker := NewTracker(Options{})
 	one, other := named(0), named(1)
@@ -88,8 +88,8 @@
 	assert.Equal(t, decided(tracker, 0, one), Quarantined)
 }
 
-// Seen in a fleet of three engines: two requests that end engines came side by side, and
-// each was let out as often as the other one explained its ends.
+// Guards against a fault of a fleet of three engines: of two poison requests sent at the same
+// time, each left quarantine whenever the other one explained its crashes.
 func TestTwoPoisonRequestsSideBySideExcuseEachOtherNoLongerThanFiveEnds(t *testing.T) {
 	tracker := NewTracker(Options{})
 	one, other := named(0), named(1)
@@ -107,8 +107,8 @@
 	}
 }
 
-// A request whose runs never seem fresh, since the heads of its answers are lost with
-// the engine, must not hide behind those that had just begun.
+// A poison request whose response heads are lost in the crash never looks as if it had just
+// begun. Guards against it escaping quarantine because of other requests that had.
 func TestRequestAtFiveEndsIsQuarantinedWhoeverSeemsLikelier(t *testing.T) {
 	tracker := NewTracker(Options{})
 	poison := named(0)
@@ -122,8 +122,8 @@
 	}
 }
 
-// A third of the engines lost at once, twice, and a planned release: each request loses
-// one engine each time.
+// Guards against quarantine after the loss of a third of the engines at the same time, twice, or
+// a planned release: each request loses one engine each time.
 func TestLossOfManyEnginesAtOnceQuarantinesNobody(t *testing.T) {
 	tracker := NewTracker(Options{})
 	for loss := range 2 {
@@ -154,7 +154,7 @@
 	assert.Equal(t, tracker.Digest(), other.Digest())
 }
 
-// What nodes tell each other may come in any order, and more than once.
+// Records of other nodes may arrive in any order and more than once.
 func TestRecordsMergeToTheSameInEachOrder(t *testing.T) {
 	cleared := NewTracker(Options{})
 	at(cleared, 0, life(0), Likely, named(1))
@@ -185,7 +185,7 @@
 	}
 }
 
-// permute calls with each order of some records.
+// permute calls a function with each permutation of some records.
 func permute(records []Record, call func([]Record)) {
 	var step func(chosen, left []Record)
 	step = func(chosen, left []Record) {
@@ -200,7 +200,7 @@
 	step(nil, records)
 }
 
-// Ten thousand different requests at engines that end for other reasons.
+// Ten thousand different requests are in flight at engines that crash for other reasons.
 func TestFloodOfSuspectsIsBoundedAndPushesNoQuarantinedRequestOut(t *testing.T) {
 	tracker := NewTracker(Options{Requests: 100})
 	poison := named(0)
@@ -213,7 +213,7 @@
 	}
 	assert.Equal(t, len(tracker.suspects), 100)
 	assert.Equal(t, decided(tracker, 10*time.Second, poison), Quarantined)
-	// The other way round: what another node holds does not push it out either.
+	// Neither do the records of another node evict it.
 	flooded := NewTracker(Options{Requests: 100})
 	for number := range 10_000 {
 		at(flooded, time.Hour, life(10+number), Likely, named(1+number))
@@ -240,7 +240,7 @@
 	assert.Equal(t, len(tracker.suspects), 0)
 }
 
-// sinkOf takes a guard's words to a tracker at once.
+// sinkOf passes a guard's reports to a tracker immediately.
 type sinkOf struct{ tracker *Tracker }
 
 func (s sinkOf) EnginesEnded(evidence []Evidence) {
@@ -256,8 +256,8 @@
 func (textRequest) Scope() uint64  { return 7 }
 func (r textRequest) Body() []byte { return []byte(r.body) }
 
-// Requests that many callers send alike are at the ends of many engines, and run to
-// their end all the time.
+// Identical requests that many callers send are in flight at the crashes of many engines, and run
+// to completion all the time.
 func TestPopularRequestIsNotTakenForAPoisonOne(t *testing.T) {
 	tracker := NewTracker(Options{})
 	guard := NewGuard(sinkOf{tracker})
@@ -286,13 +286,13 @@
 	assert.Equal(t, guard.Standing(unhashable{}), Unknown)
 }
 
-// unhashable fails a test that looks at its body.
+// unhashable panics if its body is read.
 type unhashable struct{}
 
 func (unhashable) Scope() uint64 { return 8 }
 func (unhashable) Body() []byte  { panic("the body of a request of another scope was read") }
 
-// BenchmarkDecide weighs the most that a tracker holds by default.
+// BenchmarkDecide decides on the maximum number of requests that a tracker keeps by default.
 func BenchmarkDecide(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultRequests {
@@ -305,7 +305,7 @@
 	}
 }
 
-// BenchmarkView makes the list anew that requests are looked up in.
+// BenchmarkView builds the snapshot in which requests are looked up.
 func BenchmarkView(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultRequests {
@@ -316,7 +316,7 @@
 	}
 }
 
-// The digest is kept between changes, and must not be that of before one.
+// The digest is cached between changes. Guards against a cached digest that is out of date.
 func TestKeptDigestIsThatMadeAnewAfterEachChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(42, 1))
 	one, other := NewTracker(Options{Requests: 12, Memory: time.Minute}), NewTracker(Options{Requests: 12, Memory: time.Minute})
@@ -340,7 +340,7 @@
 	}
 }
 
-// A node compares its digest with each hello of a control node.
+// A node compares its digest with that of each hello of a control node.
 func BenchmarkDigest(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultRequests {
