--- a/internal/coordination/quarantine/evidence.go
+++ b/internal/coordination/quarantine/crashreport.go
@@ -30,10 +30,10 @@
 	return "unknown"
 }
 
-// freshRun is how long after the beginning of its response a run is still Likely. A poison
+// freshRunAge is how long after the beginning of its response a run is still Likely. A poison
 // request crashes the engine as the run begins: 34 to 113 ms after, in the crashes observed so
 // far. Engines may be eight times slower at times.
-const freshRun = time.Second
+const freshRunAge = time.Second
 
 // Run is a run of a request that broke off at an engine.
 type Run struct {
@@ -50,7 +50,7 @@
 	switch {
 	case !r.AnswerBegan:
 		return Possible
-	case r.BeginsAtHead && r.BeganFor <= freshRun:
+	case r.BeginsAtHead && r.BeganFor <= freshRunAge:
 		return Likely
 	}
 	return Unlikely
--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -21,7 +21,7 @@
 // IsDue reports whether Decide has anything to derive.
 func (t *Tracker) IsDue(now time.Duration) bool {
 	t.expire(now)
-	return t.isOutdated || t.settles != 0 && now >= t.settles
+	return t.isOutdated || t.settlesAt != 0 && now >= t.settlesAt
 }
 
 // Decide derives which requests are in quarantine and returns the changes.
@@ -33,7 +33,7 @@
 	for fingerprint, one := range t.suspects {
 		before[fingerprint] = one.isQuarantined
 	}
-	found := t.weigh(now)
+	found := t.derive(now)
 	t.isOutdated, t.isDigestKnown = false, false
 	var verdicts []Verdict
 	for _, one := range t.inOrder() {
@@ -41,7 +41,7 @@
 			continue
 		}
 		verdicts = append(verdicts, Verdict{
-			Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted, Beside: found.beside(one),
+			Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted, Beside: found.countOthers(one),
 		})
 	}
 	return verdicts
@@ -56,133 +56,135 @@
 	return suspects
 }
 
-// weighing is the state of one derivation.
-type weighing struct {
+// derivation is the state of one derivation.
+type derivation struct {
 	// present are the requests in flight at each crash, strongest is the highest suspicion
 	// there.
-	present   map[registry.Life][]*suspect
-	strongest map[registry.Life]Suspicion
+	present          map[registry.Life][]*suspect
+	highestSuspicion map[registry.Life]Suspicion
 	// explained are the crashes at which a quarantined request was in flight.
 	explained map[registry.Life]bool
-	settled   func(end) bool
+	settled   func(crash) bool
 }
 
-// weigh puts requests into quarantine one after the other, the most certain first. The crashes
+// derive puts requests into quarantine one after the other, the most certain first. The crashes
 // that a quarantined request explains count against no other request.
-func (t *Tracker) weigh(now time.Duration) *weighing {
-	found := &weighing{
-		present: map[registry.Life][]*suspect{}, strongest: map[registry.Life]Suspicion{}, explained: map[registry.Life]bool{},
-		settled: func(held end) bool { return held.at+settleTime <= now },
+func (t *Tracker) derive(now time.Duration) *derivation {
+	found := &derivation{
+		present: map[registry.Life][]*suspect{}, highestSuspicion: map[registry.Life]Suspicion{}, explained: map[registry.Life]bool{},
+		settled: func(recorded crash) bool { return recorded.at+settleTime <= now },
 	}
-	t.settles = 0
-	// open are the candidates for quarantine. Most recorded requests were in flight at one
+	t.settlesAt = 0
+	// candidates are the requests that may be quarantined. Most recorded requests were in flight at one
 	// crash only. They need no count: a rival of a candidate has more.
-	var open []*suspect
+	var candidates []*suspect
 	for _, one := range t.suspects {
 		one.isQuarantined, one.counted = false, 0
-		for life, held := range one.ends {
-			found.present[life] = append(found.present[life], one)
-			found.strongest[life] = max(found.strongest[life], held.suspicion)
-			if due := held.at + settleTime; due > now && (t.settles == 0 || due < t.settles) {
-				t.settles = due
+		for incarnation, recorded := range one.crashes {
+			found.present[incarnation] = append(found.present[incarnation], one)
+			found.highestSuspicion[incarnation] = max(found.highestSuspicion[incarnation], recorded.suspicion)
+			if due := recorded.at + settleTime; due > now && (t.settlesAt == 0 || due < t.settlesAt) {
+				t.settlesAt = due
 			}
 		}
-		if len(one.ends) >= suspectEnds {
-			open = append(open, one)
+		if len(one.crashes) >= suspectCrashes {
+			candidates = append(candidates, one)
 		}
 	}
-	slices.SortFunc(open, func(a, b *suspect) int { return a.compare(b.Fingerprint) })
+	slices.SortFunc(candidates, func(a, b *suspect) int { return a.compare(b.Fingerprint) })
 	for {
-		for _, one := range open {
+		for _, one := range candidates {
 			one.counted = len(found.counted(one))
 		}
-		position := found.mostCertain(open)
+		position := found.mostCertain(candidates)
 		if position < 0 {
 			return found
 		}
-		guilty := open[position]
-		guilty.isQuarantined = true
-		for life := range guilty.ends {
-			found.explained[life] = true
+		chosen := candidates[position]
+		chosen.isQuarantined = true
+		for incarnation := range chosen.crashes {
+			found.explained[incarnation] = true
 		}
-		open = slices.Delete(open, position, position+1)
+		candidates = slices.Delete(candidates, position, position+1)
 	}
 }
 
 // counted returns the crashes that count against a request: no other request there was more
 // suspicious, and no quarantined request explains them.
-func (w *weighing) counted(one *suspect) []registry.Life {
-	var lives []registry.Life
-	for life, held := range one.ends {
-		if w.settled(held) && !w.explained[life] && w.isStrongest(life, held) {
-			lives = append(lives, life)
+func (d *derivation) counted(one *suspect) []registry.Life {
+	var incarnations []registry.Life
+	for incarnation, recorded := range one.crashes {
+		if d.settled(recorded) && !d.explained[incarnation] && d.isMostSuspicious(incarnation, recorded) {
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	return lives
+	return incarnations
 }
 
 // mostCertain returns the index of the request that is to be quarantined next, or -1 if there
-// is none. Requests with at least certainEnds crashes come first, the one with the most
-// crashes leading; then the one that most crashes count against. From certainEnds crashes on,
+// is none. Requests with at least certainCrashes crashes come first, the one with the most
+// crashes leading; then the one that most crashes count against. From certainCrashes crashes on,
 // another request no longer explains the crashes of one that was the most suspicious each
 // time. Otherwise two poison requests at the same engines would alternately explain each
 // other's crashes.
-func (w *weighing) mostCertain(open []*suspect) int {
-	best, bestEnds, bestCounted := -1, 0, 0
-	for position, one := range open {
-		ends := max(w.unexplained(one), w.likeliest(one))
-		if ends < certainEnds {
-			ends = 0
+func (d *derivation) mostCertain(candidates []*suspect) int {
+	best, bestCrashes, bestCounted := -1, 0, 0
+	for position, one := range candidates {
+		crashes := max(d.countUnexplained(one), d.countMostSuspicious(one))
+		if crashes < certainCrashes {
+			crashes = 0
 		}
-		if ends < bestEnds || ends == bestEnds && one.counted <= bestCounted || ends == 0 && !w.isProven(one) {
+		if crashes < bestCrashes || crashes == bestCrashes && one.counted <= bestCounted || crashes == 0 && !d.isProven(one) {
 			continue
 		}
-		best, bestEnds, bestCounted = position, ends, one.counted
+		best, bestCrashes, bestCounted = position, crashes, one.counted
 	}
 	return best
 }
 
-// isStrongest reports whether no other request at a crash was more suspicious, and the request
+// isMostSuspicious reports whether no other request at a crash was more suspicious, and the request
 // was suspicious at all.
-func (w *weighing) isStrongest(life registry.Life, held end) bool {
-	return held.suspicion > Excused && held.suspicion == w.strongest[life]
+func (d *derivation) isMostSuspicious(incarnation registry.Life, recorded crash) bool {
+	return recorded.suspicion > Excused && recorded.suspicion == d.highestSuspicion[incarnation]
 }
 
 // isProven reports whether enough crashes count against a request alone. Invariant: a request
-// with fewer than provenEnds crashes is never in quarantine.
-func (w *weighing) isProven(one *suspect) bool {
-	if one.counted < provenEnds {
+// with fewer than provenCrashes crashes is never in quarantine.
+func (d *derivation) isProven(one *suspect) bool {
+	if one.counted < provenCrashes {
 		return false
 	}
-	alone := 0
-	for _, life := range w.counted(one) {
-		if !w.hasRival(one, life) {
-			alone++
+	unrivalled := 0
+	for _, incarnation := range d.counted(one) {
+		if !d.hasRival(one, incarnation) {
+			unrivalled++
 		}
 	}
-	return alone >= provenEnds
+	return unrivalled >= provenCrashes
 }
 
-// unexplained returns the number of a request's crashes that no quarantined request explains.
-// Those at which it was Excused count only if the number reaches endsKept.
-func (w *weighing) unexplained(one *suspect) int {
-	ends := w.count(one, func(life registry.Life, _ end) bool { return !w.explained[life] })
-	if ends >= endsKept {
-		return ends
+// countUnexplained returns the number of a request's crashes that no quarantined request explains.
+// Those at which it was Excused count only if the number reaches maximumCrashes.
+func (d *derivation) countUnexplained(one *suspect) int {
+	crashes := d.count(one, func(incarnation registry.Life, _ crash) bool { return !d.explained[incarnation] })
+	if crashes >= maximumCrashes {
+		return crashes
 	}
-	return w.count(one, func(life registry.Life, held end) bool { return !w.explained[life] && held.suspicion > Excused })
+	return d.count(one, func(incarnation registry.Life, recorded crash) bool {
+		return !d.explained[incarnation] && recorded.suspicion > Excused
+	})
 }
 
-// likeliest returns at how many crashes no other request was more suspicious.
-func (w *weighing) likeliest(one *suspect) int {
-	return w.count(one, func(life registry.Life, held end) bool { return w.isStrongest(life, held) })
+// countMostSuspicious returns at how many crashes no other request was more suspicious.
+func (d *derivation) countMostSuspicious(one *suspect) int {
+	return d.count(one, func(incarnation registry.Life, recorded crash) bool { return d.isMostSuspicious(incarnation, recorded) })
 }
 
 // count returns the number of a request's settled crashes that meet a condition.
-func (w *weighing) count(one *suspect, meets func(registry.Life, end) bool) int {
+func (d *derivation) count(one *suspect, meets func(registry.Life, crash) bool) int {
 	count := 0
-	for life, held := range one.ends {
-		if w.settled(held) && meets(life, held) {
+	for incarnation, recorded := range one.crashes {
+		if d.settled(recorded) && meets(incarnation, recorded) {
 			count++
 		}
 	}
@@ -191,17 +193,17 @@
 
 // hasRival reports whether another request that counts at a crash has at least as many crashes
 // against it. Only a further crash can then distinguish the two.
-func (w *weighing) hasRival(one *suspect, life registry.Life) bool {
-	return slices.ContainsFunc(w.present[life], func(other *suspect) bool {
-		return other != one && !other.isQuarantined && other.counted >= one.counted && other.ends[life].suspicion == w.strongest[life]
+func (d *derivation) hasRival(one *suspect, incarnation registry.Life) bool {
+	return slices.ContainsFunc(d.present[incarnation], func(other *suspect) bool {
+		return other != one && !other.isQuarantined && other.counted >= one.counted && other.crashes[incarnation].suspicion == d.highestSuspicion[incarnation]
 	})
 }
 
-// beside returns the number of other requests that were in flight at a request's crashes.
-func (w *weighing) beside(one *suspect) int {
+// countOthers returns the number of other requests that were in flight at a request's crashes.
+func (d *derivation) countOthers(one *suspect) int {
 	others := map[Fingerprint]bool{}
-	for life := range one.ends {
-		for _, other := range w.present[life] {
+	for incarnation := range one.crashes {
+		for _, other := range d.present[incarnation] {
 			if other != one {
 				others[other.Fingerprint] = true
 			}
--- a/internal/coordination/quarantine/fingerprint_test.go
+++ b/internal/coordination/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFingerprintIsThatOfPathCallerAndBody(t *testing.T) {
+func TestFingerprintDependsOnPathCallerAndBody(t *testing.T) {
 	scope := ScopeOf("host/path", "caller")
 	same := FingerprintOf(scope, []byte("body"))
 	assert.Equal(t, FingerprintOf(ScopeOf("host/path", "caller"), []byte("body")), same)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFingerprintIsReadFromItsText(t *testing.T) {
+func TestFingerprintIsParsedFromItsText(t *testing.T) {
 	made := FingerprintOf(ScopeOf("host/path", "caller"), []byte("body"))
 	read, err := ParseFingerprint(made.String())
 	assert.NilError(t, err)
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -25,30 +25,30 @@
 // View is an immutable snapshot of the status of each request in a Tracker, for concurrent
 // readers.
 type View struct {
-	byScope map[uint64][]standingOf
+	byScope map[uint64][]requestStatus
 }
 
-type standingOf struct {
+type requestStatus struct {
 	Fingerprint
-	standing Standing
+	status Standing
 }
 
 // View returns the status of each request against which crashes are recorded.
 func (t *Tracker) View() *View {
-	view := &View{byScope: map[uint64][]standingOf{}}
+	view := &View{byScope: map[uint64][]requestStatus{}}
 	for _, one := range t.suspects {
-		if len(one.ends) > 0 {
-			view.byScope[one.Scope] = append(view.byScope[one.Scope], standingOf{one.Fingerprint, one.standing()})
+		if len(one.crashes) > 0 {
+			view.byScope[one.Scope] = append(view.byScope[one.Scope], requestStatus{one.Fingerprint, one.status()})
 		}
 	}
 	return view
 }
 
-func (s *suspect) standing() Standing {
+func (s *suspect) status() Standing {
 	switch {
 	case s.isQuarantined:
 		return Quarantined
-	case s.counted >= suspectEnds:
+	case s.counted >= suspectCrashes:
 		return Suspected
 	}
 	return Known
@@ -71,15 +71,15 @@
 	if v == nil || len(v.byScope) == 0 {
 		return Unknown
 	}
-	held := v.byScope[request.Scope()]
-	hasLength := func(one standingOf) bool { return one.Length == uint64(len(request.Body())) }
-	if !slices.ContainsFunc(held, hasLength) {
+	known := v.byScope[request.Scope()]
+	hasLength := func(one requestStatus) bool { return one.Length == uint64(len(request.Body())) }
+	if !slices.ContainsFunc(known, hasLength) {
 		return Unknown
 	}
 	fingerprint := FingerprintOfRequest(request)
-	for _, one := range held {
+	for _, one := range known {
 		if one.Fingerprint == fingerprint {
-			return one.standing
+			return one.status
 		}
 	}
 	return Unknown
@@ -88,15 +88,15 @@
 // Sink receives the reports of the request paths. Its methods must not block.
 type Sink interface {
 	// EnginesEnded receives reports of runs that were in flight when an engine crashed.
-	EnginesEnded(evidence []Evidence)
+	EnginesEnded(reports []Evidence)
 	// RanToItsEnd receives a request that ran to completion, which clears it.
 	RanToItsEnd(fingerprint Fingerprint)
 }
 
-// completedKept is the minimum number of completed requests that a Guard remembers once so many
+// minimumCompleted is the minimum number of completed requests that a Guard remembers once so many
 // have completed, at some 60 bytes each. At 24 requests per second these are the requests of
 // the last minute.
-const completedKept = 1500
+const minimumCompleted = 1500
 
 // Guard connects the request paths with a Tracker. It is safe for concurrent use.
 type Guard struct {
@@ -134,7 +134,7 @@
 	fingerprint := FingerprintOfRequest(request)
 	g.mutex.Lock()
 	g.completed[fingerprint] = struct{}{}
-	if len(g.completed) >= completedKept {
+	if len(g.completed) >= minimumCompleted {
 		g.completed, g.completedBefore = map[Fingerprint]struct{}{}, g.completed
 	}
 	g.mutex.Unlock()
@@ -153,17 +153,17 @@
 // Ended reports the runs that were in flight at an engine that has certainly crashed. Those of a
 // request that recently ran to completion here are Excused: identical requests that many
 // callers send are in flight at the crashes of many engines.
-func (g *Guard) Ended(life registry.Life, present []Present) {
-	evidence := make([]Evidence, 0, len(present))
+func (g *Guard) Ended(incarnation registry.Life, present []Present) {
+	reports := make([]Evidence, 0, len(present))
 	for _, one := range present {
 		suspicion := one.Run.Suspicion()
 		if g.hasCompleted(one.Fingerprint) {
 			suspicion = Excused
 		}
-		evidence = append(evidence, Evidence{Fingerprint: one.Fingerprint, Life: life, Suspicion: suspicion, Route: one.Route, Tenant: one.Tenant})
+		reports = append(reports, Evidence{Fingerprint: one.Fingerprint, Life: incarnation, Suspicion: suspicion, Route: one.Route, Tenant: one.Tenant})
 	}
-	if len(evidence) > 0 {
-		g.sink.EnginesEnded(evidence)
+	if len(reports) > 0 {
+		g.sink.EnginesEnded(reports)
 	}
 }
 
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// provenEnds is the number of crashes without another explanation that put a request into
+	// provenCrashes is the number of crashes without another explanation that put a request into
 	// quarantine: the users' rule counts crashes from the fourth engine on. With this number none
 	// of 1,840 other requests in 40 s is quarantined by mistake, whether or not engines also
 	// crash for other reasons (simulate.RunPoison, 40 seeds).
-	provenEnds = 3
-	// certainEnds is the number of crashes that do so regardless of other requests in flight
+	provenCrashes = 3
+	// certainCrashes is the number of crashes that do so regardless of other requests in flight
 	// there. An innocent request stays below it: one that is sent to two engines each time and
 	// is retried once is in flight at four crashes at most.
-	certainEnds = 5
-	// suspectEnds is the number of crashes from which a request's record is sent to the other
+	certainCrashes = 5
+	// suspectCrashes is the number of crashes from which a request's record is sent to the other
 	// nodes, so that any node notices when it runs to completion. A request that so many
 	// crashes count against is Suspected.
-	suspectEnds = 2
-	// endsKept bounds the crashes recorded of one request.
-	endsKept = 8
+	suspectCrashes = 2
+	// maximumCrashes bounds the crashes recorded of one request.
+	maximumCrashes = 8
 	// expireInterval is the time between checks for crashes that are too old to count.
 	expireInterval = time.Second
 	// settleTime is how long after its report a crash begins to count: by then the other nodes
@@ -77,15 +77,15 @@
 	Fingerprint
 	generation    uint32
 	route, tenant string
-	ends          map[registry.Life]end
+	crashes       map[registry.Life]crash
 	// counted and isQuarantined are derived from the crashes of all suspects.
 	counted       int
 	isQuarantined bool
-	// changed is the time of the last crash or clearing.
-	changed time.Duration
+	// changedAt is the time of the last crash or clearing.
+	changedAt time.Duration
 }
 
-type end struct {
+type crash struct {
 	suspicion Suspicion
 	at        time.Duration
 }
@@ -95,16 +95,16 @@
 type Tracker struct {
 	options  Options
 	suspects map[Fingerprint]*suspect
-	// isOutdated reports whether the derived fields are out of date; settles is when the next
+	// isOutdated reports whether the derived fields are out of date; settlesAt is when the next
 	// crash begins to count, 0 if none is due.
 	isOutdated bool
-	settles    time.Duration
-	// expires is the time of the next check for crashes that are too old to count.
-	expires time.Duration
-	// news are the requests that this node changed since the last call of TakeNews. told is the
-	// hash of the state of each request that TakeChanged last returned.
-	news map[Fingerprint]struct{}
-	told map[Fingerprint]uint64
+	settlesAt  time.Duration
+	// expiresAt is the time of the next check for crashes that are too old to count.
+	expiresAt time.Duration
+	// pendingUpdates are the requests that this node changed since the last call of TakeNews.
+	// sharedStates is the hash of the state of each request that TakeChanged last returned.
+	pendingUpdates map[Fingerprint]struct{}
+	sharedStates   map[Fingerprint]uint64
 	// digest is the digest of the records that are sent to other nodes, valid while
 	// isDigestKnown. It is compared with each hello of a control node, some 40 per second from
 	// 25 control nodes, so it is computed again only after a change.
@@ -117,19 +117,19 @@
 	options.Memory = cmp.Or(options.Memory, DefaultMemory)
 	options.Requests = cmp.Or(options.Requests, DefaultRequests)
 	return &Tracker{
-		options: options, suspects: map[Fingerprint]*suspect{}, news: map[Fingerprint]struct{}{}, told: map[Fingerprint]uint64{},
+		options: options, suspects: map[Fingerprint]*suspect{}, pendingUpdates: map[Fingerprint]struct{}{}, sharedStates: map[Fingerprint]uint64{},
 	}
 }
 
 // Report records a crash report of this node.
-func (t *Tracker) Report(now time.Duration, evidence Evidence) {
-	one := t.find(evidence.Fingerprint, now, 1)
+func (t *Tracker) Report(now time.Duration, report Evidence) {
+	one := t.findOrAdd(report.Fingerprint, now, 1)
 	if one == nil {
 		return
 	}
-	one.route, one.tenant = evidence.Route, evidence.Tenant
-	if t.addEnd(one, End{Life: evidence.Life, Suspicion: evidence.Suspicion}, now) {
-		t.news[evidence.Fingerprint] = struct{}{}
+	one.route, one.tenant = report.Route, report.Tenant
+	if t.addCrash(one, End{Life: report.Life, Suspicion: report.Suspicion}, now) {
+		t.pendingUpdates[report.Fingerprint] = struct{}{}
 	}
 }
 
@@ -137,14 +137,14 @@
 // clears. It reports whether any were recorded.
 func (t *Tracker) Clear(now time.Duration, fingerprint Fingerprint) bool {
 	one := t.suspects[fingerprint]
-	if one == nil || len(one.ends) == 0 {
+	if one == nil || len(one.crashes) == 0 {
 		return false
 	}
 	one.generation++
-	clear(one.ends)
-	one.changed = now
-	t.outdate()
-	t.news[fingerprint] = struct{}{}
+	clear(one.crashes)
+	one.changedAt = now
+	t.markOutdated()
+	t.pendingUpdates[fingerprint] = struct{}{}
 	return true
 }
 
@@ -160,19 +160,19 @@
 	if known != nil && record.Generation < known.generation || known == nil && record.Generation == 0 && len(record.Ends) == 0 {
 		return
 	}
-	one := t.find(record.Fingerprint, record.newest(now), len(record.Ends))
+	one := t.findOrAdd(record.Fingerprint, record.newest(now), len(record.Ends))
 	if one == nil {
 		return
 	}
 	if record.Generation > one.generation {
 		one.generation = record.Generation
-		clear(one.ends)
-		t.outdate()
+		clear(one.crashes)
+		t.markOutdated()
 	}
 	one.route, one.tenant = cmp.Or(one.route, record.Route), cmp.Or(one.tenant, record.Tenant)
-	for _, told := range record.Ends {
-		if told.Suspicion >= Excused && told.Suspicion <= Likely {
-			t.addEnd(one, told, now-max(0, told.Age))
+	for _, received := range record.Ends {
+		if received.Suspicion >= Excused && received.Suspicion <= Likely {
+			t.addCrash(one, received, now-max(0, received.Age))
 		}
 	}
 }
@@ -180,82 +180,82 @@
 // newest returns the time of the record's latest crash on the receiver's clock.
 func (r Record) newest(now time.Duration) time.Duration {
 	age := time.Duration(0)
-	for position, told := range r.Ends {
-		if position == 0 || told.Age < age {
-			age = told.Age
+	for position, received := range r.Ends {
+		if position == 0 || received.Age < age {
+			age = received.Age
 		}
 	}
 	return now - age
 }
 
-// find returns a request's suspect and creates it if there is none. It returns nil if the
+// findOrAdd returns a request's suspect and creates it if there is none. It returns nil if the
 // tracker is full and every recorded suspect ranks higher than one with so many crashes at
 // that time. Nodes that exchange records therefore converge to the same ones.
-func (t *Tracker) find(fingerprint Fingerprint, changed time.Duration, ends int) *suspect {
+func (t *Tracker) findOrAdd(fingerprint Fingerprint, changed time.Duration, crashes int) *suspect {
 	one := t.suspects[fingerprint]
 	if one != nil {
 		return one
 	}
-	made := &suspect{Fingerprint: fingerprint, ends: map[registry.Life]end{}, changed: changed}
+	created := &suspect{Fingerprint: fingerprint, crashes: map[registry.Life]crash{}, changedAt: changed}
 	if len(t.suspects) >= t.options.Requests {
-		least := t.least()
-		if made.compareWorth(ends, least) < 0 {
+		lowestRanking := t.lowestRanking()
+		if created.compareRank(crashes, lowestRanking) < 0 {
 			return nil
 		}
-		t.forget(least.Fingerprint)
+		t.forget(lowestRanking.Fingerprint)
 	}
-	t.suspects[fingerprint] = made
-	return made
+	t.suspects[fingerprint] = created
+	return created
 }
 
-// least returns the lowest-ranking suspect, which is the first to be forgotten.
-func (t *Tracker) least() *suspect {
-	var least *suspect
+// lowestRanking returns the lowestRanking-ranking suspect, which is the first to be forgotten.
+func (t *Tracker) lowestRanking() *suspect {
+	var lowestRanking *suspect
 	for _, one := range t.suspects {
-		if least == nil || one.compareWorth(len(one.ends), least) < 0 {
-			least = one
+		if lowestRanking == nil || one.compareRank(len(one.crashes), lowestRanking) < 0 {
+			lowestRanking = one
 		}
 	}
-	return least
+	return lowestRanking
 }
 
-// compareWorth compares the ranks by which suspects are kept, of a suspect with so many crashes
+// compareRank compares the ranks by which suspects are kept, of a suspect with so many crashes
 // and another one: quarantined ones rank highest, then those with more crashes, then the later
 // ones.
-func (s *suspect) compareWorth(ends int, other *suspect) int {
-	rank := func(one *suspect, ends int) int {
+func (s *suspect) compareRank(crashes int, other *suspect) int {
+	rank := func(one *suspect, crashes int) int {
 		if one.isQuarantined {
-			return endsKept + 1
+			return maximumCrashes + 1
 		}
-		return ends
+		return crashes
 	}
 	return cmp.Or(
-		cmp.Compare(rank(s, ends), rank(other, len(other.ends))), cmp.Compare(s.changed, other.changed), s.compare(other.Fingerprint),
+		cmp.Compare(rank(s, crashes), rank(other, len(other.crashes))), cmp.Compare(s.changedAt, other.changedAt), s.compare(other.Fingerprint),
 	)
 }
 
-// outdate marks the derived fields and the digest as out of date.
-func (t *Tracker) outdate() { t.isOutdated, t.isDigestKnown = true, false }
+// markOutdated marks the derived fields and the digest as out of date.
+func (t *Tracker) markOutdated() { t.isOutdated, t.isDigestKnown = true, false }
 
 func (t *Tracker) forget(fingerprint Fingerprint) {
 	delete(t.suspects, fingerprint)
-	delete(t.news, fingerprint)
-	delete(t.told, fingerprint)
-	t.outdate()
+	delete(t.pendingUpdates, fingerprint)
+	delete(t.sharedStates, fingerprint)
+	t.markOutdated()
 }
 
-// addEnd records a crash and reports whether it changes the suspect.
-func (t *Tracker) addEnd(one *suspect, told End, at time.Duration) bool {
-	known, found := one.ends[told.Life]
-	if found && known.suspicion >= told.Suspicion || !found && len(one.ends) >= endsKept {
+// addCrash records a crash and reports whether it changes the suspect.
+func (t *Tracker) addCrash(one *suspect, received End, at time.Duration) bool {
+	known, found := one.crashes[received.Life]
+	if found && known.suspicion >= received.Suspicion || !found && len(one.crashes) >= maximumCrashes {
 		return false
 	}
 	if found {
 		at = known.at
 	}
-	one.ends[told.Life] = end{suspicion: told.Suspicion, at: at}
-	one.changed = max(one.changed, at)
-	t.outdate()
+	one.crashes[received.Life] = crash{suspicion: received.Suspicion, at: at}
+	one.changedAt = max(one.changedAt, at)
+	t.markOutdated()
 	return true
 }
 
@@ -263,58 +263,58 @@
 // quarantine by this is on probation: its two latest crashes count for the same time again, so
 // one further crash puts it back into quarantine.
 func (t *Tracker) expire(now time.Duration) {
-	if now < t.expires {
+	if now < t.expiresAt {
 		return
 	}
-	t.expires = now + expireInterval
+	t.expiresAt = now + expireInterval
 	for fingerprint, one := range t.suspects {
-		if now-one.changed <= t.options.Memory {
+		if now-one.changedAt <= t.options.Memory {
 			continue
 		}
 		if !one.isQuarantined {
 			t.forget(fingerprint)
 			continue
 		}
-		kept := one.latest(suspectEnds)
-		clear(one.ends)
-		for _, life := range kept {
-			one.ends[life] = end{suspicion: Likely, at: now - settleTime}
+		kept := one.latest(suspectCrashes)
+		clear(one.crashes)
+		for _, incarnation := range kept {
+			one.crashes[incarnation] = crash{suspicion: Likely, at: now - settleTime}
 		}
-		one.changed = now
-		t.outdate()
+		one.changedAt = now
+		t.markOutdated()
 	}
 }
 
 // latest returns the incarnations of the latest crashes.
 func (s *suspect) latest(count int) []registry.Life {
-	lives := s.lives()
-	slices.SortStableFunc(lives, func(a, b registry.Life) int { return cmp.Compare(s.ends[b].at, s.ends[a].at) })
-	return lives[:min(count, len(lives))]
+	incarnations := s.incarnations()
+	slices.SortStableFunc(incarnations, func(a, b registry.Life) int { return cmp.Compare(s.crashes[b].at, s.crashes[a].at) })
+	return incarnations[:min(count, len(incarnations))]
 }
 
-// lives returns the incarnations that crashed with the request in flight, in order.
-func (s *suspect) lives() []registry.Life {
-	lives := make([]registry.Life, 0, len(s.ends))
-	for life := range s.ends {
-		lives = append(lives, life)
+// incarnations returns the incarnations that crashed with the request in flight, in order.
+func (s *suspect) incarnations() []registry.Life {
+	incarnations := make([]registry.Life, 0, len(s.crashes))
+	for incarnation := range s.crashes {
+		incarnations = append(incarnations, incarnation)
 	}
-	slices.SortFunc(lives, func(a, b registry.Life) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
-	return lives
+	slices.SortFunc(incarnations, func(a, b registry.Life) int { return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.Born, b.Born)) })
+	return incarnations
 }
 
 func (f Fingerprint) compare(other Fingerprint) int {
 	return cmp.Or(cmp.Compare(f.Scope, other.Scope), cmp.Compare(f.Length, other.Length), cmp.Compare(f.Body, other.Body))
 }
 
-// isTold reports whether the request's record is sent to the other nodes.
-func (s *suspect) isTold() bool {
-	return s.isQuarantined || len(s.ends) >= suspectEnds || s.generation > 0
+// isShared reports whether the request's record is sent to the other nodes.
+func (s *suspect) isShared() bool {
+	return s.isQuarantined || len(s.crashes) >= suspectCrashes || s.generation > 0
 }
 
-// state returns a hash of what is sent to other nodes about the request.
-func (s *suspect) state() uint64 {
+// stateHash returns a hash of what is sent to other nodes about the request.
+func (s *suspect) stateHash() uint64 {
 	var encoded []byte
-	for _, number := range []uint64{s.Scope, s.Length, s.Body, uint64(s.generation), uint64(len(s.ends)), uint64(s.counted)} {
+	for _, number := range []uint64{s.Scope, s.Length, s.Body, uint64(s.generation), uint64(len(s.crashes)), uint64(s.counted)} {
 		encoded = binary.BigEndian.AppendUint64(encoded, number)
 	}
 	if s.isQuarantined {
@@ -324,10 +324,10 @@
 }
 
 func (s *suspect) record(now time.Duration) Record {
-	record := Record{Fingerprint: s.Fingerprint, Generation: s.generation, Route: s.route, Tenant: s.tenant, Ends: make([]End, 0, len(s.ends))}
-	for _, life := range s.lives() {
-		held := s.ends[life]
-		record.Ends = append(record.Ends, End{Life: life, Suspicion: held.suspicion, Age: now - held.at})
+	record := Record{Fingerprint: s.Fingerprint, Generation: s.generation, Route: s.route, Tenant: s.tenant, Ends: make([]End, 0, len(s.crashes))}
+	for _, incarnation := range s.incarnations() {
+		recorded := s.crashes[incarnation]
+		record.Ends = append(record.Ends, End{Life: incarnation, Suspicion: recorded.suspicion, Age: now - recorded.at})
 	}
 	return record
 }
@@ -339,39 +339,39 @@
 
 // Told returns the records that are sent to all nodes, in order.
 func (t *Tracker) Told(now time.Duration) []Record {
-	return t.recordsOf(now, (*suspect).isTold)
+	return t.recordsOf(now, (*suspect).isShared)
 }
 
 // TakeNews returns the records of the requests that crash reports or clearings of this node have
 // changed since the last call.
 func (t *Tracker) TakeNews(now time.Duration) []Record {
-	if len(t.news) == 0 {
+	if len(t.pendingUpdates) == 0 {
 		return nil
 	}
-	news := t.recordsOf(now, func(one *suspect) bool {
-		_, found := t.news[one.Fingerprint]
+	updates := t.recordsOf(now, func(one *suspect) bool {
+		_, found := t.pendingUpdates[one.Fingerprint]
 		return found
 	})
-	clear(t.news)
-	return news
+	clear(t.pendingUpdates)
+	return updates
 }
 
 // TakeChanged returns the records to be sent to all nodes that have changed since the last call.
 func (t *Tracker) TakeChanged(now time.Duration) []Record {
 	return t.recordsOf(now, func(one *suspect) bool {
-		state := one.state()
-		if !one.isTold() || t.told[one.Fingerprint] == state {
+		hash := one.stateHash()
+		if !one.isShared() || t.sharedStates[one.Fingerprint] == hash {
 			return false
 		}
-		t.told[one.Fingerprint] = state
+		t.sharedStates[one.Fingerprint] = hash
 		return true
 	})
 }
 
-func (t *Tracker) recordsOf(now time.Duration, wanted func(*suspect) bool) []Record {
+func (t *Tracker) recordsOf(now time.Duration, isWanted func(*suspect) bool) []Record {
 	var records []Record
 	for _, one := range t.suspects {
-		if wanted(one) {
+		if isWanted(one) {
 			records = append(records, one.record(now))
 		}
 	}
@@ -390,8 +390,8 @@
 func (t *Tracker) computeDigest() uint64 {
 	digest := uint64(0)
 	for _, one := range t.suspects {
-		if one.isTold() {
-			digest ^= one.state()
+		if one.isShared() {
+			digest ^= one.stateHash()
 		}
 	}
 	return digest
@@ -407,20 +407,20 @@
 // Held returns the requests with recorded crashes, those in quarantine first and then those that
 // most crashes count against.
 func (t *Tracker) Held(now time.Duration) []Held {
-	var held []Held
+	var summaries []Held
 	for _, one := range t.suspects {
-		if len(one.ends) > 0 {
-			held = append(held, Held{Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted})
+		if len(one.crashes) > 0 {
+			summaries = append(summaries, Held{Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted})
 		}
 	}
 	rank := func(one Held) int {
 		if one.IsQuarantined {
-			return endsKept + 1
+			return maximumCrashes + 1
 		}
 		return one.Counted
 	}
-	slices.SortFunc(held, func(a, b Held) int {
+	slices.SortFunc(summaries, func(a, b Held) int {
 		return cmp.Or(cmp.Compare(rank(b), rank(a)), a.Fingerprint.compare(b.Fingerprint))
 	})
-	return held
+	return summaries
 }
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -14,159 +14,159 @@
 // named returns the fingerprint of a numbered request.
 func named(number int) Fingerprint { return Fingerprint{Scope: uint64(number) + 1, Length: 1} }
 
-func life(number int) registry.Life {
+func incarnation(number int) registry.Life {
 	return registry.Life{ID: fmt.Sprintf("engine-%d", number), Born: 1}
 }
 
-// at reports runs of requests that were in flight when an engine crashed.
-func at(t *Tracker, now time.Duration, ended registry.Life, suspicion Suspicion, requests ...Fingerprint) {
+// report reports runs of requests that were in flight when an engine crashed.
+func report(t *Tracker, now time.Duration, crashed registry.Life, suspicion Suspicion, requests ...Fingerprint) {
 	for _, one := range requests {
-		t.Report(now, Evidence{Fingerprint: one, Life: ended, Suspicion: suspicion})
+		t.Report(now, Evidence{Fingerprint: one, Life: crashed, Suspicion: suspicion})
 	}
 }
 
-// decided returns the status of a request once all reported crashes count.
-func decided(t *Tracker, now time.Duration, request Fingerprint) Standing {
+// statusAfterDecide returns the status of a request once all reported crashes count.
+func statusAfterDecide(t *Tracker, now time.Duration, request Fingerprint) Standing {
 	t.Decide(now + settleTime)
-	if one := t.suspects[request]; one != nil && len(one.ends) > 0 {
-		return one.standing()
+	if one := t.suspects[request]; one != nil && len(one.crashes) > 0 {
+		return one.status()
 	}
 	return Unknown
 }
 
-func TestRequestIsQuarantinedAtItsThirdEndAndNotBefore(t *testing.T) {
+func TestRequestIsQuarantinedAtItsThirdCrashAndNotBefore(t *testing.T) {
 	tracker := NewTracker(Options{})
 	poison := named(0)
 	for number, wanted := range []Standing{Known, Suspected, Quarantined} {
-		at(tracker, 0, life(number), Likely, poison)
+		report(tracker, 0, incarnation(number), Likely, poison)
 		// Further copies of the request at the same crash don't add crashes.
-		at(tracker, 0, life(number), Likely, poison)
-		assert.Equal(t, decided(tracker, 0, poison), wanted)
+		report(tracker, 0, incarnation(number), Likely, poison)
+		assert.Equal(t, statusAfterDecide(tracker, 0, poison), wanted)
 	}
 }
 
 // Guards against quarantining requests that merely ran at the crashing engines. In the incident
 // behind this test each crash broke 1 to 46 streams of other callers, some of them three times.
-func TestRequestsBesideAPoisonOneAreNotTakenForIt(t *testing.T) {
+func TestRequestsInFlightBesideAPoisonRequestAreNotQuarantined(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		beside Suspicion
-		ends   int
+		name    string
+		beside  Suspicion
+		crashes int
 	}{{"running for long", Unlikely, 4}, {"waiting", Possible, 4}, {"just begun", Likely, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			tracker := NewTracker(Options{})
 			poison, beside := named(0), named(1)
 			for number := range 4 {
-				at(tracker, 0, life(number), Likely, poison)
-				if number < c.ends {
-					at(tracker, 0, life(number), c.beside, beside)
+				report(tracker, 0, incarnation(number), Likely, poison)
+				if number < c.crashes {
+					report(tracker, 0, incarnation(number), c.beside, beside)
 				}
 			}
-			assert.Equal(t, decided(tracker, 0, poison), Quarantined)
-			assert.Assert(t, decided(tracker, 0, beside) != Quarantined)
+			assert.Equal(t, statusAfterDecide(tracker, 0, poison), Quarantined)
+			assert.Assert(t, statusAfterDecide(tracker, 0, beside) != Quarantined)
 		})
 	}
 }
 
 // Two requests at the same three crashes can't be distinguished: a further crash does so, and the
 // fifth crash at the latest puts both into quarantine.
-func TestRequestsThatCanNotBeToldApartWaitForTheNextEnd(t *testing.T) {
+func TestIndistinguishableRequestsWaitForTheNextCrash(t *testing.T) {
 	tracker := NewTracker(Options{})
 	one, other := named(0), named(1)
 	for number := range 3 {
-		at(tracker, 0, life(number), Likely, one, other)
+		report(tracker, 0, incarnation(number), Likely, one, other)
 	}
-	assert.Equal(t, decided(tracker, 0, one), Suspected)
-	at(tracker, 0, life(3), Likely, one)
-	assert.Equal(t, decided(tracker, 0, one), Quarantined)
-	assert.Assert(t, decided(tracker, 0, other) != Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 0, one), Suspected)
+	report(tracker, 0, incarnation(3), Likely, one)
+	assert.Equal(t, statusAfterDecide(tracker, 0, one), Quarantined)
+	assert.Assert(t, statusAfterDecide(tracker, 0, other) != Quarantined)
 
 	tracker = NewTracker(Options{})
-	for number := range certainEnds {
-		at(tracker, 0, life(number), Likely, one, other)
+	for number := range certainCrashes {
+		report(tracker, 0, incarnation(number), Likely, one, other)
 	}
-	assert.Equal(t, decided(tracker, 0, one), Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 0, one), Quarantined)
 }
 
 // Guards against a fault of a fleet of three engines: of two poison requests sent at the same
 // time, each left quarantine whenever the other one explained its crashes.
-func TestTwoPoisonRequestsSideBySideExcuseEachOtherNoLongerThanFiveEnds(t *testing.T) {
+func TestTwoPoisonRequestsExplainEachOthersCrashesAtMostUntilTheFifth(t *testing.T) {
 	tracker := NewTracker(Options{})
 	one, other := named(0), named(1)
 	for number := range 12 {
-		at(tracker, 0, life(number), Likely, one, other)
+		report(tracker, 0, incarnation(number), Likely, one, other)
 		if number%2 == 0 {
-			at(tracker, 0, life(100+number), Likely, one)
+			report(tracker, 0, incarnation(100+number), Likely, one)
 		} else {
-			at(tracker, 0, life(100+number), Likely, other)
+			report(tracker, 0, incarnation(100+number), Likely, other)
 		}
-		if number+1 >= certainEnds {
-			assert.Equal(t, decided(tracker, 0, one), Quarantined, "after %d", number)
-			assert.Equal(t, decided(tracker, 0, other), Quarantined, "after %d", number)
+		if number+1 >= certainCrashes {
+			assert.Equal(t, statusAfterDecide(tracker, 0, one), Quarantined, "after %d", number)
+			assert.Equal(t, statusAfterDecide(tracker, 0, other), Quarantined, "after %d", number)
 		}
 	}
 }
 
 // A poison request whose response heads are lost in the crash never looks as if it had just
 // begun. Guards against it escaping quarantine because of other requests that had.
-func TestRequestAtFiveEndsIsQuarantinedWhoeverSeemsLikelier(t *testing.T) {
+func TestRequestAtFiveCrashesIsQuarantinedDespiteMoreSuspiciousOnes(t *testing.T) {
 	tracker := NewTracker(Options{})
 	poison := named(0)
-	for number := range certainEnds {
-		at(tracker, 0, life(number), Possible, poison)
-		at(tracker, 0, life(number), Likely, named(1+number%2), named(3+number))
+	for number := range certainCrashes {
+		report(tracker, 0, incarnation(number), Possible, poison)
+		report(tracker, 0, incarnation(number), Likely, named(1+number%2), named(3+number))
 	}
-	assert.Equal(t, decided(tracker, 0, poison), Quarantined)
-	for number := 1; number < 3+certainEnds; number++ {
-		assert.Assert(t, decided(tracker, 0, named(number)) != Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 0, poison), Quarantined)
+	for number := 1; number < 3+certainCrashes; number++ {
+		assert.Assert(t, statusAfterDecide(tracker, 0, named(number)) != Quarantined)
 	}
 }
 
 // Guards against quarantine after the loss of a third of the engines at the same time, twice, or
 // a planned release: each request loses one engine each time.
-func TestLossOfManyEnginesAtOnceQuarantinesNobody(t *testing.T) {
+func TestLossOfManyEnginesAtTheSameTimeQuarantinesNoRequest(t *testing.T) {
 	tracker := NewTracker(Options{})
 	for loss := range 2 {
 		for number := range 40 {
-			at(tracker, time.Duration(loss)*time.Second, life(loss*4+number%4), Likely, named(number))
+			report(tracker, time.Duration(loss)*time.Second, incarnation(loss*4+number%4), Likely, named(number))
 		}
 	}
 	for number := range 40 {
-		assert.Assert(t, decided(tracker, time.Second, named(number)) != Quarantined)
+		assert.Assert(t, statusAfterDecide(tracker, time.Second, named(number)) != Quarantined)
 	}
 }
 
-func TestRequestThatRanToItsEndIsClearedAndLateWordOfBeforeChangesNothing(t *testing.T) {
+func TestCompletedRequestIsClearedAndDelayedOlderRecordsChangeNothing(t *testing.T) {
 	tracker, other := NewTracker(Options{}), NewTracker(Options{})
 	request := named(0)
 	for number := range 3 {
-		at(tracker, 0, life(number), Likely, request)
+		report(tracker, 0, incarnation(number), Likely, request)
 	}
 	other.Merge(0, tracker.Records(0))
-	assert.Equal(t, decided(other, 0, request), Quarantined)
+	assert.Equal(t, statusAfterDecide(other, 0, request), Quarantined)
 	assert.Assert(t, tracker.Clear(time.Second, request))
-	assert.Equal(t, decided(tracker, time.Second, request), Unknown)
+	assert.Equal(t, statusAfterDecide(tracker, time.Second, request), Unknown)
 	before := other.Records(time.Second)
 	other.Merge(time.Second, tracker.Records(time.Second))
-	assert.Equal(t, decided(other, time.Second, request), Unknown)
+	assert.Equal(t, statusAfterDecide(other, time.Second, request), Unknown)
 	tracker.Merge(time.Second, before)
-	assert.Equal(t, decided(tracker, time.Second, request), Unknown)
+	assert.Equal(t, statusAfterDecide(tracker, time.Second, request), Unknown)
 	assert.Equal(t, tracker.Digest(), other.Digest())
 }
 
 // Records of other nodes may arrive in any order and more than once.
-func TestRecordsMergeToTheSameInEachOrder(t *testing.T) {
+func TestRecordsMergeToTheSameResultInAnyOrder(t *testing.T) {
 	cleared := NewTracker(Options{})
-	at(cleared, 0, life(0), Likely, named(1))
+	report(cleared, 0, incarnation(0), Likely, named(1))
 	cleared.Clear(0, named(1))
 	records := cleared.Records(0)
-	for _, evidence := range []struct {
-		life      int
-		suspicion Suspicion
-		request   int
+	for _, reported := range []struct {
+		incarnation int
+		suspicion   Suspicion
+		request     int
 	}{{0, Likely, 0}, {1, Possible, 0}, {1, Likely, 0}, {2, Likely, 1}} {
 		one := NewTracker(Options{})
-		at(one, 0, life(evidence.life), evidence.suspicion, named(evidence.request))
+		report(one, 0, incarnation(reported.incarnation), reported.suspicion, named(reported.request))
 		records = append(records, one.Records(0)...)
 	}
 	var digests []uint64
@@ -176,7 +176,7 @@
 			tracker.Merge(0, []Record{record})
 			tracker.Merge(0, []Record{record})
 		}
-		assert.Equal(t, decided(tracker, 0, named(0)), Suspected)
+		assert.Equal(t, statusAfterDecide(tracker, 0, named(0)), Suspected)
 		digests = append(digests, tracker.Digest())
 	})
 	assert.Equal(t, len(digests), 120)
@@ -193,58 +193,58 @@
 			call(chosen)
 		}
 		for position := range left {
-			rest := append(append([]Record{}, left[:position]...), left[position+1:]...)
-			step(append(append([]Record{}, chosen...), left[position]), rest)
+			remaining := append(append([]Record{}, left[:position]...), left[position+1:]...)
+			step(append(append([]Record{}, chosen...), left[position]), remaining)
 		}
 	}
 	step(nil, records)
 }
 
 // Ten thousand different requests are in flight at engines that crash for other reasons.
-func TestFloodOfSuspectsIsBoundedAndPushesNoQuarantinedRequestOut(t *testing.T) {
+func TestFloodOfSuspectsIsBoundedAndEvictsNoQuarantinedRequest(t *testing.T) {
 	tracker := NewTracker(Options{Requests: 100})
 	poison := named(0)
 	for number := range 3 {
-		at(tracker, 0, life(number), Likely, poison)
+		report(tracker, 0, incarnation(number), Likely, poison)
 	}
-	assert.Equal(t, decided(tracker, 0, poison), Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 0, poison), Quarantined)
 	for number := range 10_000 {
-		at(tracker, time.Duration(number)*time.Millisecond, life(10+number/40), Likely, named(1+number))
+		report(tracker, time.Duration(number)*time.Millisecond, incarnation(10+number/40), Likely, named(1+number))
 	}
 	assert.Equal(t, len(tracker.suspects), 100)
-	assert.Equal(t, decided(tracker, 10*time.Second, poison), Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 10*time.Second, poison), Quarantined)
 	// Neither do the records of another node evict it.
 	flooded := NewTracker(Options{Requests: 100})
 	for number := range 10_000 {
-		at(flooded, time.Hour, life(10+number), Likely, named(1+number))
+		report(flooded, time.Hour, incarnation(10+number), Likely, named(1+number))
 	}
 	tracker.Merge(10*time.Second, flooded.Records(time.Hour))
-	assert.Equal(t, decided(tracker, 10*time.Second, poison), Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 10*time.Second, poison), Quarantined)
 	assert.Equal(t, len(tracker.suspects), 100)
 }
 
-func TestQuarantineEndsWithItsTimeAndOneMoreEndBringsItBack(t *testing.T) {
+func TestQuarantineExpiresAndOneFurtherCrashRestoresIt(t *testing.T) {
 	tracker := NewTracker(Options{Memory: time.Minute})
 	poison, once := named(0), named(1)
 	for number := range 3 {
-		at(tracker, 0, life(number), Likely, poison)
+		report(tracker, 0, incarnation(number), Likely, poison)
 	}
-	at(tracker, 0, life(9), Likely, once)
-	assert.Equal(t, decided(tracker, 59*time.Second, poison), Quarantined)
-	assert.Equal(t, decided(tracker, 61*time.Second, poison), Suspected)
-	assert.Equal(t, decided(tracker, 61*time.Second, once), Unknown)
-	at(tracker, 70*time.Second, life(3), Likely, poison)
-	assert.Equal(t, decided(tracker, 70*time.Second, poison), Quarantined)
-	assert.Equal(t, decided(tracker, 140*time.Second, poison), Suspected)
-	assert.Equal(t, decided(tracker, 210*time.Second, poison), Unknown)
+	report(tracker, 0, incarnation(9), Likely, once)
+	assert.Equal(t, statusAfterDecide(tracker, 59*time.Second, poison), Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 61*time.Second, poison), Suspected)
+	assert.Equal(t, statusAfterDecide(tracker, 61*time.Second, once), Unknown)
+	report(tracker, 70*time.Second, incarnation(3), Likely, poison)
+	assert.Equal(t, statusAfterDecide(tracker, 70*time.Second, poison), Quarantined)
+	assert.Equal(t, statusAfterDecide(tracker, 140*time.Second, poison), Suspected)
+	assert.Equal(t, statusAfterDecide(tracker, 210*time.Second, poison), Unknown)
 	assert.Equal(t, len(tracker.suspects), 0)
 }
 
 // sinkOf passes a guard's reports to a tracker immediately.
 type sinkOf struct{ tracker *Tracker }
 
-func (s sinkOf) EnginesEnded(evidence []Evidence) {
-	for _, one := range evidence {
+func (s sinkOf) EnginesEnded(reports []Evidence) {
+	for _, one := range reports {
 		s.tracker.Report(0, one)
 	}
 }
@@ -258,26 +258,26 @@
 
 // Identical requests that many callers send are in flight at the crashes of many engines, and run
 // to completion all the time.
-func TestPopularRequestIsNotTakenForAPoisonOne(t *testing.T) {
+func TestPopularRequestIsNotQuarantined(t *testing.T) {
 	tracker := NewTracker(Options{})
 	guard := NewGuard(sinkOf{tracker})
 	popular := textRequest{"popular"}
 	present := []Present{{Fingerprint: FingerprintOfRequest(popular), Run: Run{AnswerBegan: true, BeginsAtHead: true}}}
 	for number := range 6 {
 		guard.Completed(popular)
-		guard.Ended(life(number), present)
+		guard.Ended(incarnation(number), present)
 		tracker.Decide(settleTime)
 		guard.SetView(tracker.View())
 		assert.Assert(t, guard.Standing(popular) != Quarantined)
 	}
 }
 
-func TestBodyIsReadOnlyForRequestsOfASuspectsScope(t *testing.T) {
+func TestBodyIsHashedOnlyForRequestsOfASuspectsScope(t *testing.T) {
 	tracker := NewTracker(Options{})
 	guard := NewGuard(sinkOf{tracker})
 	poison := textRequest{"poison"}
 	for number := range 3 {
-		guard.Ended(life(number), []Present{{Fingerprint: FingerprintOfRequest(poison), Run: Run{}}})
+		guard.Ended(incarnation(number), []Present{{Fingerprint: FingerprintOfRequest(poison), Run: Run{}}})
 	}
 	tracker.Decide(settleTime)
 	guard.SetView(tracker.View())
@@ -296,8 +296,8 @@
 func BenchmarkDecide(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultRequests {
-		at(tracker, 0, life(number/8), Likely, named(number))
-		at(tracker, 0, life(number/8+1), Possible, named(number))
+		report(tracker, 0, incarnation(number/8), Likely, named(number))
+		report(tracker, 0, incarnation(number/8+1), Possible, named(number))
 	}
 	for b.Loop() {
 		tracker.isOutdated = true
@@ -309,7 +309,7 @@
 func BenchmarkView(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultRequests {
-		at(tracker, 0, life(number/8), Likely, named(number))
+		report(tracker, 0, incarnation(number/8), Likely, named(number))
 	}
 	for b.Loop() {
 		tracker.View()
@@ -317,7 +317,7 @@
 }
 
 // The digest is cached between changes. Guards against a cached digest that is out of date.
-func TestKeptDigestIsThatMadeAnewAfterEachChange(t *testing.T) {
+func TestCachedDigestIsUpdatedAfterEachChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(42, 1))
 	one, other := NewTracker(Options{Requests: 12, Memory: time.Minute}), NewTracker(Options{Requests: 12, Memory: time.Minute})
 	now := time.Duration(0)
@@ -326,9 +326,9 @@
 		request := named(random.IntN(16))
 		switch random.IntN(6) {
 		case 0, 1:
-			one.Report(now, Evidence{Fingerprint: request, Life: life(random.IntN(40)), Suspicion: Excused + Suspicion(random.IntN(4))})
+			one.Report(now, Evidence{Fingerprint: request, Life: incarnation(random.IntN(40)), Suspicion: Excused + Suspicion(random.IntN(4))})
 		case 2:
-			other.Report(now, Evidence{Fingerprint: request, Life: life(random.IntN(40)), Suspicion: Likely})
+			other.Report(now, Evidence{Fingerprint: request, Life: incarnation(random.IntN(40)), Suspicion: Likely})
 		case 3:
 			one.Merge(now, other.Records(now))
 		case 4:
@@ -344,8 +344,8 @@
 func BenchmarkDigest(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultRequests {
-		for end := range suspectEnds {
-			at(tracker, 0, life(number*suspectEnds+end), Likely, named(number))
+		for crash := range suspectCrashes {
+			report(tracker, 0, incarnation(number*suspectCrashes+crash), Likely, named(number))
 		}
 	}
 	b.Run("kept", func(b *testing.B) {
