--- a/internal/coordination/overload/gate.go
+++ b/internal/coordination/overload/gate.go
@@ -6,85 +6,85 @@
 )
 
 const (
-	// fullLag is how long a goroutine may wait for its turn before the node counts as
-	// having too much to do: a request passes through some six goroutines, each of which
-	// waits that long for the processor, and the tightest objectives are 150 ms.
-	// Below calmLag it has room.
+	// fullLag is how long a goroutine may wait to be scheduled before the node counts as
+	// overloaded: a request passes through some six goroutines, each of which waits that long
+	// for the processor, and the tightest latency objectives are 150 ms. Below calmLag the node
+	// has free capacity.
 	fullLag = 20 * time.Millisecond
 	calmLag = 8 * time.Millisecond
-	// fullLoad is the share of the link that bodies may fill before it counts as full:
-	// the engines' answers take as much again. With 0.45 of a link filled by bodies
-	// other nodes' frames came 300 to 700 ms late.
+	// fullLoad is the share of the link that bodies may fill before it counts as full: the
+	// engines' responses take as much again. With 0.45 of a link filled by bodies, other nodes'
+	// frames were 300 to 700 ms late.
 	fullLoad = 0.3
-	// lateFrames is the delay of other nodes' frames above which the link counts as
-	// full whatever fills it. Usual are under 20 ms.
+	// lateFrames is the delay of other nodes' frames above which the link counts as full,
+	// regardless of what fills it. Usual delays are under 20 ms.
 	lateFrames = 60 * time.Millisecond
-	// lagWeight is the weight of one reading in the smoothed lag: four readings
-	// tell a node with too much to do from one long collection of garbage.
+	// lagWeight is the weight of one reading in the moving average of the lag: four readings
+	// distinguish an overloaded node from one long garbage collection.
 	lagWeight = 0.25
-	// rateMemory is the half-life of callers' rates.
+	// rateMemory is the half-life of the smoothed rates.
 	rateMemory = 500 * time.Millisecond
-	// heavyShare is the part of the node's work from which a caller counts as
-	// heavy. Others are never turned away.
+	// heavyShare is the share of the node's work from which a caller counts as heavy. Requests
+	// of other callers are never refused.
 	heavyShare = 0.3
-	// A bound on heavy callers begins at firstBound of the heaviest one's rate,
-	// falls by boundFall at each reading with too much to do and rises by boundRise
-	// at each calm one, until it binds nobody.
+	// The bound on heavy callers begins at firstBound times the heaviest one's rate. It is
+	// multiplied by boundFall at each reading of overload and by boundRise at each calm reading,
+	// until it restricts no caller.
 	firstBound = 0.7
 	boundFall  = 0.93
 	boundRise  = 1.02
-	// leastBound is the least bound, in work a second.
+	// leastBound is the minimum bound, in work per second.
 	leastBound = 10.0
-	// leastPart is the part of a heavy caller's requests that is let in however much
-	// there is to do: what is turned away meets one other node, which has as little
-	// room, and a second refusal is final.
+	// leastPart is the share of a heavy caller's work that is admitted regardless of the load: a
+	// refused request is retried at one other node, which may be as overloaded, and a second
+	// refusal is final.
 	leastPart = 0.5
-	// burstTime is the time whose work a caller may have at once.
+	// burstTime is the duration whose work a caller may use in one burst.
 	burstTime = 200 * time.Millisecond
-	// bytesOfWork is the length of a body that takes as much of a node as a request
-	// without one.
+	// bytesOfWork is the size in bytes of a body that costs a node as much as a request without
+	// a body.
 	bytesOfWork = 16 << 10
-	// forgetRate is the rate below which a caller is forgotten.
+	// forgetRate is the rate, in work per second, below which a caller is forgotten.
 	forgetRate = 0.05
 )
 
-// Work is what a request with a body takes of a node, in requests without one.
+// Work returns the cost of a request with a body, in units of a request without one.
 func Work(bodyBytes int64) float64 { return 1 + float64(max(0, bodyBytes))/bytesOfWork }
 
-// Gate turns away requests of heavy callers at a node that has too much to do.
+// Gate refuses requests of heavy callers at an overloaded node.
 //
-// It answers this pattern: the platform chooses a caller's entry node by a hash,
-// so one large caller's requests all meet one small machine, and hundreds of
-// others are idle. That machine's processor or link is full, and all its requests
-// are late, also those of light callers. A request that is turned away at once
-// comes back through another node, well within its objective.
+// It guards against the following pattern. The platform selects a caller's entry node by a
+// hash, so all requests of one large caller arrive at one small machine while hundreds of
+// others are idle. That machine's processor or link is full, and all its requests are late,
+// including those of light callers. A request that is refused immediately is retried through
+// another node, well within its objective.
 //
-// The bound on heavy callers falls while the node has too much to do and rises
-// while it has room, as windows of transport protocols do. Callers that take less
-// than heavyShare of the node's work are not turned away.
+// The bound on heavy callers falls while the node is overloaded and rises while it has free
+// capacity, like the congestion window of a transport protocol. Requests of callers with less
+// than heavyShare of the node's work are not refused.
 //
-// It is a pure step and not safe for concurrent use.
+// It performs no I/O, reads no clock and is not safe for concurrent use.
 type Gate struct {
 	lag time.Duration
-	// bound is the most work a second that a caller may have; 0 means none.
+	// bound is the maximum work per second of a heavy caller; 0 means no bound.
 	bound   float64
 	callers map[string]*callerRate
-	// total is the work asked for, bytes are those of the bodies read, as of the last
-	// reading bodyBytes in all.
+	// total is the rate of the requested work, and bytes the rate of the body bytes read.
+	// bodyBytes is the total of body bytes at the last reading.
 	total     decayingRate
 	bytes     decayingRate
 	bodyBytes int64
 }
 
-// callerRate is one caller's work, asked for and let in.
+// callerRate is one caller's requested work and its credit for further work.
 type callerRate struct {
 	asked decayingRate
-	// credit is the work that it may have now, as of credited.
+	// credit is the work that the caller may use, as of credited.
 	credit   float64
 	credited time.Duration
 }
 
-// decayingRate is a smoothed rate.
+// decayingRate is an exponentially decaying rate.
 type decayingRate struct {
 	sum float64
 	at  time.Duration
@@ -99,33 +99,33 @@
 	return r.sum * math.Exp2(-float64(now-r.at)/float64(rateMemory))
 }
 
-// perSecond is the rate a second.
+// perSecond returns the rate per second.
 func (r *decayingRate) perSecond(now time.Duration) float64 {
 	return r.decayed(now) * math.Ln2 / rateMemory.Seconds()
 }
 
-// NewGate makes a gate that lets all in.
+// NewGate returns a gate without a bound, which admits all requests.
 func NewGate() *Gate { return &Gate{callers: map[string]*callerRate{}} }
 
-// Bound is the most work a second that a heavy caller may have; 0 means no bound.
+// Bound returns the maximum work per second of a heavy caller; 0 means no bound.
 func (g *Gate) Bound() float64 { return g.bound }
 
-// Lag is how long a goroutine waits for its turn, smoothed.
+// Lag returns the moving average of how long a goroutine waits to be scheduled.
 func (g *Gate) Lag() time.Duration { return g.lag }
 
-// Pressure is a reading of how much a node has to do.
+// Pressure is a measurement of a node's load.
 type Pressure struct {
-	// Lag is how long a goroutine waits for its turn.
+	// Lag is how long a goroutine waits to be scheduled.
 	Lag time.Duration
-	// FrameDelay is how late other nodes' frames are.
+	// FrameDelay is the delay of other nodes' frames.
 	FrameDelay time.Duration
-	// BodyBytes are the bytes of callers' bodies since the start, of known length or
-	// not. LinkBytes is what the link carries in a second; 0 if that is not known.
+	// BodyBytes is the total size of callers' bodies since the start, including bodies of
+	// unknown length. LinkBytes is the capacity of the link in bytes per second; 0 if unknown.
 	BodyBytes int64
 	LinkBytes float64
 }
 
-// Step takes a reading and tells whether the bound was set or lifted.
+// Step processes a measurement and reports whether the bound was set or lifted.
 func (g *Gate) Step(now time.Duration, pressure Pressure) (changed bool) {
 	g.lag += time.Duration(lagWeight * float64(pressure.Lag-g.lag))
 	g.bytes.add(now, float64(pressure.BodyBytes-g.bodyBytes))
@@ -151,15 +151,16 @@
 	return (before == 0) != (g.bound == 0)
 }
 
-// Heaviest is the caller with the most work, and what the node is asked for in
-// all, for logs.
+// Heaviest is the caller with the highest rate of work, along with the rates of all callers
+// together. It is written to logs.
 type Heaviest struct {
 	Name string
-	// Rate and Total are in work a second, Bytes in bytes of bodies a second.
+	// Rate and Total are in work per second, Bytes in body bytes per second.
 	Rate, Total, Bytes float64
 }
 
-// Heaviest returns the heaviest caller; it forgets those that are gone.
+// Heaviest returns the heaviest caller. It forgets callers whose rate has fallen below
+// forgetRate.
 func (g *Gate) Heaviest(now time.Duration) Heaviest {
 	heaviest := Heaviest{Total: g.total.perSecond(now), Bytes: g.bytes.perSecond(now)}
 	for name, caller := range g.callers {
@@ -175,8 +176,8 @@
 	return heaviest
 }
 
-// LetsIn notes a caller's request with a body of some bytes and tells whether it is
-// let in. One that must be served always is.
+// LetsIn records a caller's request with a body of bodyBytes and reports whether it is admitted.
+// A request with mustServe is always admitted.
 func (g *Gate) LetsIn(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
 	known := g.callers[caller]
 	if known == nil {
@@ -189,7 +190,7 @@
 	return mustServe || g.bears(now, known, work)
 }
 
-// bears tells whether a caller's request is within the bound.
+// bears reports whether a caller's request is within the bound.
 func (g *Gate) bears(now time.Duration, caller *callerRate, work float64) bool {
 	rate := caller.asked.perSecond(now)
 	if g.bound == 0 || rate <= g.bound || rate < heavyShare*g.total.perSecond(now) {
--- a/internal/coordination/overload/gate_test.go
+++ b/internal/coordination/overload/gate_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// busyNode feeds a gate with requests and readings.
+// busyNode feeds a gate with requests and measurements.
 type busyNode struct {
 	gate *Gate
 	now  time.Duration
@@ -16,9 +16,8 @@
 
 const lagInterval = 50 * time.Millisecond
 
-// run has callers send requests at rates a second while timers run late by a lag
-// that the work let in decides, and returns the part of each caller's requests that
-// was let in.
+// run has callers send requests at rates per second, while timers are late by a lag that depends
+// on the admitted work. It returns the share of each caller's requests that was admitted.
 func (n *busyNode) run(length time.Duration, rates map[string]float64, body int64, lag func(letIn float64) time.Duration) map[string]float64 {
 	asked, letIn, due := map[string]int{}, map[string]int{}, map[string]float64{}
 	taken := 0
@@ -46,7 +45,7 @@
 	return parts
 }
 
-// bears is a node that keeps up with a rate and is late beyond it.
+// bears returns the lag of a node that handles a rate and is late beyond it.
 func bears(rate float64) func(float64) time.Duration {
 	return func(letIn float64) time.Duration {
 		if letIn > rate {
@@ -61,17 +60,17 @@
 	parts := node.run(10*time.Second, map[string]float64{"heavy": 120, "one": 5, "other": 8}, 1000, bears(80))
 	assert.Equal(t, parts["one"], 1.0)
 	assert.Equal(t, parts["other"], 1.0)
-	assert.Assert(t, parts["heavy"] > 0.35 && parts["heavy"] < 0.65, "%.2f of the heavy caller's requests were let in", parts["heavy"])
+	assert.Assert(t, parts["heavy"] > 0.35 && parts["heavy"] < 0.65, "%.2f of the heavy caller's requests were admitted", parts["heavy"])
 }
 
-// Half of a heavy caller's requests are served however late the node is: they would
-// all meet the same other node.
+// Guards against refusing more than half of a heavy caller's requests, regardless of the lag: all
+// of them would be retried at the same other node.
 func TestHalfOfAHeavyCallersRequestsAreServedAtLeast(t *testing.T) {
 	node := &busyNode{gate: NewGate()}
 	late := func(float64) time.Duration { return time.Second }
 	node.run(time.Second, map[string]float64{"heavy": 120, "one": 5}, 1000, late)
 	parts := node.run(10*time.Second, map[string]float64{"heavy": 120, "one": 5}, 1000, late)
-	assert.Assert(t, parts["heavy"] > 0.45 && parts["heavy"] < 0.6, "%.2f of the heavy caller's requests were let in", parts["heavy"])
+	assert.Assert(t, parts["heavy"] > 0.45 && parts["heavy"] < 0.6, "%.2f of the heavy caller's requests were admitted", parts["heavy"])
 }
 
 func TestBoundIsThereWithinHalfASecondAndGoesWithTheLoad(t *testing.T) {
@@ -84,17 +83,17 @@
 	assert.Equal(t, node.gate.Bound(), 0.0)
 }
 
-// The bodies that are offered fill the link before anything is late.
+// The bodies fill the link before anything is late.
 func TestBoundIsThereBeforeTheLinkIsFull(t *testing.T) {
 	node := &busyNode{gate: NewGate()}
 	punctual := func(float64) time.Duration { return time.Millisecond }
 	parts := node.run(3*time.Second, map[string]float64{"heavy": 30, "one": 2}, 20_000, punctual)
 	assert.Equal(t, parts["one"], 1.0)
-	assert.Assert(t, parts["heavy"] > 0.5 && parts["heavy"] < 0.9, "%.2f of the heavy caller's requests were let in", parts["heavy"])
+	assert.Assert(t, parts["heavy"] > 0.5 && parts["heavy"] < 0.9, "%.2f of the heavy caller's requests were admitted", parts["heavy"])
 }
 
-// Many callers that all take little are served, however late the node is: none of
-// them would do better elsewhere.
+// Many callers with a small share each are served, regardless of the lag: none of them would be
+// served better elsewhere.
 func TestNobodyIsTurnedAwayWhereNobodyIsHeavy(t *testing.T) {
 	node := &busyNode{gate: NewGate()}
 	rates := map[string]float64{"a": 30, "b": 30, "c": 30, "d": 30, "e": 30}
--- a/internal/coordination/overload/overload.go
+++ b/internal/coordination/overload/overload.go
@@ -1,81 +1,81 @@
-// Package overload decides what an entry node does that has more to do than its
-// link or its processor bears: when it sheds load (Shedder), and whose requests it
-// sends elsewhere (Gate).
+// Package overload decides how an entry node reacts when it has more work than its link or its
+// processor can handle: when it sheds load (Shedder), and which callers' requests it refuses
+// so that they retry at another node (Gate).
 //
-// Callers come to entry nodes in uneven shares. One whose link is full is of no
-// use to its callers: each frame and each body waits for seconds, while other
-// nodes are idle. It then calls itself not ready for a while, so that new
-// connections go elsewhere, and comes back once its link is free.
+// Callers are distributed unevenly over the entry nodes. A node whose link is full is of no use
+// to its callers: each frame and each body waits for seconds, while other nodes are idle. Such
+// a node reports itself as not ready for a while, so that new connections go elsewhere, and
+// reports itself as ready again once its link is free.
 //
-// Both are pure steps and not safe for concurrent use.
+// Shedder and Gate perform no I/O and read no clock. They are not safe for concurrent use.
 package overload
 
 import "time"
 
 const (
-	// fullDelay is the delay of other nodes' frames above which the link counts as
-	// full, clearDelay that below which it counts as free. Usual are under 20 ms,
-	// on the busiest node with room left under 70 ms (docs/incidents/zhf-grown-config.md).
+	// fullDelay is the delay of other nodes' frames from which the link counts as full, and
+	// clearDelay the delay up to which it counts as free. Usual delays are under 20 ms, and
+	// under 70 ms on the busiest node that still has free capacity
+	// (docs/incidents/zhf-grown-config.md).
 	fullDelay  = 250 * time.Millisecond
 	clearDelay = 80 * time.Millisecond
-	// fullShare is the part of the link that callers' bodies fill at least before
-	// the delay is put down to them: answers of engines and other nodes' frames
-	// share the link with them.
+	// fullShare is the minimum share of the link that callers' bodies must fill before the
+	// delay is attributed to them: responses of engines and other nodes' frames use the same
+	// link.
 	fullShare = 0.3
-	// fullFor is how long it must be full: a burst passes by itself.
+	// fullFor is how long the link must be full before the node sheds load: a burst passes
+	// without any action.
 	fullFor = 900 * time.Millisecond
-	// busyShare is the part of the link that callers' bodies may fill before the node
-	// asks for no new connections: the engines' answers take as much again, and at 0.4
-	// other nodes' frames come 300 ms late. It asks for them again below easyShare.
-	// Kept connections stay, so that a heavy caller's requests come to several nodes.
+	// busyShare is the share of the link that callers' bodies may fill before the node requests
+	// no new connections: the engines' responses take as much again, and at 0.4 other nodes'
+	// frames are 300 ms late. The node accepts new connections again below easyShare. Existing
+	// connections stay open, so that a heavy caller's requests are spread over several nodes.
 	busyShare = 0.18
 	easyShare = 0.08
-	// busyWeight is the weight of one reading in the smoothed share.
+	// busyWeight is the weight of one reading in the moving average of the share.
 	busyWeight = 0.5
-	// The node sheds load for firstPause, for twice as long each time that the link
-	// is full again within pauseMemory of the last time's end, and for lastPause at
-	// most.
+	// The node sheds load for firstPause. The time doubles, up to lastPause, each time that the
+	// link is full again within pauseMemory after the previous shedding ended.
 	firstPause  = 4 * time.Second
 	lastPause   = 16 * time.Second
 	pauseMemory = 20 * time.Second
 )
 
-// Reading is what a node sees of its own link at a moment.
+// Reading is a measurement of a node's own link.
 type Reading struct {
-	// Delay is how much longer other nodes' frames are on their way than the
-	// fastest ones; DelayKnown is unset while none is heard.
+	// Delay is how much longer other nodes' frames are in transit than the fastest ones.
+	// DelayKnown is false while no frames arrive.
 	Delay      time.Duration
 	DelayKnown bool
-	// CallerBytes are the bytes of callers' bodies since the start, LinkBytes what
-	// the link carries in a second; 0 if that is not known.
+	// CallerBytes is the total size of callers' bodies since the start. LinkBytes is the
+	// capacity of the link in bytes per second; 0 if unknown.
 	CallerBytes int64
 	LinkBytes   float64
 	// Others is the number of other entry nodes of the zone.
 	Others int
 }
 
-// Shedder tells whether a node sheds load: asks for no more callers.
+// Shedder decides whether a node sheds load, which means that it requests no more callers.
 type Shedder struct {
 	shedding  bool
 	fullSince time.Duration
 	isFull    bool
-	// pause is the length of the last time, until its end.
+	// pause is the duration of the last shedding, and until its end.
 	pause time.Duration
 	until time.Duration
-	// lastBytes were read at lastAt.
+	// lastBytes is the number of caller bytes at lastAt.
 	lastBytes int64
 	lastAt    time.Duration
-	// smoothed is the smoothed share of the link that callers' bodies fill, and busy
-	// tells that it is too large for new connections.
+	// smoothed is the moving average of the share of the link that callers' bodies fill. busy
+	// reports whether it is too large for new connections.
 	smoothed float64
 	busy     bool
 }
 
-// Shedding tells whether the node asks for no more callers.
+// Shedding reports whether the node sheds load.
 func (s *Shedder) Shedding() bool { return s.shedding }
 
-// Busy tells whether the node asks for no new connections, though those that are
-// open stay.
+// Busy reports whether the node requests no new connections. Existing connections stay open.
 func (s *Shedder) Busy() bool { return s.busy }
 
 func (s *Shedder) noteBusy(share float64, reading Reading) {
@@ -91,7 +91,7 @@
 	s.busy = s.smoothed > busyShare
 }
 
-// Step takes a reading and tells whether shedding has begun or ended.
+// Step processes a reading and reports whether shedding has begun or ended.
 func (s *Shedder) Step(now time.Duration, reading Reading) (changed bool) {
 	share := s.share(now, reading)
 	s.noteBusy(share, reading)
@@ -116,8 +116,8 @@
 	return true
 }
 
-// maybeEnd ends the shedding when its time is over and the link is free. A node
-// that hears nobody can't tell, and ends it too.
+// maybeEnd ends the shedding once its time has passed and the link is free. If the delay is
+// unknown because no frames arrive, it ends the shedding by time alone.
 func (s *Shedder) maybeEnd(now time.Duration, reading Reading) bool {
 	if now < s.until || reading.DelayKnown && reading.Delay > clearDelay {
 		return false
@@ -126,8 +126,8 @@
 	return true
 }
 
-// share is the part of the link that callers' bodies took since the last
-// reading; 1 where the link's size is not known.
+// share returns the share of the link that callers' bodies filled since the last reading, and 1
+// if the link's capacity is unknown.
 func (s *Shedder) share(now time.Duration, reading Reading) float64 {
 	bytes, elapsed := reading.CallerBytes-s.lastBytes, now-s.lastAt
 	s.lastBytes, s.lastAt = reading.CallerBytes, now
--- a/internal/coordination/overload/overload_test.go
+++ b/internal/coordination/overload/overload_test.go
@@ -12,15 +12,15 @@
 	link = 1_000_000
 )
 
-// world feeds a shedder with readings, one a tick.
+// world feeds a shedder with one reading per tick.
 type world struct {
 	shedder Shedder
 	now     time.Duration
 	bytes   int64
 }
 
-// run goes on for a time with a delay and a part of the link filled by callers,
-// and returns how long the node shed load in it.
+// run simulates a time with a delay and a share of the link that callers fill, and returns for
+// how much of the time the node shed load.
 func (w *world) run(length, delay time.Duration, share float64, change ...func(*Reading)) (shed time.Duration) {
 	for end := w.now + length; w.now < end; {
 		w.now += tick
@@ -42,7 +42,7 @@
 	assert.Equal(t, w.run(10*time.Second, 20*time.Millisecond, 0.5), time.Duration(0))
 	w.run(2*time.Second, time.Second, 0.9)
 	assert.Assert(t, w.shedder.Shedding())
-	// It comes back neither before its time nor before the queue is gone.
+	// Shedding ends neither before its time has passed nor before the link is free.
 	w.run(firstPause-2*time.Second, 10*time.Millisecond, 0.1)
 	assert.Assert(t, w.shedder.Shedding())
 	w.run(5*time.Second, 200*time.Millisecond, 0.4)
@@ -75,8 +75,8 @@
 	}
 }
 
-// Late frames of control nodes that are slow themselves are late at all entry
-// nodes: these must not all go away.
+// Frames of slow control nodes are late at all entry nodes. Guards against all entry nodes
+// shedding load because of this.
 func TestDelayWithoutCallersBytesIsNoFullLink(t *testing.T) {
 	w := &world{}
 	assert.Equal(t, w.run(20*time.Second, 2*time.Second, 0.1), time.Duration(0))
@@ -97,8 +97,8 @@
 	assert.Assert(t, !w.shedder.Shedding())
 }
 
-// A heavy caller's new connections go elsewhere before its bodies fill the link; what
-// is open stays, and shedding begins only when the link is full.
+// New connections of a heavy caller go to other nodes before its bodies fill the link. Existing
+// connections stay open, and shedding begins only when the link is full.
 func TestNodeAsksForNoNewConnectionsBeforeItsLinkIsFull(t *testing.T) {
 	w := &world{}
 	w.run(3*time.Second, 5*time.Millisecond, 0.15)
@@ -110,7 +110,7 @@
 	assert.Assert(t, w.shedder.Busy())
 	w.run(2*time.Second, 5*time.Millisecond, 0.05)
 	assert.Assert(t, !w.shedder.Busy())
-	// The only node of its zone takes what comes.
+	// The only node of its zone accepts all connections.
 	w.run(3*time.Second, 5*time.Millisecond, 0.9, func(r *Reading) { r.Others = 0 })
 	assert.Assert(t, !w.shedder.Busy())
 }
