--- a/internal/coordination/overload/gate.go
+++ b/internal/coordination/overload/gate.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	// fullLag is how long a goroutine may wait to be scheduled before the node counts as
+	// overloadLag is how long a goroutine may wait to be scheduled before the node counts as
 	// overloaded: a request passes through some six goroutines, each of which waits that long
 	// for the processor, and the tightest latency objectives are 150 ms. Below calmLag the node
 	// has free capacity.
-	fullLag = 20 * time.Millisecond
-	calmLag = 8 * time.Millisecond
+	overloadLag = 20 * time.Millisecond
+	calmLag     = 8 * time.Millisecond
 	// fullLoad is the share of the link that bodies may fill before it counts as full: the
 	// engines' responses take as much again. With 0.45 of a link filled by bodies, other nodes'
 	// frames were 300 to 700 ms late.
 	fullLoad = 0.3
-	// lateFrames is the delay of other nodes' frames above which the link counts as full,
+	// maximumFrameDelay is the delay of other nodes' frames above which the link counts as full,
 	// regardless of what fills it. Usual delays are under 20 ms.
-	lateFrames = 60 * time.Millisecond
+	maximumFrameDelay = 60 * time.Millisecond
 	// lagWeight is the weight of one reading in the moving average of the lag: four readings
 	// distinguish an overloaded node from one long garbage collection.
 	lagWeight = 0.25
-	// rateMemory is the half-life of the smoothed rates.
-	rateMemory = 500 * time.Millisecond
+	// rateHalfLife is the half-life of the smoothed rates.
+	rateHalfLife = 500 * time.Millisecond
 	// heavyShare is the share of the node's work from which a caller counts as heavy. Requests
 	// of other callers are never refused.
 	heavyShare = 0.3
-	// The bound on heavy callers begins at firstBound times the heaviest one's rate. It is
-	// multiplied by boundFall at each reading of overload and by boundRise at each calm reading,
-	// until it restricts no caller.
-	firstBound = 0.7
-	boundFall  = 0.93
-	boundRise  = 1.02
-	// leastBound is the minimum bound, in work per second.
-	leastBound = 10.0
-	// leastPart is the share of a heavy caller's work that is admitted regardless of the load: a
-	// refused request is retried at one other node, which may be as overloaded, and a second
-	// refusal is final.
-	leastPart = 0.5
+	// The bound on heavy callers begins at initialBoundShare times the heaviest one's rate. It is
+	// multiplied by boundDecrease at each reading of overload and by boundIncrease at each calm
+	// reading, until it restricts no caller.
+	initialBoundShare = 0.7
+	boundDecrease     = 0.93
+	boundIncrease     = 1.02
+	// minimumBound is the minimum bound, in work per second.
+	minimumBound = 10.0
+	// minimumAdmittedShare is the share of a heavy caller's work that is admitted regardless of
+	// the load: a refused request is retried at one other node, which may be as overloaded, and
+	// a second refusal is final.
+	minimumAdmittedShare = 0.5
 	// burstTime is the duration whose work a caller may use in one burst.
 	burstTime = 200 * time.Millisecond
-	// bytesOfWork is the size in bytes of a body that costs a node as much as a request without
+	// bytesPerWork is the size in bytes of a body that costs a node as much as a request without
 	// a body.
-	bytesOfWork = 16 << 10
-	// forgetRate is the rate, in work per second, below which a caller is forgotten.
-	forgetRate = 0.05
+	bytesPerWork = 16 << 10
+	// minimumRate is the rate, in work per second, below which a caller is forgotten.
+	minimumRate = 0.05
 )
 
 // Work returns the cost of a request with a body, in units of a request without one.
-func Work(bodyBytes int64) float64 { return 1 + float64(max(0, bodyBytes))/bytesOfWork }
+func Work(bodyBytes int64) float64 { return 1 + float64(max(0, bodyBytes))/bytesPerWork }
 
 // Gate refuses requests of heavy callers at an overloaded node.
 //
@@ -78,10 +78,10 @@
 
 // callerRate is one caller's requested work and its credit for further work.
 type callerRate struct {
-	asked decayingRate
+	requested decayingRate
 	// credit is the work that the caller may use, as of credited.
-	credit   float64
-	credited time.Duration
+	credit     float64
+	creditedAt time.Duration
 }
 
 // decayingRate is an exponentially decaying rate.
@@ -96,12 +96,12 @@
 }
 
 func (r *decayingRate) decayed(now time.Duration) float64 {
-	return r.sum * math.Exp2(-float64(now-r.at)/float64(rateMemory))
+	return r.sum * math.Exp2(-float64(now-r.at)/float64(rateHalfLife))
 }
 
 // perSecond returns the rate per second.
 func (r *decayingRate) perSecond(now time.Duration) float64 {
-	return r.decayed(now) * math.Ln2 / rateMemory.Seconds()
+	return r.decayed(now) * math.Ln2 / rateHalfLife.Seconds()
 }
 
 // NewGate returns a gate without a bound, which admits all requests.
@@ -134,17 +134,17 @@
 	if pressure.LinkBytes > 0 {
 		load = g.bytes.perSecond(now) / pressure.LinkBytes
 	}
-	isFull := g.lag > fullLag || pressure.FrameDelay > lateFrames || load > fullLoad
-	isCalm := g.lag < calmLag && pressure.FrameDelay < lateFrames/2 && load < fullLoad
+	isFull := g.lag > overloadLag || pressure.FrameDelay > maximumFrameDelay || load > fullLoad
+	isCalm := g.lag < calmLag && pressure.FrameDelay < maximumFrameDelay/2 && load < fullLoad
 	heaviest := g.Heaviest(now).Rate
 	before := g.bound
 	switch {
 	case isFull && g.bound == 0:
-		g.bound = max(firstBound*heaviest, leastBound)
+		g.bound = max(initialBoundShare*heaviest, minimumBound)
 	case isFull:
-		g.bound = max(boundFall*g.bound, leastBound)
+		g.bound = max(boundDecrease*g.bound, minimumBound)
 	case isCalm && g.bound > 0:
-		if g.bound *= boundRise; g.bound > heaviest/firstBound {
+		if g.bound *= boundIncrease; g.bound > heaviest/initialBoundShare {
 			g.bound = 0
 		}
 	}
@@ -160,12 +160,12 @@
 }
 
 // Heaviest returns the heaviest caller. It forgets callers whose rate has fallen below
-// forgetRate.
+// minimumRate.
 func (g *Gate) Heaviest(now time.Duration) Heaviest {
 	heaviest := Heaviest{Total: g.total.perSecond(now), Bytes: g.bytes.perSecond(now)}
 	for name, caller := range g.callers {
-		rate := caller.asked.perSecond(now)
-		if rate < forgetRate {
+		rate := caller.requested.perSecond(now)
+		if rate < minimumRate {
 			delete(g.callers, name)
 			continue
 		}
@@ -181,24 +181,24 @@
 func (g *Gate) LetsIn(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
 	known := g.callers[caller]
 	if known == nil {
-		known = &callerRate{credited: now}
+		known = &callerRate{creditedAt: now}
 		g.callers[caller] = known
 	}
 	work := Work(bodyBytes)
-	known.asked.add(now, work)
+	known.requested.add(now, work)
 	g.total.add(now, work)
-	return mustServe || g.bears(now, known, work)
+	return mustServe || g.admits(now, known, work)
 }
 
-// bears reports whether a caller's request is within the bound.
-func (g *Gate) bears(now time.Duration, caller *callerRate, work float64) bool {
-	rate := caller.asked.perSecond(now)
+// admits reports whether a caller's request is within the bound.
+func (g *Gate) admits(now time.Duration, caller *callerRate, work float64) bool {
+	rate := caller.requested.perSecond(now)
 	if g.bound == 0 || rate <= g.bound || rate < heavyShare*g.total.perSecond(now) {
 		return true
 	}
-	bound := max(g.bound, leastPart*rate)
-	caller.credit = min(caller.credit+bound*(now-caller.credited).Seconds(), max(bound*burstTime.Seconds(), work))
-	caller.credited = now
+	bound := max(g.bound, minimumAdmittedShare*rate)
+	caller.credit = min(caller.credit+bound*(now-caller.creditedAt).Seconds(), max(bound*burstTime.Seconds(), work))
+	caller.creditedAt = now
 	if caller.credit < work {
 		return false
 	}
--- a/internal/coordination/overload/overload.go
+++ b/internal/coordination/overload/overload.go
@@ -19,26 +19,27 @@
 	// (docs/incidents/zhf-grown-config.md).
 	fullDelay  = 250 * time.Millisecond
 	clearDelay = 80 * time.Millisecond
-	// fullShare is the minimum share of the link that callers' bodies must fill before the
+	// minimumFullShare is the minimum share of the link that callers' bodies must fill before the
 	// delay is attributed to them: responses of engines and other nodes' frames use the same
 	// link.
-	fullShare = 0.3
-	// fullFor is how long the link must be full before the node sheds load: a burst passes
+	minimumFullShare = 0.3
+	// minimumFullTime is how long the link must be full before the node sheds load: a burst passes
 	// without any action.
-	fullFor = 900 * time.Millisecond
+	minimumFullTime = 900 * time.Millisecond
 	// busyShare is the share of the link that callers' bodies may fill before the node requests
 	// no new connections: the engines' responses take as much again, and at 0.4 other nodes'
-	// frames are 300 ms late. The node accepts new connections again below easyShare. Existing
+	// frames are 300 ms late. The node accepts new connections again below acceptShare. Existing
 	// connections stay open, so that a heavy caller's requests are spread over several nodes.
-	busyShare = 0.18
-	easyShare = 0.08
-	// busyWeight is the weight of one reading in the moving average of the share.
-	busyWeight = 0.5
-	// The node sheds load for firstPause. The time doubles, up to lastPause, each time that the
-	// link is full again within pauseMemory after the previous shedding ended.
-	firstPause  = 4 * time.Second
-	lastPause   = 16 * time.Second
-	pauseMemory = 20 * time.Second
+	busyShare   = 0.18
+	acceptShare = 0.08
+	// shareWeight is the weight of one reading in the moving average of the share.
+	shareWeight = 0.5
+	// The node sheds load for initialSheddingTime. The time doubles, up to maximumSheddingTime,
+	// each time that the link is full again within sheddingMemory after the previous shedding
+	// ended.
+	initialSheddingTime = 4 * time.Second
+	maximumSheddingTime = 16 * time.Second
+	sheddingMemory      = 20 * time.Second
 )
 
 // Reading is a measurement of a node's own link.
@@ -60,16 +61,16 @@
 	shedding  bool
 	fullSince time.Duration
 	isFull    bool
-	// pause is the duration of the last shedding, and until its end.
-	pause time.Duration
-	until time.Duration
+	// sheddingTime is the duration of the last shedding, and endsAt its end.
+	sheddingTime time.Duration
+	endsAt       time.Duration
 	// lastBytes is the number of caller bytes at lastAt.
 	lastBytes int64
 	lastAt    time.Duration
-	// smoothed is the moving average of the share of the link that callers' bodies fill. busy
+	// smoothedShare is the moving average of the share of the link that callers' bodies fill. busy
 	// reports whether it is too large for new connections.
-	smoothed float64
-	busy     bool
+	smoothedShare float64
+	busy          bool
 }
 
 // Shedding reports whether the node sheds load.
@@ -78,51 +79,51 @@
 // Busy reports whether the node requests no new connections. Existing connections stay open.
 func (s *Shedder) Busy() bool { return s.busy }
 
-func (s *Shedder) noteBusy(share float64, reading Reading) {
+func (s *Shedder) updateBusy(share float64, reading Reading) {
 	if reading.LinkBytes <= 0 || reading.Others == 0 {
 		s.busy = false
 		return
 	}
-	s.smoothed += busyWeight * (share - s.smoothed)
+	s.smoothedShare += shareWeight * (share - s.smoothedShare)
 	if s.busy {
-		s.busy = s.smoothed > easyShare
+		s.busy = s.smoothedShare > acceptShare
 		return
 	}
-	s.busy = s.smoothed > busyShare
+	s.busy = s.smoothedShare > busyShare
 }
 
 // Step processes a reading and reports whether shedding has begun or ended.
 func (s *Shedder) Step(now time.Duration, reading Reading) (changed bool) {
 	share := s.share(now, reading)
-	s.noteBusy(share, reading)
+	s.updateBusy(share, reading)
 	if s.shedding {
-		return s.maybeEnd(now, reading)
+		return s.endIfFree(now, reading)
 	}
-	if reading.Others == 0 || !reading.DelayKnown || reading.Delay < fullDelay || share < fullShare {
+	if reading.Others == 0 || !reading.DelayKnown || reading.Delay < fullDelay || share < minimumFullShare {
 		s.isFull = false
 		return false
 	}
 	if !s.isFull {
 		s.isFull, s.fullSince = true, now
 	}
-	if now-s.fullSince < fullFor {
+	if now-s.fullSince < minimumFullTime {
 		return false
 	}
-	s.pause = min(2*s.pause, lastPause)
-	if s.pause == 0 || now-s.until > pauseMemory {
-		s.pause = firstPause
+	s.sheddingTime = min(2*s.sheddingTime, maximumSheddingTime)
+	if s.sheddingTime == 0 || now-s.endsAt > sheddingMemory {
+		s.sheddingTime = initialSheddingTime
 	}
-	s.shedding, s.until = true, now+s.pause
+	s.shedding, s.endsAt = true, now+s.sheddingTime
 	return true
 }
 
-// maybeEnd ends the shedding once its time has passed and the link is free. If the delay is
+// endIfFree ends the shedding once its time has passed and the link is free. If the delay is
 // unknown because no frames arrive, it ends the shedding by time alone.
-func (s *Shedder) maybeEnd(now time.Duration, reading Reading) bool {
-	if now < s.until || reading.DelayKnown && reading.Delay > clearDelay {
+func (s *Shedder) endIfFree(now time.Duration, reading Reading) bool {
+	if now < s.endsAt || reading.DelayKnown && reading.Delay > clearDelay {
 		return false
 	}
-	s.shedding, s.isFull, s.until = false, false, now
+	s.shedding, s.isFull, s.endsAt = false, false, now
 	return true
 }
 
