--- a/internal/coordination/delay/delay.go
+++ b/internal/coordination/delay/delay.go
@@ -1,5 +1,5 @@
-// Package delay measures how long messages of another node are on their way
-// without clocks that agree: by the age that the sender gives with each.
+// Package delay measures the transit delay of another node's messages without synchronized
+// clocks. It relies on the age of the sender's process, which each message carries.
 package delay
 
 import (
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Meter measures the way from one node. The zero value has heard nothing. Times
-// are those of the receiver's steady clock.
+// Meter measures the delay of messages from one node. The zero value has no measurement. Times
+// are those of the receiver's monotonic clock.
 type Meter struct {
 	heard bool
 	// age and at are those of the last message: the time since its sender's
 	// process started, and of its arrival here.
 	age, at time.Duration
-	// least is the least difference between arrival and age in the sender's life.
+	// least is the minimum difference between arrival and age in the sender's incarnation.
 	least time.Duration
 }
 
-// Note takes a message's arrival and its sender's age. A sender that became
-// younger runs a new life. One that gives no age, 0, as nodes of earlier versions
-// do, is not measured.
+// Note records the arrival of a message and its sender's age. A lower age than before means a new
+// incarnation of the sender. A sender without an age, which is 0 as from nodes of earlier
+// versions, is not measured.
 func (m *Meter) Note(at, age time.Duration) {
 	if age <= 0 {
 		return
@@ -31,16 +31,16 @@
 	m.heard, m.age, m.at = true, age, at
 }
 
-// Delay is how much longer the last message was on its way than the fastest one
-// of the sender's life: the time that it waited behind other bytes on a full
-// link, or for a process without time.
+// Delay returns how much longer the last message was in transit than the fastest one of the
+// sender's incarnation. This is the time that it waited behind other bytes on a full link, or
+// for a process that was not scheduled.
 func (m *Meter) Delay() time.Duration { return m.at - m.age - m.least }
 
-// IsFresh tells whether the last message came within a time.
+// IsFresh reports whether the last message arrived within a time before now.
 func (m *Meter) IsFresh(now, within time.Duration) bool { return m.heard && now-m.at <= within }
 
-// Median is the middle one of several delays, false if there is none: a sender
-// that is slow itself says nothing about the receiver's link.
+// Median returns the median of several delays, and false if there are none. The median ignores
+// single senders that are slow themselves, whose delay doesn't reflect the receiver's link.
 func Median(delays []time.Duration) (time.Duration, bool) {
 	if len(delays) == 0 {
 		return 0, false
--- a/internal/coordination/delay/delay_test.go
+++ b/internal/coordination/delay/delay_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Incident CONFIG on zhf-valuation-grown: messages came in time one after the
-// other, each of them more than a second late.
+// Guards against a delay that the interval between messages hides. In incident CONFIG on
+// zhf-valuation-grown messages arrived at regular intervals, but each more than a second late.
 func TestDelayIsMeasuredAgainstTheFastestMessage(t *testing.T) {
 	var meter Meter
 	heard := func(at, age time.Duration) time.Duration {
@@ -19,7 +19,7 @@
 	assert.Equal(t, heard(7200*time.Millisecond, 2*time.Second), 1200*time.Millisecond)
 	assert.Equal(t, heard(7500*time.Millisecond, 3600*time.Millisecond), time.Duration(0))
 	assert.Equal(t, heard(9*time.Second, 5*time.Second), 100*time.Millisecond)
-	// A new life has another age.
+	// A new incarnation has a lower age.
 	assert.Equal(t, heard(10*time.Second, time.Millisecond), time.Duration(0))
 	assert.Assert(t, meter.IsFresh(10500*time.Millisecond, time.Second))
 	assert.Assert(t, !meter.IsFresh(12*time.Second, time.Second))
