--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -15,7 +15,7 @@
 	threeHave = []Node{far, near, alsoNear}
 )
 
-// follower has version 1 and heard of version 2 at time 0 from all.
+// follower returns a follower with version 1 to which all nodes announced version 2 at time 0.
 func follower() *Follower {
 	made := NewFollower("a")
 	made.Took(0, 1)
@@ -36,8 +36,8 @@
 	assert.Equal(t, wait, time.Duration(0))
 }
 
-// Incident CONFIG on zhf-valuation-grown, hypothesis 1: one node that does not
-// answer held up what two others have.
+// Guards against one unresponsive node delaying a version that two others have, which is
+// hypothesis 1 of incident CONFIG on zhf-valuation-grown.
 func TestQuestionsWithoutAnswerGoToOneNodeAfterTheOther(t *testing.T) {
 	f := follower()
 	var asked []string
@@ -111,7 +111,7 @@
 		}
 	}
 	assert.Equal(t, sent, 4)
-	// The newest goes out as soon as there is room.
+	// The newest version is sent as soon as the bound on unconfirmed bytes allows it.
 	p.Has("e", "life", 5)
 	assert.Assert(t, p.Due(0, "e", 49, maximumUnconfirmed/4))
 	p.Has("e", "life", 49)
@@ -133,7 +133,7 @@
 	assert.Assert(t, !p.Due(0, "e", 2, 10))
 	p.Has("e", "two", 0)
 	assert.Assert(t, p.Due(0, "e", 2, 10))
-	// A confirmation does not say its life.
+	// A confirmation carries no incarnation.
 	p.Has("e", "", 2)
 	assert.Assert(t, !p.Due(time.Hour, "e", 2, 10))
 	p.Forget("e")
--- a/internal/coordination/follow/follower.go
+++ b/internal/coordination/follow/follower.go
@@ -7,48 +7,48 @@
 )
 
 const (
-	// sendWait is how long a version that was heard of may take to come without
-	// a question: what its sender sent is about as old as the word of it.
+	// sendWait is how long an announced version may take to arrive before it is requested: its
+	// sender sends it at about the same time as the announcement arrives.
 	sendWait = 300 * time.Millisecond
-	// firstPause is the time between the first question and the second; it
-	// doubles with each up to lastPause. Each goes to another node.
+	// firstPause is the time between the first request and the second. It doubles with each
+	// request, up to lastPause. Each request goes to another node if there is one.
 	firstPause = 300 * time.Millisecond
 	lastPause  = 1200 * time.Millisecond
-	// wordAge is how old a node's word of its version may be: it is repeated each
-	// 0.6 s.
+	// wordAge is the maximum age of a node's announcement of its version. Announcements are
+	// repeated every 0.6 s.
 	wordAge = 2500 * time.Millisecond
 )
 
-// source is a node that said which version it has.
+// source is a node that announced which version it has.
 type source struct {
 	node    Node
 	version uint64
 	heardAt time.Duration
-	// asked is how often it was asked since a version last came.
+	// asked is the number of requests to the node since a version was last applied.
 	asked int
 }
 
-// Follower is an entry node's way to the newest version.
+// Follower decides when an entry node requests the newest version, and from which node.
 type Follower struct {
 	zone string
 	have uint64
-	// behindSince is when a version above the own one was first heard of.
+	// behindSince is when a version above the own one was first announced.
 	behindSince time.Duration
 	isBehind    bool
 	sources     map[string]*source
-	// asks is the number of questions since a version last came, askedAt the time
-	// of the last one.
+	// asks is the number of requests since a version was last applied, askedAt the time of the
+	// last one.
 	asks    int
 	askedAt time.Duration
 }
 
-// NewFollower makes the follower of a node in a zone that has no version yet.
+// NewFollower returns the follower of a node in a zone that has no version yet.
 func NewFollower(zone string) *Follower { return &Follower{zone: zone, sources: map[string]*source{}} }
 
-// Asks is the number of questions since a version last came.
+// Asks returns the number of requests since a version was last applied.
 func (f *Follower) Asks() int { return f.asks }
 
-// Heard notes the version that a node says it has.
+// Heard records the version that a node announces.
 func (f *Follower) Heard(now time.Duration, from Node, version uint64) {
 	known := f.sources[from.Address]
 	if known == nil {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Took notes that a version is in force here.
+// Took records that a version is in effect here.
 func (f *Follower) Took(now time.Duration, version uint64) {
 	if version <= f.have {
 		return
@@ -79,8 +79,9 @@
 	}
 }
 
-// Next returns the node to be asked for its version now, or "" and the time
-// until there may be one; 0 means that there is nothing to wait for.
+// Next returns the address of the node from which to request its version now, and records the
+// request. Otherwise it returns "" and the time until a request may be due; 0 means that none is
+// pending.
 func (f *Follower) Next(now time.Duration) (ask string, wait time.Duration) {
 	if !f.isBehind {
 		return "", 0
@@ -90,7 +91,7 @@
 	}
 	best := f.choose(now)
 	if best == nil {
-		// Whoever has it will say so again.
+		// A node that has the version will announce it again.
 		return "", 0
 	}
 	best.asked++
@@ -99,8 +100,8 @@
 	return best.node.Address, 0
 }
 
-// dueAt is when the next question may go out. A node without any version asks
-// at once.
+// dueAt returns when the next request may be sent. A node without any version sends its first
+// request immediately.
 func (f *Follower) dueAt() time.Duration {
 	switch {
 	case f.asks > 0:
@@ -112,8 +113,8 @@
 	}
 }
 
-// choose returns the node to ask: of those who have a higher version one that
-// was asked least, of the own zone if there is one.
+// choose returns the node to which the next request goes: among those with a higher version one
+// with the fewest requests so far, preferably of the same zone.
 func (f *Follower) choose(now time.Duration) *source {
 	var candidates []*source
 	for _, known := range f.sources {
--- a/internal/coordination/follow/publisher.go
+++ b/internal/coordination/follow/publisher.go
@@ -1,15 +1,14 @@
-// Package follow decides how a new version of the configuration comes to the
-// entry nodes.
+// Package follow decides how a new version of the configuration is distributed to the entry
+// nodes.
 //
-// Each entry node has one control node, of its own zone if there is one, that
-// sends it each new version at once: a Publisher. All other control nodes only
-// tell it which version they have. Where what was sent does not come, the entry
-// node asks those who have it, one after the other: a Follower. So a version is
-// on its way to a node once, not twice, and no single node that does not answer
-// holds it up.
+// Each entry node has one control node, of its own zone if there is one, that sends it each new
+// version immediately (Publisher). All other control nodes only announce which version they
+// have. If a version that was sent does not arrive, the entry node requests it from the nodes
+// that have it, one after the other (Follower). A version is thus sent to a node once, not
+// twice, and no single node that does not respond delays it.
 //
-// Both are pure steps and not safe for concurrent use. Times are those of a
-// steady clock.
+// Publisher and Follower perform no I/O, read no clock and are not safe for concurrent use.
+// Times are those of a monotonic clock.
 package follow
 
 import (
@@ -19,22 +18,23 @@
 )
 
 const (
-	// firstPatience is how long a sent version may be unconfirmed before it is
-	// sent again; it doubles with each time, up to lastPatience. A link that is
-	// full takes over a second each way.
+	// firstPatience is how long a sent version may be unconfirmed before it is sent again. The
+	// time doubles with each sending, up to lastPatience. A full link takes over a second in
+	// each direction.
 	firstPatience = 1500 * time.Millisecond
 	lastPatience  = 4 * time.Second
-	// maximumUnconfirmed bounds the bytes on their way to one follower. One
-	// document may be on its way whatever its size.
+	// maximumUnconfirmed bounds the bytes in flight to one follower. A single document may be in
+	// flight regardless of its size.
 	maximumUnconfirmed = 32 << 10
 )
 
-// Node is a node as this one knows it.
+// Node is the address and zone of a node.
 type Node struct{ Address, Zone string }
 
-// ChooseSender returns the control node that sends an entry node its versions:
-// one of the entry node's zone, or any if there is none. All who know the same
-// control nodes choose the same one, and the entry nodes' choices are spread.
+// ChooseSender returns the address of the control node that sends an entry node its versions:
+// one of the entry node's zone, or any other if that has none, or "" without control nodes. All
+// nodes that know the same control nodes choose the same one, and the choices of the entry
+// nodes are spread over the control nodes.
 func ChooseSender(entry Node, controls []Node) string {
 	if senders := ChooseSenders(entry, controls, 1); len(senders) > 0 {
 		return senders[0]
@@ -42,8 +42,8 @@
 	return ""
 }
 
-// ChooseSenders returns some control nodes for an entry node, the first choice first:
-// those of its zone, then the others.
+// ChooseSenders returns the addresses of up to count control nodes for an entry node in order of
+// preference: those of its zone, then the others.
 func ChooseSenders(entry Node, controls []Node, count int) []string {
 	var near, far []string
 	for _, control := range controls {
@@ -60,8 +60,8 @@
 	return senders[:min(count, len(senders))]
 }
 
-// backoff is the pause before the next of some tries: it doubles with each of
-// them from the first to the last.
+// backoff returns the delay after a number of tries: it doubles with each try, from first up to
+// last.
 func backoff(first, last time.Duration, tries int) time.Duration {
 	for range tries - 1 {
 		if first >= last {
@@ -72,30 +72,30 @@
 	return min(first, last)
 }
 
-// Publisher is a control node's knowledge of the entry nodes that it sends
-// versions to.
+// Publisher keeps a control node's knowledge of the entry nodes to which it sends versions.
 type Publisher struct {
-	// followers are the entry nodes by address.
+	// followers is the state of each entry node, by address.
 	followers map[string]*followerState
 }
 
-// followerState is what is known of one entry node.
+// followerState is the state of one entry node.
 type followerState struct {
-	// life is the run of its process: a new one holds nothing.
+	// life is the incarnation of the entry node: a new one has no version.
 	life string
-	// has is the version that it said it has, sent the highest sent since.
+	// has is the version that the entry node confirmed, sent the highest version sent to it.
 	has, sent uint64
-	// unconfirmed are the bytes sent and not confirmed, sends how often something
-	// was sent since the last confirmation, sentAt when last.
+	// unconfirmed is the number of bytes sent and not confirmed, sends the number of sendings
+	// since the last confirmation, and sentAt the time of the last sending.
 	unconfirmed int
 	sends       int
 	sentAt      time.Duration
 }
 
-// NewPublisher makes a publisher of nothing.
+// NewPublisher returns a publisher without followers.
 func NewPublisher() *Publisher { return &Publisher{followers: map[string]*followerState{}} }
 
-// Has notes the version that an entry node says it has.
+// Has records the version that an entry node has, as it reported. An empty life leaves the known
+// incarnation.
 func (p *Publisher) Has(address, life string, version uint64) {
 	state := p.followers[address]
 	if state == nil || life != "" && state.life != life {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Due tells whether the version in force, of a size in bytes, is to be sent to an
-// entry node now, and takes it for sent.
+// Due reports whether the version in effect, with a size in bytes, is to be sent to an entry
+// node now. If so it records the version as sent.
 func (p *Publisher) Due(now time.Duration, address string, version uint64, size int) bool {
 	state := p.followers[address]
 	if state == nil || state.has >= version {
@@ -126,5 +126,5 @@
 	return true
 }
 
-// Forget drops an entry node that is gone.
+// Forget drops the state of an entry node that is gone.
 func (p *Publisher) Forget(address string) { delete(p.followers, address) }
