--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -8,39 +8,40 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// LiveEntries are the entry nodes that control nodes hear now. Entries keeps a node for a
-// while after the last word of it; here it is gone with that word.
+// LiveEntries are the entry nodes with which control nodes are in contact now. While
+// Roster.Entries keeps a node for a while after it was last listed, a node leaves LiveEntries as
+// soon as it is no longer listed.
 type LiveEntries struct {
-	// Nodes are those entry nodes, in order.
+	// Nodes are the entry nodes, in order.
 	Nodes []peer.NodeEntry
-	// NamesSelf tells that this node is among them.
+	// NamesSelf reports whether this node is among the live entry nodes.
 	NamesSelf bool
-	// Generation is another one whenever the nodes have changed; 0 before the first word.
+	// Generation differs whenever the nodes have changed; 0 before the first list.
 	Generation uint64
 }
 
-// liveListing is what LiveEntries was made of.
+// liveListing is the last result of LiveEntries along with the lists from which it was built.
 type liveListing struct {
 	LiveEntries
 	sources []listSource
 }
 
-// listSource is a list of a control node.
+// listSource identifies a version of a control node's list.
 type listSource struct {
 	address, life string
 	version       uint64
 }
 
-// LiveEntries returns what the control nodes that are heard tell. While none is heard that
-// lists entry nodes, it is what was told last, without this node; before any did, as while
-// all control nodes have builds that don't, it is what Entries knows. The caller must not
-// change it.
+// LiveEntries returns the entry nodes in the lists of the control nodes that are alive. While no
+// control node that lists entry nodes is alive, it returns the last known ones with NamesSelf
+// unset. As long as no control node has listed any, for example because all run builds that
+// don't number their lists, it returns those of Entries. The caller must not modify the result.
 func (r *Roster) LiveEntries(now time.Duration) LiveEntries {
 	var sources []listSource
 	var listing []*Heard
 	for _, control := range r.Controls(now) {
 		if control.ListVersion == 0 {
-			// It tells of control nodes only.
+			// The hello has no numbered list of entry nodes.
 			continue
 		}
 		listing = append(listing, control)
@@ -74,8 +75,8 @@
 	r.setLive(slices.SortedFunc(maps.Values(entries), compareEntries))
 }
 
-// HeardEntries returns the other entry nodes that this node hears itself, for a control
-// node, which may count itself in.
+// HeardEntries returns the other entry nodes with which this control node is in contact itself.
+// namesSelf sets whether the node counts itself as live.
 func (r *Roster) HeardEntries(now time.Duration, namesSelf bool) LiveEntries {
 	var nodes []peer.NodeEntry
 	for _, known := range r.alive(now, func(known *Heard) bool { return known.Entry && !known.Stopping }) {
@@ -86,7 +87,7 @@
 	return r.live.LiveEntries
 }
 
-// setLive takes the live entry nodes, in order.
+// setLive replaces the live entry nodes, given in order, if they have changed.
 func (r *Roster) setLive(nodes []peer.NodeEntry) {
 	if r.live.Generation == 0 || !slices.Equal(nodes, r.live.Nodes) {
 		r.live.Nodes = nodes
--- a/internal/coordination/roster/live_test.go
+++ b/internal/coordination/roster/live_test.go
@@ -43,7 +43,7 @@
 	assert.Equal(t, silent.Generation, second.Generation)
 }
 
-// Control nodes of builds that don't count their lists name entry nodes all the same.
+// Control nodes of builds that don't number their lists nevertheless list entry nodes.
 func TestLiveEntriesBesideEarlierControlNodesAreThoseThatTheyName(t *testing.T) {
 	roster := New("entry-1", nil)
 	roster.Hello(0, peer.Hello{Address: "control", Life: "x", Control: true, Nodes: listOf("entry-1", "entry-2")})
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -1,9 +1,9 @@
-// Package roster keeps what a node with open membership has heard of others.
+// Package roster tracks the other nodes that a node with open membership knows.
 //
-// A node starts with nothing but seeds: addresses of a few control nodes. It
-// says hello to them; control nodes say hello back and name the others. Seeds
-// may be exchanged at any time; nodes that were heard of stay known until they
-// have been silent for long, so exchanged or dead seeds cut nobody off.
+// A node starts with seeds only: the addresses of a few control nodes. It sends hellos to them;
+// control nodes reply with hellos that list the other nodes. Seeds may be replaced at any time.
+// Known nodes stay known until no hello of them has arrived for long, so replaced or failed
+// seeds isolate no node.
 package roster
 
 import (
@@ -18,53 +18,53 @@
 const (
 	// AliveFor is how long a node counts as alive after its last hello.
 	AliveFor = 2500 * time.Millisecond
-	// forgetAfter is the silence after which a node is forgotten.
+	// forgetAfter is the time since the last contact after which a node is forgotten.
 	forgetAfter = 60 * time.Second
-	// listedFor is how long another node's word that a control node exists
-	// keeps it among those to be greeted.
+	// listedFor is how long a node stays listed after another node's hello has listed it: a
+	// control node stays among those to which hellos are sent, an entry node in Entries.
 	listedFor = 15 * time.Second
-	// renameAfter is how long a control node's list stands before a hello without
-	// one is taken to repeat it: noting hundreds of nodes at each hello would be
-	// most of its cost.
+	// renameAfter is the minimum time between two recordings of a control node's unchanged list.
+	// A hello without a list repeats the last one, but recording hundreds of nodes at each hello
+	// would be most of its cost.
 	renameAfter = listedFor / 3
 )
 
-// Heard is the last hello of a node.
+// Heard is what is known of another node from its last hello.
 type Heard struct {
 	peer.Hello
 	At time.Duration
-	// Meter measures how long the node's hellos are on their way.
+	// Meter measures the transit delay of the node's hellos.
 	delay.Meter
-	// namedAt is when the nodes that it lists were last noted.
+	// namedAt is when the nodes that it lists were last recorded.
 	namedAt time.Duration
 }
 
-// Roster is one node's view of the others. It is not safe for concurrent use.
+// Roster is one node's view of the other nodes. It is not safe for concurrent use.
 type Roster struct {
 	self  string
 	seeds []string
 	heard map[string]*Heard
-	// order are the addresses of heard in order: sorting a thousand nodes at each of tens
-	// of hellos a second was a third of what a control node did.
+	// order is the sorted list of the addresses in heard. Sorting a thousand nodes at each of
+	// tens of hellos per second took a third of a control node's processor time.
 	order []string
-	// listed are control nodes that another node named, with the time of it.
+	// listed is when each control node was last listed by another node, by address.
 	listed map[string]time.Duration
-	// entries are the entry nodes that control nodes named.
+	// entries are the entry nodes that control nodes listed, by address.
 	entries map[string]listedEntry
-	// listing is the last answer of Entries, live that of LiveEntries.
+	// listing is the last result of Entries, live that of LiveEntries.
 	listing entryListing
 	live    liveListing
 }
 
-// entryListing is the list of entry nodes in order. It is made anew only when it
-// has changed: each of hundreds of nodes is asked for it many times a second.
+// entryListing is the sorted list of entry nodes. It is built again only when it has changed,
+// since hundreds of nodes look it up many times a second.
 type entryListing struct {
 	entries []peer.NodeEntry
-	// generation counts the lists that differed; 0 before the first.
+	// generation is the number of different lists so far; 0 before the first.
 	generation uint64
-	// outdated tells that a node was named that is not in it, or not so.
+	// outdated reports whether a node was listed that the list lacks or contains differently.
 	outdated bool
-	// until is when the word on the first of its nodes is too old, at the earliest.
+	// until is the earliest time at which a node of the list may expire.
 	until time.Duration
 }
 
@@ -73,19 +73,19 @@
 	at time.Duration
 }
 
-// New makes a roster of a node that knows seeds only.
+// New returns the roster of a node that knows only its seeds.
 func New(self string, seeds []string) *Roster {
 	return &Roster{self: self, seeds: seeds, heard: map[string]*Heard{}, listed: map[string]time.Duration{}, entries: map[string]listedEntry{}}
 }
 
-// SetSeeds exchanges the seeds.
+// SetSeeds replaces the seeds.
 func (r *Roster) SetSeeds(seeds []string) { r.seeds = seeds }
 
 // Seeds returns the seeds.
 func (r *Roster) Seeds() []string { return r.seeds }
 
-// Hello takes a node's hello. It returns whether the node was not known, or
-// runs a new life.
+// Hello records a node's hello. It reports whether the node was not known or not alive before, or
+// runs in a new incarnation.
 func (r *Roster) Hello(now time.Duration, hello peer.Hello) (isNew bool) {
 	if hello.Address == r.self || hello.Address == "" {
 		return false
@@ -96,7 +96,7 @@
 	hasList := len(hello.Nodes) > 0 || known != nil && takeChanges(&hello, known)
 	repeats := known != nil && !hasList
 	if !hasList {
-		// Changes of a list that is not known here are of no use.
+		// Changes to a list that is not known here can't be applied.
 		hello.ListVersion, hello.Joined, hello.Left = 0, nil, nil
 	}
 	if repeats {
@@ -130,8 +130,9 @@
 	return isNew
 }
 
-// takeChanges makes a hello's list of that before and its changes. It returns false if it
-// has none, or if those before were lost: the whole list comes again.
+// takeChanges builds a hello's list from the list before and the changes in the hello. It returns
+// false if the hello has no changes, or if earlier changes were lost: then the sender sends the
+// whole list again.
 func takeChanges(hello *peer.Hello, before *Heard) bool {
 	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Life != before.Life {
 		return false
@@ -159,16 +160,16 @@
 	r.entries[node.Address] = listedEntry{NodeEntry: node, at: now}
 }
 
-// Get returns a node's last hello, or nil.
+// Get returns what is known of a node, or nil.
 func (r *Roster) Get(address string) *Heard { return r.heard[address] }
 
-// Alive tells whether a node was heard from lately.
+// Alive reports whether a node's last hello is at most AliveFor old.
 func (r *Roster) Alive(now time.Duration, address string) bool {
 	known := r.heard[address]
 	return known != nil && now-known.At <= AliveFor
 }
 
-// Greet returns the control nodes that this node says hello to, in order.
+// Greet returns the addresses of the control nodes to which this node sends hellos, in order.
 func (r *Roster) Greet(now time.Duration) []string {
 	set := map[string]bool{}
 	for _, seed := range r.seeds {
@@ -193,12 +194,12 @@
 	return addresses
 }
 
-// AliveNodes returns the nodes that were heard from lately, in order.
+// AliveNodes returns the nodes that are alive, in order.
 func (r *Roster) AliveNodes(now time.Duration) []*Heard {
 	return r.alive(now, func(*Heard) bool { return true })
 }
 
-// alive returns those of the nodes heard from lately that are wanted, in order.
+// alive returns the wanted ones of the nodes that are alive, in order.
 func (r *Roster) alive(now time.Duration, isWanted func(*Heard) bool) []*Heard {
 	var alive []*Heard
 	for _, address := range r.order {
@@ -209,14 +210,13 @@
 	return alive
 }
 
-// Controls returns the control nodes that were heard from lately, in order.
+// Controls returns the control nodes that are alive, in order.
 func (r *Roster) Controls(now time.Duration) []*Heard {
 	return r.alive(now, func(known *Heard) bool { return known.Control })
 }
 
-// Entries returns the other entry nodes that control nodes named of late, in
-// order, and a number that is another one whenever they have changed. The caller
-// must not change them.
+// Entries returns the other entry nodes that control nodes listed within listedFor, in order,
+// and a generation that differs whenever they have changed. The caller must not modify them.
 func (r *Roster) Entries(now time.Duration) (entries []peer.NodeEntry, generation uint64) {
 	if r.listing.generation == 0 || r.listing.outdated || now > r.listing.until {
 		r.listEntries(now)
@@ -242,9 +242,9 @@
 
 func compareEntries(one, other peer.NodeEntry) int { return cmp.Compare(one.Address, other.Address) }
 
-// Leader returns the leader of the control group as the freshest hello with
-// the highest term names it, or "". While no control node is heard it is the
-// last one known: the first to be tried once a cut is over.
+// Leader returns the leader of the control group according to the latest hello with the highest
+// term, or "". While no control node is alive it returns the last known leader: the first node
+// to try once a partition has healed.
 func (r *Roster) Leader(now time.Duration) string {
 	candidates := r.Controls(now)
 	if len(candidates) == 0 {
@@ -267,7 +267,7 @@
 	return best.Leader
 }
 
-// Forget drops nodes that have been silent for long and returns them.
+// Forget drops the nodes without contact for forgetAfter and returns their addresses in order.
 func (r *Roster) Forget(now time.Duration) []string {
 	var gone []string
 	for address, known := range r.heard {
--- a/internal/coordination/roster/roster_test.go
+++ b/internal/coordination/roster/roster_test.go
@@ -36,7 +36,7 @@
 	roster.Hello(0, control("a:1", "a:1", 3))
 	roster.Hello(0, control("b:1", "b:1", 4))
 	assert.Equal(t, roster.Leader(0), "b:1")
-	// Cut off from all, it goes on trying the last one.
+	// Without contact to any control node, the last known leader remains.
 	assert.Equal(t, roster.Leader(time.Minute), "b:1")
 	assert.Equal(t, New("f:1", nil).Leader(0), "")
 }
@@ -61,8 +61,8 @@
 	assert.Equal(t, say(20*time.Second, 3*time.Second, "2"), time.Duration(0))
 }
 
-// Hundreds of entry nodes are asked for many times a second: the list is made anew
-// only when it has changed.
+// Guards against building the list at each look-up: hundreds of entry nodes are looked up many
+// times a second, so the list is built again only when it has changed.
 func TestListOfEntryNodesIsMadeAnewWhenItChanges(t *testing.T) {
 	entry := func(address, zone string) peer.NodeEntry {
 		return peer.NodeEntry{Address: address, Zone: zone, Entry: true}
@@ -83,7 +83,7 @@
 	assert.DeepEqual(t, entries, []peer.NodeEntry{entry("h:1", "b")})
 	assert.Assert(t, third != second)
 
-	// One that is named again after its time comes back, also at the same place.
+	// A node that is listed again after it has expired returns to the same position.
 	_, _ = roster.Entries(listedFor * 5)
 	roster.Hello(listedFor*5, control("a:1", "", 1, entry("h:1", "b")))
 	entries, _ = roster.Entries(listedFor * 5)
