--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -9,99 +9,99 @@
 )
 
 var (
-	near      = Node{Address: "near", Zone: "a"}
-	alsoNear  = Node{Address: "near2", Zone: "a"}
-	far       = Node{Address: "far", Zone: "b"}
-	threeHave = []Node{far, near, alsoNear}
+	sameZone     = Node{Address: "near", Zone: "a"}
+	alsoSameZone = Node{Address: "near2", Zone: "a"}
+	remote       = Node{Address: "far", Zone: "b"}
+	allControls  = []Node{remote, sameZone, alsoSameZone}
 )
 
 // follower returns a follower with version 1 to which all nodes announced version 2 at time 0.
 func follower() *Follower {
-	made := NewFollower("a")
-	made.Took(0, 1)
-	for _, node := range threeHave {
-		made.Heard(0, node, 2)
+	created := NewFollower("a")
+	created.Took(0, 1)
+	for _, node := range allControls {
+		created.Heard(0, node, 2)
 	}
-	return made
+	return created
 }
 
-func TestVersionThatIsOnItsWayIsNotAskedFor(t *testing.T) {
+func TestVersionInFlightIsNotRequested(t *testing.T) {
 	f := follower()
-	ask, wait := f.Next(0)
-	assert.Equal(t, ask, "")
-	assert.Equal(t, wait, sendWait)
+	address, wait := f.Next(0)
+	assert.Equal(t, address, "")
+	assert.Equal(t, wait, deliveryWait)
 	f.Took(100*time.Millisecond, 2)
-	ask, wait = f.Next(time.Second)
-	assert.Equal(t, ask, "")
+	address, wait = f.Next(time.Second)
+	assert.Equal(t, address, "")
 	assert.Equal(t, wait, time.Duration(0))
 }
 
 // Guards against one unresponsive node delaying a version that two others have, which is
 // hypothesis 1 of incident CONFIG on zhf-valuation-grown.
-func TestQuestionsWithoutAnswerGoToOneNodeAfterTheOther(t *testing.T) {
+func TestRequestsWithoutResponseGoToOneNodeAfterTheOther(t *testing.T) {
 	f := follower()
-	var asked []string
+	var requests []string
 	for now := time.Duration(0); now < 2*time.Second; now += 10 * time.Millisecond {
-		if ask, _ := f.Next(now); ask != "" {
-			asked = append(asked, fmt.Sprintf("%s at %d", ask, now.Milliseconds()))
+		if address, _ := f.Next(now); address != "" {
+			requests = append(requests, fmt.Sprintf("%s at %d", address, now.Milliseconds()))
 		}
 	}
-	assert.DeepEqual(t, asked, []string{"near at 300", "near2 at 600", "far at 1200"})
+	assert.DeepEqual(t, requests, []string{"near at 300", "near2 at 600", "far at 1200"})
 }
 
-func TestNodeWithoutAVersionAsksAtOnce(t *testing.T) {
+func TestNodeWithoutAVersionRequestsItImmediately(t *testing.T) {
 	f := NewFollower("a")
-	f.Heard(time.Second, far, 7)
-	ask, _ := f.Next(time.Second)
-	assert.Equal(t, ask, "far")
+	f.Heard(time.Second, remote, 7)
+	address, _ := f.Next(time.Second)
+	assert.Equal(t, address, "far")
 }
 
-func TestOldWordIsNotBelieved(t *testing.T) {
+func TestOutdatedAnnouncementIsIgnored(t *testing.T) {
 	f := follower()
-	ask, wait := f.Next(wordAge + time.Millisecond)
-	assert.Equal(t, ask, "")
+	address, wait := f.Next(maximumAnnouncementAge + time.Millisecond)
+	assert.Equal(t, address, "")
 	assert.Equal(t, wait, time.Duration(0))
-	f.Heard(4*time.Second, far, 2)
-	ask, _ = f.Next(4 * time.Second)
-	assert.Equal(t, ask, "far")
+	f.Heard(4*time.Second, remote, 2)
+	address, _ = f.Next(4 * time.Second)
+	assert.Equal(t, address, "far")
 }
 
-func TestAnswerOfANodeThatLagsIsNotTheEnd(t *testing.T) {
+func TestVersionOfALaggingNodeDoesNotEndTheRequests(t *testing.T) {
 	f := follower()
-	f.Heard(0, far, 3)
+	f.Heard(0, remote, 3)
 	f.Took(100*time.Millisecond, 2)
-	ask, _ := f.Next(100*time.Millisecond + sendWait)
-	assert.Equal(t, ask, "far")
+	address, _ := f.Next(100*time.Millisecond + deliveryWait)
+	assert.Equal(t, address, "far")
 }
 
 func TestEachEntryNodeHasOneSenderOfItsZone(t *testing.T) {
 	senders := map[string]int{}
 	for number := range 100 {
 		entry := Node{Address: fmt.Sprintf("entry-%d", number), Zone: "a"}
-		sender := ChooseSender(entry, threeHave)
-		assert.Equal(t, sender, ChooseSender(entry, []Node{alsoNear, near, far}))
+		sender := ChooseSender(entry, allControls)
+		assert.Equal(t, sender, ChooseSender(entry, []Node{alsoSameZone, sameZone, remote}))
 		senders[sender]++
 	}
 	assert.Equal(t, senders["far"], 0)
 	assert.Assert(t, senders["near"] > 25 && senders["near2"] > 25, "%v", senders)
-	assert.Equal(t, ChooseSender(Node{Address: "entry", Zone: "c"}, []Node{far}), "far")
+	assert.Equal(t, ChooseSender(Node{Address: "entry", Zone: "c"}, []Node{remote}), "far")
 	assert.Equal(t, ChooseSender(Node{Address: "entry", Zone: "c"}, nil), "")
 }
 
-func TestVersionIsSentOnceUntilItIsOverdue(t *testing.T) {
+func TestVersionIsSentAgainOnlyWhenOverdue(t *testing.T) {
 	p := NewPublisher()
 	due := func(now time.Duration) bool { return p.Due(now, "e", 2, 1000) }
 	p.Has("e", "life", 1)
 	assert.Assert(t, due(0))
-	assert.Assert(t, !due(firstPatience-time.Millisecond))
-	assert.Assert(t, due(firstPatience))
-	assert.Assert(t, !due(2*firstPatience))
-	assert.Assert(t, due(3*firstPatience))
+	assert.Assert(t, !due(initialResendInterval-time.Millisecond))
+	assert.Assert(t, due(initialResendInterval))
+	assert.Assert(t, !due(2*initialResendInterval))
+	assert.Assert(t, due(3*initialResendInterval))
 	p.Has("e", "life", 2)
 	assert.Assert(t, !due(time.Hour))
 }
 
-func TestVersionsInSeriesAreSentAtOnceWhileTheyAreSmall(t *testing.T) {
+func TestSuccessiveSmallVersionsAreSentUpToTheUnconfirmedBound(t *testing.T) {
 	p := NewPublisher()
 	p.Has("e", "life", 1)
 	sent := 0
@@ -118,7 +118,7 @@
 	assert.Assert(t, !p.Due(time.Hour, "e", 49, maximumUnconfirmed/4))
 }
 
-func TestLargeDocumentIsOnItsWayOnceAtATime(t *testing.T) {
+func TestLargeDocumentIsInFlightOnceAtATime(t *testing.T) {
 	p := NewPublisher()
 	p.Has("e", "life", 1)
 	assert.Assert(t, p.Due(0, "e", 2, 10*maximumUnconfirmed))
@@ -127,7 +127,7 @@
 	assert.Assert(t, p.Due(200*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
 }
 
-func TestNewLifeOfANodeHoldsNothing(t *testing.T) {
+func TestNewIncarnationOfANodeHasNoVersion(t *testing.T) {
 	p := NewPublisher()
 	p.Has("e", "one", 2)
 	assert.Assert(t, !p.Due(0, "e", 2, 10))
--- a/internal/coordination/follow/follower.go
+++ b/internal/coordination/follow/follower.go
@@ -7,46 +7,47 @@
 )
 
 const (
-	// sendWait is how long an announced version may take to arrive before it is requested: its
+	// deliveryWait is how long an announced version may take to arrive before it is requested: its
 	// sender sends it at about the same time as the announcement arrives.
-	sendWait = 300 * time.Millisecond
-	// firstPause is the time between the first request and the second. It doubles with each
-	// request, up to lastPause. Each request goes to another node if there is one.
-	firstPause = 300 * time.Millisecond
-	lastPause  = 1200 * time.Millisecond
-	// wordAge is the maximum age of a node's announcement of its version. Announcements are
-	// repeated every 0.6 s.
-	wordAge = 2500 * time.Millisecond
+	deliveryWait = 300 * time.Millisecond
+	// initialRequestInterval is the time between the first request and the second. It doubles
+	// with each request, up to maximumRequestInterval. Each request goes to another node if there
+	// is one.
+	initialRequestInterval = 300 * time.Millisecond
+	maximumRequestInterval = 1200 * time.Millisecond
+	// maximumAnnouncementAge is the maximum age of a node's announcement of its version.
+	// Announcements are repeated every 0.6 s.
+	maximumAnnouncementAge = 2500 * time.Millisecond
 )
 
 // source is a node that announced which version it has.
 type source struct {
-	node    Node
-	version uint64
-	heardAt time.Duration
-	// asked is the number of requests to the node since a version was last applied.
-	asked int
+	node        Node
+	version     uint64
+	announcedAt time.Duration
+	// requests is the number of requests to the node since a version was last applied.
+	requests int
 }
 
 // Follower decides when an entry node requests the newest version, and from which node.
 type Follower struct {
-	zone string
-	have uint64
+	zone       string
+	ownVersion uint64
 	// behindSince is when a version above the own one was first announced.
 	behindSince time.Duration
 	isBehind    bool
 	sources     map[string]*source
-	// asks is the number of requests since a version was last applied, askedAt the time of the
-	// last one.
-	asks    int
-	askedAt time.Duration
+	// requestCount is the number of requests since a version was last applied, requestedAt the
+	// time of the last one.
+	requestCount int
+	requestedAt  time.Duration
 }
 
 // NewFollower returns the follower of a node in a zone that has no version yet.
 func NewFollower(zone string) *Follower { return &Follower{zone: zone, sources: map[string]*source{}} }
 
 // Asks returns the number of requests since a version was last applied.
-func (f *Follower) Asks() int { return f.asks }
+func (f *Follower) Asks() int { return f.requestCount }
 
 // Heard records the version that a node announces.
 func (f *Follower) Heard(now time.Duration, from Node, version uint64) {
@@ -55,21 +56,21 @@
 		known = &source{}
 		f.sources[from.Address] = known
 	}
-	known.node, known.version, known.heardAt = from, version, now
-	if version > f.have && !f.isBehind {
+	known.node, known.version, known.announcedAt = from, version, now
+	if version > f.ownVersion && !f.isBehind {
 		f.isBehind, f.behindSince = true, now
 	}
 }
 
 // Took records that a version is in effect here.
 func (f *Follower) Took(now time.Duration, version uint64) {
-	if version <= f.have {
+	if version <= f.ownVersion {
 		return
 	}
-	f.have, f.asks, f.isBehind = version, 0, false
+	f.ownVersion, f.requestCount, f.isBehind = version, 0, false
 	for address, known := range f.sources {
-		known.asked = 0
-		if now-known.heardAt > wordAge {
+		known.requests = 0
+		if now-known.announcedAt > maximumAnnouncementAge {
 			delete(f.sources, address)
 			continue
 		}
@@ -82,21 +83,21 @@
 // Next returns the address of the node from which to request its version now, and records the
 // request. Otherwise it returns "" and the time until a request may be due; 0 means that none is
 // pending.
-func (f *Follower) Next(now time.Duration) (ask string, wait time.Duration) {
+func (f *Follower) Next(now time.Duration) (address string, wait time.Duration) {
 	if !f.isBehind {
 		return "", 0
 	}
-	if left := f.dueAt() - now; left > 0 {
-		return "", left
+	if remaining := f.dueAt() - now; remaining > 0 {
+		return "", remaining
 	}
 	best := f.choose(now)
 	if best == nil {
 		// A node that has the version will announce it again.
 		return "", 0
 	}
-	best.asked++
-	f.asks++
-	f.askedAt = now
+	best.requests++
+	f.requestCount++
+	f.requestedAt = now
 	return best.node.Address, 0
 }
 
@@ -104,12 +105,12 @@
 // request immediately.
 func (f *Follower) dueAt() time.Duration {
 	switch {
-	case f.asks > 0:
-		return f.askedAt + backoff(firstPause, lastPause, f.asks)
-	case f.have == 0:
+	case f.requestCount > 0:
+		return f.requestedAt + backoff(initialRequestInterval, maximumRequestInterval, f.requestCount)
+	case f.ownVersion == 0:
 		return f.behindSince
 	default:
-		return f.behindSince + sendWait
+		return f.behindSince + deliveryWait
 	}
 }
 
@@ -118,7 +119,7 @@
 func (f *Follower) choose(now time.Duration) *source {
 	var candidates []*source
 	for _, known := range f.sources {
-		if known.version > f.have && now-known.heardAt <= wordAge {
+		if known.version > f.ownVersion && now-known.announcedAt <= maximumAnnouncementAge {
 			candidates = append(candidates, known)
 		}
 	}
@@ -132,7 +133,7 @@
 		return 1
 	}
 	return slices.MinFunc(candidates, func(a, b *source) int {
-		return cmp.Or(cmp.Compare(a.asked, b.asked), cmp.Compare(distance(a), distance(b)),
+		return cmp.Or(cmp.Compare(a.requests, b.requests), cmp.Compare(distance(a), distance(b)),
 			cmp.Compare(b.version, a.version), cmp.Compare(a.node.Address, b.node.Address))
 	})
 }
--- a/internal/coordination/follow/publisher.go
+++ b/internal/coordination/follow/publisher.go
@@ -18,11 +18,11 @@
 )
 
 const (
-	// firstPatience is how long a sent version may be unconfirmed before it is sent again. The
-	// time doubles with each sending, up to lastPatience. A full link takes over a second in
+	// initialResendInterval is how long a sent version may be unconfirmed before it is sent again. The
+	// time doubles with each sending, up to maximumResendInterval. A full link takes over a second in
 	// each direction.
-	firstPatience = 1500 * time.Millisecond
-	lastPatience  = 4 * time.Second
+	initialResendInterval = 1500 * time.Millisecond
+	maximumResendInterval = 4 * time.Second
 	// maximumUnconfirmed bounds the bytes in flight to one follower. A single document may be in
 	// flight regardless of its size.
 	maximumUnconfirmed = 32 << 10
@@ -45,31 +45,31 @@
 // ChooseSenders returns the addresses of up to count control nodes for an entry node in order of
 // preference: those of its zone, then the others.
 func ChooseSenders(entry Node, controls []Node, count int) []string {
-	var near, far []string
+	var sameZone, remote []string
 	for _, control := range controls {
 		if control.Zone == entry.Zone {
-			near = append(near, control.Address)
+			sameZone = append(sameZone, control.Address)
 			continue
 		}
-		far = append(far, control.Address)
+		remote = append(remote, control.Address)
 	}
-	senders := membership.Rank(entry.Address, near)
+	senders := membership.Rank(entry.Address, sameZone)
 	if len(senders) < count {
-		senders = append(senders, membership.Rank(entry.Address, far)...)
+		senders = append(senders, membership.Rank(entry.Address, remote)...)
 	}
 	return senders[:min(count, len(senders))]
 }
 
-// backoff returns the delay after a number of tries: it doubles with each try, from first up to
-// last.
-func backoff(first, last time.Duration, tries int) time.Duration {
+// backoff returns the delay after a number of tries: it doubles with each try, from initial up to
+// maximum.
+func backoff(initial, maximum time.Duration, tries int) time.Duration {
 	for range tries - 1 {
-		if first >= last {
+		if initial >= maximum {
 			break
 		}
-		first *= 2
+		initial *= 2
 	}
-	return min(first, last)
+	return min(initial, maximum)
 }
 
 // Publisher keeps a control node's knowledge of the entry nodes to which it sends versions.
@@ -80,10 +80,10 @@
 
 // followerState is the state of one entry node.
 type followerState struct {
-	// life is the incarnation of the entry node: a new one has no version.
-	life string
-	// has is the version that the entry node confirmed, sent the highest version sent to it.
-	has, sent uint64
+	// incarnation is the incarnation of the entry node: a new one has no version.
+	incarnation string
+	// confirmed is the version that the entry node confirmed, sent the highest version sent to it.
+	confirmed, sent uint64
 	// unconfirmed is the number of bytes sent and not confirmed, sends the number of sendings
 	// since the last confirmation, and sentAt the time of the last sending.
 	unconfirmed int
@@ -94,16 +94,16 @@
 // NewPublisher returns a publisher without followers.
 func NewPublisher() *Publisher { return &Publisher{followers: map[string]*followerState{}} }
 
-// Has records the version that an entry node has, as it reported. An empty life leaves the known
-// incarnation.
-func (p *Publisher) Has(address, life string, version uint64) {
+// Has records the version that an entry node reported to have. With an empty incarnation the known
+// one stays.
+func (p *Publisher) Has(address, incarnation string, version uint64) {
 	state := p.followers[address]
-	if state == nil || life != "" && state.life != life {
-		state = &followerState{life: life}
+	if state == nil || incarnation != "" && state.incarnation != incarnation {
+		state = &followerState{incarnation: incarnation}
 		p.followers[address] = state
 	}
-	state.has = max(state.has, version)
-	if state.has >= state.sent {
+	state.confirmed = max(state.confirmed, version)
+	if state.confirmed >= state.sent {
 		state.unconfirmed, state.sends = 0, 0
 	}
 }
@@ -112,11 +112,11 @@
 // node now. If so it records the version as sent.
 func (p *Publisher) Due(now time.Duration, address string, version uint64, size int) bool {
 	state := p.followers[address]
-	if state == nil || state.has >= version {
+	if state == nil || state.confirmed >= version {
 		return false
 	}
 	isNew := state.sent < version && (state.unconfirmed == 0 || state.unconfirmed+size <= maximumUnconfirmed)
-	isOverdue := state.sends > 0 && now-state.sentAt >= backoff(firstPatience, lastPatience, state.sends)
+	isOverdue := state.sends > 0 && now-state.sentAt >= backoff(initialResendInterval, maximumResendInterval, state.sends)
 	if !isNew && !isOverdue {
 		return false
 	}
