--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -28,8 +28,8 @@
 
 // listSource identifies a version of a control node's list.
 type listSource struct {
-	address, life string
-	version       uint64
+	address, incarnation string
+	version              uint64
 }
 
 // LiveEntries returns the entry nodes in the lists of the control nodes that are alive. While no
@@ -45,7 +45,7 @@
 			continue
 		}
 		listing = append(listing, control)
-		sources = append(sources, listSource{address: control.Address, life: control.Life, version: control.ListVersion})
+		sources = append(sources, listSource{address: control.Address, incarnation: control.Life, version: control.ListVersion})
 	}
 	if len(sources) == 0 {
 		if entries, _ := r.Entries(now); r.live.sources == nil && len(entries) > 0 {
--- a/internal/coordination/roster/live_test.go
+++ b/internal/coordination/roster/live_test.go
@@ -25,7 +25,7 @@
 	return addresses
 }
 
-func TestLiveEntriesAreThoseOfTheNewestListsAndStayWhileNoneIsHeard(t *testing.T) {
+func TestLiveEntriesAreThoseOfTheNewestListsAndStayWithoutContact(t *testing.T) {
 	roster := New("entry-1", nil)
 	assert.Equal(t, roster.LiveEntries(0).Generation, uint64(0))
 	hello := peer.Hello{Address: "control", Life: "x", Control: true, ListVersion: 1, Nodes: listOf("entry-1", "entry-2")}
@@ -38,13 +38,13 @@
 	second := roster.LiveEntries(time.Second)
 	assert.DeepEqual(t, addressesOf(second), []string{"entry-2", "entry-3"})
 	assert.Assert(t, !second.NamesSelf && second.Generation > first.Generation)
-	silent := roster.LiveEntries(time.Minute)
-	assert.DeepEqual(t, addressesOf(silent), []string{"entry-2", "entry-3"})
-	assert.Equal(t, silent.Generation, second.Generation)
+	unreachable := roster.LiveEntries(time.Minute)
+	assert.DeepEqual(t, addressesOf(unreachable), []string{"entry-2", "entry-3"})
+	assert.Equal(t, unreachable.Generation, second.Generation)
 }
 
 // Control nodes of builds that don't number their lists nevertheless list entry nodes.
-func TestLiveEntriesBesideEarlierControlNodesAreThoseThatTheyName(t *testing.T) {
+func TestLiveEntriesOfControlNodesOfEarlierBuildsAreThoseThatTheyList(t *testing.T) {
 	roster := New("entry-1", nil)
 	roster.Hello(0, peer.Hello{Address: "control", Life: "x", Control: true, Nodes: listOf("entry-1", "entry-2")})
 	live := roster.LiveEntries(0)
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -18,15 +18,15 @@
 const (
 	// AliveFor is how long a node counts as alive after its last hello.
 	AliveFor = 2500 * time.Millisecond
-	// forgetAfter is the time since the last contact after which a node is forgotten.
-	forgetAfter = 60 * time.Second
-	// listedFor is how long a node stays listed after another node's hello has listed it: a
+	// forgetTime is the time since the last contact after which a node is forgotten.
+	forgetTime = 60 * time.Second
+	// listedTime is how long a node stays listed after another node's hello has listed it: a
 	// control node stays among those to which hellos are sent, an entry node in Entries.
-	listedFor = 15 * time.Second
-	// renameAfter is the minimum time between two recordings of a control node's unchanged list.
+	listedTime = 15 * time.Second
+	// relistInterval is the minimum time between two recordings of a control node's unchanged list.
 	// A hello without a list repeats the last one, but recording hundreds of nodes at each hello
 	// would be most of its cost.
-	renameAfter = listedFor / 3
+	relistInterval = listedTime / 3
 )
 
 // Heard is what is known of another node from its last hello.
@@ -35,20 +35,20 @@
 	At time.Duration
 	// Meter measures the transit delay of the node's hellos.
 	delay.Meter
-	// namedAt is when the nodes that it lists were last recorded.
-	namedAt time.Duration
+	// listRecordedAt is when the nodes that it lists were last recorded.
+	listRecordedAt time.Duration
 }
 
 // Roster is one node's view of the other nodes. It is not safe for concurrent use.
 type Roster struct {
 	self  string
 	seeds []string
-	heard map[string]*Heard
-	// order is the sorted list of the addresses in heard. Sorting a thousand nodes at each of
+	peers map[string]*Heard
+	// addresses is the sorted list of the addresses in peers. Sorting a thousand nodes at each of
 	// tens of hellos per second took a third of a control node's processor time.
-	order []string
-	// listed is when each control node was last listed by another node, by address.
-	listed map[string]time.Duration
+	addresses []string
+	// controlListedAt is when each control node was last listed by another node, by address.
+	controlListedAt map[string]time.Duration
 	// entries are the entry nodes that control nodes listed, by address.
 	entries map[string]listedEntry
 	// listing is the last result of Entries, live that of LiveEntries.
@@ -62,10 +62,10 @@
 	entries []peer.NodeEntry
 	// generation is the number of different lists so far; 0 before the first.
 	generation uint64
-	// outdated reports whether a node was listed that the list lacks or contains differently.
-	outdated bool
-	// until is the earliest time at which a node of the list may expire.
-	until time.Duration
+	// isOutdated reports whether a node was listed that the list lacks or contains differently.
+	isOutdated bool
+	// expiresAt is the earliest time at which a node of the list may expire.
+	expiresAt time.Duration
 }
 
 type listedEntry struct {
@@ -75,7 +75,7 @@
 
 // New returns the roster of a node that knows only its seeds.
 func New(self string, seeds []string) *Roster {
-	return &Roster{self: self, seeds: seeds, heard: map[string]*Heard{}, listed: map[string]time.Duration{}, entries: map[string]listedEntry{}}
+	return &Roster{self: self, seeds: seeds, peers: map[string]*Heard{}, controlListedAt: map[string]time.Duration{}, entries: map[string]listedEntry{}}
 }
 
 // SetSeeds replaces the seeds.
@@ -90,50 +90,50 @@
 	if hello.Address == r.self || hello.Address == "" {
 		return false
 	}
-	known := r.heard[hello.Address]
+	known := r.peers[hello.Address]
 	isNew = known == nil || known.Life != hello.Life || now-known.At > AliveFor
-	heard := &Heard{At: now}
-	hasList := len(hello.Nodes) > 0 || known != nil && takeChanges(&hello, known)
-	repeats := known != nil && !hasList
+	current := &Heard{At: now}
+	hasList := len(hello.Nodes) > 0 || known != nil && applyChanges(&hello, known)
+	isRepeated := known != nil && !hasList
 	if !hasList {
 		// Changes to a list that is not known here can't be applied.
 		hello.ListVersion, hello.Joined, hello.Left = 0, nil, nil
 	}
-	if repeats {
-		hello.Nodes, heard.namedAt = known.Nodes, known.namedAt
+	if isRepeated {
+		hello.Nodes, current.listRecordedAt = known.Nodes, known.listRecordedAt
 		if known.Life == hello.Life {
 			hello.ListVersion = known.ListVersion
 		}
 	}
-	heard.Hello = hello
+	current.Hello = hello
 	if known != nil && known.Life == hello.Life {
-		heard.Meter = known.Meter
+		current.Meter = known.Meter
 	}
-	heard.Note(now, time.Duration(hello.AgeMS)*time.Millisecond)
-	r.heard[hello.Address] = heard
+	current.Note(now, time.Duration(hello.AgeMS)*time.Millisecond)
+	r.peers[hello.Address] = current
 	if known == nil {
-		place, _ := slices.BinarySearch(r.order, hello.Address)
-		r.order = slices.Insert(r.order, place, hello.Address)
+		position, _ := slices.BinarySearch(r.addresses, hello.Address)
+		r.addresses = slices.Insert(r.addresses, position, hello.Address)
 	}
-	if !hello.Control || repeats && now-heard.namedAt < renameAfter {
+	if !hello.Control || isRepeated && now-current.listRecordedAt < relistInterval {
 		return isNew
 	}
-	heard.namedAt = now
+	current.listRecordedAt = now
 	for _, node := range hello.Nodes {
 		if node.Control && node.Address != r.self {
-			r.listed[node.Address] = now
+			r.controlListedAt[node.Address] = now
 		}
 		if node.Entry && node.Address != r.self {
-			r.nameEntry(now, node)
+			r.recordEntry(now, node)
 		}
 	}
 	return isNew
 }
 
-// takeChanges builds a hello's list from the list before and the changes in the hello. It returns
+// applyChanges builds a hello's list from the list before and the changes in the hello. It returns
 // false if the hello has no changes, or if earlier changes were lost: then the sender sends the
 // whole list again.
-func takeChanges(hello *peer.Hello, before *Heard) bool {
+func applyChanges(hello *peer.Hello, before *Heard) bool {
 	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Life != before.Life {
 		return false
 	}
@@ -152,42 +152,42 @@
 	return true
 }
 
-func (r *Roster) nameEntry(now time.Duration, node peer.NodeEntry) {
+func (r *Roster) recordEntry(now time.Duration, node peer.NodeEntry) {
 	known, found := r.entries[node.Address]
-	if !found || known.NodeEntry != node || now-known.at > listedFor {
-		r.listing.outdated = true
+	if !found || known.NodeEntry != node || now-known.at > listedTime {
+		r.listing.isOutdated = true
 	}
 	r.entries[node.Address] = listedEntry{NodeEntry: node, at: now}
 }
 
 // Get returns what is known of a node, or nil.
-func (r *Roster) Get(address string) *Heard { return r.heard[address] }
+func (r *Roster) Get(address string) *Heard { return r.peers[address] }
 
 // Alive reports whether a node's last hello is at most AliveFor old.
 func (r *Roster) Alive(now time.Duration, address string) bool {
-	known := r.heard[address]
+	known := r.peers[address]
 	return known != nil && now-known.At <= AliveFor
 }
 
 // Greet returns the addresses of the control nodes to which this node sends hellos, in order.
 func (r *Roster) Greet(now time.Duration) []string {
-	set := map[string]bool{}
+	targets := map[string]bool{}
 	for _, seed := range r.seeds {
-		set[seed] = true
+		targets[seed] = true
 	}
-	for address, at := range r.listed {
-		if now-at <= listedFor {
-			set[address] = true
+	for address, at := range r.controlListedAt {
+		if now-at <= listedTime {
+			targets[address] = true
 		}
 	}
-	for address, known := range r.heard {
-		if known.Control && now-known.At <= listedFor {
-			set[address] = true
+	for address, known := range r.peers {
+		if known.Control && now-known.At <= listedTime {
+			targets[address] = true
 		}
 	}
-	delete(set, r.self)
-	addresses := make([]string, 0, len(set))
-	for address := range set {
+	delete(targets, r.self)
+	addresses := make([]string, 0, len(targets))
+	for address := range targets {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
@@ -202,8 +202,8 @@
 // alive returns the wanted ones of the nodes that are alive, in order.
 func (r *Roster) alive(now time.Duration, isWanted func(*Heard) bool) []*Heard {
 	var alive []*Heard
-	for _, address := range r.order {
-		if known := r.heard[address]; now-known.At <= AliveFor && isWanted(known) {
+	for _, address := range r.addresses {
+		if known := r.peers[address]; now-known.At <= AliveFor && isWanted(known) {
 			alive = append(alive, known)
 		}
 	}
@@ -215,23 +215,23 @@
 	return r.alive(now, func(known *Heard) bool { return known.Control })
 }
 
-// Entries returns the other entry nodes that control nodes listed within listedFor, in order,
+// Entries returns the other entry nodes that control nodes listed within listedTime, in order,
 // and a generation that differs whenever they have changed. The caller must not modify them.
 func (r *Roster) Entries(now time.Duration) (entries []peer.NodeEntry, generation uint64) {
-	if r.listing.generation == 0 || r.listing.outdated || now > r.listing.until {
+	if r.listing.generation == 0 || r.listing.isOutdated || now > r.listing.expiresAt {
 		r.listEntries(now)
 	}
 	return r.listing.entries, r.listing.generation
 }
 
 func (r *Roster) listEntries(now time.Duration) {
-	listing := entryListing{generation: r.listing.generation, until: now + listedFor}
+	listing := entryListing{generation: r.listing.generation, expiresAt: now + listedTime}
 	for _, listed := range r.entries {
-		if now-listed.at > listedFor {
+		if now-listed.at > listedTime {
 			continue
 		}
 		listing.entries = append(listing.entries, listed.NodeEntry)
-		listing.until = min(listing.until, listed.at+listedFor)
+		listing.expiresAt = min(listing.expiresAt, listed.at+listedTime)
 	}
 	slices.SortFunc(listing.entries, compareEntries)
 	if listing.generation == 0 || !slices.Equal(listing.entries, r.listing.entries) {
@@ -248,7 +248,7 @@
 func (r *Roster) Leader(now time.Duration) string {
 	candidates := r.Controls(now)
 	if len(candidates) == 0 {
-		for _, known := range r.heard {
+		for _, known := range r.peers {
 			candidates = append(candidates, known)
 		}
 	}
@@ -267,23 +267,23 @@
 	return best.Leader
 }
 
-// Forget drops the nodes without contact for forgetAfter and returns their addresses in order.
+// Forget drops the nodes without contact for forgetTime and returns their addresses in order.
 func (r *Roster) Forget(now time.Duration) []string {
 	var gone []string
-	for address, known := range r.heard {
-		if now-known.At > forgetAfter {
-			delete(r.heard, address)
+	for address, known := range r.peers {
+		if now-known.At > forgetTime {
+			delete(r.peers, address)
 			gone = append(gone, address)
 		}
 	}
-	r.order = slices.DeleteFunc(r.order, func(address string) bool { return r.heard[address] == nil })
-	for address, at := range r.listed {
-		if now-at > forgetAfter {
-			delete(r.listed, address)
+	r.addresses = slices.DeleteFunc(r.addresses, func(address string) bool { return r.peers[address] == nil })
+	for address, at := range r.controlListedAt {
+		if now-at > forgetTime {
+			delete(r.controlListedAt, address)
 		}
 	}
 	for address, listed := range r.entries {
-		if now-listed.at > forgetAfter {
+		if now-listed.at > forgetTime {
 			delete(r.entries, address)
 		}
 	}
--- a/internal/coordination/roster/roster_test.go
+++ b/internal/coordination/roster/roster_test.go
@@ -22,7 +22,7 @@
 	assert.Equal(t, len(entries), 0)
 }
 
-func TestExchangedSeedsCutNobodyOff(t *testing.T) {
+func TestReplacedSeedsIsolateNoNode(t *testing.T) {
 	roster := New("f:1", []string{"a:1"})
 	roster.Hello(0, control("a:1", "", 0))
 	roster.SetSeeds([]string{"c:1"})
@@ -31,7 +31,7 @@
 	assert.DeepEqual(t, roster.Forget(2*time.Minute), []string{"a:1"})
 }
 
-func TestLeaderOfTheHighestTermCounts(t *testing.T) {
+func TestLeaderOfTheHighestTermApplies(t *testing.T) {
 	roster := New("f:1", nil)
 	roster.Hello(0, control("a:1", "a:1", 3))
 	roster.Hello(0, control("b:1", "b:1", 4))
@@ -41,29 +41,29 @@
 	assert.Equal(t, New("f:1", nil).Leader(0), "")
 }
 
-func TestNewLifeOfANodeIsNoticed(t *testing.T) {
+func TestNewIncarnationOfANodeIsReported(t *testing.T) {
 	roster := New("a:1", nil)
 	assert.Assert(t, roster.Hello(0, peer.Hello{Address: "f:1", Life: "1"}))
 	assert.Assert(t, !roster.Hello(0, peer.Hello{Address: "f:1", Life: "1"}))
 	assert.Assert(t, roster.Hello(0, peer.Hello{Address: "f:1", Life: "2"}))
 }
 
-func TestDelayOfHellosIsMeasuredAnewForEachLife(t *testing.T) {
+func TestDelayOfHellosIsMeasuredPerIncarnation(t *testing.T) {
 	roster := New("f:1", nil)
-	say := func(at, age time.Duration, life string) time.Duration {
+	delayOf := func(at, age time.Duration, incarnation string) time.Duration {
 		hello := control("a:1", "", 1)
-		hello.Life, hello.AgeMS = life, uint64(age.Milliseconds())
+		hello.Life, hello.AgeMS = incarnation, uint64(age.Milliseconds())
 		roster.Hello(at, hello)
 		return roster.Get("a:1").Delay()
 	}
-	assert.Equal(t, say(5*time.Second, time.Second, "1"), time.Duration(0))
-	assert.Equal(t, say(7200*time.Millisecond, 2*time.Second, "1"), 1200*time.Millisecond)
-	assert.Equal(t, say(20*time.Second, 3*time.Second, "2"), time.Duration(0))
+	assert.Equal(t, delayOf(5*time.Second, time.Second, "1"), time.Duration(0))
+	assert.Equal(t, delayOf(7200*time.Millisecond, 2*time.Second, "1"), 1200*time.Millisecond)
+	assert.Equal(t, delayOf(20*time.Second, 3*time.Second, "2"), time.Duration(0))
 }
 
 // Guards against building the list at each look-up: hundreds of entry nodes are looked up many
 // times a second, so the list is built again only when it has changed.
-func TestListOfEntryNodesIsMadeAnewWhenItChanges(t *testing.T) {
+func TestListOfEntryNodesIsRebuiltOnlyWhenItChanges(t *testing.T) {
 	entry := func(address, zone string) peer.NodeEntry {
 		return peer.NodeEntry{Address: address, Zone: zone, Entry: true}
 	}
@@ -74,18 +74,18 @@
 	assert.DeepEqual(t, entries, []peer.NodeEntry{entry("g:1", "a"), entry("h:1", "b")})
 	assert.Assert(t, second != first)
 
-	roster.Hello(listedFor/2, control("a:1", "", 1, entry("h:1", "b"), entry("g:1", "a")))
-	_, repeated := roster.Entries(listedFor / 2)
+	roster.Hello(listedTime/2, control("a:1", "", 1, entry("h:1", "b"), entry("g:1", "a")))
+	_, repeated := roster.Entries(listedTime / 2)
 	assert.Equal(t, repeated, second)
 
-	roster.Hello(listedFor, control("a:1", "", 1, entry("h:1", "b")))
-	entries, third := roster.Entries(listedFor*3/2 + time.Millisecond)
+	roster.Hello(listedTime, control("a:1", "", 1, entry("h:1", "b")))
+	entries, third := roster.Entries(listedTime*3/2 + time.Millisecond)
 	assert.DeepEqual(t, entries, []peer.NodeEntry{entry("h:1", "b")})
 	assert.Assert(t, third != second)
 
 	// A node that is listed again after it has expired returns to the same position.
-	_, _ = roster.Entries(listedFor * 5)
-	roster.Hello(listedFor*5, control("a:1", "", 1, entry("h:1", "b")))
-	entries, _ = roster.Entries(listedFor * 5)
+	_, _ = roster.Entries(listedTime * 5)
+	roster.Hello(listedTime*5, control("a:1", "", 1, entry("h:1", "b")))
+	entries, _ = roster.Entries(listedTime * 5)
 	assert.DeepEqual(t, entries, []peer.NodeEntry{entry("h:1", "b")})
 }
