--- a/internal/coordination/backoff/signal.go
+++ b/internal/coordination/backoff/signal.go
@@ -27,8 +27,8 @@
 // errInvalidPause reports a pause that is not a number of seconds.
 var errInvalidPause = errors.New("backoff: not a number of seconds")
 
-// Said is what one response of an instance asks of this node.
-type Said struct {
+// Signal is what one response of an instance asks of this node.
+type Signal struct {
 	// Pause is how long this node is to send the instance no request; 0 if none is requested.
 	Pause time.Duration
 	// IsLeaving reports whether the instance is leaving and wants no further requests.
@@ -42,12 +42,12 @@
 // ReadPause reads the values of the field that requests a pause, in seconds with or without
 // decimals. The longest of several values applies. A value above MaximumPause counts as
 // MaximumPause. One unreadable value makes the whole field unreadable.
-func ReadPause(values []string) Said {
-	var signal Said
+func ReadPause(values []string) Signal {
+	var signal Signal
 	for _, value := range values {
 		requested, err := parseSeconds(value)
 		if err != nil {
-			return Said{Fault: err}
+			return Signal{Fault: err}
 		}
 		signal.Pause = max(signal.Pause, requested)
 	}
@@ -59,7 +59,7 @@
 
 // WithLeaving returns the signal with the values of the field that announces a leaving
 // instance: 1 if it is leaving, 0 if not. Any 1 among several values applies.
-func (s Said) WithLeaving(values []string) Said {
+func (s Signal) WithLeaving(values []string) Signal {
 	for _, value := range values {
 		switch strings.TrimSpace(value) {
 		case "0":
--- a/internal/coordination/backoff/signal_test.go
+++ b/internal/coordination/backoff/signal_test.go
@@ -12,7 +12,7 @@
 		"0": 0, "3": 3 * time.Second, " 12 ": 12 * time.Second, "0.25": 250 * time.Millisecond, ".5": 500 * time.Millisecond, "1.": time.Second,
 		"86400": MaximumPause, "86401": MaximumPause, "99999999999999999999": MaximumPause,
 	} {
-		assert.DeepEqual(t, ReadPause([]string{value}), Said{Pause: pause})
+		assert.DeepEqual(t, ReadPause([]string{value}), Signal{Pause: pause})
 	}
 }
 
@@ -25,9 +25,9 @@
 }
 
 func TestLongestOfSeveralPausesAppliesAndOneInvalidValueVoidsAll(t *testing.T) {
-	assert.DeepEqual(t, ReadPause([]string{"1", "3", "2"}), Said{Pause: 3 * time.Second})
+	assert.DeepEqual(t, ReadPause([]string{"1", "3", "2"}), Signal{Pause: 3 * time.Second})
 	assert.Assert(t, ReadPause([]string{"3", "soon"}).Fault != nil)
-	assert.DeepEqual(t, ReadPause(nil), Said{})
+	assert.DeepEqual(t, ReadPause(nil), Signal{})
 }
 
 func FuzzReadPause(f *testing.F) {
@@ -43,13 +43,13 @@
 
 func TestLeavingIsParsedAsAFlag(t *testing.T) {
 	for _, value := range []string{"1", " 1 "} {
-		assert.DeepEqual(t, Said{}.WithLeaving([]string{value}), Said{IsLeaving: true})
+		assert.DeepEqual(t, Signal{}.WithLeaving([]string{value}), Signal{IsLeaving: true})
 	}
-	assert.DeepEqual(t, Said{}.WithLeaving([]string{"0"}), Said{})
-	assert.DeepEqual(t, Said{}.WithLeaving(nil), Said{})
-	assert.DeepEqual(t, Said{}.WithLeaving([]string{"0", "1"}), Said{IsLeaving: true})
+	assert.DeepEqual(t, Signal{}.WithLeaving([]string{"0"}), Signal{})
+	assert.DeepEqual(t, Signal{}.WithLeaving(nil), Signal{})
+	assert.DeepEqual(t, Signal{}.WithLeaving([]string{"0", "1"}), Signal{IsLeaving: true})
 	for _, value := range []string{"", "true", "yes", "01", "1, 1", "-1", "2"} {
-		signal := Said{}.WithLeaving([]string{value})
+		signal := Signal{}.WithLeaving([]string{value})
 		assert.ErrorIs(t, signal.Fault, errInvalidFlag, "%q", value)
 		assert.Assert(t, !signal.IsLeaving, "%q", value)
 	}
@@ -60,7 +60,7 @@
 		f.Add(value)
 	}
 	f.Fuzz(func(t *testing.T, value string) {
-		signal := Said{Pause: time.Second}.WithLeaving([]string{value})
+		signal := Signal{Pause: time.Second}.WithLeaving([]string{value})
 		assert.Equal(t, signal.Pause, time.Second)
 		assert.Assert(t, signal.Fault == nil || !signal.IsLeaving)
 	})
--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -22,30 +22,30 @@
 	maximumUnreadable = 1024
 )
 
-// ReturnPolicy is how requests to an instance resume after its pause.
-type ReturnPolicy struct {
-	// Spread is the fraction of the pause over which the nodes resume one by one, and
+// RecoveryPolicy is how requests to an instance resume after its pause.
+type RecoveryPolicy struct {
+	// SpreadShare is the fraction of the pause over which the nodes resume one by one, and
 	// LongestSpread bounds that time. Without it all nodes would resume at about the same
 	// moment, since the instance requested the pause from all of them at about the same time.
-	Spread        float64
-	LongestSpread time.Duration
-	// FirstTrials is the number of trial requests that may be in flight at first; each one
+	SpreadShare   float64
+	MaximumSpread time.Duration
+	// InitialTrials is the number of trial requests that may be in flight at first; each one
 	// that ran doubles the number.
-	FirstTrials int
-	// FullTrials is the number from which the instance counts as recovered.
-	FullTrials int
-	// LongestTrials is the time after which the instance counts as recovered anyway, since
+	InitialTrials int
+	// RecoveredTrials is the number from which the instance counts as recovered.
+	RecoveredTrials int
+	// MaximumTrialTime is the time after which the instance counts as recovered anyway, since
 	// this node may have had no request to send to it.
-	LongestTrials time.Duration
+	MaximumTrialTime time.Duration
 }
 
-// DefaultReturn starts with one trial request at a time, from a moment that each node draws
+// DefaultRecovery starts with one trial request at a time, from a moment that each node draws
 // at random.
-var DefaultReturn = ReturnPolicy{Spread: 0.25, LongestSpread: 2 * time.Second, FirstTrials: 1, FullTrials: 4, LongestTrials: 2 * time.Second}
+var DefaultRecovery = RecoveryPolicy{SpreadShare: 0.25, MaximumSpread: 2 * time.Second, InitialTrials: 1, RecoveredTrials: 4, MaximumTrialTime: 2 * time.Second}
 
 // maximumSpread is by how much, in nanoseconds, a node may prolong a requested pause.
-func (p ReturnPolicy) maximumSpread(requested time.Duration) float64 {
-	return min(p.Spread*float64(requested), float64(p.LongestSpread))
+func (p RecoveryPolicy) maximumSpread(requested time.Duration) float64 {
+	return min(p.SpreadShare*float64(requested), float64(p.MaximumSpread))
 }
 
 // Phase is which requests an instance accepts from this node.
@@ -57,9 +57,9 @@
 	Open Phase = iota
 	// Paused: none until the pause has expired.
 	Paused
-	// Returning: the pause has expired. Only trial requests are sent until enough of them
+	// Recovering: the pause has expired. Only trial requests are sent until enough of them
 	// have shown that the instance accepts work again.
-	Returning
+	Recovering
 	// Leaving: none for the rest of the incarnation.
 	Leaving
 )
@@ -67,8 +67,8 @@
 // String returns the name of the phase.
 func (p Phase) String() string { return [...]string{"open", "paused", "returning", "leaving"}[p] }
 
-// Standing is the pause state of one incarnation of an instance.
-type Standing struct {
+// Status is the pause state of one incarnation of an instance.
+type Status struct {
 	Phase Phase
 	// Wait is the time until the pause expires.
 	Wait time.Duration
@@ -83,7 +83,7 @@
 	entries map[registry.Life]*entry
 	// entryCount is the number of entries. While it is 0, requests take no lock.
 	entryCount atomic.Int64
-	policy     ReturnPolicy
+	policy     RecoveryPolicy
 	// random returns a number in [0, 1).
 	random func() float64
 	// unreadable are the incarnations that sent unreadable fields; each is reported once.
@@ -111,7 +111,7 @@
 }
 
 // NewTracker returns a tracker without entries.
-func NewTracker(policy ReturnPolicy) *Tracker {
+func NewTracker(policy RecoveryPolicy) *Tracker {
 	return &Tracker{
 		entries: map[registry.Life]*entry{}, unreadable: bounded.NewSet[registry.Life](maximumUnreadable), policy: policy, random: rand.Float64,
 	}
@@ -134,10 +134,10 @@
 	Extended
 	// Ended: the pause has expired.
 	Ended
-	// Back: the instance accepts work as before the pause.
-	Back
-	// Left: the instance announced that it is leaving.
-	Left
+	// Recovered: the instance accepts work as before the pause.
+	Recovered
+	// AnnouncedLeaving: the instance announced that it is leaving.
+	AnnouncedLeaving
 	// Unreadable: a field of the instance's response can't be read.
 	Unreadable
 )
@@ -149,14 +149,14 @@
 
 // Change is a change of state by a response or by the passing of time.
 type Change struct {
-	Kind ChangeKind
-	Life registry.Life
-	// Asked is the length of the requested pause, Left the time until it expires.
-	Asked, Left time.Duration
-	// Request is the ID of the request whose response began the pause; Answers is the number of
+	Kind        ChangeKind
+	Incarnation registry.Life
+	// Requested is the length of the requested pause, Left the time until it expires.
+	Requested, Remaining time.Duration
+	// RequestID is the ID of the request whose response began the pause; Answers is the number of
 	// responses that requested it.
-	Request string
-	Answers int
+	RequestID string
+	Responses int
 	// Fault is the error of an Unreadable field.
 	Fault error
 }
@@ -170,7 +170,7 @@
 
 // Learn applies what an instance's response to a request, received now, asks for. No response
 // shortens a pause, and none revokes that the instance is leaving.
-func (t *Tracker) Learn(now time.Duration, incarnation registry.Life, request Request, signal Said) []Change {
+func (t *Tracker) Learn(now time.Duration, incarnation registry.Life, request Request, signal Signal) []Change {
 	if signal.Pause == 0 && !signal.IsLeaving && signal.Fault == nil && t.entryCount.Load() == 0 {
 		return nil
 	}
@@ -200,7 +200,7 @@
 	if !t.unreadable.Add(incarnation) {
 		return Change{}
 	}
-	return Change{Kind: Unreadable, Life: incarnation, Fault: fault}
+	return Change{Kind: Unreadable, Incarnation: incarnation, Fault: fault}
 }
 
 // entry returns the entry of an incarnation and creates it if there is none.
@@ -220,7 +220,7 @@
 		return Change{}
 	}
 	known.isLeaving = true
-	return Change{Kind: Left, Life: incarnation, Request: request, Answers: 1}
+	return Change{Kind: AnnouncedLeaving, Incarnation: incarnation, RequestID: request, Responses: 1}
 }
 
 func (t *Tracker) pause(now time.Duration, incarnation registry.Life, request string, requested time.Duration) Change {
@@ -235,13 +235,13 @@
 	if end <= known.requestedUntil {
 		return Change{}
 	}
-	known.requestedUntil, known.isEndReported, known.allowedTrials = end, false, t.policy.FirstTrials
+	known.requestedUntil, known.isEndReported, known.allowedTrials = end, false, t.policy.InitialTrials
 	known.until = max(known.until, end+time.Duration(t.random()*t.policy.maximumSpread(requested)))
 	return known.change(kind, now)
 }
 
 func (e *entry) change(kind ChangeKind, now time.Duration) Change {
-	return Change{Kind: kind, Life: e.incarnation, Asked: e.requestedUntil - e.pausedAt, Left: max(0, e.until-now), Request: e.requestID, Answers: e.responses}
+	return Change{Kind: kind, Incarnation: e.incarnation, Requested: e.requestedUntil - e.pausedAt, Remaining: max(0, e.until-now), RequestID: e.requestID, Responses: e.responses}
 }
 
 // recordRun records that an instance ran a request. Each request that was written after the pause
@@ -252,42 +252,42 @@
 		return Change{}
 	}
 	known.allowedTrials *= 2
-	if known.allowedTrials < t.policy.FullTrials {
+	if known.allowedTrials < t.policy.RecoveredTrials {
 		return Change{}
 	}
 	t.drop(incarnation)
-	return known.change(Back, now)
+	return known.change(Recovered, now)
 }
 
-// Standing returns the pause state of an incarnation.
-func (t *Tracker) Standing(now time.Duration, incarnation registry.Life) Standing {
+// Status returns the pause state of an incarnation.
+func (t *Tracker) Status(now time.Duration, incarnation registry.Life) Status {
 	if !t.Any() {
-		return Standing{}
+		return Status{}
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	known := t.entries[incarnation]
 	if known == nil {
-		return Standing{}
+		return Status{}
 	}
-	return known.status(now, t.policy.LongestTrials)
+	return known.status(now, t.policy.MaximumTrialTime)
 }
 
-func (e *entry) status(now, maximumTrials time.Duration) Standing {
+func (e *entry) status(now, maximumTrials time.Duration) Status {
 	switch {
 	case e.isLeaving:
-		return Standing{Phase: Leaving}
+		return Status{Phase: Leaving}
 	case now < e.until:
-		return Standing{Phase: Paused, Wait: e.until - now}
+		return Status{Phase: Paused, Wait: e.until - now}
 	case now >= e.until+maximumTrials:
-		return Standing{}
+		return Status{}
 	}
-	return Standing{Phase: Returning, HasTrial: e.trials < e.allowedTrials}
+	return Status{Phase: Recovering, HasTrial: e.trials < e.allowedTrials}
 }
 
 // IsLeaving reports whether an instance has announced that it is leaving.
 func (t *Tracker) IsLeaving(incarnation registry.Life) bool {
-	return t.Standing(0, incarnation).Phase == Leaving
+	return t.Status(0, incarnation).Phase == Leaving
 }
 
 // Any reports whether any instance is not Open.
@@ -336,9 +336,9 @@
 	}
 }
 
-// Look returns the pauses that have expired since the last call and drops the instances that
+// TakeEnded returns the pauses that have expired since the last call and drops the instances that
 // count as recovered by the time since then.
-func (t *Tracker) Look(now time.Duration) []Change {
+func (t *Tracker) TakeEnded(now time.Duration) []Change {
 	if !t.Any() {
 		return nil
 	}
@@ -353,7 +353,7 @@
 			known.isEndReported = true
 			changes = append(changes, known.change(Ended, now))
 		}
-		if !known.isLeaving && now >= known.until+t.policy.LongestTrials {
+		if !known.isLeaving && now >= known.until+t.policy.MaximumTrialTime {
 			t.drop(incarnation)
 		}
 	}
@@ -391,13 +391,13 @@
 
 // Listed is an instance that is not Open, as it is shown to operators.
 type Listed struct {
-	Life     registry.Life
-	Standing Standing
-	// Asked is the length of the latest pause, Request the ID of the request whose response
+	Incarnation registry.Life
+	Status      Status
+	// Requested is the length of the latest pause, Request the ID of the request whose response
 	// began it, and Answers the number of responses that requested it.
-	Asked   time.Duration
-	Request string
-	Answers int
+	Requested time.Duration
+	RequestID string
+	Responses int
 }
 
 // List returns the instances that are not Open, those with the longest remaining pause first.
@@ -406,10 +406,10 @@
 	defer t.mutex.Unlock()
 	listed := make([]Listed, 0, len(t.entries))
 	for incarnation, known := range t.entries {
-		listed = append(listed, Listed{Life: incarnation, Standing: known.status(now, t.policy.LongestTrials), Asked: known.requestedUntil - known.pausedAt, Request: known.requestID, Answers: known.responses})
+		listed = append(listed, Listed{Incarnation: incarnation, Status: known.status(now, t.policy.MaximumTrialTime), Requested: known.requestedUntil - known.pausedAt, RequestID: known.requestID, Responses: known.responses})
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
-		return cmp.Or(cmp.Compare(other.Standing.Wait, one.Standing.Wait), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.Born, other.Life.Born))
+		return cmp.Or(cmp.Compare(other.Status.Wait, one.Status.Wait), cmp.Compare(one.Incarnation.ID, other.Incarnation.ID), cmp.Compare(one.Incarnation.Born, other.Incarnation.Born))
 	})
 	return listed
 }
--- a/internal/coordination/backoff/tracker_test.go
+++ b/internal/coordination/backoff/tracker_test.go
@@ -13,11 +13,11 @@
 var incarnation = registry.Life{ID: "i-1", Born: 1000}
 
 // exactEnd ends pauses exactly at their requested end.
-var exactEnd = ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
+var exactEnd = RecoveryPolicy{InitialTrials: 1, RecoveredTrials: 4, MaximumTrialTime: time.Minute}
 
 // learn calls Learn with a response that follows its request immediately, and returns the
 // first change.
-func learn(tracker *Tracker, now time.Duration, incarnation registry.Life, request string, signal Said) Change {
+func learn(tracker *Tracker, now time.Duration, incarnation registry.Life, request string, signal Signal) Change {
 	changes := tracker.Learn(now, incarnation, Request{ID: request, WrittenAt: now}, signal)
 	if len(changes) == 0 {
 		return Change{}
@@ -25,30 +25,32 @@
 	return changes[0]
 }
 
-func pauseOf(seconds float64) Said { return Said{Pause: time.Duration(seconds * float64(time.Second))} }
+func pauseOf(seconds float64) Signal {
+	return Signal{Pause: time.Duration(seconds * float64(time.Second))}
+}
 
 func TestNoResponseShortensAPause(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	assert.Equal(t, learn(tracker, 10*time.Second, incarnation, "r1", pauseOf(3)).Kind, Began)
-	for _, signal := range []Said{pauseOf(0.5), {}, {HasRun: true}, ReadPause([]string{"soon"}), ReadPause([]string{"0"})} {
+	for _, signal := range []Signal{pauseOf(0.5), {}, {HasRun: true}, ReadPause([]string{"soon"}), ReadPause([]string{"0"})} {
 		learn(tracker, 11*time.Second, incarnation, "r2", signal)
-		assert.DeepEqual(t, tracker.Standing(11*time.Second, incarnation), Standing{Phase: Paused, Wait: 2 * time.Second})
+		assert.DeepEqual(t, tracker.Status(11*time.Second, incarnation), Status{Phase: Paused, Wait: 2 * time.Second})
 	}
 	change := learn(tracker, 12*time.Second, incarnation, "r3", pauseOf(3))
-	assert.DeepEqual(t, change, Change{Kind: Extended, Life: incarnation, Asked: 5 * time.Second, Left: 3 * time.Second, Request: "r1", Answers: 3})
-	assert.Equal(t, tracker.Standing(15*time.Second-1, incarnation).Phase, Paused)
-	assert.Equal(t, tracker.Standing(15*time.Second, incarnation).Phase, Returning)
+	assert.DeepEqual(t, change, Change{Kind: Extended, Incarnation: incarnation, Requested: 5 * time.Second, Remaining: 3 * time.Second, RequestID: "r1", Responses: 3})
+	assert.Equal(t, tracker.Status(15*time.Second-1, incarnation).Phase, Paused)
+	assert.Equal(t, tracker.Status(15*time.Second, incarnation).Phase, Recovering)
 }
 
 func TestPauseAppliesOnlyToTheIncarnationThatRequestedIt(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, incarnation, "r1", pauseOf(3))
 	newer := registry.Life{ID: incarnation.ID, Born: 2000}
-	assert.Equal(t, tracker.Standing(time.Second, newer).Phase, Open)
+	assert.Equal(t, tracker.Status(time.Second, newer).Phase, Open)
 	learn(tracker, time.Second, newer, "r2", pauseOf(1))
 	tracker.Forget(incarnation)
-	assert.Equal(t, tracker.Standing(time.Second, newer).Phase, Paused)
-	assert.Equal(t, tracker.Standing(time.Second, incarnation).Phase, Open)
+	assert.Equal(t, tracker.Status(time.Second, newer).Phase, Paused)
+	assert.Equal(t, tracker.Status(time.Second, incarnation).Phase, Open)
 }
 
 func TestInstanceRecoversOnceRequestsRanAfterItsPause(t *testing.T) {
@@ -56,19 +58,19 @@
 	learn(tracker, 0, incarnation, "r1", pauseOf(3))
 	assert.Assert(t, !tracker.BeginTrial(time.Second, incarnation), "a request chosen during the pause is no trial")
 	now := 4 * time.Second
-	for allowed := 1; allowed < exactEnd.FullTrials; allowed *= 2 {
+	for allowed := 1; allowed < exactEnd.RecoveredTrials; allowed *= 2 {
 		for range allowed {
-			assert.Assert(t, tracker.Standing(now, incarnation).HasTrial)
+			assert.Assert(t, tracker.Status(now, incarnation).HasTrial)
 			assert.Assert(t, tracker.BeginTrial(now, incarnation))
 		}
-		assert.Assert(t, !tracker.Standing(now, incarnation).HasTrial, "%d trials in flight", allowed)
+		assert.Assert(t, !tracker.Status(now, incarnation).HasTrial, "%d trials in flight", allowed)
 		for range allowed {
 			tracker.EndTrial(incarnation)
 		}
-		kind := learn(tracker, now, incarnation, "r2", Said{HasRun: true}).Kind
-		assert.Equal(t, kind == Back, 2*allowed == exactEnd.FullTrials, "%s after %d", kind, allowed)
+		kind := learn(tracker, now, incarnation, "r2", Signal{HasRun: true}).Kind
+		assert.Equal(t, kind == Recovered, 2*allowed == exactEnd.RecoveredTrials, "%s after %d", kind, allowed)
 	}
-	assert.Equal(t, tracker.Standing(now, incarnation).Phase, Open)
+	assert.Equal(t, tracker.Status(now, incarnation).Phase, Open)
 	assert.Equal(t, tracker.Count(), int64(0))
 }
 
@@ -77,34 +79,34 @@
 func TestRequestsWrittenBeforeTheEndOfAPauseDoNotCountAsTrials(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, time.Second, incarnation, "r1", pauseOf(3))
-	for range exactEnd.FullTrials {
-		tracker.Learn(5*time.Second, incarnation, Request{ID: "r0", WrittenAt: time.Second / 2}, Said{HasRun: true})
+	for range exactEnd.RecoveredTrials {
+		tracker.Learn(5*time.Second, incarnation, Request{ID: "r0", WrittenAt: time.Second / 2}, Signal{HasRun: true})
 	}
-	assert.Equal(t, tracker.Standing(5*time.Second, incarnation).Phase, Returning)
+	assert.Equal(t, tracker.Status(5*time.Second, incarnation).Phase, Recovering)
 	assert.Assert(t, tracker.BeginTrial(5*time.Second, incarnation))
-	assert.Assert(t, !tracker.Standing(5*time.Second, incarnation).HasTrial, "one trial at a time")
+	assert.Assert(t, !tracker.Status(5*time.Second, incarnation).HasTrial, "one trial at a time")
 }
 
 func TestSecondPauseRestartsTheTrials(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, incarnation, "r1", pauseOf(1))
 	tracker.BeginTrial(2*time.Second, incarnation)
-	learn(tracker, 2*time.Second, incarnation, "r2", Said{HasRun: true})
-	assert.DeepEqual(t, learn(tracker, 2*time.Second, incarnation, "r3", pauseOf(1)), Change{Kind: Began, Life: incarnation, Asked: time.Second, Left: time.Second, Request: "r3", Answers: 1})
-	assert.Assert(t, !tracker.Standing(3*time.Second, incarnation).HasTrial, "the first trial is in flight")
+	learn(tracker, 2*time.Second, incarnation, "r2", Signal{HasRun: true})
+	assert.DeepEqual(t, learn(tracker, 2*time.Second, incarnation, "r3", pauseOf(1)), Change{Kind: Began, Incarnation: incarnation, Requested: time.Second, Remaining: time.Second, RequestID: "r3", Responses: 1})
+	assert.Assert(t, !tracker.Status(3*time.Second, incarnation).HasTrial, "the first trial is in flight")
 	tracker.EndTrial(incarnation)
-	assert.Assert(t, tracker.Standing(3*time.Second, incarnation).HasTrial)
+	assert.Assert(t, tracker.Status(3*time.Second, incarnation).HasTrial)
 }
 
 func TestEndOfAPauseIsReportedOnceAndTheEntryDroppedLater(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, incarnation, "r1", pauseOf(3))
-	assert.Equal(t, len(tracker.Look(2*time.Second)), 0)
-	changes := tracker.Look(3 * time.Second)
+	assert.Equal(t, len(tracker.TakeEnded(2*time.Second)), 0)
+	changes := tracker.TakeEnded(3 * time.Second)
 	assert.Equal(t, len(changes), 1)
 	assert.Equal(t, changes[0].Kind, Ended)
-	assert.Equal(t, len(tracker.Look(4*time.Second)), 0)
-	tracker.Look(3*time.Second + exactEnd.LongestTrials)
+	assert.Equal(t, len(tracker.TakeEnded(4*time.Second)), 0)
+	tracker.TakeEnded(3*time.Second + exactEnd.MaximumTrialTime)
 	assert.Equal(t, tracker.Count(), int64(0))
 }
 
@@ -127,15 +129,15 @@
 	learn(tracker, 0, other, "r2", pauseOf(1))
 	all := tracker.List(2 * time.Second)
 	assert.Equal(t, len(all), 2)
-	assert.DeepEqual(t, all[0], Listed{Life: incarnation, Standing: Standing{Phase: Paused, Wait: time.Second}, Asked: 3 * time.Second, Request: "r1", Answers: 1})
-	assert.DeepEqual(t, all[1].Standing, Standing{Phase: Returning, HasTrial: true})
+	assert.DeepEqual(t, all[0], Listed{Incarnation: incarnation, Status: Status{Phase: Paused, Wait: time.Second}, Requested: 3 * time.Second, RequestID: "r1", Responses: 1})
+	assert.DeepEqual(t, all[1].Status, Status{Phase: Recovering, HasTrial: true})
 }
 
 // Guards against pauses costing requests time while no instance requests any.
 func BenchmarkStandingWithoutPauses(b *testing.B) {
 	tracker := NewTracker(exactEnd)
 	for b.Loop() {
-		tracker.Standing(time.Second, incarnation)
+		tracker.Status(time.Second, incarnation)
 	}
 }
 
@@ -151,26 +153,26 @@
 	}
 	number := 0
 	for b.Loop() {
-		tracker.Standing(time.Second, incarnations[number%len(incarnations)])
+		tracker.Status(time.Second, incarnations[number%len(incarnations)])
 		number++
 	}
 }
 
 func TestLeavingLastsForTheRestOfTheIncarnation(t *testing.T) {
 	tracker := NewTracker(exactEnd)
-	assert.DeepEqual(t, learn(tracker, 0, incarnation, "r1", Said{IsLeaving: true, HasRun: true}), Change{Kind: Left, Life: incarnation, Request: "r1", Answers: 1})
-	for _, signal := range []Said{{HasRun: true}, {}, pauseOf(1), Said{}.WithLeaving([]string{"0"})} {
+	assert.DeepEqual(t, learn(tracker, 0, incarnation, "r1", Signal{IsLeaving: true, HasRun: true}), Change{Kind: AnnouncedLeaving, Incarnation: incarnation, RequestID: "r1", Responses: 1})
+	for _, signal := range []Signal{{HasRun: true}, {}, pauseOf(1), Signal{}.WithLeaving([]string{"0"})} {
 		learn(tracker, time.Second, incarnation, "r2", signal)
-		assert.Equal(t, tracker.Standing(time.Hour, incarnation).Phase, Leaving)
+		assert.Equal(t, tracker.Status(time.Hour, incarnation).Phase, Leaving)
 	}
-	assert.Assert(t, !tracker.Standing(time.Hour, registry.Life{ID: incarnation.ID, Born: 2000}).HasTrial)
-	assert.Equal(t, tracker.Standing(time.Hour, registry.Life{ID: incarnation.ID, Born: 2000}).Phase, Open)
+	assert.Assert(t, !tracker.Status(time.Hour, registry.Life{ID: incarnation.ID, Born: 2000}).HasTrial)
+	assert.Equal(t, tracker.Status(time.Hour, registry.Life{ID: incarnation.ID, Born: 2000}).Phase, Open)
 }
 
 // Guards against a delayed update that lists an instance again after it has left, and against
 // entries that are kept for ever: the longest pause is a day.
 func TestEntryIsKeptUntilTheInstanceHasBeenUnlistedForLong(t *testing.T) {
-	for _, signal := range []Said{{IsLeaving: true}, {Pause: MaximumPause}} {
+	for _, signal := range []Signal{{IsLeaving: true}, {Pause: MaximumPause}} {
 		tracker := NewTracker(exactEnd)
 		learn(tracker, 0, incarnation, "r1", signal)
 		tracker.Prune(time.Hour, func(registry.Life) bool { return true })
@@ -189,17 +191,17 @@
 	assert.Equal(t, changes[0].Kind, Unreadable)
 	assert.Equal(t, changes[1].Kind, Began)
 	changes = tracker.Learn(0, registry.Life{ID: "i-2"}, Request{ID: "r2"}, ReadPause([]string{"soon"}).WithLeaving([]string{"1"}))
-	assert.Equal(t, changes[1].Kind, Left)
+	assert.Equal(t, changes[1].Kind, AnnouncedLeaving)
 }
 
 func TestNodesResumeSpreadOverTimeAndNoneTooEarly(t *testing.T) {
 	for requested, longest := range map[time.Duration]time.Duration{time.Second: 1250 * time.Millisecond, time.Minute: 62 * time.Second} {
 		earliest, latest := time.Hour, time.Duration(0)
 		for range 1000 {
-			tracker := NewTracker(DefaultReturn)
-			change := learn(tracker, 0, incarnation, "r1", Said{Pause: requested})
-			assert.Equal(t, change.Asked, requested)
-			earliest, latest = min(earliest, change.Left), max(latest, change.Left)
+			tracker := NewTracker(DefaultRecovery)
+			change := learn(tracker, 0, incarnation, "r1", Signal{Pause: requested})
+			assert.Equal(t, change.Requested, requested)
+			earliest, latest = min(earliest, change.Remaining), max(latest, change.Remaining)
 		}
 		assert.Assert(t, earliest >= requested && latest <= longest, "%s to %s", earliest, latest)
 		assert.Assert(t, latest-earliest > (longest-requested)/2, "%s to %s", earliest, latest)
@@ -209,8 +211,8 @@
 func TestInstanceWithoutRequestsCountsAsRecoveredAfterTheLongestTrialTime(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, incarnation, "r1", pauseOf(3))
-	assert.Equal(t, tracker.Standing(3*time.Second+exactEnd.LongestTrials-1, incarnation).Phase, Returning)
-	assert.Equal(t, tracker.Standing(3*time.Second+exactEnd.LongestTrials, incarnation).Phase, Open)
+	assert.Equal(t, tracker.Status(3*time.Second+exactEnd.MaximumTrialTime-1, incarnation).Phase, Recovering)
+	assert.Equal(t, tracker.Status(3*time.Second+exactEnd.MaximumTrialTime, incarnation).Phase, Open)
 }
 
 // BenchmarkPauseRequestsOfAThird has a third of 10,000 instances request a pause, and looks for
@@ -222,10 +224,10 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		tracker := NewTracker(DefaultReturn)
+		tracker := NewTracker(DefaultRecovery)
 		for _, one := range incarnations {
 			tracker.Learn(0, one, Request{ID: "r"}, pauseOf(3))
 		}
-		tracker.Look(time.Second)
+		tracker.TakeEnded(time.Second)
 	}
 }
--- a/internal/coordination/balance/backoff.go
+++ b/internal/coordination/balance/backoff.go
@@ -33,8 +33,8 @@
 // isTried tells whether an instance that may be on its way back from a pause counts as
 // healthy for a request: few at a time show whether it takes work, and none that could not
 // go on to another instance.
-func isTried(standing backoff.Standing, request Request) bool {
-	return standing.Phase != backoff.Returning || standing.HasTrial && !request.IsLastAttempt
+func isTried(standing backoff.Status, request Request) bool {
+	return standing.Phase != backoff.Recovering || standing.HasTrial && !request.IsLastAttempt
 }
 
 // Admit tells whether a request may still be written to a chosen instance: it may have
@@ -42,12 +42,12 @@
 func (t *Table) Admit(now time.Duration, choice Choice) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	switch standing := t.backoff.Standing(now, choice.Life()); standing.Phase {
+	switch standing := t.backoff.Status(now, choice.Life()); standing.Phase {
 	case backoff.Paused:
 		return fmt.Errorf("%w, %d ms of it are left", ErrPaused, standing.Wait.Milliseconds())
 	case backoff.Leaving:
 		return ErrLeaving
-	case backoff.Open, backoff.Returning:
+	case backoff.Open, backoff.Recovering:
 	}
 	known := t.member(choice.Life())
 	if known == nil || !known.isOffered || t.evacuated.Contains(known.Zone) || t.isRolledBack(known) {
@@ -80,9 +80,9 @@
 		if !t.isAllowed(one, request) || t.isRolledBack(one) {
 			continue
 		}
-		room, hasLimit := t.limits.Room(now, one.Life())
+		room, hasLimit := t.limits.Headroom(now, one.Life())
 		isLimited := hasLimit && room.Wait > request.PermitPatience && !slices.Contains(request.Exclude, one.ID)
-		standing := t.backoff.Standing(now, one.Life())
+		standing := t.backoff.Status(now, one.Life())
 		if standing.Phase == backoff.Leaving {
 			continue
 		}
@@ -92,7 +92,7 @@
 			continue
 		}
 		if isLimited {
-			found.PerSecond += max(room.PerSecond, ratelimit.LeastRate)
+			found.PerSecond += max(room.PerSecond, ratelimit.MinimumRate)
 		}
 		wait := max(standing.Wait, room.Wait)
 		if isFirst || wait < found.Wait {
--- a/internal/coordination/balance/backoff_test.go
+++ b/internal/coordination/balance/backoff_test.go
@@ -14,7 +14,7 @@
 )
 
 // exactEnd ends pauses when they were asked to end.
-var exactEnd = backoff.ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
+var exactEnd = backoff.RecoveryPolicy{InitialTrials: 1, RecoveredTrials: 4, MaximumTrialTime: time.Minute}
 
 // pausedTable has some ready instances of the service s, of which a tracker knows pauses.
 func pausedTable(ids ...string) (*Table, *backoff.Tracker) {
@@ -29,7 +29,7 @@
 }
 
 func pauseInstance(tracker *backoff.Tracker, id string, now, lasting time.Duration) {
-	tracker.Learn(now, registry.Life{ID: id}, backoff.Request{ID: "r", WrittenAt: now}, backoff.Said{Pause: lasting})
+	tracker.Learn(now, registry.Life{ID: id}, backoff.Request{ID: "r", WrittenAt: now}, backoff.Signal{Pause: lasting})
 }
 
 func TestPausedInstanceIsNotChosenWhateverElseIsLeft(t *testing.T) {
@@ -112,8 +112,8 @@
 	table.SetLimits(limits)
 	pauseInstance(tracker, "i-0", 0, 5*time.Second)
 	limited := registry.Life{ID: "i-1"}
-	limits.Learn(0, limited, ratelimit.Said{IsNamed: true, PerSecond: 0.5}, 0)
-	limits.Answered(0, limited, ratelimit.Answer{FreeMS: 2000})
+	limits.Learn(0, limited, ratelimit.Signal{IsNamed: true, PerSecond: 0.5}, 0)
+	limits.RecordResponse(0, limited, ratelimit.PermitResponse{FreeMS: 2000})
 	back, found := table.NextAvailable(0, Request{Service: "s"})
 	assert.Assert(t, found)
 	assert.Equal(t, back.IsPause, false)
@@ -125,7 +125,7 @@
 func TestLeavingInstanceIsNotChosenWhateverTheRegistrySays(t *testing.T) {
 	table, tracker := pausedTable("i-0", "i-1")
 	choice, _ := table.Choose(0, Request{Service: "s", Exclude: []string{"i-1"}})
-	tracker.Learn(0, registry.Life{ID: "i-0"}, backoff.Request{ID: "r"}, backoff.Said{IsLeaving: true})
+	tracker.Learn(0, registry.Life{ID: "i-0"}, backoff.Request{ID: "r"}, backoff.Signal{IsLeaving: true})
 	assert.ErrorIs(t, table.Admit(0, choice), ErrLeaving)
 	assert.Assert(t, table.IsLeaving(registry.Life{ID: "i-0"}), "its end is nobody's fault")
 	table.Apply([]registry.Instance{{ID: "i-0", Service: "s", Zone: "a", State: registry.Ready, Slots: 4, Sequence: 9}})
--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -177,7 +177,7 @@
 		if !isAmong(one) || !t.mayServe(one, request) || request.MaxInFlight > 0 && one.inFlight >= request.MaxInFlight || !t.bears(now, one, request.Cold) {
 			continue
 		}
-		standing := t.backoff.Standing(now, one.Life())
+		standing := t.backoff.Status(now, one.Life())
 		if standing.Phase == backoff.Paused || standing.Phase == backoff.Leaving {
 			continue
 		}
--- a/internal/coordination/balance/greetings.go
+++ b/internal/coordination/balance/greetings.go
@@ -50,7 +50,7 @@
 }
 
 // step returns the question of this node, and its answers to others.
-func (g *greetings) step(now time.Duration, inForce func() []ratelimit.Word) []OutgoingReport {
+func (g *greetings) step(now time.Duration, inForce func() []ratelimit.Update) []OutgoingReport {
 	var reports []OutgoingReport
 	if g.asks > 0 && g.greeter != "" {
 		g.asks--
@@ -67,6 +67,6 @@
 	return reports
 }
 
-func (g *greetings) report(to string, scope LoadScope, words []ratelimit.Word) OutgoingReport {
+func (g *greetings) report(to string, scope LoadScope, words []ratelimit.Update) OutgoingReport {
 	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: g.self.Zone, Limits: words}}
 }
--- a/internal/coordination/balance/greetings_test.go
+++ b/internal/coordination/balance/greetings_test.go
@@ -20,8 +20,8 @@
 func (f *limitsFleet) round(now time.Duration) {
 	for address, exchange := range f.exchanges {
 		limits := f.limits[address]
-		reports, known := exchange.Step(now, nil, News{Limits: limits.TakeNews()}, limits.InForce)
-		limits.Hear(now, known.Limits)
+		reports, known := exchange.Step(now, nil, News{Limits: limits.TakeUpdates()}, limits.ActiveUpdates)
+		limits.Receive(now, known.Limits)
 		for _, one := range reports {
 			f.exchanges[one.To].Take(now, address, one.Report)
 		}
@@ -56,7 +56,7 @@
 				fleet.start(node, all)
 			}
 			now := time.Minute
-			fleet.limits[all[0].Address].Learn(now, engine, ratelimit.Said{IsNamed: true, PerSecond: 2}, now)
+			fleet.limits[all[0].Address].Learn(now, engine, ratelimit.Signal{IsNamed: true, PerSecond: 2}, now)
 			for range 4 {
 				now += testInterval
 				fleet.round(now)
--- a/internal/coordination/balance/limited.go
+++ b/internal/coordination/balance/limited.go
@@ -25,7 +25,7 @@
 // the request can't have a permit within its patience.
 func (t *Table) weighPermit(now time.Duration, one *member, patience time.Duration) (isLimited bool) {
 	one.permitTokens = 0
-	room, hasLimit := t.limits.Room(now, one.Life())
+	room, hasLimit := t.limits.Headroom(now, one.Life())
 	if !hasLimit {
 		return false
 	}
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -122,7 +122,7 @@
 	AgeMS uint64 `msgpack:"y,omitempty"`
 	// Limits are the instances' limits that have begun, changed or ended since the report
 	// before.
-	Limits []ratelimit.Word `msgpack:"m,omitempty"`
+	Limits []ratelimit.Update `msgpack:"m,omitempty"`
 }
 
 // News is what happens once and is told once, beside the loads.
@@ -130,7 +130,7 @@
 	// Parts are the prompt parts sent elsewhere than to their homes.
 	Parts []HeldPart
 	// Limits are the instances' limits that have begun, changed or ended.
-	Limits []ratelimit.Word
+	Limits []ratelimit.Update
 }
 
 func (n *News) add(other News) {
@@ -243,7 +243,7 @@
 // Step returns the reports that are due, and what is known of all other nodes.
 // happened is this node's own news since the last step, inForce tells the limits for a
 // node that has just started.
-func (e *LoadExchange) Step(now time.Duration, own Loads, happened News, inForce func() []ratelimit.Word) ([]OutgoingReport, Known) {
+func (e *LoadExchange) Step(now time.Duration, own Loads, happened News, inForce func() []ratelimit.Update) ([]OutgoingReport, Known) {
 	reports, known := e.step(now, own, happened)
 	return append(reports, e.greetings.step(now, inForce)...), known
 }
@@ -269,7 +269,7 @@
 // encodedNews is news as a report carries it.
 type encodedNews struct {
 	parts  []byte
-	limits []ratelimit.Word
+	limits []ratelimit.Update
 }
 
 func encodeNews(now time.Duration, news News) encodedNews {
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func noLimits() []ratelimit.Word { return nil }
+func noLimits() []ratelimit.Update { return nil }
 
 // runRound lets each node report once; it returns what each knows of the others.
 func runRound(now time.Duration, exchanges map[string]*LoadExchange, own map[string]Loads) (map[string]Loads, int) {
--- a/internal/coordination/delay/delay.go
+++ b/internal/coordination/delay/delay.go
@@ -19,10 +19,10 @@
 	minimumDifference time.Duration
 }
 
-// Note records the arrival of a message and its sender's age. A lower age than before means a new
+// Record records the arrival of a message and its sender's age. A lower age than before means a new
 // incarnation of the sender. A sender without an age, which is 0 as from nodes of earlier
 // versions, is not measured.
-func (m *Meter) Note(at, age time.Duration) {
+func (m *Meter) Record(at, age time.Duration) {
 	if age <= 0 {
 		return
 	}
--- a/internal/coordination/delay/delay_test.go
+++ b/internal/coordination/delay/delay_test.go
@@ -12,7 +12,7 @@
 func TestDelayIsMeasuredAgainstTheFastestMessage(t *testing.T) {
 	var meter Meter
 	delayOf := func(at, age time.Duration) time.Duration {
-		meter.Note(at, age)
+		meter.Record(at, age)
 		return meter.Delay()
 	}
 	assert.Equal(t, delayOf(5*time.Second, time.Second), time.Duration(0))
@@ -27,8 +27,8 @@
 
 func TestSenderWithoutAnAgeIsNotMeasured(t *testing.T) {
 	var meter Meter
-	meter.Note(time.Second, 0)
-	meter.Note(9*time.Second, 0)
+	meter.Record(time.Second, 0)
+	meter.Record(9*time.Second, 0)
 	assert.Equal(t, meter.Delay(), time.Duration(0))
 	assert.Assert(t, !meter.IsFresh(9*time.Second, time.Second))
 }
--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -18,9 +18,9 @@
 // follower returns a follower with version 1 to which all nodes announced version 2 at time 0.
 func follower() *Follower {
 	created := NewFollower("a")
-	created.Took(0, 1)
+	created.RecordApplied(0, 1)
 	for _, node := range allControls {
-		created.Heard(0, node, 2)
+		created.RecordAnnouncement(0, node, 2)
 	}
 	return created
 }
@@ -30,7 +30,7 @@
 	address, wait := f.Next(0)
 	assert.Equal(t, address, "")
 	assert.Equal(t, wait, deliveryWait)
-	f.Took(100*time.Millisecond, 2)
+	f.RecordApplied(100*time.Millisecond, 2)
 	address, wait = f.Next(time.Second)
 	assert.Equal(t, address, "")
 	assert.Equal(t, wait, time.Duration(0))
@@ -51,7 +51,7 @@
 
 func TestNodeWithoutAVersionRequestsItImmediately(t *testing.T) {
 	f := NewFollower("a")
-	f.Heard(time.Second, remote, 7)
+	f.RecordAnnouncement(time.Second, remote, 7)
 	address, _ := f.Next(time.Second)
 	assert.Equal(t, address, "far")
 }
@@ -61,15 +61,15 @@
 	address, wait := f.Next(maximumAnnouncementAge + time.Millisecond)
 	assert.Equal(t, address, "")
 	assert.Equal(t, wait, time.Duration(0))
-	f.Heard(4*time.Second, remote, 2)
+	f.RecordAnnouncement(4*time.Second, remote, 2)
 	address, _ = f.Next(4 * time.Second)
 	assert.Equal(t, address, "far")
 }
 
 func TestVersionOfALaggingNodeDoesNotEndTheRequests(t *testing.T) {
 	f := follower()
-	f.Heard(0, remote, 3)
-	f.Took(100*time.Millisecond, 2)
+	f.RecordAnnouncement(0, remote, 3)
+	f.RecordApplied(100*time.Millisecond, 2)
 	address, _ := f.Next(100*time.Millisecond + deliveryWait)
 	assert.Equal(t, address, "far")
 }
@@ -90,52 +90,52 @@
 
 func TestVersionIsSentAgainOnlyWhenOverdue(t *testing.T) {
 	p := NewPublisher()
-	due := func(now time.Duration) bool { return p.Due(now, "e", 2, 1000) }
-	p.Has("e", "life", 1)
+	due := func(now time.Duration) bool { return p.TakeDue(now, "e", 2, 1000) }
+	p.RecordVersion("e", "life", 1)
 	assert.Assert(t, due(0))
 	assert.Assert(t, !due(initialResendInterval-time.Millisecond))
 	assert.Assert(t, due(initialResendInterval))
 	assert.Assert(t, !due(2*initialResendInterval))
 	assert.Assert(t, due(3*initialResendInterval))
-	p.Has("e", "life", 2)
+	p.RecordVersion("e", "life", 2)
 	assert.Assert(t, !due(time.Hour))
 }
 
 func TestSuccessiveSmallVersionsAreSentUpToTheUnconfirmedBound(t *testing.T) {
 	p := NewPublisher()
-	p.Has("e", "life", 1)
+	p.RecordVersion("e", "life", 1)
 	sent := 0
 	for version := uint64(2); version < 50; version++ {
-		if p.Due(0, "e", version, maximumUnconfirmed/4) {
+		if p.TakeDue(0, "e", version, maximumUnconfirmed/4) {
 			sent++
 		}
 	}
 	assert.Equal(t, sent, 4)
 	// The newest version is sent as soon as the bound on unconfirmed bytes allows it.
-	p.Has("e", "life", 5)
-	assert.Assert(t, p.Due(0, "e", 49, maximumUnconfirmed/4))
-	p.Has("e", "life", 49)
-	assert.Assert(t, !p.Due(time.Hour, "e", 49, maximumUnconfirmed/4))
+	p.RecordVersion("e", "life", 5)
+	assert.Assert(t, p.TakeDue(0, "e", 49, maximumUnconfirmed/4))
+	p.RecordVersion("e", "life", 49)
+	assert.Assert(t, !p.TakeDue(time.Hour, "e", 49, maximumUnconfirmed/4))
 }
 
 func TestLargeDocumentIsInFlightOnceAtATime(t *testing.T) {
 	p := NewPublisher()
-	p.Has("e", "life", 1)
-	assert.Assert(t, p.Due(0, "e", 2, 10*maximumUnconfirmed))
-	assert.Assert(t, !p.Due(100*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
-	p.Has("e", "life", 2)
-	assert.Assert(t, p.Due(200*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
+	p.RecordVersion("e", "life", 1)
+	assert.Assert(t, p.TakeDue(0, "e", 2, 10*maximumUnconfirmed))
+	assert.Assert(t, !p.TakeDue(100*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
+	p.RecordVersion("e", "life", 2)
+	assert.Assert(t, p.TakeDue(200*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
 }
 
 func TestNewIncarnationOfANodeHasNoVersion(t *testing.T) {
 	p := NewPublisher()
-	p.Has("e", "one", 2)
-	assert.Assert(t, !p.Due(0, "e", 2, 10))
-	p.Has("e", "two", 0)
-	assert.Assert(t, p.Due(0, "e", 2, 10))
+	p.RecordVersion("e", "one", 2)
+	assert.Assert(t, !p.TakeDue(0, "e", 2, 10))
+	p.RecordVersion("e", "two", 0)
+	assert.Assert(t, p.TakeDue(0, "e", 2, 10))
 	// A confirmation carries no incarnation.
-	p.Has("e", "", 2)
-	assert.Assert(t, !p.Due(time.Hour, "e", 2, 10))
+	p.RecordVersion("e", "", 2)
+	assert.Assert(t, !p.TakeDue(time.Hour, "e", 2, 10))
 	p.Forget("e")
-	assert.Assert(t, !p.Due(time.Hour, "e", 2, 10))
+	assert.Assert(t, !p.TakeDue(time.Hour, "e", 2, 10))
 }
--- a/internal/coordination/follow/follower.go
+++ b/internal/coordination/follow/follower.go
@@ -46,11 +46,11 @@
 // NewFollower returns the follower of a node in a zone that has no version yet.
 func NewFollower(zone string) *Follower { return &Follower{zone: zone, sources: map[string]*source{}} }
 
-// Asks returns the number of requests since a version was last applied.
-func (f *Follower) Asks() int { return f.requestCount }
+// RequestCount returns the number of requests since a version was last applied.
+func (f *Follower) RequestCount() int { return f.requestCount }
 
-// Heard records the version that a node announces.
-func (f *Follower) Heard(now time.Duration, from Node, version uint64) {
+// RecordAnnouncement records the version that a node announces.
+func (f *Follower) RecordAnnouncement(now time.Duration, from Node, version uint64) {
 	known := f.sources[from.Address]
 	if known == nil {
 		known = &source{}
@@ -62,8 +62,8 @@
 	}
 }
 
-// Took records that a version is in effect here.
-func (f *Follower) Took(now time.Duration, version uint64) {
+// RecordApplied records that a version is in effect here.
+func (f *Follower) RecordApplied(now time.Duration, version uint64) {
 	if version <= f.ownVersion {
 		return
 	}
--- a/internal/coordination/follow/publisher.go
+++ b/internal/coordination/follow/publisher.go
@@ -94,9 +94,9 @@
 // NewPublisher returns a publisher without followers.
 func NewPublisher() *Publisher { return &Publisher{followers: map[string]*followerState{}} }
 
-// Has records the version that an entry node reported to have. With an empty incarnation the known
+// RecordVersion records the version that an entry node reported to have. With an empty incarnation the known
 // one stays.
-func (p *Publisher) Has(address, incarnation string, version uint64) {
+func (p *Publisher) RecordVersion(address, incarnation string, version uint64) {
 	state := p.followers[address]
 	if state == nil || incarnation != "" && state.incarnation != incarnation {
 		state = &followerState{incarnation: incarnation}
@@ -108,9 +108,9 @@
 	}
 }
 
-// Due reports whether the version in effect, with a size in bytes, is to be sent to an entry
+// TakeDue reports whether the version in effect, with a size in bytes, is to be sent to an entry
 // node now. If so it records the version as sent.
-func (p *Publisher) Due(now time.Duration, address string, version uint64, size int) bool {
+func (p *Publisher) TakeDue(now time.Duration, address string, version uint64, size int) bool {
 	state := p.followers[address]
 	if state == nil || state.confirmed >= version {
 		return false
--- a/internal/coordination/overload/gate.go
+++ b/internal/coordination/overload/gate.go
@@ -176,9 +176,9 @@
 	return heaviest
 }
 
-// LetsIn records a caller's request with a body of bodyBytes and reports whether it is admitted.
+// Admits records a caller's request with a body of bodyBytes and reports whether it is admitted.
 // A request with mustServe is always admitted.
-func (g *Gate) LetsIn(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
+func (g *Gate) Admits(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
 	known := g.callers[caller]
 	if known == nil {
 		known = &callerRate{creditedAt: now}
--- a/internal/coordination/overload/gate_test.go
+++ b/internal/coordination/overload/gate_test.go
@@ -26,7 +26,7 @@
 		for caller, rate := range rates {
 			for due[caller] += rate * 0.005; due[caller] >= 1; due[caller]-- {
 				requested[caller]++
-				if n.gate.LetsIn(n.now, caller, body, false) {
+				if n.gate.Admits(n.now, caller, body, false) {
 					admitted[caller]++
 					n.read += body
 					admittedCount++
--- a/internal/coordination/quarantine/crashreport.go
+++ b/internal/coordination/quarantine/crashreport.go
@@ -37,29 +37,29 @@
 
 // Run is a run of a request that broke off at an engine.
 type Run struct {
-	// AnswerBegan reports whether the response had begun, and BeganFor how long ago.
-	AnswerBegan bool
-	BeganFor    time.Duration
-	// BeginsAtHead reports whether engines send the head of the response as they begin to run
+	// ResponseBegan reports whether the response had begun, and BeganFor how long ago.
+	ResponseBegan bool
+	ResponseAge   time.Duration
+	// RespondsAtStart reports whether engines send the head of the response as they begin to run
 	// the request, as they do with streams. For other requests they send it after the run.
-	BeginsAtHead bool
+	RespondsAtStart bool
 }
 
 // Suspicion returns the rank of the run.
 func (r Run) Suspicion() Suspicion {
 	switch {
-	case !r.AnswerBegan:
+	case !r.ResponseBegan:
 		return Possible
-	case r.BeginsAtHead && r.BeganFor <= freshRunAge:
+	case r.RespondsAtStart && r.ResponseAge <= freshRunAge:
 		return Likely
 	}
 	return Unlikely
 }
 
-// Evidence is a report of a run that was in flight at an engine when the engine crashed.
-type Evidence struct {
+// CrashReport is a report of a run that was in flight at an engine when the engine crashed.
+type CrashReport struct {
 	Fingerprint Fingerprint
-	Life        registry.Life
+	Incarnation registry.Life
 	Suspicion   Suspicion
 	// Route and Tenant are shown to operators.
 	Route, Tenant string
--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -14,8 +14,8 @@
 	// the request.
 	IsQuarantined bool
 	Counted       int
-	// Beside is the number of other requests that were in flight at its crashes.
-	Beside int
+	// OtherRequests is the number of other requests that were in flight at its crashes.
+	OtherRequests int
 }
 
 // IsDue reports whether Decide has anything to derive.
@@ -41,7 +41,7 @@
 			continue
 		}
 		verdicts = append(verdicts, Verdict{
-			Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted, Beside: found.countOthers(one),
+			Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted, OtherRequests: found.countOthers(one),
 		})
 	}
 	return verdicts
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -8,12 +8,12 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Standing is the quarantine status of a request.
-type Standing uint8
+// Status is the quarantine status of a request.
+type Status uint8
 
 const (
 	// Unknown: no crash is recorded against it.
-	Unknown Standing = iota
+	Unknown Status = iota
 	// Known: it was in flight when an engine crashed.
 	Known
 	// Suspected: it may have caused several crashes.
@@ -30,7 +30,7 @@
 
 type requestStatus struct {
 	Fingerprint
-	status Standing
+	status Status
 }
 
 // View returns the status of each request against which crashes are recorded.
@@ -44,7 +44,7 @@
 	return view
 }
 
-func (s *suspect) status() Standing {
+func (s *suspect) status() Status {
 	switch {
 	case s.isQuarantined:
 		return Quarantined
@@ -66,8 +66,8 @@
 	return FingerprintOf(request.Scope(), request.Body())
 }
 
-// Standing returns the status of a request.
-func (v *View) Standing(request Request) Standing {
+// Status returns the status of a request.
+func (v *View) Status(request Request) Status {
 	if v == nil || len(v.byScope) == 0 {
 		return Unknown
 	}
@@ -87,10 +87,10 @@
 
 // Sink receives the reports of the request paths. Its methods must not block.
 type Sink interface {
-	// EnginesEnded receives reports of runs that were in flight when an engine crashed.
-	EnginesEnded(reports []Evidence)
-	// RanToItsEnd receives a request that ran to completion, which clears it.
-	RanToItsEnd(fingerprint Fingerprint)
+	// EnginesCrashed receives reports of runs that were in flight when an engine crashed.
+	EnginesCrashed(reports []CrashReport)
+	// RequestCompleted receives a request that ran to completion, which clears it.
+	RequestCompleted(fingerprint Fingerprint)
 }
 
 // minimumCompleted is the minimum number of completed requests that a Guard remembers once so many
@@ -112,8 +112,8 @@
 // noSink drops all reports.
 type noSink struct{}
 
-func (noSink) EnginesEnded([]Evidence) {}
-func (noSink) RanToItsEnd(Fingerprint) {}
+func (noSink) EnginesCrashed([]CrashReport) {}
+func (noSink) RequestCompleted(Fingerprint) {}
 
 // NewGuard returns a guard without a view. With a nil sink it drops its reports.
 func NewGuard(sink Sink) *Guard {
@@ -126,8 +126,8 @@
 // SetView replaces the view in which requests are looked up.
 func (g *Guard) SetView(view *View) { g.view.Store(view) }
 
-// Standing returns the status of a request in the current view.
-func (g *Guard) Standing(request Request) Standing { return g.view.Load().Standing(request) }
+// Status returns the status of a request in the current view.
+func (g *Guard) Status(request Request) Status { return g.view.Load().Status(request) }
 
 // Completed records that a request ran to completion at an engine.
 func (g *Guard) Completed(request Request) {
@@ -138,8 +138,8 @@
 		g.completed, g.completedBefore = map[Fingerprint]struct{}{}, g.completed
 	}
 	g.mutex.Unlock()
-	if g.Standing(request) != Unknown {
-		g.sink.RanToItsEnd(fingerprint)
+	if g.Status(request) != Unknown {
+		g.sink.RequestCompleted(fingerprint)
 	}
 }
 
@@ -150,20 +150,20 @@
 	Route, Tenant string
 }
 
-// Ended reports the runs that were in flight at an engine that has certainly crashed. Those of a
+// ReportCrash reports the runs that were in flight at an engine that has certainly crashed. Those of a
 // request that recently ran to completion here are Excused: identical requests that many
 // callers send are in flight at the crashes of many engines.
-func (g *Guard) Ended(incarnation registry.Life, present []Present) {
-	reports := make([]Evidence, 0, len(present))
+func (g *Guard) ReportCrash(incarnation registry.Life, present []Present) {
+	reports := make([]CrashReport, 0, len(present))
 	for _, one := range present {
 		suspicion := one.Run.Suspicion()
 		if g.hasCompleted(one.Fingerprint) {
 			suspicion = Excused
 		}
-		reports = append(reports, Evidence{Fingerprint: one.Fingerprint, Life: incarnation, Suspicion: suspicion, Route: one.Route, Tenant: one.Tenant})
+		reports = append(reports, CrashReport{Fingerprint: one.Fingerprint, Incarnation: incarnation, Suspicion: suspicion, Route: one.Route, Tenant: one.Tenant})
 	}
 	if len(reports) > 0 {
-		g.sink.EnginesEnded(reports)
+		g.sink.EnginesCrashed(reports)
 	}
 }
 
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -36,27 +36,27 @@
 
 // Defaults of Options.
 const (
-	// DefaultMemory is how long crashes count: a request that crashes engines again and again
+	// DefaultRetention is how long crashes count: a request that crashes engines again and again
 	// costs one engine in that time, once it has been in quarantine.
-	DefaultMemory = 30 * time.Minute
-	// DefaultRequests bounds the recorded requests, at some 300 bytes each.
-	DefaultRequests = 1024
+	DefaultRetention = 30 * time.Minute
+	// DefaultMaximumRequests bounds the recorded requests, at some 300 bytes each.
+	DefaultMaximumRequests = 1024
 )
 
 // Options are the bounds of a Tracker.
 type Options struct {
-	// Memory is how long a crash counts; 0 means DefaultMemory.
-	Memory time.Duration
-	// Requests is the maximum number of recorded requests; 0 means DefaultRequests. Beyond it
+	// Retention is how long a crash counts; 0 means DefaultMemory.
+	Retention time.Duration
+	// MaximumRequests is the maximum number of recorded requests; 0 means DefaultRequests. Beyond it
 	// those with the fewest crashes are forgotten first, and of these the oldest. Quarantined
 	// requests are forgotten last.
-	Requests int
+	MaximumRequests int
 }
 
-// End is a crash of an engine at which a run of the request was in flight.
-type End struct {
-	Life      registry.Life `msgpack:"l"`
-	Suspicion Suspicion     `msgpack:"s"`
+// Crash is a crash of an engine at which a run of the request was in flight.
+type Crash struct {
+	Incarnation registry.Life `msgpack:"l"`
+	Suspicion   Suspicion     `msgpack:"s"`
 	// Age is the time from the crash to the sending of the record, in nanoseconds.
 	Age time.Duration `msgpack:"a"`
 }
@@ -66,10 +66,10 @@
 	Fingerprint Fingerprint `msgpack:"f"`
 	// Generation is the number of times the request was cleared. A record replaces those with a
 	// lower generation.
-	Generation uint32 `msgpack:"g"`
-	Route      string `msgpack:"r"`
-	Tenant     string `msgpack:"t"`
-	Ends       []End  `msgpack:"e"`
+	Generation uint32  `msgpack:"g"`
+	Route      string  `msgpack:"r"`
+	Tenant     string  `msgpack:"t"`
+	Crashes    []Crash `msgpack:"e"`
 }
 
 // suspect is a request that was in flight when some engine crashed.
@@ -114,21 +114,21 @@
 
 // NewTracker returns an empty tracker.
 func NewTracker(options Options) *Tracker {
-	options.Memory = cmp.Or(options.Memory, DefaultMemory)
-	options.Requests = cmp.Or(options.Requests, DefaultRequests)
+	options.Retention = cmp.Or(options.Retention, DefaultRetention)
+	options.MaximumRequests = cmp.Or(options.MaximumRequests, DefaultMaximumRequests)
 	return &Tracker{
 		options: options, suspects: map[Fingerprint]*suspect{}, pendingUpdates: map[Fingerprint]struct{}{}, sharedStates: map[Fingerprint]uint64{},
 	}
 }
 
 // Report records a crash report of this node.
-func (t *Tracker) Report(now time.Duration, report Evidence) {
+func (t *Tracker) Report(now time.Duration, report CrashReport) {
 	one := t.findOrAdd(report.Fingerprint, now, 1)
 	if one == nil {
 		return
 	}
 	one.route, one.tenant = report.Route, report.Tenant
-	if t.addCrash(one, End{Life: report.Life, Suspicion: report.Suspicion}, now) {
+	if t.addCrash(one, Crash{Incarnation: report.Incarnation, Suspicion: report.Suspicion}, now) {
 		t.pendingUpdates[report.Fingerprint] = struct{}{}
 	}
 }
@@ -157,10 +157,10 @@
 
 func (t *Tracker) merge(now time.Duration, record Record) {
 	known := t.suspects[record.Fingerprint]
-	if known != nil && record.Generation < known.generation || known == nil && record.Generation == 0 && len(record.Ends) == 0 {
+	if known != nil && record.Generation < known.generation || known == nil && record.Generation == 0 && len(record.Crashes) == 0 {
 		return
 	}
-	one := t.findOrAdd(record.Fingerprint, record.newest(now), len(record.Ends))
+	one := t.findOrAdd(record.Fingerprint, record.newest(now), len(record.Crashes))
 	if one == nil {
 		return
 	}
@@ -170,7 +170,7 @@
 		t.markOutdated()
 	}
 	one.route, one.tenant = cmp.Or(one.route, record.Route), cmp.Or(one.tenant, record.Tenant)
-	for _, received := range record.Ends {
+	for _, received := range record.Crashes {
 		if received.Suspicion >= Excused && received.Suspicion <= Likely {
 			t.addCrash(one, received, now-max(0, received.Age))
 		}
@@ -180,7 +180,7 @@
 // newest returns the time of the record's latest crash on the receiver's clock.
 func (r Record) newest(now time.Duration) time.Duration {
 	age := time.Duration(0)
-	for position, received := range r.Ends {
+	for position, received := range r.Crashes {
 		if position == 0 || received.Age < age {
 			age = received.Age
 		}
@@ -197,7 +197,7 @@
 		return one
 	}
 	created := &suspect{Fingerprint: fingerprint, crashes: map[registry.Life]crash{}, changedAt: changed}
-	if len(t.suspects) >= t.options.Requests {
+	if len(t.suspects) >= t.options.MaximumRequests {
 		lowestRanking := t.lowestRanking()
 		if created.compareRank(crashes, lowestRanking) < 0 {
 			return nil
@@ -245,15 +245,15 @@
 }
 
 // addCrash records a crash and reports whether it changes the suspect.
-func (t *Tracker) addCrash(one *suspect, received End, at time.Duration) bool {
-	known, found := one.crashes[received.Life]
+func (t *Tracker) addCrash(one *suspect, received Crash, at time.Duration) bool {
+	known, found := one.crashes[received.Incarnation]
 	if found && known.suspicion >= received.Suspicion || !found && len(one.crashes) >= maximumCrashes {
 		return false
 	}
 	if found {
 		at = known.at
 	}
-	one.crashes[received.Life] = crash{suspicion: received.Suspicion, at: at}
+	one.crashes[received.Incarnation] = crash{suspicion: received.Suspicion, at: at}
 	one.changedAt = max(one.changedAt, at)
 	t.markOutdated()
 	return true
@@ -268,7 +268,7 @@
 	}
 	t.expiresAt = now + expireInterval
 	for fingerprint, one := range t.suspects {
-		if now-one.changedAt <= t.options.Memory {
+		if now-one.changedAt <= t.options.Retention {
 			continue
 		}
 		if !one.isQuarantined {
@@ -324,10 +324,10 @@
 }
 
 func (s *suspect) record(now time.Duration) Record {
-	record := Record{Fingerprint: s.Fingerprint, Generation: s.generation, Route: s.route, Tenant: s.tenant, Ends: make([]End, 0, len(s.crashes))}
+	record := Record{Fingerprint: s.Fingerprint, Generation: s.generation, Route: s.route, Tenant: s.tenant, Crashes: make([]Crash, 0, len(s.crashes))}
 	for _, incarnation := range s.incarnations() {
 		recorded := s.crashes[incarnation]
-		record.Ends = append(record.Ends, End{Life: incarnation, Suspicion: recorded.suspicion, Age: now - recorded.at})
+		record.Crashes = append(record.Crashes, Crash{Incarnation: incarnation, Suspicion: recorded.suspicion, Age: now - recorded.at})
 	}
 	return record
 }
@@ -337,14 +337,14 @@
 	return t.recordsOf(now, func(*suspect) bool { return true })
 }
 
-// Told returns the records that are sent to all nodes, in order.
-func (t *Tracker) Told(now time.Duration) []Record {
+// SharedRecords returns the records that are sent to all nodes, in order.
+func (t *Tracker) SharedRecords(now time.Duration) []Record {
 	return t.recordsOf(now, (*suspect).isShared)
 }
 
-// TakeNews returns the records of the requests that crash reports or clearings of this node have
+// TakeUpdates returns the records of the requests that crash reports or clearings of this node have
 // changed since the last call.
-func (t *Tracker) TakeNews(now time.Duration) []Record {
+func (t *Tracker) TakeUpdates(now time.Duration) []Record {
 	if len(t.pendingUpdates) == 0 {
 		return nil
 	}
@@ -397,29 +397,29 @@
 	return digest
 }
 
-// Held is what is recorded against a request, as it is shown to operators.
-type Held struct {
+// Summary is what is recorded against a request, as it is shown to operators.
+type Summary struct {
 	Record
 	IsQuarantined bool
 	Counted       int
 }
 
-// Held returns the requests with recorded crashes, those in quarantine first and then those that
+// Summaries returns the requests with recorded crashes, those in quarantine first and then those that
 // most crashes count against.
-func (t *Tracker) Held(now time.Duration) []Held {
-	var summaries []Held
+func (t *Tracker) Summaries(now time.Duration) []Summary {
+	var summaries []Summary
 	for _, one := range t.suspects {
 		if len(one.crashes) > 0 {
-			summaries = append(summaries, Held{Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted})
+			summaries = append(summaries, Summary{Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted})
 		}
 	}
-	rank := func(one Held) int {
+	rank := func(one Summary) int {
 		if one.IsQuarantined {
 			return maximumCrashes + 1
 		}
 		return one.Counted
 	}
-	slices.SortFunc(summaries, func(a, b Held) int {
+	slices.SortFunc(summaries, func(a, b Summary) int {
 		return cmp.Or(cmp.Compare(rank(b), rank(a)), a.Fingerprint.compare(b.Fingerprint))
 	})
 	return summaries
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -21,12 +21,12 @@
 // report reports runs of requests that were in flight when an engine crashed.
 func report(t *Tracker, now time.Duration, crashed registry.Life, suspicion Suspicion, requests ...Fingerprint) {
 	for _, one := range requests {
-		t.Report(now, Evidence{Fingerprint: one, Life: crashed, Suspicion: suspicion})
+		t.Report(now, CrashReport{Fingerprint: one, Incarnation: crashed, Suspicion: suspicion})
 	}
 }
 
 // statusAfterDecide returns the status of a request once all reported crashes count.
-func statusAfterDecide(t *Tracker, now time.Duration, request Fingerprint) Standing {
+func statusAfterDecide(t *Tracker, now time.Duration, request Fingerprint) Status {
 	t.Decide(now + settleTime)
 	if one := t.suspects[request]; one != nil && len(one.crashes) > 0 {
 		return one.status()
@@ -37,7 +37,7 @@
 func TestRequestIsQuarantinedAtItsThirdCrashAndNotBefore(t *testing.T) {
 	tracker := NewTracker(Options{})
 	poison := named(0)
-	for number, wanted := range []Standing{Known, Suspected, Quarantined} {
+	for number, wanted := range []Status{Known, Suspected, Quarantined} {
 		report(tracker, 0, incarnation(number), Likely, poison)
 		// Further copies of the request at the same crash don't add crashes.
 		report(tracker, 0, incarnation(number), Likely, poison)
@@ -202,7 +202,7 @@
 
 // Ten thousand different requests are in flight at engines that crash for other reasons.
 func TestFloodOfSuspectsIsBoundedAndEvictsNoQuarantinedRequest(t *testing.T) {
-	tracker := NewTracker(Options{Requests: 100})
+	tracker := NewTracker(Options{MaximumRequests: 100})
 	poison := named(0)
 	for number := range 3 {
 		report(tracker, 0, incarnation(number), Likely, poison)
@@ -214,7 +214,7 @@
 	assert.Equal(t, len(tracker.suspects), 100)
 	assert.Equal(t, statusAfterDecide(tracker, 10*time.Second, poison), Quarantined)
 	// Neither do the records of another node evict it.
-	flooded := NewTracker(Options{Requests: 100})
+	flooded := NewTracker(Options{MaximumRequests: 100})
 	for number := range 10_000 {
 		report(flooded, time.Hour, incarnation(10+number), Likely, named(1+number))
 	}
@@ -224,7 +224,7 @@
 }
 
 func TestQuarantineExpiresAndOneFurtherCrashRestoresIt(t *testing.T) {
-	tracker := NewTracker(Options{Memory: time.Minute})
+	tracker := NewTracker(Options{Retention: time.Minute})
 	poison, once := named(0), named(1)
 	for number := range 3 {
 		report(tracker, 0, incarnation(number), Likely, poison)
@@ -243,13 +243,13 @@
 // sinkOf passes a guard's reports to a tracker immediately.
 type sinkOf struct{ tracker *Tracker }
 
-func (s sinkOf) EnginesEnded(reports []Evidence) {
+func (s sinkOf) EnginesCrashed(reports []CrashReport) {
 	for _, one := range reports {
 		s.tracker.Report(0, one)
 	}
 }
 
-func (s sinkOf) RanToItsEnd(fingerprint Fingerprint) { s.tracker.Clear(0, fingerprint) }
+func (s sinkOf) RequestCompleted(fingerprint Fingerprint) { s.tracker.Clear(0, fingerprint) }
 
 type textRequest struct{ body string }
 
@@ -262,13 +262,13 @@
 	tracker := NewTracker(Options{})
 	guard := NewGuard(sinkOf{tracker})
 	popular := textRequest{"popular"}
-	present := []Present{{Fingerprint: FingerprintOfRequest(popular), Run: Run{AnswerBegan: true, BeginsAtHead: true}}}
+	present := []Present{{Fingerprint: FingerprintOfRequest(popular), Run: Run{ResponseBegan: true, RespondsAtStart: true}}}
 	for number := range 6 {
 		guard.Completed(popular)
-		guard.Ended(incarnation(number), present)
+		guard.ReportCrash(incarnation(number), present)
 		tracker.Decide(settleTime)
 		guard.SetView(tracker.View())
-		assert.Assert(t, guard.Standing(popular) != Quarantined)
+		assert.Assert(t, guard.Status(popular) != Quarantined)
 	}
 }
 
@@ -277,13 +277,13 @@
 	guard := NewGuard(sinkOf{tracker})
 	poison := textRequest{"poison"}
 	for number := range 3 {
-		guard.Ended(incarnation(number), []Present{{Fingerprint: FingerprintOfRequest(poison), Run: Run{}}})
+		guard.ReportCrash(incarnation(number), []Present{{Fingerprint: FingerprintOfRequest(poison), Run: Run{}}})
 	}
 	tracker.Decide(settleTime)
 	guard.SetView(tracker.View())
-	assert.Equal(t, guard.Standing(poison), Quarantined)
-	assert.Equal(t, guard.Standing(textRequest{"potion"}), Unknown)
-	assert.Equal(t, guard.Standing(unhashable{}), Unknown)
+	assert.Equal(t, guard.Status(poison), Quarantined)
+	assert.Equal(t, guard.Status(textRequest{"potion"}), Unknown)
+	assert.Equal(t, guard.Status(unhashable{}), Unknown)
 }
 
 // unhashable panics if its body is read.
@@ -295,7 +295,7 @@
 // BenchmarkDecide decides on the maximum number of requests that a tracker keeps by default.
 func BenchmarkDecide(b *testing.B) {
 	tracker := NewTracker(Options{})
-	for number := range DefaultRequests {
+	for number := range DefaultMaximumRequests {
 		report(tracker, 0, incarnation(number/8), Likely, named(number))
 		report(tracker, 0, incarnation(number/8+1), Possible, named(number))
 	}
@@ -308,7 +308,7 @@
 // BenchmarkView builds the snapshot in which requests are looked up.
 func BenchmarkView(b *testing.B) {
 	tracker := NewTracker(Options{})
-	for number := range DefaultRequests {
+	for number := range DefaultMaximumRequests {
 		report(tracker, 0, incarnation(number/8), Likely, named(number))
 	}
 	for b.Loop() {
@@ -319,16 +319,16 @@
 // The digest is cached between changes. Guards against a cached digest that is out of date.
 func TestCachedDigestIsUpdatedAfterEachChange(t *testing.T) {
 	random := rand.New(rand.NewPCG(42, 1))
-	one, other := NewTracker(Options{Requests: 12, Memory: time.Minute}), NewTracker(Options{Requests: 12, Memory: time.Minute})
+	one, other := NewTracker(Options{MaximumRequests: 12, Retention: time.Minute}), NewTracker(Options{MaximumRequests: 12, Retention: time.Minute})
 	now := time.Duration(0)
 	for step := range 5000 {
 		now += time.Duration(random.Int64N(int64(200 * time.Millisecond)))
 		request := named(random.IntN(16))
 		switch random.IntN(6) {
 		case 0, 1:
-			one.Report(now, Evidence{Fingerprint: request, Life: incarnation(random.IntN(40)), Suspicion: Excused + Suspicion(random.IntN(4))})
+			one.Report(now, CrashReport{Fingerprint: request, Incarnation: incarnation(random.IntN(40)), Suspicion: Excused + Suspicion(random.IntN(4))})
 		case 2:
-			other.Report(now, Evidence{Fingerprint: request, Life: incarnation(random.IntN(40)), Suspicion: Likely})
+			other.Report(now, CrashReport{Fingerprint: request, Incarnation: incarnation(random.IntN(40)), Suspicion: Likely})
 		case 3:
 			one.Merge(now, other.Records(now))
 		case 4:
@@ -343,7 +343,7 @@
 // A node compares its digest with that of each hello of a control node.
 func BenchmarkDigest(b *testing.B) {
 	tracker := NewTracker(Options{})
-	for number := range DefaultRequests {
+	for number := range DefaultMaximumRequests {
 		for crash := range suspectCrashes {
 			report(tracker, 0, incarnation(number*suspectCrashes+crash), Likely, named(number))
 		}
--- a/internal/coordination/ratelimit/issuers.go
+++ b/internal/coordination/ratelimit/issuers.go
@@ -12,9 +12,9 @@
 	// grants permits. Within that time other nodes learn which nodes are live, and the permits
 	// that they were granted by an earlier issuer are used up.
 	TakeoverTime = 3 * time.Second
-	// AbsentMemory is how long a node counts as one that may still use its share of the rate
+	// AbsentRetention is how long a node counts as one that may still use its share of the rate
 	// after it was last live.
-	AbsentMemory = 2 * time.Minute
+	AbsentRetention = 2 * time.Minute
 	// maximumViews bounds the number of views that are kept of one zone.
 	maximumViews = 64
 )
@@ -72,10 +72,10 @@
 	}
 }
 
-// SetSure sets whether this node reliably knows which nodes are live: it is in contact with
+// SetReliable sets whether this node reliably knows which nodes are live: it is in contact with
 // control nodes, and they list it as live. A node that is partitioned from them can't tell
 // whether the others still use it as the issuer or have replaced it.
-func (l *Limits) SetSure(now time.Duration, isReliable bool) {
+func (l *Limits) SetReliable(now time.Duration, isReliable bool) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if isReliable && !l.issuers.isReliable {
@@ -105,7 +105,7 @@
 		delete(absent, node)
 	}
 	for node, seen := range absent {
-		if now-seen > AbsentMemory {
+		if now-seen > AbsentRetention {
 			delete(absent, node)
 		}
 	}
@@ -129,7 +129,7 @@
 		return zone, true
 	}
 	for _, seen := range i.absent[zone] {
-		if now-seen <= AbsentMemory {
+		if now-seen <= AbsentRetention {
 			return zone, false
 		}
 	}
@@ -171,7 +171,7 @@
 	known := views[len(views)-1].nodes
 	live, all := len(known), len(known)
 	for _, seen := range i.absent[domain] {
-		if now-seen <= AbsentMemory {
+		if now-seen <= AbsentRetention {
 			all++
 		}
 	}
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// PermitLife is how long after its request a permit may be used. A node that was
+	// PermitLifetime is how long after its request a permit may be used. A node that was
 	// suspended meanwhile requests another one.
-	PermitLife = time.Second
+	PermitLifetime = time.Second
 	// unusedPermitTime is how long an unused permit stays available. Small variations in the arrival
 	// of requests therefore cost none of the rate, and an idle time allows no burst.
 	unusedPermitTime = 250 * time.Millisecond
@@ -23,34 +23,36 @@
 	maximumPermitWait = time.Minute
 )
 
-// Ask is a request to the issuer for a permit.
-type Ask struct {
-	// Word is what the requesting node knows of the limit.
-	Word Word   `msgpack:"w"`
-	Zone string `msgpack:"z"`
-	Need `msgpack:",inline"`
+// PermitRequest is a request to the issuer for a permit.
+type PermitRequest struct {
+	// Update is what the requesting node knows of the limit.
+	Update      Update `msgpack:"w"`
+	Zone        string `msgpack:"z"`
+	PermitNeeds `msgpack:",inline"`
 }
 
-// Need is what a request needs of a permit before it can be sent.
-type Need struct {
-	// PatienceMS is how long the request can wait for the permit, in milliseconds.
-	PatienceMS uint64 `msgpack:"p,omitempty"`
+// PermitNeeds is what a request needs of a permit before it can be sent.
+type PermitNeeds struct {
+	// MaximumWaitMS is how long the request can wait for the permit, in milliseconds.
+	MaximumWaitMS uint64 `msgpack:"p,omitempty"`
 	// Priority is the rank of the request; 0 is the most urgent.
 	Priority uint8 `msgpack:"u,omitempty"`
 }
 
-// Patience returns how long the request can wait.
-func (n Need) Patience() time.Duration { return time.Duration(n.PatienceMS) * time.Millisecond }
+// MaximumWait returns how long the request can wait.
+func (n PermitNeeds) MaximumWait() time.Duration {
+	return time.Duration(n.MaximumWaitMS) * time.Millisecond
+}
 
-// Answer is the issuer's response to a request for a permit.
-type Answer struct {
+// PermitResponse is the issuer's response to a request for a permit.
+type PermitResponse struct {
 	IsGranted bool `msgpack:"g,omitempty"`
 	// DelayMS is the time until a granted permit may be used, in milliseconds.
 	DelayMS uint64 `msgpack:"d,omitempty"`
 	// FreeMS is the time until the issuer has another permit, in milliseconds.
 	FreeMS uint64 `msgpack:"f,omitempty"`
-	// Words is the issuer's update of the limit if it knows a newer one.
-	Words []Word `msgpack:"w,omitempty"`
+	// Updates is the issuer's update of the limit if it knows a newer one.
+	Updates []Update `msgpack:"w,omitempty"`
 }
 
 // slots is the schedule of the moments at which permits may be used.
@@ -66,59 +68,59 @@
 // take grants the next slot if it lies within a request's maximum wait. A less urgent request
 // is granted only a slot that has been free for a while. Scarce slots thus go to urgent
 // requests first and the remaining ones to the others.
-func (s *slots) take(now, between time.Duration, needs Need) (wait time.Duration, isTaken bool) {
+func (s *slots) take(now, between time.Duration, needs PermitNeeds) (wait time.Duration, isTaken bool) {
 	unused := min(unusedPermitTime, between)
 	slot := max(s.next, now-unused)
 	held := time.Duration(reservedShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
-	if slot+held-now > needs.Patience() {
+	if slot+held-now > needs.MaximumWait() {
 		return slot + held - now, false
 	}
 	s.next = slot + between
 	return max(0, slot-now), true
 }
 
-// Ask returns a request for a permit and the address of the issuer to which it goes. isLimited
+// RequestPermit returns a request for a permit and the address of the issuer to which it goes. isLimited
 // is false if the incarnation has no limit and needs no permit. The address is "" if there is
 // no issuer; no request may be sent to the instance then.
-func (l *Limits) Ask(now time.Duration, incarnation registry.Life, zone string, needs Need) (request Ask, issuer string, isLimited bool) {
+func (l *Limits) RequestPermit(now time.Duration, incarnation registry.Life, zone string, needs PermitNeeds) (request PermitRequest, issuer string, isLimited bool) {
 	if !l.Any() {
-		return Ask{}, "", false
+		return PermitRequest{}, "", false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.active(incarnation)
 	if known == nil {
-		return Ask{}, "", false
+		return PermitRequest{}, "", false
 	}
-	return Ask{Word: known.update(incarnation).sentAt(now), Zone: zone, Need: needs}, l.issuers.of(now, incarnation.ID, zone), true
+	return PermitRequest{Update: known.update(incarnation).sentAt(now), Zone: zone, PermitNeeds: needs}, l.issuers.of(now, incarnation.ID, zone), true
 }
 
 // Grant responds to a permit request of a node, this one or another, as the issuer.
-func (l *Limits) Grant(now time.Duration, from string, request Ask) Answer {
+func (l *Limits) Grant(now time.Duration, from string, request PermitRequest) PermitResponse {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.issuers.requestedAt[from] = now
-	update := request.Word.receivedAt(now)
+	update := request.Update.receivedAt(now)
 	l.receive(now, update)
-	known := l.entries[update.Life]
+	known := l.entries[update.Incarnation]
 	if known == nil {
 		// The update in the request is not valid.
-		return Answer{FreeMS: uint64(unreachableIssuerDelay.Milliseconds())}
+		return PermitResponse{FreeMS: uint64(unreachableIssuerDelay.Milliseconds())}
 	}
-	response := Answer{}
+	response := PermitResponse{}
 	if known.at > update.At || known.hasEnded {
-		response.Words = ForSending(now, []Word{known.update(update.Life)})
+		response.Updates = ForSending(now, []Update{known.update(update.Incarnation)})
 	}
 	if known.hasEnded {
 		return response
 	}
-	share, wait := l.issuers.share(now, update.Life.ID, request.Zone)
+	share, wait := l.issuers.share(now, update.Incarnation.ID, request.Zone)
 	if share <= 0 {
 		response.FreeMS = uint64(max(wait, unreachableIssuerDelay).Milliseconds())
 		return response
 	}
 	between := time.Duration(float64(interval(known.perSecond)) / share)
-	delay, isTaken := known.slots.take(now, between, request.Need)
+	delay, isTaken := known.slots.take(now, between, request.PermitNeeds)
 	response.IsGranted = isTaken
 	if isTaken {
 		response.DelayMS = uint64(delay.Milliseconds())
@@ -127,9 +129,9 @@
 	return response
 }
 
-// Answered records an issuer's response.
-func (l *Limits) Answered(now time.Duration, incarnation registry.Life, response Answer) []Change {
-	changes := l.Hear(now, Received(now, response.Words))
+// RecordResponse records an issuer's response.
+func (l *Limits) RecordResponse(now time.Duration, incarnation registry.Life, response PermitResponse) []Change {
+	changes := l.Receive(now, Received(now, response.Updates))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.active(incarnation)
@@ -152,8 +154,8 @@
 	return changes
 }
 
-// Unanswered records that the issuer did not respond, or that there is none.
-func (l *Limits) Unanswered(now time.Duration, incarnation registry.Life) {
+// RecordNoResponse records that the issuer did not respond, or that there is none.
+func (l *Limits) RecordNoResponse(now time.Duration, incarnation registry.Life) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if known := l.active(incarnation); known != nil {
--- a/internal/coordination/ratelimit/ratelimit.go
+++ b/internal/coordination/ratelimit/ratelimit.go
@@ -33,9 +33,9 @@
 )
 
 const (
-	// LeastRate is the rate, in requests per second, that applies to an instance which names
+	// MinimumRate is the rate, in requests per second, that applies to an instance which names
 	// a lower one: only a response can show that its limit has ended.
-	LeastRate = 0.1
+	MinimumRate = 0.1
 	// entryRetention is how long a limit applies that no response and no update confirms.
 	entryRetention = 10 * time.Minute
 	// endedRetention is how long an ended limit is remembered, so that a delayed older update
@@ -117,8 +117,8 @@
 
 // Change is a change of a limit by a response or an update.
 type Change struct {
-	Kind ChangeKind
-	Life registry.Life
+	Kind        ChangeKind
+	Incarnation registry.Life
 	// PerSecond is the limit in effect and Before the previous one, in requests per second.
 	PerSecond, Before float64
 	// Age is the time since the response that caused the change.
@@ -131,7 +131,7 @@
 // written at writtenAt. If that is before the newest signal, the response may be out of date:
 // it neither ends nor raises the limit. A rejection or failure that names no limit doesn't end
 // one either.
-func (l *Limits) Learn(now time.Duration, incarnation registry.Life, signal Said, writtenAt time.Duration) Change {
+func (l *Limits) Learn(now time.Duration, incarnation registry.Life, signal Signal, writtenAt time.Duration) Change {
 	if !signal.IsNamed && signal.Fault == nil && l.entryCount.Load() == 0 {
 		return Change{}
 	}
@@ -148,7 +148,7 @@
 	case known != nil && !known.hasEnded && isOvertaken && signal.PerSecond > known.perSecond:
 		return Change{}
 	}
-	change := l.apply(now, Word{Life: incarnation, PerSecond: signal.PerSecond, HasEnded: !signal.IsNamed, At: now})
+	change := l.apply(now, Update{Incarnation: incarnation, PerSecond: signal.PerSecond, HasEnded: !signal.IsNamed, At: now})
 	if change.Kind != Unchanged {
 		l.pendingUpdates[incarnation] = struct{}{}
 	}
@@ -159,15 +159,15 @@
 	if !l.unreadable.Add(incarnation) {
 		return Change{}
 	}
-	return Change{Kind: Unreadable, Life: incarnation, Fault: fault}
+	return Change{Kind: Unreadable, Incarnation: incarnation, Fault: fault}
 }
 
 // apply applies an update.
-func (l *Limits) apply(now time.Duration, update Word) Change {
-	known := l.entries[update.Life]
+func (l *Limits) apply(now time.Duration, update Update) Change {
+	known := l.entries[update.Incarnation]
 	if known == nil {
 		known = &entry{hasEnded: true}
-		l.entries[update.Life] = known
+		l.entries[update.Incarnation] = known
 		l.entryCount.Add(1)
 	}
 	before, wasEnded := known.perSecond, known.hasEnded
@@ -175,7 +175,7 @@
 	if !update.HasEnded {
 		known.perSecond = update.PerSecond
 	}
-	change := Change{Life: update.Life, PerSecond: known.perSecond, Before: before, Age: now - update.At}
+	change := Change{Incarnation: update.Incarnation, PerSecond: known.perSecond, Before: before, Age: now - update.At}
 	switch {
 	case update.HasEnded && wasEnded:
 		return Change{}
@@ -199,7 +199,7 @@
 
 // interval is the time between two permits at a rate in requests per second.
 func interval(perSecond float64) time.Duration {
-	return time.Duration(float64(time.Second) / max(perSecond, LeastRate))
+	return time.Duration(float64(time.Second) / max(perSecond, MinimumRate))
 }
 
 // Forget drops the state of an incarnation that has ended: the next one names its own limit.
@@ -252,8 +252,8 @@
 // Any reports whether any limit is known.
 func (l *Limits) Any() bool { return l != nil && l.entryCount.Load() > 0 }
 
-// Room is the headroom of a limit, for the choice among instances.
-type Room struct {
+// Headroom is the headroom of a limit, for the choice among instances.
+type Headroom struct {
 	// Wait is the time until the next permit is available, as far as this node knows.
 	Wait time.Duration
 	// Pressure is how scarce permits were recently, from 0 to 1.
@@ -262,22 +262,22 @@
 	PerSecond float64
 }
 
-// Room returns the headroom of an incarnation and reports whether it is limited.
-func (l *Limits) Room(now time.Duration, incarnation registry.Life) (Room, bool) {
+// Headroom returns the headroom of an incarnation and reports whether it is limited.
+func (l *Limits) Headroom(now time.Duration, incarnation registry.Life) (Headroom, bool) {
 	if !l.Any() {
-		return Room{}, false
+		return Headroom{}, false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	known := l.active(incarnation)
 	if known == nil {
-		return Room{}, false
+		return Headroom{}, false
 	}
 	return known.headroom(now), true
 }
 
-func (e *entry) headroom(now time.Duration) Room {
-	return Room{Wait: max(0, e.freeAt-now), Pressure: e.pressureNow(now), PerSecond: e.perSecond}
+func (e *entry) headroom(now time.Duration) Headroom {
+	return Headroom{Wait: max(0, e.freeAt-now), Pressure: e.pressureNow(now), PerSecond: e.perSecond}
 }
 
 // pressureNow returns the pressure, which decays linearly over pressureDecayTime since it was
@@ -288,8 +288,8 @@
 
 // Use is how this node used a limit.
 type Use struct {
-	Life registry.Life
-	Room
+	Incarnation registry.Life
+	Headroom
 	// Granted and Denied count the responses to the node's permit requests.
 	Granted, Denied int
 }
@@ -306,7 +306,7 @@
 		if known.granted+known.denied == 0 {
 			continue
 		}
-		used = append(used, Use{Life: incarnation, Room: known.headroom(now), Granted: known.granted, Denied: known.denied})
+		used = append(used, Use{Incarnation: incarnation, Headroom: known.headroom(now), Granted: known.granted, Denied: known.denied})
 		known.granted, known.denied = 0, 0
 	}
 	return used
@@ -314,8 +314,8 @@
 
 // Listed is a limit in effect, as it is shown to operators.
 type Listed struct {
-	Life registry.Life
-	Room
+	Incarnation registry.Life
+	Headroom
 	// Age is the time since the newest response that named the limit.
 	Age time.Duration
 }
@@ -327,18 +327,18 @@
 	var listed []Listed
 	for incarnation, known := range l.entries {
 		if !known.hasEnded {
-			listed = append(listed, Listed{Life: incarnation, Room: known.headroom(now), Age: now - known.at})
+			listed = append(listed, Listed{Incarnation: incarnation, Headroom: known.headroom(now), Age: now - known.at})
 		}
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
-		return cmp.Or(cmp.Compare(other.Pressure, one.Pressure), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.Born, other.Life.Born))
+		return cmp.Or(cmp.Compare(other.Pressure, one.Pressure), cmp.Compare(one.Incarnation.ID, other.Incarnation.ID), cmp.Compare(one.Incarnation.Born, other.Incarnation.Born))
 	})
 	return listed
 }
 
-// Holder returns the address of the node that issues the permits of an instance in a zone, ""
+// Issuer returns the address of the node that issues the permits of an instance in a zone, ""
 // if no node may issue them now.
-func (l *Limits) Holder(now time.Duration, instance, zone string) string {
+func (l *Limits) Issuer(now time.Duration, instance, zone string) string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return l.issuers.of(now, instance, zone)
--- a/internal/coordination/ratelimit/ratelimit_bench_test.go
+++ b/internal/coordination/ratelimit/ratelimit_bench_test.go
@@ -46,7 +46,7 @@
 	limits := limitsAt("a-0", nodesOf("a", 3))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, isLimited := limits.Ask(start, engine, "a", Need{}); isLimited {
+		if _, _, isLimited := limits.RequestPermit(start, engine, "a", PermitNeeds{}); isLimited {
 			b.Fatal("a limit is in effect")
 		}
 		limits.Learn(start, engine, none, start)
@@ -70,7 +70,7 @@
 // The issuer's cost of a permit.
 func BenchmarkPermit(b *testing.B) {
 	atFleetSizes(b, func(number int, now time.Duration, nodes []Node, limits *Limits) {
-		request, _, _ := limits.Ask(now, incarnationOf(number%limitedEngines), nodes[0].Zone, Need{PatienceMS: 100})
+		request, _, _ := limits.RequestPermit(now, incarnationOf(number%limitedEngines), nodes[0].Zone, PermitNeeds{MaximumWaitMS: 100})
 		limits.Grant(now, nodes[1].Address, request)
 	})
 }
@@ -84,10 +84,10 @@
 
 // Cost of receiving the updates when a third of 10,000 engines names limits.
 func BenchmarkReceiveThousandsOfLimits(b *testing.B) {
-	updates := withLimits(fleetOf(300)).InForce()
+	updates := withLimits(fleetOf(300)).ActiveUpdates()
 	b.ReportAllocs()
 	for b.Loop() {
-		New("a-0").Hear(start+time.Second, updates)
+		New("a-0").Receive(start+time.Second, updates)
 	}
 }
 
@@ -112,8 +112,8 @@
 func TestRequestAllocatesNothingWhileNoEngineNamesALimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 3))
 	allocated := testing.AllocsPerRun(100, func() {
-		limits.Ask(start, engine, "a", Need{})
-		limits.Room(start, engine)
+		limits.RequestPermit(start, engine, "a", PermitNeeds{})
+		limits.Headroom(start, engine)
 		limits.Learn(start, engine, none, start)
 	})
 	assert.Equal(t, allocated, 0.0)
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -13,8 +13,8 @@
 
 var (
 	engine = registry.Life{ID: "i-1", Born: 7}
-	two    = Said{IsNamed: true, PerSecond: 2}
-	none   = Said{}
+	two    = Signal{IsNamed: true, PerSecond: 2}
+	none   = Signal{}
 )
 
 // start is a time long after the nodes have started.
@@ -41,7 +41,7 @@
 func limitsAt(self string, nodes []Node) *Limits {
 	limits := New(self)
 	limits.SetNodes(0, nodes)
-	limits.SetSure(0, true)
+	limits.SetReliable(0, true)
 	return limits
 }
 
@@ -50,7 +50,7 @@
 func granted(limits *Limits, from, lasting time.Duration, zone string) []time.Duration {
 	var moments []time.Duration
 	for now := from; now < from+lasting; now += 10 * time.Millisecond {
-		request, _, isLimited := limits.Ask(now, engine, zone, Need{})
+		request, _, isLimited := limits.RequestPermit(now, engine, zone, PermitNeeds{})
 		if !isLimited {
 			return moments
 		}
@@ -66,24 +66,24 @@
 	assert.Equal(t, limits.Learn(start, engine, two, start).Kind, Began)
 	assert.Equal(t, limits.Learn(start+time.Second, engine, none, start-time.Millisecond).Kind, Unchanged)
 	assert.Equal(t, limits.Learn(start+time.Second, engine, none, start+time.Millisecond).Kind, Ended)
-	_, isLimited := limits.Room(start+time.Second, engine)
+	_, isLimited := limits.Headroom(start+time.Second, engine)
 	assert.Assert(t, !isLimited)
 }
 
 func TestFailureThatNamesNoLimitDoesNotEndIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
-	assert.Equal(t, limits.Learn(start+2, engine, Said{IsFailure: true}, start+1).Kind, Unchanged)
-	assert.Equal(t, limits.Learn(start+3, engine, Said{IsFailure: true, IsNamed: true, PerSecond: 1}, start+2).Kind, Changed)
+	assert.Equal(t, limits.Learn(start+2, engine, Signal{IsFailure: true}, start+1).Kind, Unchanged)
+	assert.Equal(t, limits.Learn(start+3, engine, Signal{IsFailure: true, IsNamed: true, PerSecond: 1}, start+2).Kind, Changed)
 	assert.Equal(t, limits.Learn(start+5, engine, none, start+4).Kind, Ended)
 }
 
 func TestOutdatedResponseLowersALimitAndDoesNotRaiseIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
-	assert.Equal(t, limits.Learn(start+1, engine, Said{IsNamed: true, PerSecond: 9}, start-1).Kind, Unchanged)
-	assert.Equal(t, limits.Learn(start+2, engine, Said{IsNamed: true, PerSecond: 1}, start-1).Kind, Changed)
-	assert.Equal(t, limits.Learn(start+4, engine, Said{IsNamed: true, PerSecond: 9}, start+3).Kind, Changed)
+	assert.Equal(t, limits.Learn(start+1, engine, Signal{IsNamed: true, PerSecond: 9}, start-1).Kind, Unchanged)
+	assert.Equal(t, limits.Learn(start+2, engine, Signal{IsNamed: true, PerSecond: 1}, start-1).Kind, Changed)
+	assert.Equal(t, limits.Learn(start+4, engine, Signal{IsNamed: true, PerSecond: 9}, start+3).Kind, Changed)
 }
 
 func TestUnreadableLimitNeitherSetsNorEndsALimitAndIsReportedOnce(t *testing.T) {
@@ -96,14 +96,14 @@
 	assert.Assert(t, !limits.Any())
 	limits.Learn(start, engine, two, start)
 	limits.Learn(start+1, engine, spoiled, start+1)
-	_, isLimited := limits.Room(start+2, engine)
+	_, isLimited := limits.Headroom(start+2, engine)
 	assert.Assert(t, isLimited)
 }
 
 func TestNewIncarnationOfAnInstanceHasNoLimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
-	_, _, isLimited := limits.Ask(start, registry.Life{ID: engine.ID, Born: 8}, "a", Need{})
+	_, _, isLimited := limits.RequestPermit(start, registry.Life{ID: engine.ID, Born: 8}, "a", PermitNeeds{})
 	assert.Assert(t, !isLimited)
 	limits.Forget(engine)
 	assert.Assert(t, !limits.Any())
@@ -111,14 +111,14 @@
 
 func TestNewestUpdateOfOtherNodesApplies(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	update := func(perSecond float64, hasEnded bool, at time.Duration) []Word {
-		return []Word{{Life: engine, PerSecond: perSecond, HasEnded: hasEnded, At: at}}
+	update := func(perSecond float64, hasEnded bool, at time.Duration) []Update {
+		return []Update{{Incarnation: engine, PerSecond: perSecond, HasEnded: hasEnded, At: at}}
 	}
-	assert.Equal(t, limits.Hear(start, update(2, false, start-time.Second))[0].Kind, Began)
-	assert.Equal(t, len(limits.Hear(start, update(0, true, start-2*time.Second))), 0)
-	assert.Equal(t, limits.Hear(start, update(0, true, start-time.Millisecond))[0].Kind, Ended)
+	assert.Equal(t, limits.Receive(start, update(2, false, start-time.Second))[0].Kind, Began)
+	assert.Equal(t, len(limits.Receive(start, update(0, true, start-2*time.Second))), 0)
+	assert.Equal(t, limits.Receive(start, update(0, true, start-time.Millisecond))[0].Kind, Ended)
 	// An older update is delayed.
-	assert.Equal(t, len(limits.Hear(start, update(2, false, start-time.Second))), 0)
+	assert.Equal(t, len(limits.Receive(start, update(2, false, start-time.Second))), 0)
 	limits.Prune(start + endedRetention + time.Second)
 	assert.Assert(t, !limits.Any())
 }
@@ -126,7 +126,7 @@
 func TestIssuerGrantsTheNamedRateAndStartsWithoutPermits(t *testing.T) {
 	for _, perSecond := range []float64{0.1, 1, 5, 50} {
 		limits := limitsAt("a-0", nodesOf("a", 1))
-		limits.Learn(start, engine, Said{IsNamed: true, PerSecond: perSecond}, start)
+		limits.Learn(start, engine, Signal{IsNamed: true, PerSecond: perSecond}, start)
 		moments := granted(limits, start, 100*time.Second, "a")
 		assert.Assert(t, moments[0] >= start+interval(perSecond)-time.Millisecond, "%g: the first permit after %s", perSecond, moments[0]-start)
 		assert.Assert(t, float64(len(moments)) <= 100*perSecond && float64(len(moments)) >= 95*perSecond-1, "%g: %d permits", perSecond, len(moments))
@@ -135,13 +135,13 @@
 
 func TestLimitOfZeroAllowsTheMinimumRateSinceOnlyAResponseCanEndIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, Said{IsNamed: true}, start)
+	limits.Learn(start, engine, Signal{IsNamed: true}, start)
 	assert.Equal(t, len(granted(limits, start, 100*time.Second, "a")), 9)
 }
 
 func TestIdleTimeAllowsNoBurst(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 8}, start)
+	limits.Learn(start, engine, Signal{IsNamed: true, PerSecond: 8}, start)
 	assert.Equal(t, len(granted(limits, start+time.Hour, 10*time.Millisecond, "a")), 1)
 	later := start + 2*time.Hour
 	// Unused permits of a quarter of a second are still available: two at this rate.
@@ -150,9 +150,9 @@
 
 func TestRequestThatCanWaitIsGrantedALaterSlot(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 10}, start)
+	limits.Learn(start, engine, Signal{IsNamed: true, PerSecond: 10}, start)
 	now := start + time.Second
-	request, _, _ := limits.Ask(now, engine, "a", Need{PatienceMS: 150})
+	request, _, _ := limits.RequestPermit(now, engine, "a", PermitNeeds{MaximumWaitMS: 150})
 	var delays []uint64
 	for range 4 {
 		if response := limits.Grant(now, limits.issuers.self, request); response.IsGranted {
@@ -170,7 +170,7 @@
 	for _, node := range nodes {
 		limits := limitsAt(node.Address, nodes)
 		limits.Learn(start, engine, two, start)
-		_, issuer, _ := limits.Ask(start, engine, "b", Need{})
+		_, issuer, _ := limits.RequestPermit(start, engine, "b", PermitNeeds{})
 		assert.Equal(t, issuer, expected)
 		if len(granted(limits, start, 5*time.Second, "b")) > 0 {
 			issuers++
@@ -190,7 +190,7 @@
 	}
 	second := membership.Highest(engine.ID, addressesOf(remaining))
 	limits := limitsAt(second, nodes)
-	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 3}, start)
+	limits.Learn(start, engine, Signal{IsNamed: true, PerSecond: 3}, start)
 	lost := start + 10*time.Second
 	limits.SetNodes(lost, remaining)
 	moments := granted(limits, start, 70*time.Second, "a")
@@ -206,19 +206,19 @@
 	nodes := nodesOf("a", 4)
 	issuer := membership.Highest(engine.ID, addressesOf(nodes))
 	limits := limitsAt(issuer, nodes)
-	limits.Learn(start, engine, Said{IsNamed: true, PerSecond: 4}, start)
-	limits.SetSure(start, false)
+	limits.Learn(start, engine, Signal{IsNamed: true, PerSecond: 4}, start)
+	limits.SetReliable(start, false)
 	assert.Assert(t, len(granted(limits, start, 20*time.Second, "a")) <= 20)
 	for _, node := range nodes {
 		if node.Address != issuer {
-			limits.Grant(start+20*time.Second, node.Address, Ask{Word: Word{Life: engine, PerSecond: 4}, Zone: "a"})
+			limits.Grant(start+20*time.Second, node.Address, PermitRequest{Update: Update{Incarnation: engine, PerSecond: 4}, Zone: "a"})
 			break
 		}
 	}
 	// One more node requested a permit: two of four shares.
 	assert.Assert(t, len(granted(limits, start+20*time.Second, 2*time.Second, "a")) <= 5)
 	// The view is reliable again, but the others may still use another issuer.
-	limits.SetSure(start+25*time.Second, true)
+	limits.SetReliable(start+25*time.Second, true)
 	assert.Assert(t, len(granted(limits, start+25*time.Second, TakeoverTime, "a")) <= 4)
 	assert.Assert(t, len(granted(limits, start+30*time.Second, 20*time.Second, "a")) >= 75)
 }
@@ -228,22 +228,22 @@
 	limits := limitsAt("a-0", nodes)
 	limits.Learn(start, engine, two, start)
 	limits.SetNodes(start, nodesOf("a", 2))
-	_, issuer, isLimited := limits.Ask(start+time.Minute, engine, "b", Need{})
+	_, issuer, isLimited := limits.RequestPermit(start+time.Minute, engine, "b", PermitNeeds{})
 	assert.Assert(t, isLimited)
 	assert.Equal(t, issuer, "")
-	_, issuer, _ = limits.Ask(start+AbsentMemory+time.Second, engine, "b", Need{})
+	_, issuer, _ = limits.RequestPermit(start+AbsentRetention+time.Second, engine, "b", PermitNeeds{})
 	assert.Equal(t, issuer, membership.Highest(engine.ID, addressesOf(nodesOf("a", 2))))
 }
 
 func TestIssuerSendsARequestingNodeTheEndOfALimit(t *testing.T) {
 	limits, requesting := limitsAt("a-0", nodesOf("a", 2)), limitsAt("a-1", nodesOf("a", 2))
 	requesting.Learn(start, engine, two, start)
-	request, _, _ := requesting.Ask(start, engine, "a", Need{})
+	request, _, _ := requesting.RequestPermit(start, engine, "a", PermitNeeds{})
 	limits.Grant(start, "a-1", request)
 	limits.Learn(start+time.Second, engine, none, start+time.Millisecond)
-	request, _, _ = requesting.Ask(start+2*time.Second, engine, "a", Need{})
+	request, _, _ = requesting.RequestPermit(start+2*time.Second, engine, "a", PermitNeeds{})
 	response := limits.Grant(start+2*time.Second, "a-1", request)
-	changes := requesting.Answered(start+2*time.Second, engine, response)
+	changes := requesting.RecordResponse(start+2*time.Second, engine, response)
 	assert.Equal(t, changes[0].Kind, Ended)
 }
 
@@ -251,17 +251,17 @@
 	limits := limitsAt("a-0", nodesOf("a", 1))
 	limits.Learn(start, engine, two, start)
 	for range 20 {
-		limits.Answered(start, engine, Answer{FreeMS: 400})
+		limits.RecordResponse(start, engine, PermitResponse{FreeMS: 400})
 	}
-	headroom, _ := limits.Room(start, engine)
+	headroom, _ := limits.Headroom(start, engine)
 	assert.Equal(t, headroom.Wait, 400*time.Millisecond)
 	assert.Assert(t, headroom.Pressure > 0.9)
-	headroom, _ = limits.Room(start+pressureDecayTime, engine)
-	assert.DeepEqual(t, headroom, Room{PerSecond: 2})
+	headroom, _ = limits.Headroom(start+pressureDecayTime, engine)
+	assert.DeepEqual(t, headroom, Headroom{PerSecond: 2})
 }
 
 func TestRetriesAreSpreadAtTheRateOfTheLimits(t *testing.T) {
-	retries := NewReturns()
+	retries := NewRetries()
 	var last time.Duration
 	for number := range 10 {
 		after := retries.Next(start, "model", 300*time.Millisecond, 2)
@@ -283,7 +283,7 @@
 func TestSlotIsReservedAgainstLessUrgentRequests(t *testing.T) {
 	take := func(priority uint8, freeFor time.Duration) bool {
 		held := slots{next: start - freeFor}
-		_, isTaken := held.take(start, time.Second, Need{Priority: priority})
+		_, isTaken := held.take(start, time.Second, PermitNeeds{Priority: priority})
 		return isTaken
 	}
 	assert.Assert(t, take(0, 0))
--- a/internal/coordination/ratelimit/retries.go
+++ b/internal/coordination/ratelimit/retries.go
@@ -14,24 +14,24 @@
 	minimumRetryTime = 200 * time.Millisecond
 )
 
-// Returns spreads the retries of callers whose requests were refused because no limit had
+// Retries spreads the retries of callers whose requests were refused because no limit had
 // headroom: each is told the next moment at which the limits allow one more request. It is
 // safe for concurrent use.
-type Returns struct {
+type Retries struct {
 	mutex sync.Mutex
 	// next is, by service, the first moment that no caller has been told yet.
 	next map[string]time.Duration
 }
 
-// NewReturns returns a spread that has told no retry time yet.
-func NewReturns() *Returns { return &Returns{next: map[string]time.Duration{}} }
+// NewRetries returns a spread that has told no retry time yet.
+func NewRetries() *Retries { return &Retries{next: map[string]time.Duration{}} }
 
 // Next returns the time after which one more caller of a service may retry. wait is the time
 // until the first permit is free, and perSecond is this node's share of the limits in requests
 // per second. If the next moment lies beyond maximumRetryTime, the limits have no headroom for
 // the caller at all; it is then told a time drawn at random from the second half of
 // maximumRetryTime.
-func (r *Returns) Next(now time.Duration, service string, wait time.Duration, perSecond float64) time.Duration {
+func (r *Retries) Next(now time.Duration, service string, wait time.Duration, perSecond float64) time.Duration {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	at := max(r.next[service], now+max(wait, minimumRetryTime))
--- a/internal/coordination/ratelimit/signal.go
+++ b/internal/coordination/ratelimit/signal.go
@@ -14,8 +14,8 @@
 // errInvalidRate reports a limit that is not a number of requests per second.
 var errInvalidRate = errors.New("ratelimit: not a number of requests a second")
 
-// Said is what one response of an instance asks for by its rate limit.
-type Said struct {
+// Signal is what one response of an instance asks for by its rate limit.
+type Signal struct {
 	// IsNamed reports whether the response names a limit, of PerSecond requests per second.
 	IsNamed   bool
 	PerSecond float64
@@ -30,17 +30,17 @@
 // Read parses the values of the field that names a limit: decimal numbers from 0 on, with or
 // without an exponent. The lowest of several values applies. A value above MaximumRate counts
 // as MaximumRate. One unreadable value makes the whole field unreadable.
-func Read(values []string) Said {
-	signal := Said{PerSecond: MaximumRate}
+func Read(values []string) Signal {
+	signal := Signal{PerSecond: MaximumRate}
 	for _, value := range values {
 		perSecond, err := parseRate(value)
 		if err != nil {
-			return Said{Fault: err}
+			return Signal{Fault: err}
 		}
 		signal.IsNamed, signal.PerSecond = true, min(signal.PerSecond, perSecond)
 	}
 	if !signal.IsNamed {
-		return Said{}
+		return Signal{}
 	}
 	return signal
 }
--- a/internal/coordination/ratelimit/signal_test.go
+++ b/internal/coordination/ratelimit/signal_test.go
@@ -27,9 +27,9 @@
 }
 
 func TestLowestOfSeveralLimitsAppliesAndOneInvalidValueVoidsAll(t *testing.T) {
-	assert.DeepEqual(t, Read([]string{"5", "0.5", "7"}), Said{IsNamed: true, PerSecond: 0.5})
+	assert.DeepEqual(t, Read([]string{"5", "0.5", "7"}), Signal{IsNamed: true, PerSecond: 0.5})
 	assert.Assert(t, Read([]string{"5", "many"}).Fault != nil)
-	assert.DeepEqual(t, Read(nil), Said{})
+	assert.DeepEqual(t, Read(nil), Signal{})
 }
 
 func FuzzRead(f *testing.F) {
--- a/internal/coordination/ratelimit/updates.go
+++ b/internal/coordination/ratelimit/updates.go
@@ -6,11 +6,11 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Word is what one node sends another about a limit that has begun, changed or ended.
-type Word struct {
-	Life      registry.Life `msgpack:"l"`
-	PerSecond float64       `msgpack:"r"`
-	HasEnded  bool          `msgpack:"e,omitempty"`
+// Update is what one node sends another about a limit that has begun, changed or ended.
+type Update struct {
+	Incarnation registry.Life `msgpack:"l"`
+	PerSecond   float64       `msgpack:"r"`
+	HasEnded    bool          `msgpack:"e,omitempty"`
 	// AgeMS is the time in milliseconds from the response that caused the update to the sending
 	// of the update.
 	AgeMS uint64 `msgpack:"a,omitempty"`
@@ -20,19 +20,19 @@
 }
 
 // sentAt returns the update with its age at the time of sending.
-func (w Word) sentAt(now time.Duration) Word {
+func (w Update) sentAt(now time.Duration) Update {
 	w.AgeMS = uint64(max(0, now-w.At).Milliseconds())
 	return w
 }
 
 // receivedAt returns an update of another node with its time on this node's clock.
-func (w Word) receivedAt(now time.Duration) Word {
+func (w Update) receivedAt(now time.Duration) Update {
 	w.At = now - time.Duration(w.AgeMS)*time.Millisecond
 	return w
 }
 
 // Received sets the time of updates of another node on this node's clock.
-func Received(now time.Duration, updates []Word) []Word {
+func Received(now time.Duration, updates []Update) []Update {
 	for position, update := range updates {
 		updates[position] = update.receivedAt(now)
 	}
@@ -41,12 +41,12 @@
 
 // ForSending returns updates with their age at the time of sending. Updates beyond
 // MaximumInForce are left out: nodes learn of those limits from the instances themselves.
-func ForSending(now time.Duration, updates []Word) []Word {
+func ForSending(now time.Duration, updates []Update) []Update {
 	if len(updates) == 0 {
 		return nil
 	}
-	sent := make([]Word, 0, min(len(updates), MaximumInForce))
-	for _, update := range updates[:min(len(updates), MaximumInForce)] {
+	sent := make([]Update, 0, min(len(updates), MaximumActiveUpdates))
+	for _, update := range updates[:min(len(updates), MaximumActiveUpdates)] {
 		sent = append(sent, update.sentAt(now))
 	}
 	return sent
@@ -55,19 +55,19 @@
 const (
 	// maximumUpdates bounds the updates that a node sends at a time, to some 10 KB.
 	maximumUpdates = 256
-	// MaximumInForce bounds the updates of one message, to some 160 KB. Such a message goes to
+	// MaximumActiveUpdates bounds the updates of one message, to some 160 KB. Such a message goes to
 	// a node that starts, or carries the updates of all nodes of a zone.
-	MaximumInForce = 4096
+	MaximumActiveUpdates = 4096
 )
 
-// InForce returns the updates of all limits in effect, for a node that has just started.
-func (l *Limits) InForce() []Word {
+// ActiveUpdates returns the updates of all limits in effect, for a node that has just started.
+func (l *Limits) ActiveUpdates() []Update {
 	if !l.Any() {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var updates []Word
+	var updates []Update
 	for incarnation, known := range l.entries {
 		if !known.hasEnded {
 			updates = append(updates, known.update(incarnation))
@@ -76,8 +76,8 @@
 	return updates
 }
 
-// Hear applies updates of other nodes. The newest update of an incarnation applies.
-func (l *Limits) Hear(now time.Duration, updates []Word) []Change {
+// Receive applies updates of other nodes. The newest update of an incarnation applies.
+func (l *Limits) Receive(now time.Duration, updates []Update) []Change {
 	if len(updates) == 0 {
 		return nil
 	}
@@ -92,8 +92,8 @@
 	return changes
 }
 
-func (l *Limits) receive(now time.Duration, update Word) Change {
-	known := l.entries[update.Life]
+func (l *Limits) receive(now time.Duration, update Update) Change {
+	known := l.entries[update.Incarnation]
 	switch {
 	case known == nil && update.HasEnded, known != nil && update.At <= known.at:
 		return Change{}
@@ -103,15 +103,15 @@
 	return l.apply(now, update)
 }
 
-// TakeNews returns the updates that this node has to send, at most as many as one message
+// TakeUpdates returns the updates that this node has to send, at most as many as one message
 // holds. The next call returns further ones.
-func (l *Limits) TakeNews() []Word {
+func (l *Limits) TakeUpdates() []Update {
 	if !l.Any() {
 		return nil
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	var updates []Word
+	var updates []Update
 	for incarnation := range l.pendingUpdates {
 		if len(updates) >= maximumUpdates {
 			break
@@ -122,6 +122,6 @@
 	return updates
 }
 
-func (e *entry) update(incarnation registry.Life) Word {
-	return Word{Life: incarnation, PerSecond: e.perSecond, HasEnded: e.hasEnded, At: e.at}
+func (e *entry) update(incarnation registry.Life) Update {
+	return Update{Incarnation: incarnation, PerSecond: e.perSecond, HasEnded: e.hasEnded, At: e.at}
 }
--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -14,8 +14,8 @@
 type LiveEntries struct {
 	// Nodes are the entry nodes, in order.
 	Nodes []peer.NodeEntry
-	// NamesSelf reports whether this node is among the live entry nodes.
-	NamesSelf bool
+	// IncludesSelf reports whether this node is among the live entry nodes.
+	IncludesSelf bool
 	// Generation differs whenever the nodes have changed; 0 before the first list.
 	Generation uint64
 }
@@ -38,7 +38,7 @@
 // don't number their lists, it returns those of Entries. The caller must not modify the result.
 func (r *Roster) LiveEntries(now time.Duration) LiveEntries {
 	var sources []listSource
-	var listing []*Heard
+	var listing []*Peer
 	for _, control := range r.Controls(now) {
 		if control.ListVersion == 0 {
 			// The hello has no numbered list of entry nodes.
@@ -52,7 +52,7 @@
 			r.setLive(entries)
 		}
 		known := r.live.LiveEntries
-		known.NamesSelf = false
+		known.IncludesSelf = false
 		return known
 	}
 	if !slices.Equal(sources, r.live.sources) {
@@ -62,7 +62,7 @@
 	return r.live.LiveEntries
 }
 
-func (r *Roster) listLive(listing []*Heard) {
+func (r *Roster) listLive(listing []*Peer) {
 	entries := map[string]peer.NodeEntry{}
 	for _, control := range listing {
 		for _, node := range control.Nodes {
@@ -71,19 +71,19 @@
 			}
 		}
 	}
-	_, r.live.NamesSelf = entries[r.self]
+	_, r.live.IncludesSelf = entries[r.self]
 	r.setLive(slices.SortedFunc(maps.Values(entries), compareEntries))
 }
 
-// HeardEntries returns the other entry nodes with which this control node is in contact itself.
+// ReachableEntries returns the other entry nodes with which this control node is in contact itself.
 // namesSelf sets whether the node counts itself as live.
-func (r *Roster) HeardEntries(now time.Duration, namesSelf bool) LiveEntries {
+func (r *Roster) ReachableEntries(now time.Duration, namesSelf bool) LiveEntries {
 	var nodes []peer.NodeEntry
-	for _, known := range r.alive(now, func(known *Heard) bool { return known.Entry && !known.Stopping }) {
+	for _, known := range r.alive(now, func(known *Peer) bool { return known.Entry && !known.Stopping }) {
 		nodes = append(nodes, peer.NodeEntry{Address: known.Address, Zone: known.Zone, Entry: true, Control: known.Control})
 	}
 	r.setLive(nodes)
-	r.live.NamesSelf = namesSelf
+	r.live.IncludesSelf = namesSelf
 	return r.live.LiveEntries
 }
 
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -29,10 +29,10 @@
 	relistInterval = listedTime / 3
 )
 
-// Heard is what is known of another node from its last hello.
-type Heard struct {
+// Peer is what is known of another node from its last hello.
+type Peer struct {
 	peer.Hello
-	At time.Duration
+	ReceivedAt time.Duration
 	// Meter measures the transit delay of the node's hellos.
 	delay.Meter
 	// listRecordedAt is when the nodes that it lists were last recorded.
@@ -43,7 +43,7 @@
 type Roster struct {
 	self  string
 	seeds []string
-	peers map[string]*Heard
+	peers map[string]*Peer
 	// addresses is the sorted list of the addresses in peers. Sorting a thousand nodes at each of
 	// tens of hellos per second took a third of a control node's processor time.
 	addresses []string
@@ -75,7 +75,7 @@
 
 // New returns the roster of a node that knows only its seeds.
 func New(self string, seeds []string) *Roster {
-	return &Roster{self: self, seeds: seeds, peers: map[string]*Heard{}, controlListedAt: map[string]time.Duration{}, entries: map[string]listedEntry{}}
+	return &Roster{self: self, seeds: seeds, peers: map[string]*Peer{}, controlListedAt: map[string]time.Duration{}, entries: map[string]listedEntry{}}
 }
 
 // SetSeeds replaces the seeds.
@@ -91,8 +91,8 @@
 		return false
 	}
 	known := r.peers[hello.Address]
-	isNew = known == nil || known.Life != hello.Life || now-known.At > AliveFor
-	current := &Heard{At: now}
+	isNew = known == nil || known.Life != hello.Life || now-known.ReceivedAt > AliveFor
+	current := &Peer{ReceivedAt: now}
 	hasList := len(hello.Nodes) > 0 || known != nil && applyChanges(&hello, known)
 	isRepeated := known != nil && !hasList
 	if !hasList {
@@ -109,7 +109,7 @@
 	if known != nil && known.Life == hello.Life {
 		current.Meter = known.Meter
 	}
-	current.Note(now, time.Duration(hello.AgeMS)*time.Millisecond)
+	current.Record(now, time.Duration(hello.AgeMS)*time.Millisecond)
 	r.peers[hello.Address] = current
 	if known == nil {
 		position, _ := slices.BinarySearch(r.addresses, hello.Address)
@@ -133,7 +133,7 @@
 // applyChanges builds a hello's list from the list before and the changes in the hello. It returns
 // false if the hello has no changes, or if earlier changes were lost: then the sender sends the
 // whole list again.
-func applyChanges(hello *peer.Hello, before *Heard) bool {
+func applyChanges(hello *peer.Hello, before *Peer) bool {
 	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Life != before.Life {
 		return false
 	}
@@ -161,16 +161,16 @@
 }
 
 // Get returns what is known of a node, or nil.
-func (r *Roster) Get(address string) *Heard { return r.peers[address] }
+func (r *Roster) Get(address string) *Peer { return r.peers[address] }
 
 // Alive reports whether a node's last hello is at most AliveFor old.
 func (r *Roster) Alive(now time.Duration, address string) bool {
 	known := r.peers[address]
-	return known != nil && now-known.At <= AliveFor
+	return known != nil && now-known.ReceivedAt <= AliveFor
 }
 
-// Greet returns the addresses of the control nodes to which this node sends hellos, in order.
-func (r *Roster) Greet(now time.Duration) []string {
+// HelloTargets returns the addresses of the control nodes to which this node sends hellos, in order.
+func (r *Roster) HelloTargets(now time.Duration) []string {
 	targets := map[string]bool{}
 	for _, seed := range r.seeds {
 		targets[seed] = true
@@ -181,7 +181,7 @@
 		}
 	}
 	for address, known := range r.peers {
-		if known.Control && now-known.At <= listedTime {
+		if known.Control && now-known.ReceivedAt <= listedTime {
 			targets[address] = true
 		}
 	}
@@ -195,15 +195,15 @@
 }
 
 // AliveNodes returns the nodes that are alive, in order.
-func (r *Roster) AliveNodes(now time.Duration) []*Heard {
-	return r.alive(now, func(*Heard) bool { return true })
+func (r *Roster) AliveNodes(now time.Duration) []*Peer {
+	return r.alive(now, func(*Peer) bool { return true })
 }
 
 // alive returns the wanted ones of the nodes that are alive, in order.
-func (r *Roster) alive(now time.Duration, isWanted func(*Heard) bool) []*Heard {
-	var alive []*Heard
+func (r *Roster) alive(now time.Duration, isWanted func(*Peer) bool) []*Peer {
+	var alive []*Peer
 	for _, address := range r.addresses {
-		if known := r.peers[address]; now-known.At <= AliveFor && isWanted(known) {
+		if known := r.peers[address]; now-known.ReceivedAt <= AliveFor && isWanted(known) {
 			alive = append(alive, known)
 		}
 	}
@@ -211,8 +211,8 @@
 }
 
 // Controls returns the control nodes that are alive, in order.
-func (r *Roster) Controls(now time.Duration) []*Heard {
-	return r.alive(now, func(known *Heard) bool { return known.Control })
+func (r *Roster) Controls(now time.Duration) []*Peer {
+	return r.alive(now, func(known *Peer) bool { return known.Control })
 }
 
 // Entries returns the other entry nodes that control nodes listed within listedTime, in order,
@@ -252,12 +252,12 @@
 			candidates = append(candidates, known)
 		}
 	}
-	var best *Heard
+	var best *Peer
 	for _, known := range candidates {
 		if known.Leader == "" {
 			continue
 		}
-		if best == nil || known.Term > best.Term || known.Term == best.Term && known.At > best.At {
+		if best == nil || known.Term > best.Term || known.Term == best.Term && known.ReceivedAt > best.ReceivedAt {
 			best = known
 		}
 	}
@@ -271,7 +271,7 @@
 func (r *Roster) Forget(now time.Duration) []string {
 	var gone []string
 	for address, known := range r.peers {
-		if now-known.At > forgetTime {
+		if now-known.ReceivedAt > forgetTime {
 			delete(r.peers, address)
 			gone = append(gone, address)
 		}
--- a/internal/coordination/roster/roster_test.go
+++ b/internal/coordination/roster/roster_test.go
@@ -15,9 +15,9 @@
 
 func TestNodeLearnsControlNodesFromItsSeeds(t *testing.T) {
 	roster := New("f:1", []string{"a:1"})
-	assert.DeepEqual(t, roster.Greet(0), []string{"a:1"})
+	assert.DeepEqual(t, roster.HelloTargets(0), []string{"a:1"})
 	assert.Assert(t, roster.Hello(0, control("a:1", "b:1", 1, peer.NodeEntry{Address: "b:1", Control: true}, peer.NodeEntry{Address: "f:1", Entry: true})))
-	assert.DeepEqual(t, roster.Greet(0), []string{"a:1", "b:1"})
+	assert.DeepEqual(t, roster.HelloTargets(0), []string{"a:1", "b:1"})
 	entries, _ := roster.Entries(0)
 	assert.Equal(t, len(entries), 0)
 }
@@ -26,8 +26,8 @@
 	roster := New("f:1", []string{"a:1"})
 	roster.Hello(0, control("a:1", "", 0))
 	roster.SetSeeds([]string{"c:1"})
-	assert.DeepEqual(t, roster.Greet(time.Second), []string{"a:1", "c:1"})
-	assert.DeepEqual(t, roster.Greet(time.Minute), []string{"c:1"})
+	assert.DeepEqual(t, roster.HelloTargets(time.Second), []string{"a:1", "c:1"})
+	assert.DeepEqual(t, roster.HelloTargets(time.Minute), []string{"c:1"})
 	assert.DeepEqual(t, roster.Forget(2*time.Minute), []string{"a:1"})
 }
 
--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -14,12 +14,12 @@
 type Backoff interface {
 	// Learn takes what an instance's answer to a request asks for, which was written at a
 	// time; the zero time stands for a request before it.
-	Learn(instance registry.Instance, request string, said backoff.Said, writtenAt time.Time)
+	Learn(instance registry.Instance, request string, said backoff.Signal, writtenAt time.Time)
 }
 
 type noBackoff struct{}
 
-func (noBackoff) Learn(registry.Instance, string, backoff.Said, time.Time) {}
+func (noBackoff) Learn(registry.Instance, string, backoff.Signal, time.Time) {}
 
 // send sends the request to an instance, if that takes it at the moment of writing.
 func (r *request) send(ctx context.Context, choice balance.Choice, lastEvent string) (*exchange, sendState, error) {
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -25,7 +25,7 @@
 	environment *testEnvironment
 }
 
-func (b trackedBackoff) Learn(instance registry.Instance, request string, said backoff.Said, writtenAt time.Time) {
+func (b trackedBackoff) Learn(instance registry.Instance, request string, said backoff.Signal, writtenAt time.Time) {
 	now, answered := b.environment.Now(), backoff.Request{ID: request}
 	if !writtenAt.IsZero() {
 		answered.WrittenAt = now - time.Since(writtenAt)
@@ -34,7 +34,7 @@
 }
 
 // exactEnd ends pauses when they were asked to end.
-var exactEnd = backoff.ReturnPolicy{FirstTrials: 1, FullTrials: 4, LongestTrials: time.Minute}
+var exactEnd = backoff.RecoveryPolicy{InitialTrials: 1, RecoveredTrials: 4, MaximumTrialTime: time.Minute}
 
 // newBackoffHarness is newHarness with pauses kept.
 func newBackoffHarness(t *testing.T, engines ...*scriptedEngine) (*harness, *backoff.Tracker) {
@@ -124,7 +124,7 @@
 				answered := make(chan result, 1)
 				go func() { answered <- h.ask(t, http.MethodPost, path, "r1", "b") }()
 				time.Sleep(50 * time.Millisecond)
-				tracker.Learn(h.environment.Now(), registry.Life{ID: "i-0"}, backoff.Request{ID: "r0"}, backoff.Said{Pause: 3 * time.Second})
+				tracker.Learn(h.environment.Now(), registry.Life{ID: "i-0"}, backoff.Request{ID: "r0"}, backoff.Signal{Pause: 3 * time.Second})
 				close(asked)
 				got := <-answered
 				assert.Equal(t, engine.ids(), "")
@@ -141,7 +141,7 @@
 	until chan struct{}
 }
 
-func (l waitingLimits) Permit(context.Context, registry.Instance, ratelimit.Need) error {
+func (l waitingLimits) Permit(context.Context, registry.Instance, ratelimit.PermitNeeds) error {
 	<-l.until
 	return nil
 }
--- a/internal/forward/broken.go
+++ b/internal/forward/broken.go
@@ -26,16 +26,16 @@
 // broken describes the exchange's run as it breaks.
 func (e *exchange) broken(r *request, choice balance.Choice) brokenRun {
 	return brokenRun{choice: choice, run: quarantine.Run{
-		AnswerBegan: true, BeganFor: time.Since(e.answeredAt), BeginsAtHead: r.route.Kind == document.Stream && e.isSuccess(),
+		ResponseBegan: true, ResponseAge: time.Since(e.answeredAt), RespondsAtStart: r.route.Kind == document.Stream && e.isSuccess(),
 	}}
 }
 
 // String describes it for the decision log.
 func (b brokenRun) String() string {
-	if !b.run.AnswerBegan {
+	if !b.run.ResponseBegan {
 		return "no answer had begun"
 	}
-	return fmt.Sprintf("its answer had begun %d ms before", b.run.BeganFor.Milliseconds())
+	return fmt.Sprintf("its answer had begun %d ms before", b.run.ResponseAge.Milliseconds())
 }
 
 // noteBroken notes a run that broke. Unless this node ended it, the engine may have
@@ -84,8 +84,8 @@
 }
 
 // standing tells what is held against the request.
-func (r *request) standing() quarantine.Standing {
-	return r.pipeline.options.Guard.Standing(r.work())
+func (r *request) standing() quarantine.Status {
+	return r.pipeline.options.Guard.Status(r.work())
 }
 
 const (
@@ -231,6 +231,6 @@
 	}
 	w.mutex.Unlock()
 	if len(present) > 0 && !w.pipeline.options.Table.IsLeaving(life) {
-		w.pipeline.options.Guard.Ended(life, present)
+		w.pipeline.options.Guard.ReportCrash(life, present)
 	}
 }
--- a/internal/forward/broken_test.go
+++ b/internal/forward/broken_test.go
@@ -74,7 +74,7 @@
 	reports int
 }
 
-func (s *trackerSink) EnginesEnded(evidence []quarantine.Evidence) {
+func (s *trackerSink) EnginesCrashed(evidence []quarantine.CrashReport) {
 	s.change(func(now time.Duration) {
 		for _, one := range evidence {
 			s.reports++
@@ -83,7 +83,7 @@
 	})
 }
 
-func (s *trackerSink) RanToItsEnd(fingerprint quarantine.Fingerprint) {
+func (s *trackerSink) RequestCompleted(fingerprint quarantine.Fingerprint) {
 	s.change(func(now time.Duration) { s.tracker.Clear(now, fingerprint) })
 }
 
@@ -195,8 +195,8 @@
 	sink := h.withTracker()
 	suspect := quarantine.FingerprintOf(quarantine.ScopeOf(strings.TrimPrefix(h.server.URL, "http://")+"/resumable/x", "t"), []byte("suspect"))
 	for number := range 2 {
-		sink.EnginesEnded([]quarantine.Evidence{{
-			Fingerprint: suspect, Life: registry.Life{ID: fmt.Sprintf("before-%d", number)}, Suspicion: quarantine.Likely,
+		sink.EnginesCrashed([]quarantine.CrashReport{{
+			Fingerprint: suspect, Incarnation: registry.Life{ID: fmt.Sprintf("before-%d", number)}, Suspicion: quarantine.Likely,
 		}})
 	}
 	assert.Assert(t, h.ask(t, http.MethodPost, "/resumable/x", "r1", "suspect").err != nil)
--- a/internal/forward/decisions.go
+++ b/internal/forward/decisions.go
@@ -154,8 +154,8 @@
 		return
 	}
 	weighed(l.line(r, "attempt"), run.choice).Str("address", run.choice.Address).Str("result", result).
-		Uint64("events", r.events).Stringer("fingerprint", fingerprint).Bool("answer_begun", run.run.AnswerBegan).
-		Int64("answered_ms", run.run.BeganFor.Milliseconds()).AnErr("error", err).Send()
+		Uint64("events", r.events).Stringer("fingerprint", fingerprint).Bool("answer_begun", run.run.ResponseBegan).
+		Int64("answered_ms", run.run.ResponseAge.Milliseconds()).AnErr("error", err).Send()
 }
 
 // EngineEnded notes that an engine has ended, and how many of this node's runs with it.
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -67,9 +67,9 @@
 	// OtherInstance tells that another instance has the address now.
 	OtherInstance bool
 	// RateLimit is what it says of the instance's limit.
-	RateLimit ratelimit.Said
+	RateLimit ratelimit.Signal
 	// Backoff is what the instance asks this node for.
-	Backoff backoff.Said
+	Backoff backoff.Signal
 }
 
 // Dialect is one wire interface between callers, ravenway and engines.
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -175,14 +175,14 @@
 }
 
 // limitSaid is what the answer says of the engine's limit.
-func (e *exchange) limitSaid() ratelimit.Said {
+func (e *exchange) limitSaid() ratelimit.Signal {
 	said := e.head.RateLimit
 	said.IsFailure = !e.hasRun()
 	return said
 }
 
 // backoffSaid is what the engine asks for.
-func (e *exchange) backoffSaid() backoff.Said {
+func (e *exchange) backoffSaid() backoff.Signal {
 	said := e.head.Backoff
 	said.HasRun = e.hasRun()
 	return said
--- a/internal/forward/permits.go
+++ b/internal/forward/permits.go
@@ -19,17 +19,19 @@
 type RateLimits interface {
 	// Permit waits until one request may be written to an instance. The error is
 	// ErrNoPermit or the context's.
-	Permit(ctx context.Context, instance registry.Instance, need ratelimit.Need) error
+	Permit(ctx context.Context, instance registry.Instance, need ratelimit.PermitNeeds) error
 	// Learn takes what an answer of an instance says, to a request written at a time; the
 	// zero time stands for one of which that is not known.
-	Learn(instance registry.Instance, said ratelimit.Said, writtenAt time.Time)
+	Learn(instance registry.Instance, said ratelimit.Signal, writtenAt time.Time)
 }
 
 type noRateLimits struct{}
 
-func (noRateLimits) Permit(context.Context, registry.Instance, ratelimit.Need) error { return nil }
+func (noRateLimits) Permit(context.Context, registry.Instance, ratelimit.PermitNeeds) error {
+	return nil
+}
 
-func (noRateLimits) Learn(registry.Instance, ratelimit.Said, time.Time) {}
+func (noRateLimits) Learn(registry.Instance, ratelimit.Signal, time.Time) {}
 
 const (
 	// maximumRefusals is how many holders may refuse a request a permit before it asks no
@@ -55,8 +57,8 @@
 
 // permitNeed is what the request needs of a permit. A stream in progress comes before all
 // others: its caller has a part of the answer.
-func (r *request) permitNeed() ratelimit.Need {
-	need := ratelimit.Need{PatienceMS: uint64(max(0, r.permitPatience()).Milliseconds())}
+func (r *request) permitNeed() ratelimit.PermitNeeds {
+	need := ratelimit.PermitNeeds{MaximumWaitMS: uint64(max(0, r.permitPatience()).Milliseconds())}
 	if !r.answering {
 		need.Priority = uint8(min(max(0, r.route.Priority), math.MaxUint8))
 	}
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -118,7 +118,7 @@
 	// headers finds the headers of answers that are not known.
 	headers  *headerWatch
 	retries  *balance.RetryBudget
-	returns  *ratelimit.Returns
+	returns  *ratelimit.Retries
 	buffered atomic.Int64
 	active   atomic.Int64
 	received atomic.Int64
@@ -164,7 +164,7 @@
 	if options.Backoff == nil {
 		options.Backoff = noBackoff{}
 	}
-	made := &Pipeline{options: options, returns: ratelimit.NewReturns(), headers: newHeaderWatch(), pool: newPool(options.Dial, options.Environment.LinkDelay), retries: balance.NewRetryBudget()}
+	made := &Pipeline{options: options, returns: ratelimit.NewRetries(), headers: newHeaderWatch(), pool: newPool(options.Dial, options.Environment.LinkDelay), retries: balance.NewRetryBudget()}
 	made.ends = newEndWatch(made)
 	return made
 }
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -24,9 +24,11 @@
 	changes chan ratelimit.Change
 }
 
-func (l *learntLimits) Permit(context.Context, registry.Instance, ratelimit.Need) error { return nil }
+func (l *learntLimits) Permit(context.Context, registry.Instance, ratelimit.PermitNeeds) error {
+	return nil
+}
 
-func (l *learntLimits) Learn(instance registry.Instance, said ratelimit.Said, writtenAt time.Time) {
+func (l *learntLimits) Learn(instance registry.Instance, said ratelimit.Signal, writtenAt time.Time) {
 	l.changes <- l.Limits.Learn(time.Since(l.began), instance.Life(), said, writtenAt.Sub(l.began))
 }
 
@@ -70,8 +72,8 @@
 	limits := ratelimit.New("node")
 	h.pipeline.options.Table.SetLimits(limits)
 	limited := registry.Life{ID: "i-1"}
-	limits.Learn(h.environment.Now(), limited, ratelimit.Said{IsNamed: true, PerSecond: 0.1}, 0)
-	limits.Answered(h.environment.Now(), limited, ratelimit.Answer{FreeMS: 2000})
+	limits.Learn(h.environment.Now(), limited, ratelimit.Signal{IsNamed: true, PerSecond: 0.1}, 0)
+	limits.RecordResponse(h.environment.Now(), limited, ratelimit.PermitResponse{FreeMS: 2000})
 	route := h.environment.index.Document.Routes
 	for position := range route {
 		route[position].MaxAttempts = 1
--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -33,13 +33,13 @@
 }
 
 func newBackoffKeeper(node *Node) *backoffKeeper {
-	return &backoffKeeper{node: node, tracker: backoff.NewTracker(backoff.DefaultReturn), lines: forward.NewLineBudget(backoffLinesPerSecond)}
+	return &backoffKeeper{node: node, tracker: backoff.NewTracker(backoff.DefaultRecovery), lines: forward.NewLineBudget(backoffLinesPerSecond)}
 }
 
 // look notes the pauses that are over. The loads' duty calls it.
 func (k *backoffKeeper) look() {
 	now := k.node.now()
-	for _, change := range k.tracker.Look(now) {
+	for _, change := range k.tracker.TakeEnded(now) {
 		k.note(change, 0)
 	}
 	if now-k.prunedAt >= pruneInterval {
@@ -50,7 +50,7 @@
 }
 
 // Learn implements forward.Backoff.
-func (k *backoffKeeper) Learn(instance registry.Instance, request string, said backoff.Said, writtenAt time.Time) {
+func (k *backoffKeeper) Learn(instance registry.Instance, request string, said backoff.Signal, writtenAt time.Time) {
 	answered := backoff.Request{ID: request, WrittenAt: k.node.at(writtenAt)}
 	for _, change := range k.tracker.Learn(k.node.now(), instance.Life(), answered, said) {
 		k.note(change, k.node.table.InFlight(instance.Life()))
@@ -77,10 +77,10 @@
 		pausesBegan.Inc()
 	case backoff.Extended:
 		pausesExtended.Inc()
-	case backoff.Left:
+	case backoff.AnnouncedLeaving:
 		instancesLeft.Inc()
 		event = "instance_leaving"
-	case backoff.Back:
+	case backoff.Recovered:
 		instancesBackAgain.Inc()
 	case backoff.Unreadable:
 		pausesUnreadable.Inc()
@@ -90,9 +90,9 @@
 	if !k.lines.Take() {
 		return
 	}
-	k.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
-		Int64("asked_ms", change.Asked.Milliseconds()).Int64("left_ms", change.Left.Milliseconds()).Str("request", change.Request).
-		Int("answers", change.Answers).Int("in_flight", inFlight).AnErr("error", change.Fault).Send()
+	k.node.log.Info().Str("event", event).Stringer("life", change.Incarnation).Stringer("change", change.Kind).
+		Int64("asked_ms", change.Requested.Milliseconds()).Int64("left_ms", change.Remaining.Milliseconds()).Str("request", change.RequestID).
+		Int("answers", change.Responses).Int("in_flight", inFlight).AnErr("error", change.Fault).Send()
 }
 
 // summarize writes how many lines on pauses were left out since the last call.
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -214,7 +214,7 @@
 
 func (n *Node) executeCall(ctx context.Context, from string, call peer.Call) (any, error) {
 	if call.Method == peer.MethodPermit && n.limits != nil {
-		return peer.Execute(call, func(ask ratelimit.Ask) (any, error) { return n.limits.grant(from, ask), nil })
+		return peer.Execute(call, func(ask ratelimit.PermitRequest) (any, error) { return n.limits.grant(from, ask), nil })
 	}
 	if n.replica == nil {
 		return nil, consensus.ErrNotLeader
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -94,11 +94,11 @@
 		d.node.log.Error().Str("event", "document_unreadable").Uint64("version", version).Err(err).Send()
 		return false
 	}
-	index, newest, asks := document.NewIndex(decoded), d.newest.Load(), d.follower.Asks()
+	index, newest, asks := document.NewIndex(decoded), d.newest.Load(), d.follower.RequestCount()
 	d.encoded = encoded
 	d.index.Store(index)
 	d.changed(index)
-	d.follower.Took(began, version)
+	d.follower.RecordApplied(began, version)
 	d.node.log.Info().Str("event", "document_in_force").Uint64("version", version).Int("routes", len(decoded.Routes)).
 		Int("tenants", len(decoded.Tenants)).Int("bytes", len(encoded)).Str("from", from).Int("asks", asks).
 		Uint64("newest", newest.version).Int64("newest_heard_ms", (began-newest.at).Milliseconds()).
@@ -116,7 +116,7 @@
 	}
 	d.mutex.Lock()
 	d.noteHeard(version)
-	d.follower.Heard(d.node.now(), from, version)
+	d.follower.RecordAnnouncement(d.node.now(), from, version)
 	d.mutex.Unlock()
 	d.ask()
 }
@@ -159,7 +159,7 @@
 func (d *documentStore) logAsk(now time.Duration, from string) {
 	newest, freshness := d.newest.Load(), d.node.fleet.controlFreshness(now)
 	d.node.log.Info().Str("event", "document_asked").Uint64("version", newest.version).Str("from", from).
-		Uint64("have", d.version()).Int("asks", d.follower.Asks()).Int64("newest_heard_ms", (now-newest.at).Milliseconds()).
+		Uint64("have", d.version()).Int("asks", d.follower.RequestCount()).Int64("newest_heard_ms", (now-newest.at).Milliseconds()).
 		Ints64("control_silence_ms", freshness.silences).Ints64("control_delay_ms", freshness.delays).Send()
 }
 
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -113,7 +113,7 @@
 
 // fleetView is the roster as others may read it.
 type fleetView struct {
-	alive []*roster.Heard
+	alive []*roster.Peer
 	// controls is the number of control nodes among them.
 	controls int
 	leader   string
@@ -140,7 +140,7 @@
 	freshness := controlFreshness{silences: []int64{}, delays: []int64{}}
 	for _, known := range f.view.Load().alive {
 		if known.Control {
-			freshness.silences = append(freshness.silences, (now - known.At).Milliseconds())
+			freshness.silences = append(freshness.silences, (now - known.ReceivedAt).Milliseconds())
 			freshness.delays = append(freshness.delays, known.Delay().Milliseconds())
 		}
 	}
@@ -220,7 +220,7 @@
 	for address := range f.heardBefore {
 		if known := f.roster.Get(address); !alive[address] && known != nil {
 			f.node.log.Warn().Str("event", "node_lost").Str("peer", known.Node).Str("address", address).
-				Int64("silent_ms", (now-known.At).Milliseconds()).Int("control_nodes_heard", len(alive)).Send()
+				Int64("silent_ms", (now-known.ReceivedAt).Milliseconds()).Int("control_nodes_heard", len(alive)).Send()
 		}
 	}
 	f.heardBefore = alive
@@ -269,7 +269,7 @@
 func (f *fleetDuty) sayHello(isTurn func(receiver string) bool) {
 	now := f.node.now()
 	said := f.describe()
-	receivers := f.roster.Greet(now)
+	receivers := f.roster.HelloTargets(now)
 	if f.isControl() {
 		greeted := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
@@ -309,7 +309,7 @@
 // granted.
 func (f *fleetDuty) greetNamed(now time.Duration) {
 	var named []string
-	for _, address := range f.roster.Greet(now) {
+	for _, address := range f.roster.HelloTargets(now) {
 		if !f.greeted[address] {
 			f.greeted[address] = true
 			named = append(named, address)
@@ -342,7 +342,7 @@
 
 // hearsOlder tells whether a node is heard that compares ordered digests.
 func (f *fleetDuty) hearsOlder() bool {
-	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Heard) bool { return known.Dialect < peer.DialectSums })
+	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Peer) bool { return known.Dialect < peer.DialectSums })
 }
 
 // takeHello notes another node's hello and settles what differs.
@@ -434,7 +434,7 @@
 			continue
 		}
 		view.certainVersion = max(view.certainVersion, known.Version)
-		view.rootHeardAt = max(view.rootHeardAt, known.At)
+		view.rootHeardAt = max(view.rootHeardAt, known.ReceivedAt)
 	}
 	f.view.Store(view)
 }
@@ -443,7 +443,7 @@
 // itself, and counts as heard while it has a quorum.
 func (f *fleetDuty) liveEntries(now time.Duration) roster.LiveEntries {
 	if f.isControl() {
-		return f.roster.HeardEntries(now, f.node.hearsRoot())
+		return f.roster.ReachableEntries(now, f.node.hearsRoot())
 	}
 	return f.roster.LiveEntries(now)
 }
--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -74,5 +74,5 @@
 	now := c.node.now()
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	return c.gate.LetsIn(now, caller, bodyBytes, mustServe)
+	return c.gate.Admits(now, caller, bodyBytes, mustServe)
 }
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -60,7 +60,7 @@
 func (k *limitKeeper) look() {
 	now, live := k.node.now(), k.node.fleet.view.Load().live
 	k.takeNodes(now, live)
-	k.limits.SetSure(now, live.NamesSelf && !k.node.isStopping())
+	k.limits.SetReliable(now, live.IncludesSelf && !k.node.isStopping())
 	if now-k.prunedAt >= pruneInterval {
 		k.limits.Prune(now)
 		k.prunedAt = now
@@ -84,13 +84,13 @@
 }
 
 // Learn implements forward.RateLimits.
-func (k *limitKeeper) Learn(instance registry.Instance, said ratelimit.Said, writtenAt time.Time) {
+func (k *limitKeeper) Learn(instance registry.Instance, said ratelimit.Signal, writtenAt time.Time) {
 	k.note("answer", k.limits.Learn(k.node.now(), instance.Life(), said, k.node.at(writtenAt)))
 }
 
 // hear takes what other nodes tell of limits.
-func (k *limitKeeper) hear(words []ratelimit.Word) {
-	k.note("peer", k.limits.Hear(k.node.now(), words)...)
+func (k *limitKeeper) hear(words []ratelimit.Update) {
+	k.note("peer", k.limits.Receive(k.node.now(), words)...)
 }
 
 // note writes a line for each change, with how it was learnt.
@@ -112,19 +112,19 @@
 		if !k.lines.Take() {
 			continue
 		}
-		k.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
+		k.node.log.Info().Str("event", event).Stringer("life", change.Incarnation).Stringer("change", change.Kind).
 			Float64("per_second", change.PerSecond).Float64("before", change.Before).Int64("age_ms", change.Age.Milliseconds()).
 			Str("how", how).AnErr("error", change.Fault).Send()
 	}
 }
 
 // Permit implements forward.RateLimits.
-func (k *limitKeeper) Permit(ctx context.Context, instance registry.Instance, need ratelimit.Need) error {
+func (k *limitKeeper) Permit(ctx context.Context, instance registry.Instance, need ratelimit.PermitNeeds) error {
 	if !k.limits.Any() {
 		return nil
 	}
 	life, began := instance.Life(), k.node.now()
-	ask, holder, isLimited := k.limits.Ask(began, life, instance.Zone, need)
+	ask, holder, isLimited := k.limits.RequestPermit(began, life, instance.Zone, need)
 	if !isLimited {
 		return nil
 	}
@@ -132,12 +132,12 @@
 	now := k.node.now()
 	if err != nil {
 		permitsSilent.Inc()
-		k.limits.Unanswered(now, life)
+		k.limits.RecordNoResponse(now, life)
 		return fmt.Errorf("%w: the holder %q of %s gave no answer: %w", forward.ErrNoPermit, holder, life, err)
 	}
-	k.note("holder", k.limits.Answered(now, life, answer)...)
+	k.note("holder", k.limits.RecordResponse(now, life, answer)...)
 	if !answer.IsGranted {
-		if _, isStill := k.limits.Room(now, life); !isStill {
+		if _, isStill := k.limits.Headroom(now, life); !isStill {
 			return nil
 		}
 		permitsDenied.Inc()
@@ -146,7 +146,7 @@
 	if !pause.For(ctx, time.Duration(answer.DelayMS)*time.Millisecond) {
 		return context.Cause(ctx)
 	}
-	if k.node.now()-began > need.Patience()+ratelimit.PermitLife {
+	if k.node.now()-began > need.MaximumWait()+ratelimit.PermitLifetime {
 		permitsStale.Inc()
 		return fmt.Errorf("%w: that for %s came too late", forward.ErrNoPermit, life)
 	}
@@ -158,20 +158,20 @@
 var errNoHolder = errors.New("gateway: no node holds the limit")
 
 // ask asks the holder for a permit.
-func (k *limitKeeper) ask(ctx context.Context, holder string, ask ratelimit.Ask) (ratelimit.Answer, error) {
+func (k *limitKeeper) ask(ctx context.Context, holder string, ask ratelimit.PermitRequest) (ratelimit.PermitResponse, error) {
 	switch holder {
 	case "":
-		return ratelimit.Answer{}, errNoHolder
+		return ratelimit.PermitResponse{}, errNoHolder
 	case k.node.address:
 		return k.grant(holder, ask), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, ask.Patience()+holderPatience)
+	ctx, cancel := context.WithTimeout(ctx, ask.MaximumWait()+holderPatience)
 	defer cancel()
-	return peer.Invoke[ratelimit.Answer](ctx, k.node.calls, holder, peer.MethodPermit, ask)
+	return peer.Invoke[ratelimit.PermitResponse](ctx, k.node.calls, holder, peer.MethodPermit, ask)
 }
 
 // grant answers a node that asks for a permit.
-func (k *limitKeeper) grant(from string, ask ratelimit.Ask) ratelimit.Answer {
+func (k *limitKeeper) grant(from string, ask ratelimit.PermitRequest) ratelimit.PermitResponse {
 	answer := k.limits.Grant(k.node.now(), from, ask)
 	if answer.IsGranted {
 		permitsGiven.Inc()
@@ -185,7 +185,7 @@
 	now := k.node.now()
 	for _, use := range k.limits.TakeUse(now) {
 		if k.lines.Take() {
-			k.node.log.Info().Str("event", "instance_limit_use").Stringer("life", use.Life).Float64("per_second", use.PerSecond).
+			k.node.log.Info().Str("event", "instance_limit_use").Stringer("life", use.Incarnation).Float64("per_second", use.PerSecond).
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -83,7 +83,7 @@
 }
 
 // delay is that of the control nodes' last hellos, or else of load reports.
-func (l *linkWatch) delay(now time.Duration, alive []*roster.Heard) (time.Duration, bool) {
+func (l *linkWatch) delay(now time.Duration, alive []*roster.Peer) (time.Duration, bool) {
 	var delays []time.Duration
 	for _, known := range alive {
 		if known.Control && known.IsFresh(now, freshWord) {
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -62,7 +62,7 @@
 const historyKept = 32
 
 // update makes the list anew.
-func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Heard) {
+func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Peer) {
 	before, beforeDialects := l.nodes, l.dialects
 	l.nodes, l.dialects, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
 	digest := xxhash.New()
--- a/internal/gateway/lists_test.go
+++ b/internal/gateway/lists_test.go
@@ -15,10 +15,10 @@
 )
 
 // aliveNodes are nodes as a roster has heard of them.
-func aliveNodes(names []string) []*roster.Heard {
-	var alive []*roster.Heard
+func aliveNodes(names []string) []*roster.Peer {
+	var alive []*roster.Peer
 	for _, name := range names {
-		alive = append(alive, &roster.Heard{Hello: peer.Hello{Address: name, Zone: "a", Entry: true, Dialect: peer.OwnDialect}})
+		alive = append(alive, &roster.Peer{Hello: peer.Hello{Address: name, Zone: "a", Entry: true, Dialect: peer.OwnDialect}})
 	}
 	return alive
 }
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -22,7 +22,7 @@
 	var others []int64
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control && known.WallMS != 0 {
-			others = append(others, known.WallMS+(now-known.At).Milliseconds())
+			others = append(others, known.WallMS+(now-known.ReceivedAt).Milliseconds())
 		}
 	}
 	wall := time.Now().UnixMilli()
@@ -56,7 +56,7 @@
 			continue
 		}
 		// Its successor had started by then.
-		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Steady - successor.At
+		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Steady - successor.ReceivedAt
 		silence, known := clocks.Silence(r.machine.Accounts().LastContact(holder), reading, sinceOver)
 		if !known && r.node.now()-r.leadsSince < clockPatience {
 			continue
@@ -69,8 +69,8 @@
 }
 
 // runningEntries are the live entry nodes by address.
-func (r *replicaDuty) runningEntries() map[string]*roster.Heard {
-	running := map[string]*roster.Heard{}
+func (r *replicaDuty) runningEntries() map[string]*roster.Peer {
+	running := map[string]*roster.Peer{}
 	for _, node := range r.node.fleet.view.Load().alive {
 		if node.Entry {
 			running[node.Address] = node
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -65,8 +65,8 @@
 	now := l.node.now()
 	l.node.limits.look()
 	l.node.backoff.look()
-	news := balance.News{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeNews()}
-	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), news, l.node.limits.limits.InForce)
+	news := balance.News{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeUpdates()}
+	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), news, l.node.limits.limits.ActiveUpdates)
 	l.node.limits.hear(known.Limits)
 	l.node.table.SetOthersLoads(known.Loads)
 	l.node.table.NoteHeld(now, known.Parts)
@@ -85,7 +85,7 @@
 			way = &delay.Meter{}
 			l.ways[from] = way
 		}
-		way.Note(now, time.Duration(report.AgeMS)*time.Millisecond)
+		way.Record(now, time.Duration(report.AgeMS)*time.Millisecond)
 		l.exchange.Take(now, from, report)
 	})
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -65,7 +65,7 @@
 	for _, known := range view.alive {
 		answer.Nodes = append(answer.Nodes, &ravenwayv1.NodeStatus{
 			Name: known.Node, Zone: known.Zone, Control: known.Control, Leader: known.Address == answer.Leader,
-			Revision: known.Version, SilentMilliseconds: uint64((node.now() - known.At).Milliseconds()), Stopping: known.Stopping,
+			Revision: known.Version, SilentMilliseconds: uint64((node.now() - known.ReceivedAt).Milliseconds()), Stopping: known.Stopping,
 			EvacuationRevision: known.Evacuated.Revision, Dialect: uint32(known.Dialect), Build: known.Build, LogVersion: known.LogVersion,
 		})
 	}
@@ -228,12 +228,12 @@
 	now := o.node.now()
 	for _, one := range o.node.limits.limits.List(now) {
 		described := &ravenwayv1.InstanceLimit{
-			Instance: one.Life.String(), RequestsPerSecond: one.PerSecond, AgeMilliseconds: one.Age.Milliseconds(),
+			Instance: one.Incarnation.String(), RequestsPerSecond: one.PerSecond, AgeMilliseconds: one.Age.Milliseconds(),
 			NextPermitMilliseconds: one.Wait.Milliseconds(), Pressure: one.Pressure,
 		}
-		if instance, isKnown := o.node.table.Instance(one.Life); isKnown {
+		if instance, isKnown := o.node.table.Instance(one.Incarnation); isKnown {
 			described.Service, described.Zone = instance.Service, instance.Zone
-			described.Holder = o.node.limits.limits.Holder(now, one.Life.ID, instance.Zone)
+			described.Holder = o.node.limits.limits.Issuer(now, one.Incarnation.ID, instance.Zone)
 		}
 		answer.Limits = append(answer.Limits, described)
 	}
@@ -251,11 +251,11 @@
 	answer := &ravenwayv1.GetPausesResponse{}
 	for _, one := range o.node.backoff.tracker.List(o.node.now()) {
 		described := &ravenwayv1.InstancePause{
-			Instance: one.Life.String(), Phase: one.Standing.Phase.String(), AskedMilliseconds: one.Asked.Milliseconds(),
-			LeftMilliseconds: one.Standing.Wait.Milliseconds(), Request: one.Request, Answers: uint32(one.Answers),
-			InFlight: uint32(o.node.table.InFlight(one.Life)),
+			Instance: one.Incarnation.String(), Phase: one.Status.Phase.String(), AskedMilliseconds: one.Requested.Milliseconds(),
+			LeftMilliseconds: one.Status.Wait.Milliseconds(), Request: one.RequestID, Answers: uint32(one.Responses),
+			InFlight: uint32(o.node.table.InFlight(one.Incarnation)),
 		}
-		if instance, isKnown := o.node.table.Instance(one.Life); isKnown {
+		if instance, isKnown := o.node.table.Instance(one.Incarnation); isKnown {
 			described.Service, described.Zone = instance.Service, instance.Zone
 		}
 		answer.Pauses = append(answer.Pauses, described)
@@ -263,14 +263,14 @@
 	return connect.NewResponse(answer), nil
 }
 
-func describeHeld(one quarantine.Held) *ravenwayv1.HeldRequest {
+func describeHeld(one quarantine.Summary) *ravenwayv1.HeldRequest {
 	described := &ravenwayv1.HeldRequest{
 		Fingerprint: one.Fingerprint.String(), Route: one.Route, Tenant: one.Tenant, Quarantined: one.IsQuarantined,
 		CountedEnds: uint32(one.Counted), Generation: one.Generation,
 	}
-	for _, end := range one.Ends {
+	for _, end := range one.Crashes {
 		described.Ends = append(described.Ends, &ravenwayv1.EngineEnd{
-			Engine: end.Life.String(), AgeMilliseconds: uint64(end.Age.Milliseconds()), Suspicion: end.Suspicion.String(),
+			Engine: end.Incarnation.String(), AgeMilliseconds: uint64(end.Age.Milliseconds()), Suspicion: end.Suspicion.String(),
 		})
 	}
 	return described
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -52,12 +52,12 @@
 func (p *documentPublisher) due(address, life string, has uint64, held peer.DocumentData) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.publisher.Has(address, life, has)
-	return p.publisher.Due(p.node.now(), address, held.Version, len(held.Encoded))
+	p.publisher.RecordVersion(address, life, has)
+	return p.publisher.TakeDue(p.node.now(), address, held.Version, len(held.Encoded))
 }
 
 // controls are the control nodes that may send documents, this one included.
-func (p *documentPublisher) controls(alive []*roster.Heard) []follow.Node {
+func (p *documentPublisher) controls(alive []*roster.Peer) []follow.Node {
 	var controls []follow.Node
 	if !p.node.isStopping() {
 		controls = append(controls, follow.Node{Address: p.node.address, Zone: p.node.settings.Load().Node.Zone})
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -71,7 +71,7 @@
 	bounds := node.settings.Load().Quarantine
 	made := &quarantineDuty{
 		node: node, duty: duty.New("quarantine", quarantineTick),
-		tracker: quarantine.NewTracker(quarantine.Options{Memory: bounds.Memory, Requests: bounds.Requests}),
+		tracker: quarantine.NewTracker(quarantine.Options{Retention: bounds.Memory, MaximumRequests: bounds.Requests}),
 	}
 	made.guard = quarantine.NewGuard(made)
 	made.duty.Tick, made.duty.Flush = made.tick, made.flush
@@ -82,8 +82,8 @@
 	return made
 }
 
-// EnginesEnded implements quarantine.Sink.
-func (q *quarantineDuty) EnginesEnded(evidence []quarantine.Evidence) {
+// EnginesCrashed implements quarantine.Sink.
+func (q *quarantineDuty) EnginesCrashed(evidence []quarantine.CrashReport) {
 	q.duty.Offer(func() {
 		for _, one := range evidence {
 			quarantineEvidence.Inc()
@@ -92,8 +92,8 @@
 	})
 }
 
-// RanToItsEnd implements quarantine.Sink.
-func (q *quarantineDuty) RanToItsEnd(fingerprint quarantine.Fingerprint) {
+// RequestCompleted implements quarantine.Sink.
+func (q *quarantineDuty) RequestCompleted(fingerprint quarantine.Fingerprint) {
 	q.duty.Offer(func() { q.clear(fingerprint, "ran_to_its_end") })
 }
 
@@ -109,7 +109,7 @@
 func (q *quarantineDuty) tick() {
 	q.ticks++
 	if q.remembered != nil && q.ticks%rememberQuarantineTicks == 0 {
-		q.remembered.look(q.digest.Load(), func() []quarantine.Record { return q.tracker.Told(q.node.now()) })
+		q.remembered.look(q.digest.Load(), func() []quarantine.Record { return q.tracker.SharedRecords(q.node.now()) })
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	digest := q.tracker.Digest()
 	q.digest.Store(digest)
-	news := q.tracker.TakeNews(now)
+	news := q.tracker.TakeUpdates(now)
 	if len(news) > 0 {
 		q.sendTo(q.controls(), quarantineMessage{Records: news})
 	}
@@ -152,14 +152,14 @@
 		event = "quarantined"
 		quarantineVerdicts.Inc()
 	}
-	lives, ages, suspicions := make([]string, 0, len(verdict.Ends)), make([]int64, 0, len(verdict.Ends)), make([]string, 0, len(verdict.Ends))
-	for _, end := range verdict.Ends {
-		lives = append(lives, end.Life.String())
+	lives, ages, suspicions := make([]string, 0, len(verdict.Crashes)), make([]int64, 0, len(verdict.Crashes)), make([]string, 0, len(verdict.Crashes))
+	for _, end := range verdict.Crashes {
+		lives = append(lives, end.Incarnation.String())
 		ages = append(ages, end.Age.Milliseconds())
 		suspicions = append(suspicions, end.Suspicion.String())
 	}
 	q.node.log.Warn().Str("event", event).Stringer("fingerprint", verdict.Fingerprint).Str("route", verdict.Route).
-		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.Beside).
+		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.OtherRequests).
 		Strs("lives", lives).Ints64("ages_ms", ages).Strs("suspicions", suspicions).Uint32("generation", verdict.Generation).Send()
 }
 
@@ -252,8 +252,8 @@
 
 // held lists what this node holds against requests: those in quarantine first, then
 // those with the most ends.
-func (q *quarantineDuty) held(ctx context.Context) ([]quarantine.Held, error) {
-	return duty.Ask(ctx, q.duty, func(answer func([]quarantine.Held)) { answer(q.tracker.Held(q.node.now())) })
+func (q *quarantineDuty) held(ctx context.Context) ([]quarantine.Summary, error) {
+	return duty.Ask(ctx, q.duty, func(answer func([]quarantine.Summary)) { answer(q.tracker.Summaries(q.node.now())) })
 }
 
 // release forgets the ends of a request; all nodes are told.
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -15,9 +15,9 @@
 func recordOf(ends int) quarantine.Record {
 	tracker := quarantine.NewTracker(quarantine.Options{})
 	for number := range ends {
-		tracker.Report(0, quarantine.Evidence{
+		tracker.Report(0, quarantine.CrashReport{
 			Fingerprint: quarantine.FingerprintOf(quarantine.ScopeOf("sepu93.example/dera112/2f", "zile830"), []byte("body")),
-			Life:        registry.Life{ID: fmt.Sprintf("i-28b412f9f%d", number), Born: 1764719254000}, Suspicion: quarantine.Likely,
+			Incarnation: registry.Life{ID: fmt.Sprintf("i-28b412f9f%d", number), Born: 1764719254000}, Suspicion: quarantine.Likely,
 			Route: "r-n6ejreu", Tenant: "zile830",
 		})
 	}
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -125,7 +125,7 @@
 		case *instancesMessage:
 			body.Instances[0].Born, body.Instances[0].Epoch = 1700000000000, 1
 		case *balance.LoadReport:
-			body.Limits = []ratelimit.Word{{Life: registry.Life{ID: "i-1", Born: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
+			body.Limits = []ratelimit.Update{{Incarnation: registry.Life{ID: "i-1", Born: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
 		}
 	}
 	evidence := judging.Evidence{
@@ -289,7 +289,7 @@
 			}
 		}
 	}
-	for _, body := range []any{takeQuestion{}, readQuestion{}, readAnswer{}, rolloutQuestion{}, rolloutAnswer{}, machine.DocumentOutcome{}, machine.ZoneCommand{}, ratelimit.Ask{}, ratelimit.Answer{}} {
+	for _, body := range []any{takeQuestion{}, readQuestion{}, readAnswer{}, rolloutQuestion{}, rolloutAnswer{}, machine.DocumentOutcome{}, machine.ZoneCommand{}, ratelimit.PermitRequest{}, ratelimit.PermitResponse{}} {
 		for _, line := range peer.Shape(reflect.TypeOf(body)) {
 			if !slices.Contains(lines, line) {
 				lines = append(lines, line)
--- a/internal/lab/labcli/backoff.go
+++ b/internal/lab/labcli/backoff.go
@@ -30,10 +30,10 @@
 			&cli.StringSliceFlag{Name: "scenario", Usage: "which engines ask for pauses: third, zone, all or wave (default: each of them)"},
 			&cli.FloatFlag{Name: "load", Value: 0.6, Usage: "load as a share of what the engines bear"},
 			&cli.StringSliceFlag{Name: "only", Usage: "some of the ways"},
-			&cli.FloatFlag{Name: "spread", Value: backoff.DefaultReturn.Spread, Usage: "part of a pause over which nodes come back"},
-			&cli.IntFlag{Name: "trials", Value: backoff.DefaultReturn.FirstTrials, Usage: "requests that may be unanswered right after a pause"},
-			&cli.IntFlag{Name: "full", Value: backoff.DefaultReturn.FullTrials, Usage: "such requests from which an engine counts as back"},
-			&cli.DurationFlag{Name: "longest", Value: backoff.DefaultReturn.LongestTrials, Usage: "time after which it counts as back anyway"},
+			&cli.FloatFlag{Name: "spread", Value: backoff.DefaultRecovery.SpreadShare, Usage: "part of a pause over which nodes come back"},
+			&cli.IntFlag{Name: "trials", Value: backoff.DefaultRecovery.InitialTrials, Usage: "requests that may be unanswered right after a pause"},
+			&cli.IntFlag{Name: "full", Value: backoff.DefaultRecovery.RecoveredTrials, Usage: "such requests from which an engine counts as back"},
+			&cli.DurationFlag{Name: "longest", Value: backoff.DefaultRecovery.MaximumTrialTime, Usage: "time after which it counts as back anyway"},
 			&cli.BoolFlag{Name: "full-engines-ask", Usage: "engines that are full ask for a pause too"},
 			&cli.BoolFlag{Name: "faults", Usage: "nodes start again, stand still, are suspended and cut off"},
 		},
@@ -71,9 +71,9 @@
 					printBackoffCase(table, simulate.BackoffOptions{
 						Policy: policy, Scenario: scenario, Nodes: nodes, Pause: time.Duration(pause * float64(time.Second)),
 						Load: load, Faults: command.Bool("faults"), AsksWhenFull: command.Bool("full-engines-ask"),
-						Return: backoff.ReturnPolicy{
-							Spread: command.Float("spread"), LongestSpread: backoff.DefaultReturn.LongestSpread,
-							FirstTrials: command.Int("trials"), FullTrials: command.Int("full"), LongestTrials: command.Duration("longest"),
+						Return: backoff.RecoveryPolicy{
+							SpreadShare: command.Float("spread"), MaximumSpread: backoff.DefaultRecovery.MaximumSpread,
+							InitialTrials: command.Int("trials"), RecoveredTrials: command.Int("full"), MaximumTrialTime: command.Duration("longest"),
 						},
 					}, seeds)
 				}
--- a/internal/lab/labcli/prove.go
+++ b/internal/lab/labcli/prove.go
@@ -52,7 +52,7 @@
 	scenarios := []simulate.BackoffScenario{simulate.ThirdIll, simulate.ZoneIll, simulate.AllIll, simulate.Wave}
 	pauses := []time.Duration{500 * time.Millisecond, 3 * time.Second, 30 * time.Second}
 	return simulate.RunBackoff(simulate.BackoffOptions{
-		Seed: seed, Policy: simulate.SpreadTrials, Return: backoff.DefaultReturn, Nodes: 8, Load: 0.6, Faults: true, AsksWhenFull: seed%2 == 0,
+		Seed: seed, Policy: simulate.SpreadTrials, Return: backoff.DefaultRecovery, Nodes: 8, Load: 0.6, Faults: true, AsksWhenFull: seed%2 == 0,
 		Scenario: scenarios[seed%uint64(len(scenarios))], Pause: pauses[seed/uint64(len(scenarios))%uint64(len(pauses))],
 	}).World
 }
--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -59,7 +59,7 @@
 	Load   float64
 	Faults bool
 	// Return is how requests come back in the policies that don't say so.
-	Return backoff.ReturnPolicy
+	Return backoff.RecoveryPolicy
 	// AsksWhenFull has an engine that is full ask for a pause too, and not only turn
 	// requests away.
 	AsksWhenFull bool
--- a/internal/lab/simulate/backoff_test.go
+++ b/internal/lab/simulate/backoff_test.go
@@ -16,7 +16,7 @@
 var backoffScenarios = []BackoffScenario{ThirdIll, ZoneIll, AllIll, Wave}
 
 func runBackoff(policy BackoffPolicy, scenario BackoffScenario, pause time.Duration, change func(*BackoffOptions)) BackoffResult {
-	options := BackoffOptions{Policy: policy, Scenario: scenario, Nodes: 8, Pause: pause, Load: 0.6, Return: backoff.DefaultReturn}
+	options := BackoffOptions{Policy: policy, Scenario: scenario, Nodes: 8, Pause: pause, Load: 0.6, Return: backoff.DefaultRecovery}
 	change(&options)
 	return RunBackoff(options)
 }
--- a/internal/lab/simulate/backoffnode.go
+++ b/internal/lab/simulate/backoffnode.go
@@ -133,7 +133,7 @@
 func (n *backoffNode) turnedAway(call *backoffCall, choice balance.Choice, asks bool) {
 	n.table.Done(n.now(), choice, balance.Full)
 	if asks {
-		n.tracker.Learn(n.now(), choice.Life(), backoff.Request{}, backoff.Said{Pause: n.world.options.Pause + n.rankDelay(choice.ID)})
+		n.tracker.Learn(n.now(), choice.Life(), backoff.Request{}, backoff.Signal{Pause: n.world.options.Pause + n.rankDelay(choice.ID)})
 	}
 	if asks && n.world.options.Policy == SharedTrials {
 		n.warnOthers(choice.Life())
@@ -151,21 +151,21 @@
 		return 0
 	}
 	rank := slices.Index(membership.Rank(engine, n.world.names), n.name())
-	return time.Duration(float64(rank) / float64(len(n.world.names)) * backoff.DefaultReturn.Spread * float64(n.world.options.Pause))
+	return time.Duration(float64(rank) / float64(len(n.world.names)) * backoff.DefaultRecovery.SpreadShare * float64(n.world.options.Pause))
 }
 
 func (n *backoffNode) name() string { return fmt.Sprintf("entry-%d", n.number) }
 
 // returnPolicy is the part of the node's own policy that the options' has.
-func (w *backoffWorld) returnPolicy() backoff.ReturnPolicy {
-	policy, none := w.options.Return, backoff.ReturnPolicy{}
+func (w *backoffWorld) returnPolicy() backoff.RecoveryPolicy {
+	policy, none := w.options.Return, backoff.RecoveryPolicy{}
 	switch w.options.Policy {
 	case PausesIgnored, HardEnd, RankedEnd:
 		return none
 	case SpreadEnd:
-		policy.LongestTrials = 0
+		policy.MaximumTrialTime = 0
 	case Trials, SharedTrials:
-		policy.Spread = 0
+		policy.SpreadShare = 0
 	case SpreadTrials:
 	}
 	return policy
@@ -176,8 +176,8 @@
 	for _, other := range n.world.nodes {
 		if other != n && !other.isCut {
 			other.after(n.world.Between(50*time.Millisecond, 300*time.Millisecond), func() {
-				if other.tracker.Standing(other.now(), life).Phase == backoff.Open {
-					other.tracker.Learn(other.now(), life, backoff.Request{}, backoff.Said{Pause: 1})
+				if other.tracker.Status(other.now(), life).Phase == backoff.Open {
+					other.tracker.Learn(other.now(), life, backoff.Request{}, backoff.Signal{Pause: 1})
 				}
 			})
 		}
@@ -185,7 +185,7 @@
 }
 
 func (n *backoffNode) answered(call *backoffCall, choice *balance.Choice, writtenAt time.Duration) {
-	n.tracker.Learn(n.now(), choice.Life(), backoff.Request{WrittenAt: writtenAt}, backoff.Said{HasRun: true})
+	n.tracker.Learn(n.now(), choice.Life(), backoff.Request{WrittenAt: writtenAt}, backoff.Signal{HasRun: true})
 	n.table.Started(choice, 0)
 	w := n.world
 	if w.isJudged(call) && w.Now-call.first <= backoffObjective {
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -172,7 +172,7 @@
 func (s *heavyCaller) admit(number int, request *callerRequest) {
 	machine := s.machines[number]
 	usesGate := s.options.Policy == TurnAwayHeavy || s.options.Policy == TurnAwayAndShed
-	if !machine.gate.LetsIn(s.world.Now, fmt.Sprint(request.caller), request.bytes, !usesGate) {
+	if !machine.gate.Admits(s.world.Now, fmt.Sprint(request.caller), request.bytes, !usesGate) {
 		s.work(machine, func() { s.turnAway(number, request) })
 		return
 	}
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -235,7 +235,7 @@
 	case CountPresence:
 		return len(w.counted[quarantine.FingerprintOfRequest(request.body)]) >= 3
 	}
-	return node.guard.Standing(request.body) == quarantine.Quarantined
+	return node.guard.Status(request.body) == quarantine.Quarantined
 }
 
 // send sends a request to an engine that is up, the less busy one of two.
@@ -258,7 +258,7 @@
 	if len(up) == 0 {
 		return nil
 	}
-	if w.options.Policy == WeighEndsAlone && node.guard.Standing(request.body) == quarantine.Suspected {
+	if w.options.Policy == WeighEndsAlone && node.guard.Status(request.body) == quarantine.Suspected {
 		return slices.MinFunc(up, func(a, b *poisonEngine) int { return a.load(node) - b.load(node) })
 	}
 	one, other := up[w.Random.IntN(len(up))], up[w.Random.IntN(len(up))]
@@ -272,7 +272,7 @@
 func (e *poisonEngine) load(node *poisonNode) int {
 	load := len(e.runs)
 	for run := range e.runs {
-		if node.guard.Standing(run.request.body) == quarantine.Suspected {
+		if node.guard.Status(run.request.body) == quarantine.Suspected {
 			load += 1000
 		}
 	}
@@ -331,9 +331,9 @@
 		run.ended = true
 		fingerprint := quarantine.FingerprintOfRequest(run.request.body)
 		w.count(fingerprint, life)
-		broken := quarantine.Run{BeginsAtHead: true, AnswerBegan: run.hasBegun}
+		broken := quarantine.Run{RespondsAtStart: true, ResponseBegan: run.hasBegun}
 		if run.hasBegun {
-			broken.BeganFor = w.Now - run.beganAt
+			broken.ResponseAge = w.Now - run.beganAt
 		}
 		present[run.node] = append(present[run.node], quarantine.Present{Fingerprint: fingerprint, Run: broken})
 		if run.request.broke++; run.request.broke == 3 && !run.request.isPoison {
@@ -342,7 +342,7 @@
 	}
 	for _, node := range w.nodes {
 		if len(present[node]) > 0 {
-			w.After(w.between(time.Millisecond, 15*time.Millisecond), func() { node.guard.Ended(life, present[node]) })
+			w.After(w.between(time.Millisecond, 15*time.Millisecond), func() { node.guard.ReportCrash(life, present[node]) })
 		}
 	}
 	for _, run := range runs {
@@ -360,7 +360,7 @@
 
 // carryOn sends a request whose engine ended to the next one, or leaves it to its caller.
 func (w *poisonWorld) carryOn(run *poisonRun) {
-	standing := run.node.guard.Standing(run.request.body)
+	standing := run.node.guard.Status(run.request.body)
 	mayCarry := w.options.Policy != WeighEndsUncarried || standing != quarantine.Suspected
 	if run.attempts < mostAttempts && mayCarry && !w.refuses(run.node, run.request) {
 		w.send(run.node, run.request, run.attempts+1)
@@ -394,8 +394,8 @@
 	}
 }
 
-// EnginesEnded implements quarantine.Sink.
-func (n *poisonNode) EnginesEnded(evidence []quarantine.Evidence) {
+// EnginesCrashed implements quarantine.Sink.
+func (n *poisonNode) EnginesCrashed(evidence []quarantine.CrashReport) {
 	if !n.world.options.Policy.weighs() {
 		return
 	}
@@ -405,8 +405,8 @@
 	n.decide()
 }
 
-// RanToItsEnd implements quarantine.Sink.
-func (n *poisonNode) RanToItsEnd(fingerprint quarantine.Fingerprint) {
+// RequestCompleted implements quarantine.Sink.
+func (n *poisonNode) RequestCompleted(fingerprint quarantine.Fingerprint) {
 	n.tracker.Clear(n.world.Now, fingerprint)
 	n.decide()
 }
@@ -415,7 +415,7 @@
 func (n *poisonNode) decide() {
 	n.tracker.Decide(n.world.Now)
 	n.guard.SetView(n.tracker.View())
-	news := n.tracker.TakeNews(n.world.Now)
+	news := n.tracker.TakeUpdates(n.world.Now)
 	for number, control := range n.world.controls {
 		if len(news) > 0 && n.world.reaches(n.number, number) {
 			n.world.After(n.world.between(time.Millisecond, 10*time.Millisecond), func() { control.Merge(n.world.Now, news) })
@@ -438,7 +438,7 @@
 		for position, node := range w.nodes {
 			if w.reaches(position, number) && node.told[number] != digest {
 				node.told[number] = digest
-				node.tracker.Merge(w.Now, control.Told(w.Now))
+				node.tracker.Merge(w.Now, control.SharedRecords(w.Now))
 				node.tracker.Decide(w.Now)
 				node.guard.SetView(node.tracker.View())
 			}
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -220,7 +220,7 @@
 	w, side := n.world, n.side()
 	if n.isCut || w.isCoreCut {
 		if w.Now-n.toldAt > limitAliveFor {
-			n.limits.SetSure(n.now(), false)
+			n.limits.SetReliable(n.now(), false)
 		}
 		return
 	}
@@ -234,7 +234,7 @@
 		n.told = list
 		n.limits.SetNodes(n.now(), list)
 	}
-	n.limits.SetSure(n.now(), slices.ContainsFunc(list, func(live ratelimit.Node) bool { return live.Address == n.name }))
+	n.limits.SetReliable(n.now(), slices.ContainsFunc(list, func(live ratelimit.Node) bool { return live.Address == n.name }))
 }
 
 // greet has a node that has started told the limits in force, by the first of its zone that
@@ -247,10 +247,10 @@
 		}
 		n.after(n.world.Between(100*time.Millisecond, 400*time.Millisecond), func() {
 			other.run(func() {
-				words := ratelimit.ForSending(other.now(), other.limits.InForce())
+				words := ratelimit.ForSending(other.now(), other.limits.ActiveUpdates())
 				known := maps.Clone(other.isTold)
 				other.message(n, limitWordBytes*len(words), func() {
-					n.limits.Hear(n.now(), ratelimit.Received(n.now(), words))
+					n.limits.Receive(n.now(), ratelimit.Received(n.now(), words))
 					maps.Copy(n.isTold, known)
 				})
 			})
@@ -337,17 +337,17 @@
 // askFor asks the engine's holder for a permit and sends the request with it.
 func (n *limitNode) askFor(engine *limitEngine) {
 	began, life := n.now(), n.lifeOf(engine)
-	ask, holderName, isLimited := n.limits.Ask(began, life, engine.zone, ratelimit.Need{PatienceMS: uint64(limitPatience.Milliseconds())})
+	ask, holderName, isLimited := n.limits.RequestPermit(began, life, engine.zone, ratelimit.PermitNeeds{MaximumWaitMS: uint64(limitPatience.Milliseconds())})
 	if !isLimited {
 		n.send(engine, life)
 		return
 	}
-	if room, _ := n.limits.Room(began, life); room.Wait > limitPatience {
+	if room, _ := n.limits.Headroom(began, life); room.Wait > limitPatience {
 		return
 	}
 	holder := n.world.byName[holderName]
 	if holder == nil {
-		n.limits.Unanswered(began, life)
+		n.limits.RecordNoResponse(began, life)
 		return
 	}
 	answered := false
@@ -363,19 +363,19 @@
 	n.after(limitTimeout, func() {
 		if !answered {
 			answered = true
-			n.limits.Unanswered(n.now(), life)
+			n.limits.RecordNoResponse(n.now(), life)
 		}
 	})
 }
 
 // take takes a holder's answer.
-func (n *limitNode) take(engine *limitEngine, life registry.Life, answer ratelimit.Answer, began time.Duration) {
-	n.limits.Answered(n.now(), life, answer)
+func (n *limitNode) take(engine *limitEngine, life registry.Life, answer ratelimit.PermitResponse, began time.Duration) {
+	n.limits.RecordResponse(n.now(), life, answer)
 	if !answer.IsGranted {
 		return
 	}
 	n.after(time.Duration(answer.DelayMS)*time.Millisecond, func() {
-		if n.now()-began <= limitPatience+ratelimit.PermitLife {
+		if n.now()-began <= limitPatience+ratelimit.PermitLifetime {
 			n.world.result.Waits = append(n.world.result.Waits, n.now()-began)
 			n.send(engine, life)
 		}
@@ -411,14 +411,14 @@
 	n.after(w.Between(20*time.Millisecond, 200*time.Millisecond), func() {
 		n.isTold[life] = said.IsNamed
 		n.limits.Learn(n.now(), life, said, written)
-		if words := n.limits.TakeNews(); len(words) > 0 {
+		if words := n.limits.TakeUpdates(); len(words) > 0 {
 			n.tell(words)
 		}
 	})
 }
 
 // tell passes words on to all nodes that can be reached, as the load exchange does.
-func (n *limitNode) tell(words []ratelimit.Word) {
+func (n *limitNode) tell(words []ratelimit.Update) {
 	w := n.world
 	for position := range words {
 		words[position].AgeMS = uint64((n.now() - words[position].At).Milliseconds())
@@ -437,9 +437,9 @@
 		w.After(delay, func() {
 			if n.reaches(other) && other.process == process {
 				other.run(func() {
-					other.limits.Hear(other.now(), ratelimit.Received(other.now(), slices.Clone(words)))
+					other.limits.Receive(other.now(), ratelimit.Received(other.now(), slices.Clone(words)))
 					for _, word := range words {
-						other.isTold[word.Life] = true
+						other.isTold[word.Incarnation] = true
 					}
 				})
 			}
--- a/internal/lab/simulate/ratelimitengine.go
+++ b/internal/lab/simulate/ratelimitengine.go
@@ -46,18 +46,18 @@
 func (e *limitEngine) record() *limitcheck.Record { return e.records[len(e.records)-1] }
 
 // answer takes a request of a node at a time and returns what its answer says of the limit.
-func (w *limitWorld) answer(engine *limitEngine, from *limitNode, at time.Duration) ratelimit.Said {
+func (w *limitWorld) answer(engine *limitEngine, from *limitNode, at time.Duration) ratelimit.Signal {
 	if !w.isExcused(from) {
 		engine.record().Arrive(at)
 	}
 	switch {
 	case w.options.IsUnsettled && w.Chance(bareFailures):
-		return ratelimit.Said{IsFailure: true}
+		return ratelimit.Signal{IsFailure: true}
 	case !engine.isNamed:
-		return ratelimit.Said{}
+		return ratelimit.Signal{}
 	}
 	engine.record().Name(at, engine.perSecond)
-	return ratelimit.Said{IsNamed: true, PerSecond: engine.perSecond}
+	return ratelimit.Signal{IsNamed: true, PerSecond: engine.perSecond}
 }
 
 // isExcused tells that a node's requests don't count now: it has just started, or stood still,
