--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -25,7 +25,7 @@
 // RecoveryPolicy is how requests to an instance resume after its pause.
 type RecoveryPolicy struct {
 	// SpreadShare is the fraction of the pause over which the nodes resume one by one, and
-	// LongestSpread bounds that time. Without it all nodes would resume at about the same
+	// MaximumSpread bounds that time. Without it all nodes would resume at about the same
 	// moment, since the instance requested the pause from all of them at about the same time.
 	SpreadShare   float64
 	MaximumSpread time.Duration
@@ -64,7 +64,8 @@
 	Leaving
 )
 
-// String returns the name of the phase.
+// String returns the name of the phase in logs and operators' output, where Recovering is
+// "returning".
 func (p Phase) String() string { return [...]string{"open", "paused", "returning", "leaving"}[p] }
 
 // Status is the pause state of one incarnation of an instance.
@@ -72,7 +73,7 @@
 	Phase Phase
 	// Wait is the time until the pause expires.
 	Wait time.Duration
-	// HasTrial reports whether a Returning instance may be sent another trial request.
+	// HasTrial reports whether a Recovering instance may be sent another trial request.
 	HasTrial bool
 }
 
@@ -142,7 +143,7 @@
 	Unreadable
 )
 
-// String returns the name of the kind.
+// String returns the name of the kind in logs, where Recovered is "back".
 func (k ChangeKind) String() string {
 	return [...]string{"unchanged", "began", "extended", "ended", "back", "leaving", "unreadable"}[k]
 }
@@ -151,9 +152,9 @@
 type Change struct {
 	Kind        ChangeKind
 	Incarnation registry.Life
-	// Requested is the length of the requested pause, Left the time until it expires.
+	// Requested is the length of the requested pause, Remaining the time until it expires.
 	Requested, Remaining time.Duration
-	// RequestID is the ID of the request whose response began the pause; Answers is the number of
+	// RequestID is the ID of the request whose response began the pause; Responses is the number of
 	// responses that requested it.
 	RequestID string
 	Responses int
@@ -273,13 +274,13 @@
 	return known.status(now, t.policy.MaximumTrialTime)
 }
 
-func (e *entry) status(now, maximumTrials time.Duration) Status {
+func (e *entry) status(now, maximumTrialTime time.Duration) Status {
 	switch {
 	case e.isLeaving:
 		return Status{Phase: Leaving}
 	case now < e.until:
 		return Status{Phase: Paused, Wait: e.until - now}
-	case now >= e.until+maximumTrials:
+	case now >= e.until+maximumTrialTime:
 		return Status{}
 	}
 	return Status{Phase: Recovering, HasTrial: e.trials < e.allowedTrials}
@@ -360,7 +361,7 @@
 	return changes
 }
 
-// Prune drops the instances that have not been listed for unlistedMemory. It calls isListed
+// Prune drops the instances that have not been listed for unlistedRetention. It calls isListed
 // without holding the lock, so isListed may call the tracker.
 func (t *Tracker) Prune(now time.Duration, isListed func(incarnation registry.Life) bool) {
 	if !t.Any() {
@@ -393,8 +394,8 @@
 type Listed struct {
 	Incarnation registry.Life
 	Status      Status
-	// Requested is the length of the latest pause, Request the ID of the request whose response
-	// began it, and Answers the number of responses that requested it.
+	// Requested is the length of the latest pause, RequestID the ID of the request whose
+	// response began it, and Responses the number of responses that requested it.
 	Requested time.Duration
 	RequestID string
 	Responses int
--- a/internal/coordination/follow/publisher.go
+++ b/internal/coordination/follow/publisher.go
@@ -94,8 +94,8 @@
 // NewPublisher returns a publisher without followers.
 func NewPublisher() *Publisher { return &Publisher{followers: map[string]*followerState{}} }
 
-// RecordVersion records the version that an entry node reported to have. With an empty incarnation the known
-// one stays.
+// RecordVersion records the version that an entry node reported to have. With an empty
+// incarnation the known one stays.
 func (p *Publisher) RecordVersion(address, incarnation string, version uint64) {
 	state := p.followers[address]
 	if state == nil || incarnation != "" && state.incarnation != incarnation {
--- a/internal/coordination/overload/gate.go
+++ b/internal/coordination/overload/gate.go
@@ -79,7 +79,7 @@
 // callerRate is one caller's requested work and its credit for further work.
 type callerRate struct {
 	requested decayingRate
-	// credit is the work that the caller may use, as of credited.
+	// credit is the work that the caller may use, as of creditedAt.
 	credit     float64
 	creditedAt time.Duration
 }
--- a/internal/coordination/quarantine/crashreport.go
+++ b/internal/coordination/quarantine/crashreport.go
@@ -37,7 +37,7 @@
 
 // Run is a run of a request that broke off at an engine.
 type Run struct {
-	// ResponseBegan reports whether the response had begun, and BeganFor how long ago.
+	// ResponseBegan reports whether the response had begun, and ResponseAge how long ago.
 	ResponseBegan bool
 	ResponseAge   time.Duration
 	// RespondsAtStart reports whether engines send the head of the response as they begin to run
--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -58,8 +58,8 @@
 
 // derivation is the state of one derivation.
 type derivation struct {
-	// present are the requests in flight at each crash, strongest is the highest suspicion
-	// there.
+	// present are the requests in flight at each crash, highestSuspicion is the highest of their
+	// suspicions.
 	present          map[registry.Life][]*suspect
 	highestSuspicion map[registry.Life]Suspicion
 	// explained are the crashes at which a quarantined request was in flight.
@@ -75,8 +75,8 @@
 		settled: func(recorded crash) bool { return recorded.at+settleTime <= now },
 	}
 	t.settlesAt = 0
-	// candidates are the requests that may be quarantined. Most recorded requests were in flight at one
-	// crash only. They need no count: a rival of a candidate has more.
+	// candidates are the requests that may be quarantined. Most recorded requests were in flight
+	// at one crash only. They need no count: a rival of a candidate has more.
 	var candidates []*suspect
 	for _, one := range t.suspects {
 		one.isQuarantined, one.counted = false, 0
--- a/internal/coordination/quarantine/doc.go
+++ b/internal/coordination/quarantine/doc.go
@@ -3,7 +3,7 @@
 // refused until the crashes recorded against it are too old to count.
 //
 // A request is identified by its Fingerprint, since each retry has another id and may arrive
-// at another node. Nodes report the engine crashes that broke their runs as Evidence. A
+// at another node. Nodes report the engine crashes that broke their runs as CrashReports. A
 // Tracker records which requests were in flight when which incarnation of an engine crashed,
 // and derives from that alone which requests are in quarantine. Its records only grow, and a
 // record's later generation replaces the earlier ones. Nodes may therefore exchange records in
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -150,8 +150,8 @@
 	Route, Tenant string
 }
 
-// ReportCrash reports the runs that were in flight at an engine that has certainly crashed. Those of a
-// request that recently ran to completion here are Excused: identical requests that many
+// ReportCrash reports the runs that were in flight at an engine that has certainly crashed. Those
+// of a request that recently ran to completion here are Excused: identical requests that many
 // callers send are in flight at the crashes of many engines.
 func (g *Guard) ReportCrash(incarnation registry.Life, present []Present) {
 	reports := make([]CrashReport, 0, len(present))
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -45,11 +45,11 @@
 
 // Options are the bounds of a Tracker.
 type Options struct {
-	// Retention is how long a crash counts; 0 means DefaultMemory.
+	// Retention is how long a crash counts; 0 means DefaultRetention.
 	Retention time.Duration
-	// MaximumRequests is the maximum number of recorded requests; 0 means DefaultRequests. Beyond it
-	// those with the fewest crashes are forgotten first, and of these the oldest. Quarantined
-	// requests are forgotten last.
+	// MaximumRequests is the maximum number of recorded requests; 0 means
+	// DefaultMaximumRequests. Beyond it those with the fewest crashes are forgotten first, and of
+	// these the oldest. Quarantined requests are forgotten last.
 	MaximumRequests int
 }
 
@@ -101,7 +101,7 @@
 	settlesAt  time.Duration
 	// expiresAt is the time of the next check for crashes that are too old to count.
 	expiresAt time.Duration
-	// pendingUpdates are the requests that this node changed since the last call of TakeNews.
+	// pendingUpdates are the requests that this node changed since the last call of TakeUpdates.
 	// sharedStates is the hash of the state of each request that TakeChanged last returned.
 	pendingUpdates map[Fingerprint]struct{}
 	sharedStates   map[Fingerprint]uint64
@@ -404,8 +404,8 @@
 	Counted       int
 }
 
-// Summaries returns the requests with recorded crashes, those in quarantine first and then those that
-// most crashes count against.
+// Summaries returns the requests with recorded crashes, those in quarantine first and then those
+// that most crashes count against.
 func (t *Tracker) Summaries(now time.Duration) []Summary {
 	var summaries []Summary
 	for _, one := range t.suspects {
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -71,17 +71,17 @@
 func (s *slots) take(now, between time.Duration, needs PermitNeeds) (wait time.Duration, isTaken bool) {
 	unused := min(unusedPermitTime, between)
 	slot := max(s.next, now-unused)
-	held := time.Duration(reservedShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
-	if slot+held-now > needs.MaximumWait() {
-		return slot + held - now, false
+	reserved := time.Duration(reservedShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
+	if slot+reserved-now > needs.MaximumWait() {
+		return slot + reserved - now, false
 	}
 	s.next = slot + between
 	return max(0, slot-now), true
 }
 
-// RequestPermit returns a request for a permit and the address of the issuer to which it goes. isLimited
-// is false if the incarnation has no limit and needs no permit. The address is "" if there is
-// no issuer; no request may be sent to the instance then.
+// RequestPermit returns a request for a permit and the address of the issuer to which it goes.
+// isLimited is false if the incarnation has no limit and needs no permit. The address is "" if
+// there is no issuer; no request may be sent to the instance then.
 func (l *Limits) RequestPermit(now time.Duration, incarnation registry.Life, zone string, needs PermitNeeds) (request PermitRequest, issuer string, isLimited bool) {
 	if !l.Any() {
 		return PermitRequest{}, "", false
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -282,8 +282,8 @@
 // are granted it once it has been free for a fraction of unusedPermitTime.
 func TestSlotIsReservedAgainstLessUrgentRequests(t *testing.T) {
 	take := func(priority uint8, freeFor time.Duration) bool {
-		held := slots{next: start - freeFor}
-		_, isTaken := held.take(start, time.Second, PermitNeeds{Priority: priority})
+		schedule := slots{next: start - freeFor}
+		_, isTaken := schedule.take(start, time.Second, PermitNeeds{Priority: priority})
 		return isTaken
 	}
 	assert.Assert(t, take(0, 0))
--- a/internal/coordination/ratelimit/updates.go
+++ b/internal/coordination/ratelimit/updates.go
@@ -40,7 +40,7 @@
 }
 
 // ForSending returns updates with their age at the time of sending. Updates beyond
-// MaximumInForce are left out: nodes learn of those limits from the instances themselves.
+// MaximumActiveUpdates are left out: nodes learn of those limits from the instances themselves.
 func ForSending(now time.Duration, updates []Update) []Update {
 	if len(updates) == 0 {
 		return nil
--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -33,7 +33,7 @@
 }
 
 // LiveEntries returns the entry nodes in the lists of the control nodes that are alive. While no
-// control node that lists entry nodes is alive, it returns the last known ones with NamesSelf
+// control node that lists entry nodes is alive, it returns the last known ones with IncludesSelf
 // unset. As long as no control node has listed any, for example because all run builds that
 // don't number their lists, it returns those of Entries. The caller must not modify the result.
 func (r *Roster) LiveEntries(now time.Duration) LiveEntries {
