--- a/internal/coordination/overload/overload.go
+++ b/internal/coordination/overload/overload.go
@@ -28,10 +28,11 @@
 	minimumFullTime = 900 * time.Millisecond
 	// busyShare is the share of the link that callers' bodies may fill before the node requests
 	// no new connections: the engines' responses take as much again, and at 0.4 other nodes'
-	// frames are 300 ms late. The node accepts new connections again below acceptShare. Existing
-	// connections stay open, so that a heavy caller's requests are spread over several nodes.
+	// frames are 300 ms late. The node requests new connections again below notBusyShare.
+	// Existing connections stay open, so that a heavy caller's requests are spread over several
+	// nodes.
 	busyShare   = 0.18
-	acceptShare = 0.08
+	notBusyShare = 0.08
 	// shareWeight is the weight of one reading in the moving average of the share.
 	shareWeight = 0.5
 	// The node sheds load for initialSheddingTime. The time doubles, up to maximumSheddingTime,
@@ -86,7 +87,7 @@
 	}
 	s.smoothedShare += shareWeight * (share - s.smoothedShare)
 	if s.busy {
-		s.busy = s.smoothedShare > acceptShare
+		s.busy = s.smoothedShare > notBusyShare
 		return
 	}
 	s.busy = s.smoothedShare > busyShare
