--- a/internal/coordination/overload/overload.go
+++ b/internal/coordination/overload/overload.go
@@ -31,7 +31,7 @@
 	// frames are 300 ms late. The node requests new connections again below notBusyShare.
 	// Existing connections stay open, so that a heavy caller's requests are spread over several
 	// nodes.
-	busyShare   = 0.18
+	busyShare    = 0.18
 	notBusyShare = 0.08
 	// shareWeight is the weight of one reading in the moving average of the share.
 	shareWeight = 0.5
