--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -14,160 +14,165 @@
 )
 
 const (
-	// unlistedMemory is how long an instance is remembered that nobody lists any more: a late
-	// word may list it again.
-	unlistedMemory = 10 * time.Minute
-	// unreadableKept bounds the lives that are remembered to have asked for what can't be
-	// read.
-	unreadableKept = 1024
+	// unlistedRetention is how long the state of an instance is kept that no listing contains any
+	// more: a delayed update may list it again.
+	unlistedRetention = 10 * time.Minute
+	// maximumUnreadable bounds the number of incarnations that are remembered for having sent
+	// unreadable fields.
+	maximumUnreadable = 1024
 )
 
-// ReturnPolicy is how requests come back to an instance after its pause.
-type ReturnPolicy struct {
-	// Spread is the part of the pause over which nodes come back one by one, LongestSpread
-	// bounds it. They were all asked at about the same time.
-	Spread        float64
-	LongestSpread time.Duration
-	// FirstTrials is the number of requests that may be unanswered there at first; each one
-	// that ran doubles it.
-	FirstTrials int
-	// FullTrials is the number from which the instance counts as back.
-	FullTrials int
-	// LongestTrials is the time after which it counts as back anyway: nobody may have asked
-	// it.
-	LongestTrials time.Duration
+// RecoveryPolicy is how requests to an instance resume after its pause.
+type RecoveryPolicy struct {
+	// SpreadShare is the fraction of the pause over which the nodes resume one by one, and
+	// MaximumSpread bounds that time. Without it all nodes would resume at about the same
+	// moment, since the instance requested the pause from all of them at about the same time.
+	SpreadShare   float64
+	MaximumSpread time.Duration
+	// InitialTrials is the number of trial requests that may be in flight at first; each one
+	// that ran doubles the number.
+	InitialTrials int
+	// RecoveredTrials is the number from which the instance counts as recovered.
+	RecoveredTrials int
+	// MaximumTrialTime is the time after which the instance counts as recovered anyway, since
+	// this node may have had no request to send to it.
+	MaximumTrialTime time.Duration
 }
 
-// DefaultReturn has an instance tried by one request at a time, from a moment that each node
-// draws.
-var DefaultReturn = ReturnPolicy{Spread: 0.25, LongestSpread: 2 * time.Second, FirstTrials: 1, FullTrials: 4, LongestTrials: 2 * time.Second}
+// DefaultRecovery starts with one trial request at a time, from a moment that each node draws
+// at random.
+var DefaultRecovery = RecoveryPolicy{SpreadShare: 0.25, MaximumSpread: 2 * time.Second, InitialTrials: 1, RecoveredTrials: 4, MaximumTrialTime: 2 * time.Second}
 
-// longestSpread is by how much a node may keep a pause longer than it was asked for.
-func (p ReturnPolicy) longestSpread(asked time.Duration) float64 {
-	return min(p.Spread*float64(asked), float64(p.LongestSpread))
+// maximumSpread is by how much, in nanoseconds, a node may prolong a requested pause.
+func (p RecoveryPolicy) maximumSpread(requested time.Duration) float64 {
+	return min(p.SpreadShare*float64(requested), float64(p.MaximumSpread))
 }
 
-// Phase is what an instance takes from this node.
+// Phase is which requests an instance accepts from this node.
 type Phase uint8
 
 // Phases.
 const (
-	// Open: whatever it is sent.
+	// Open: all requests.
 	Open Phase = iota
-	// Paused: nothing until its pause is over.
+	// Paused: none until the pause has expired.
 	Paused
-	// Returning: its pause is over, and no request has shown yet that it takes work again.
-	Returning
-	// Leaving: nothing more.
+	// Recovering: the pause has expired. Only trial requests are sent until enough of them
+	// have shown that the instance accepts work again.
+	Recovering
+	// Leaving: none for the rest of the incarnation.
 	Leaving
 )
 
-// String names the phase.
+// String returns the name of the phase in logs and operators' output, where Recovering is
+// "returning".
 func (p Phase) String() string { return [...]string{"open", "paused", "returning", "leaving"}[p] }
 
-// Standing is what is known of one life of an instance.
-type Standing struct {
+// Status is the pause state of one incarnation of an instance.
+type Status struct {
 	Phase Phase
-	// Wait is how long its pause lasts on.
+	// Wait is the time until the pause expires.
 	Wait time.Duration
-	// HasTrial tells whether a Returning one may have another request.
+	// HasTrial reports whether a Recovering instance may be sent another trial request.
 	HasTrial bool
 }
 
-// Tracker is what one node knows of the instances that asked it for a pause or told it that
-// they leave. Safe for concurrent use.
+// Tracker keeps the instances that requested a pause from this node or announced that they
+// are leaving. It is safe for concurrent use.
 type Tracker struct {
 	mutex   sync.Mutex
 	entries map[registry.Incarnation]*entry
-	// known is the number of entries: without any, no request pays for them.
-	known  atomic.Int64
-	policy ReturnPolicy
-	// random draws a number from 0 to below 1.
+	// entryCount is the number of entries. While it is 0, requests take no lock.
+	entryCount atomic.Int64
+	policy     RecoveryPolicy
+	// random returns a number in [0, 1).
 	random func() float64
-	// unreadable are the lives that asked for what can't be read, told once each.
+	// unreadable are the incarnations that sent unreadable fields; each is reported once.
 	unreadable *bounded.Set[registry.Incarnation]
 }
 
-// entry is a life that asked for a pause, or leaves.
+// entry is the state of an incarnation that requested a pause or is leaving.
 type entry struct {
-	life registry.Incarnation
-	// askedAt is when the pause began, askedUntil the end that was asked for, until the
-	// later one that this node keeps.
-	askedAt, askedUntil, until time.Duration
-	// asked are the answers that asked for it, and request the first one's.
-	asked   int
-	request string
-	// isOver tells that its end was noted.
-	isOver bool
-	// trials are the requests under way that were chosen since the pause was over, and
-	// allowed is how many there may be.
-	trials, allowed int
-	// isLeaving tells that the instance leaves.
-	isLeaving bool
-	// listedAt is when it was last listed, or first asked for something.
+	incarnation registry.Incarnation
+	// pausedAt is when the pause began, requestedUntil its requested end, and until the later end,
+	// with the random spread, that this node applies.
+	pausedAt, requestedUntil, until time.Duration
+	// responses is the number of responses that requested the pause; requestID is the ID of the
+	// request whose response was the first of them.
+	responses int
+	requestID string
+	// isEndReported reports whether a Change has reported the end of the pause.
+	isEndReported bool
+	// trials is the number of requests in flight for which the instance was chosen after the
+	// pause had expired; allowedTrials is its bound.
+	trials, allowedTrials int
+	isLeaving             bool
+	// listedAt is when the instance was last listed, or when the entry was made.
 	listedAt time.Duration
 }
 
-// NewTracker makes a tracker that knows of no pause.
-func NewTracker(policy ReturnPolicy) *Tracker {
+// NewTracker returns a tracker without entries.
+func NewTracker(policy RecoveryPolicy) *Tracker {
 	return &Tracker{
-		entries: map[registry.Incarnation]*entry{}, unreadable: bounded.NewSet[registry.Incarnation](unreadableKept), policy: policy, random: rand.Float64,
+		entries: map[registry.Incarnation]*entry{}, unreadable: bounded.NewSet[registry.Incarnation](maximumUnreadable), policy: policy, random: rand.Float64,
 	}
 }
 
-// SetRandom replaces the source of random numbers from 0 to below 1, before the first use.
+// SetRandom replaces the source of random numbers in [0, 1). It must be called before the
+// first use.
 func (t *Tracker) SetRandom(random func() float64) { t.random = random }
 
-// ChangeKind tells what became of a pause.
+// ChangeKind is what changed in the state of an instance.
 type ChangeKind uint8
 
 // Kinds of changes.
 const (
-	// Unchanged: nothing new.
+	// Unchanged: no change.
 	Unchanged ChangeKind = iota
-	// Began: an instance asks for a pause.
+	// Began: the instance requested a pause.
 	Began
-	// Extended: it asks for one that ends later.
+	// Extended: the instance requested a pause that ends later than the current one.
 	Extended
-	// Ended: the pause is over.
+	// Ended: the pause has expired.
 	Ended
-	// Back: the instance takes work as before.
-	Back
-	// Left: it leaves.
-	Left
-	// Unreadable: it asks for what can't be read.
+	// Recovered: the instance accepts work as before the pause.
+	Recovered
+	// AnnouncedLeaving: the instance announced that it is leaving.
+	AnnouncedLeaving
+	// Unreadable: a field of the instance's response can't be read.
 	Unreadable
 )
 
-// String names the kind.
+// String returns the name of the kind in logs, where Recovered is "back".
 func (k ChangeKind) String() string {
 	return [...]string{"unchanged", "began", "extended", "ended", "back", "leaving", "unreadable"}[k]
 }
 
-// Change is what an answer, or the time, changed.
+// Change is a change of state by a response or by the passing of time.
 type Change struct {
-	Kind ChangeKind
-	Life registry.Incarnation
-	// Asked is the pause that was asked for, Left what is left of it.
-	Asked, Left time.Duration
-	// Request is the one whose answer began the pause, Answers how many asked for it.
-	Request string
-	Answers int
-	// Fault is why an Unreadable one can't be read.
+	Kind        ChangeKind
+	Incarnation registry.Incarnation
+	// Requested is the length of the requested pause, Remaining the time until it expires.
+	Requested, Remaining time.Duration
+	// RequestID is the ID of the request whose response began the pause; Responses is the number of
+	// responses that requested it.
+	RequestID string
+	Responses int
+	// Fault is the error of an Unreadable field.
 	Fault error
 }
 
-// Request is the one that an instance answers.
+// Request is the request to which an instance responds.
 type Request struct {
 	ID string
-	// WrittenAt is when it was written to the instance; 0 if that isn't known.
+	// WrittenAt is when the request was written to the instance; 0 if unknown.
 	WrittenAt time.Duration
 }
 
-// Learn takes what an instance's answer to a request asks for, which comes now. No answer
-// shortens a pause, and none takes back that the instance leaves.
-func (t *Tracker) Learn(now time.Duration, life registry.Incarnation, request Request, said Said) []Change {
-	if said.Pause == 0 && !said.IsLeaving && said.Fault == nil && t.known.Load() == 0 {
+// Learn applies what an instance's response to a request, received now, asks for. No response
+// shortens a pause, and none revokes that the instance is leaving.
+func (t *Tracker) Learn(now time.Duration, incarnation registry.Incarnation, request Request, signal Signal) []Change {
+	if signal.Pause == 0 && !signal.IsLeaving && signal.Fault == nil && t.entryCount.Load() == 0 {
 		return nil
 	}
 	t.mutex.Lock()
@@ -178,129 +183,129 @@
 			changes = append(changes, change)
 		}
 	}
-	if said.Fault != nil {
-		note(t.noteUnreadable(life, said.Fault))
+	if signal.Fault != nil {
+		note(t.recordUnreadable(incarnation, signal.Fault))
 	}
-	if said.Pause > 0 {
-		note(t.pause(now, life, request.ID, said.Pause))
-	} else if said.HasRun {
-		note(t.accept(now, life, request.WrittenAt))
+	if signal.Pause > 0 {
+		note(t.pause(now, incarnation, request.ID, signal.Pause))
+	} else if signal.HasRun {
+		note(t.recordRun(now, incarnation, request.WrittenAt))
 	}
-	if said.IsLeaving {
-		note(t.leave(now, life, request.ID))
+	if signal.IsLeaving {
+		note(t.leave(now, incarnation, request.ID))
 	}
 	return changes
 }
 
-func (t *Tracker) noteUnreadable(life registry.Incarnation, fault error) Change {
-	if !t.unreadable.Add(life) {
+func (t *Tracker) recordUnreadable(incarnation registry.Incarnation, fault error) Change {
+	if !t.unreadable.Add(incarnation) {
 		return Change{}
 	}
-	return Change{Kind: Unreadable, Life: life, Fault: fault}
+	return Change{Kind: Unreadable, Incarnation: incarnation, Fault: fault}
 }
 
-// entry returns what is known of a life, made if need be.
-func (t *Tracker) entry(now time.Duration, life registry.Incarnation) *entry {
-	known := t.entries[life]
+// entry returns the entry of an incarnation and creates it if there is none.
+func (t *Tracker) entry(now time.Duration, incarnation registry.Incarnation) *entry {
+	known := t.entries[incarnation]
 	if known == nil {
-		known = &entry{life: life, isOver: true, listedAt: now}
-		t.entries[life] = known
-		t.known.Add(1)
+		known = &entry{incarnation: incarnation, isEndReported: true, listedAt: now}
+		t.entries[incarnation] = known
+		t.entryCount.Add(1)
 	}
 	return known
 }
 
-func (t *Tracker) leave(now time.Duration, life registry.Incarnation, request string) Change {
-	known := t.entry(now, life)
+func (t *Tracker) leave(now time.Duration, incarnation registry.Incarnation, request string) Change {
+	known := t.entry(now, incarnation)
 	if known.isLeaving {
 		return Change{}
 	}
 	known.isLeaving = true
-	return Change{Kind: Left, Life: life, Request: request, Answers: 1}
+	return Change{Kind: AnnouncedLeaving, Incarnation: incarnation, RequestID: request, Responses: 1}
 }
 
-func (t *Tracker) pause(now time.Duration, life registry.Incarnation, request string, asked time.Duration) Change {
+func (t *Tracker) pause(now time.Duration, incarnation registry.Incarnation, request string, requested time.Duration) Change {
 	kind := Extended
-	known := t.entry(now, life)
+	known := t.entry(now, incarnation)
 	if now >= known.until {
 		kind = Began
-		known.askedAt, known.asked, known.request = now, 0, request
+		known.pausedAt, known.responses, known.requestID = now, 0, request
 	}
-	known.asked++
-	end := now + asked
-	if end <= known.askedUntil {
+	known.responses++
+	end := now + requested
+	if end <= known.requestedUntil {
 		return Change{}
 	}
-	known.askedUntil, known.isOver, known.allowed = end, false, t.policy.FirstTrials
-	known.until = max(known.until, end+time.Duration(t.random()*t.policy.longestSpread(asked)))
+	known.requestedUntil, known.isEndReported, known.allowedTrials = end, false, t.policy.InitialTrials
+	known.until = max(known.until, end+time.Duration(t.random()*t.policy.maximumSpread(requested)))
 	return known.change(kind, now)
 }
 
 func (e *entry) change(kind ChangeKind, now time.Duration) Change {
-	return Change{Kind: kind, Life: e.life, Asked: e.askedUntil - e.askedAt, Left: max(0, e.until-now), Request: e.request, Answers: e.asked}
+	return Change{Kind: kind, Incarnation: e.incarnation, Requested: e.requestedUntil - e.pausedAt, Remaining: max(0, e.until-now), RequestID: e.requestID, Responses: e.responses}
 }
 
-// accept notes that an instance ran a request. Each one written after its pause lets twice as
-// many come, until it counts as back.
-func (t *Tracker) accept(now time.Duration, life registry.Incarnation, writtenAt time.Duration) Change {
-	known := t.entries[life]
+// recordRun records that an instance ran a request. Each request that was written after the pause
+// doubles the allowed trials, until the instance counts as recovered.
+func (t *Tracker) recordRun(now time.Duration, incarnation registry.Incarnation, writtenAt time.Duration) Change {
+	known := t.entries[incarnation]
 	if known == nil || known.isLeaving || writtenAt < known.until {
 		return Change{}
 	}
-	known.allowed *= 2
-	if known.allowed < t.policy.FullTrials {
+	known.allowedTrials *= 2
+	if known.allowedTrials < t.policy.RecoveredTrials {
 		return Change{}
 	}
-	t.drop(life)
-	return known.change(Back, now)
+	t.drop(incarnation)
+	return known.change(Recovered, now)
 }
 
-// Standing tells what a life takes from this node.
-func (t *Tracker) Standing(now time.Duration, life registry.Incarnation) Standing {
+// Status returns the pause state of an incarnation.
+func (t *Tracker) Status(now time.Duration, incarnation registry.Incarnation) Status {
 	if !t.Any() {
-		return Standing{}
+		return Status{}
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.entries[life]
+	known := t.entries[incarnation]
 	if known == nil {
-		return Standing{}
+		return Status{}
 	}
-	return known.standing(now, t.policy.LongestTrials)
+	return known.status(now, t.policy.MaximumTrialTime)
 }
 
-func (e *entry) standing(now, longestTrials time.Duration) Standing {
+func (e *entry) status(now, maximumTrialTime time.Duration) Status {
 	switch {
 	case e.isLeaving:
-		return Standing{Phase: Leaving}
+		return Status{Phase: Leaving}
 	case now < e.until:
-		return Standing{Phase: Paused, Wait: e.until - now}
-	case now >= e.until+longestTrials:
-		return Standing{}
+		return Status{Phase: Paused, Wait: e.until - now}
+	case now >= e.until+maximumTrialTime:
+		return Status{}
 	}
-	return Standing{Phase: Returning, HasTrial: e.trials < e.allowed}
+	return Status{Phase: Recovering, HasTrial: e.trials < e.allowedTrials}
 }
 
-// IsLeaving tells whether an instance has said that it leaves.
-func (t *Tracker) IsLeaving(life registry.Incarnation) bool {
-	return t.Standing(0, life).Phase == Leaving
+// IsLeaving reports whether an instance has announced that it is leaving.
+func (t *Tracker) IsLeaving(incarnation registry.Incarnation) bool {
+	return t.Status(0, incarnation).Phase == Leaving
 }
 
-// Any tells whether any instance is not Open.
-func (t *Tracker) Any() bool { return t != nil && t.known.Load() > 0 }
+// Any reports whether any instance is not Open.
+func (t *Tracker) Any() bool { return t != nil && t.entryCount.Load() > 0 }
 
-// Count is the number of instances that are not Open.
-func (t *Tracker) Count() int64 { return t.known.Load() }
+// Count returns the number of instances that are not Open.
+func (t *Tracker) Count() int64 { return t.entryCount.Load() }
 
-// BeginTrial notes that a request is chosen for a life, and tells whether EndTrial is due
-// when it is over.
-func (t *Tracker) BeginTrial(now time.Duration, life registry.Incarnation) bool {
+// BeginTrial records that a request will be sent to an incarnation. It reports whether the
+// request counts as a trial: then the caller must call EndTrial once the request has ended.
+func (t *Tracker) BeginTrial(now time.Duration, incarnation registry.Incarnation) bool {
 	if !t.Any() {
 		return false
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	known := t.entries[life]
+	known := t.entries[incarnation]
 	if known == nil || now < known.until {
 		return false
 	}
@@ -308,104 +313,104 @@
 	return true
 }
 
-// EndTrial ends what BeginTrial began.
-func (t *Tracker) EndTrial(life registry.Incarnation) {
+// EndTrial ends a trial that BeginTrial counted.
+func (t *Tracker) EndTrial(incarnation registry.Incarnation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	if known := t.entries[life]; known != nil {
+	if known := t.entries[incarnation]; known != nil {
 		known.trials = max(0, known.trials-1)
 	}
 }
 
-// Forget drops what is known of a life that a newer one has replaced.
-func (t *Tracker) Forget(life registry.Incarnation) {
+// Forget drops the state of an incarnation that a newer one has replaced.
+func (t *Tracker) Forget(incarnation registry.Incarnation) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.drop(life)
-	t.unreadable.Remove(life)
+	t.drop(incarnation)
+	t.unreadable.Remove(incarnation)
 }
 
-func (t *Tracker) drop(life registry.Incarnation) {
-	if _, isKnown := t.entries[life]; isKnown {
-		delete(t.entries, life)
-		t.known.Add(-1)
+func (t *Tracker) drop(incarnation registry.Incarnation) {
+	if _, isKnown := t.entries[incarnation]; isKnown {
+		delete(t.entries, incarnation)
+		t.entryCount.Add(-1)
 	}
 }
 
-// Look returns the pauses that are over since the last call, and drops instances that are
-// back.
-func (t *Tracker) Look(now time.Duration) []Change {
+// TakeEnded returns the pauses that have expired since the last call and drops the instances that
+// count as recovered by the time since then.
+func (t *Tracker) TakeEnded(now time.Duration) []Change {
 	if !t.Any() {
 		return nil
 	}
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	var changes []Change
-	for life, known := range t.entries {
+	for incarnation, known := range t.entries {
 		if now < known.until {
 			continue
 		}
-		if !known.isOver {
-			known.isOver = true
+		if !known.isEndReported {
+			known.isEndReported = true
 			changes = append(changes, known.change(Ended, now))
 		}
-		if !known.isLeaving && now >= known.until+t.policy.LongestTrials {
-			t.drop(life)
+		if !known.isLeaving && now >= known.until+t.policy.MaximumTrialTime {
+			t.drop(incarnation)
 		}
 	}
 	return changes
 }
 
-// Prune drops instances that have not been listed for long. Who lists them may ask the
-// tracker meanwhile.
-func (t *Tracker) Prune(now time.Duration, isListed func(life registry.Incarnation) bool) {
+// Prune drops the instances that have not been listed for unlistedRetention. It calls isListed
+// without holding the lock, so isListed may call the tracker.
+func (t *Tracker) Prune(now time.Duration, isListed func(incarnation registry.Incarnation) bool) {
 	if !t.Any() {
 		return
 	}
-	listed := slices.DeleteFunc(t.lives(), func(life registry.Incarnation) bool { return !isListed(life) })
+	listed := slices.DeleteFunc(t.incarnations(), func(incarnation registry.Incarnation) bool { return !isListed(incarnation) })
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	for _, life := range listed {
-		if known := t.entries[life]; known != nil {
+	for _, incarnation := range listed {
+		if known := t.entries[incarnation]; known != nil {
 			known.listedAt = now
 		}
 	}
-	for life, known := range t.entries {
-		if now-known.listedAt > unlistedMemory {
-			t.drop(life)
-			t.unreadable.Remove(life)
+	for incarnation, known := range t.entries {
+		if now-known.listedAt > unlistedRetention {
+			t.drop(incarnation)
+			t.unreadable.Remove(incarnation)
 		}
 	}
 }
 
-// lives returns the lives that are known.
-func (t *Tracker) lives() []registry.Incarnation {
+// incarnations returns the incarnations that have entries.
+func (t *Tracker) incarnations() []registry.Incarnation {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.Collect(maps.Keys(t.entries))
 }
 
-// Listed is one instance that is not Open, for operators.
+// Listed is an instance that is not Open, as it is shown to operators.
 type Listed struct {
-	Life     registry.Incarnation
-	Standing Standing
-	// Asked is the latest pause, Request the one whose answer began it, Answers how many
-	// asked for it.
-	Asked   time.Duration
-	Request string
-	Answers int
+	Incarnation registry.Incarnation
+	Status      Status
+	// Requested is the length of the latest pause, RequestID the ID of the request whose
+	// response began it, and Responses the number of responses that requested it.
+	Requested time.Duration
+	RequestID string
+	Responses int
 }
 
-// List returns the instances that are not Open, the longest pause first.
+// List returns the instances that are not Open, those with the longest remaining pause first.
 func (t *Tracker) List(now time.Duration) []Listed {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	listed := make([]Listed, 0, len(t.entries))
-	for life, known := range t.entries {
-		listed = append(listed, Listed{Life: life, Standing: known.standing(now, t.policy.LongestTrials), Asked: known.askedUntil - known.askedAt, Request: known.request, Answers: known.asked})
+	for incarnation, known := range t.entries {
+		listed = append(listed, Listed{Incarnation: incarnation, Status: known.status(now, t.policy.MaximumTrialTime), Requested: known.requestedUntil - known.pausedAt, RequestID: known.requestID, Responses: known.responses})
 	}
 	slices.SortFunc(listed, func(one, other Listed) int {
-		return cmp.Or(cmp.Compare(other.Standing.Wait, one.Standing.Wait), cmp.Compare(one.Life.ID, other.Life.ID), cmp.Compare(one.Life.StartedAt, other.Life.StartedAt))
+		return cmp.Or(cmp.Compare(other.Status.Wait, one.Status.Wait), cmp.Compare(one.Incarnation.ID, other.Incarnation.ID), cmp.Compare(one.Incarnation.StartedAt, other.Incarnation.StartedAt))
 	})
 	return listed
 }
--- a/internal/coordination/balance/backoff.go
+++ b/internal/coordination/balance/backoff.go
@@ -33,8 +33,8 @@
 // isTrialAllowed reports whether an instance that may be recovering from a pause counts as healthy
 // for a request. Only a few trial requests at a time probe whether the instance accepts work again,
 // and a request that could not be retried at another instance is never one of them.
-func isTrialAllowed(status backoff.Standing, request Request) bool {
-	return status.Phase != backoff.Returning || status.HasTrial && !request.IsLastAttempt
+func isTrialAllowed(status backoff.Status, request Request) bool {
+	return status.Phase != backoff.Recovering || status.HasTrial && !request.IsLastAttempt
 }
 
 // Admit returns nil if a request may still be written to a chosen instance. The instance may have
@@ -42,12 +42,12 @@
 func (t *Table) Admit(now time.Duration, choice Choice) error {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	switch status := t.backoff.Standing(now, choice.Incarnation()); status.Phase {
+	switch status := t.backoff.Status(now, choice.Incarnation()); status.Phase {
 	case backoff.Paused:
 		return fmt.Errorf("%w, which ends in %d ms", ErrPaused, status.Wait.Milliseconds())
 	case backoff.Leaving:
 		return ErrLeaving
-	case backoff.Open, backoff.Returning:
+	case backoff.Open, backoff.Recovering:
 	}
 	known := t.member(choice.Incarnation())
 	if known == nil || !known.isOffered || t.evacuated.Contains(known.Zone) || t.isRolledBack(known) {
@@ -82,9 +82,9 @@
 		if !t.isPlacementAllowed(one, request) || t.isRolledBack(one) {
 			continue
 		}
-		headroom, hasLimit := t.limits.Room(now, one.Incarnation())
+		headroom, hasLimit := t.limits.Headroom(now, one.Incarnation())
 		isLimited := hasLimit && headroom.Wait > request.MaximumPermitWait && !slices.Contains(request.Exclude, one.ID)
-		status := t.backoff.Standing(now, one.Incarnation())
+		status := t.backoff.Status(now, one.Incarnation())
 		if status.Phase == backoff.Leaving {
 			continue
 		}
@@ -94,7 +94,7 @@
 			continue
 		}
 		if isLimited {
-			found.PerSecond += max(headroom.PerSecond, ratelimit.LeastRate)
+			found.PerSecond += max(headroom.PerSecond, ratelimit.MinimumRate)
 		}
 		wait := max(status.Wait, headroom.Wait)
 		if isFirst || wait < found.Wait {
--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -180,7 +180,7 @@
 		if !isAmong(one) || !t.mayServe(one, request) || request.MaximumInFlight > 0 && one.inFlight >= request.MaximumInFlight || !t.acceptsWhileCold(now, one, request.Cold) {
 			continue
 		}
-		status := t.backoff.Standing(now, one.Incarnation())
+		status := t.backoff.Status(now, one.Incarnation())
 		if status.Phase == backoff.Paused || status.Phase == backoff.Leaving {
 			continue
 		}
--- a/internal/coordination/balance/initial_exchange.go
+++ b/internal/coordination/balance/initial_exchange.go
@@ -51,7 +51,7 @@
 
 // step returns this node's request for the active limits, if one is due, and its responses to the
 // requests of others.
-func (i *initialExchange) step(now time.Duration, activeLimits func() []ratelimit.Word) []OutgoingReport {
+func (i *initialExchange) step(now time.Duration, activeLimits func() []ratelimit.Update) []OutgoingReport {
 	var reports []OutgoingReport
 	if i.requestsLeft > 0 && i.responder != "" {
 		i.requestsLeft--
@@ -68,6 +68,6 @@
 	return reports
 }
 
-func (i *initialExchange) report(to string, scope LoadScope, updates []ratelimit.Word) OutgoingReport {
+func (i *initialExchange) report(to string, scope LoadScope, updates []ratelimit.Update) OutgoingReport {
 	return OutgoingReport{To: to, Report: LoadReport{Scope: scope, Zone: i.self.Zone, Limits: updates}}
 }
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -126,7 +126,7 @@
 	// AgeMS is the time since the sender's process started, in milliseconds.
 	AgeMS uint64 `msgpack:"y,omitempty"`
 	// Limits are the instances' rate limits that began, changed or ended since the previous report.
-	Limits []ratelimit.Word `msgpack:"m,omitempty"`
+	Limits []ratelimit.Update `msgpack:"m,omitempty"`
 }
 
 // Updates holds the events that are sent once, together with the loads.
@@ -134,7 +134,7 @@
 	// Parts are the prompt parts that were sent to other instances than their homes.
 	Parts []HeldPart
 	// Limits are the instances' rate limits that began, changed or ended.
-	Limits []ratelimit.Word
+	Limits []ratelimit.Update
 }
 
 func (u *Updates) add(other Updates) {
@@ -248,7 +248,7 @@
 // Step returns the reports that are due and what is known of all other nodes. ownUpdates holds this
 // node's own updates since the last step. activeLimits returns the limits that are sent to nodes
 // that have just started.
-func (e *LoadExchange) Step(now time.Duration, own Loads, ownUpdates Updates, activeLimits func() []ratelimit.Word) ([]OutgoingReport, Known) {
+func (e *LoadExchange) Step(now time.Duration, own Loads, ownUpdates Updates, activeLimits func() []ratelimit.Update) ([]OutgoingReport, Known) {
 	reports, known := e.step(now, own, ownUpdates)
 	return append(reports, e.initialExchange.step(now, activeLimits)...), known
 }
@@ -274,7 +274,7 @@
 // encodedUpdates holds updates as they are encoded in a report.
 type encodedUpdates struct {
 	parts  []byte
-	limits []ratelimit.Word
+	limits []ratelimit.Update
 }
 
 func encodeUpdates(now time.Duration, updates Updates) encodedUpdates {
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-func noLimits() []ratelimit.Word { return nil }
+func noLimits() []ratelimit.Update { return nil }
 
 // runRound runs one step of each node and delivers the reports. It returns the loads that each node
 // knows of the others, and the number of reports.
--- a/internal/coordination/overload/gate.go
+++ b/internal/coordination/overload/gate.go
@@ -6,85 +6,85 @@
 )
 
 const (
-	// fullLag is how long a goroutine may wait for its turn before the node counts as
-	// having too much to do: a request passes through some six goroutines, each of which
-	// waits that long for the processor, and the tightest objectives are 150 ms.
-	// Below calmLag it has room.
-	fullLag = 20 * time.Millisecond
-	calmLag = 8 * time.Millisecond
-	// fullLoad is the share of the link that bodies may fill before it counts as full:
-	// the engines' answers take as much again. With 0.45 of a link filled by bodies
-	// other nodes' frames came 300 to 700 ms late.
+	// overloadLag is how long a goroutine may wait to be scheduled before the node counts as
+	// overloaded: a request passes through some six goroutines, each of which waits that long
+	// for the processor, and the tightest latency objectives are 150 ms. Below calmLag the node
+	// has free capacity.
+	overloadLag = 20 * time.Millisecond
+	calmLag     = 8 * time.Millisecond
+	// fullLoad is the share of the link that bodies may fill before it counts as full: the
+	// engines' responses take as much again. With 0.45 of a link filled by bodies, other nodes'
+	// frames were 300 to 700 ms late.
 	fullLoad = 0.3
-	// lateFrames is the delay of other nodes' frames above which the link counts as
-	// full whatever fills it. Usual are under 20 ms.
-	lateFrames = 60 * time.Millisecond
-	// lagWeight is the weight of one reading in the smoothed lag: four readings
-	// tell a node with too much to do from one long collection of garbage.
+	// maximumFrameDelay is the delay of other nodes' frames above which the link counts as full,
+	// regardless of what fills it. Usual delays are under 20 ms.
+	maximumFrameDelay = 60 * time.Millisecond
+	// lagWeight is the weight of one reading in the moving average of the lag: four readings
+	// distinguish an overloaded node from one long garbage collection.
 	lagWeight = 0.25
-	// rateMemory is the half-life of callers' rates.
-	rateMemory = 500 * time.Millisecond
-	// heavyShare is the part of the node's work from which a caller counts as
-	// heavy. Others are never turned away.
+	// rateHalfLife is the half-life of the smoothed rates.
+	rateHalfLife = 500 * time.Millisecond
+	// heavyShare is the share of the node's work from which a caller counts as heavy. Requests
+	// of other callers are never refused.
 	heavyShare = 0.3
-	// A bound on heavy callers begins at firstBound of the heaviest one's rate,
-	// falls by boundFall at each reading with too much to do and rises by boundRise
-	// at each calm one, until it binds nobody.
-	firstBound = 0.7
-	boundFall  = 0.93
-	boundRise  = 1.02
-	// leastBound is the least bound, in work a second.
-	leastBound = 10.0
-	// leastPart is the part of a heavy caller's requests that is let in however much
-	// there is to do: what is turned away meets one other node, which has as little
-	// room, and a second refusal is final.
-	leastPart = 0.5
-	// burstTime is the time whose work a caller may have at once.
+	// The bound on heavy callers begins at initialBoundShare times the heaviest one's rate. It is
+	// multiplied by boundDecrease at each reading of overload and by boundIncrease at each calm
+	// reading, until it restricts no caller.
+	initialBoundShare = 0.7
+	boundDecrease     = 0.93
+	boundIncrease     = 1.02
+	// minimumBound is the minimum bound, in work per second.
+	minimumBound = 10.0
+	// minimumAdmittedShare is the share of a heavy caller's work that is admitted regardless of
+	// the load: a refused request is retried at one other node, which may be as overloaded, and
+	// a second refusal is final.
+	minimumAdmittedShare = 0.5
+	// burstTime is the duration whose work a caller may use in one burst.
 	burstTime = 200 * time.Millisecond
-	// bytesOfWork is the length of a body that takes as much of a node as a request
-	// without one.
-	bytesOfWork = 16 << 10
-	// forgetRate is the rate below which a caller is forgotten.
-	forgetRate = 0.05
+	// bytesPerWork is the size in bytes of a body that costs a node as much as a request without
+	// a body.
+	bytesPerWork = 16 << 10
+	// minimumRate is the rate, in work per second, below which a caller is forgotten.
+	minimumRate = 0.05
 )
 
-// Work is what a request with a body takes of a node, in requests without one.
-func Work(bodyBytes int64) float64 { return 1 + float64(max(0, bodyBytes))/bytesOfWork }
+// Work returns the cost of a request with a body, in units of a request without one.
+func Work(bodyBytes int64) float64 { return 1 + float64(max(0, bodyBytes))/bytesPerWork }
 
-// Gate turns away requests of heavy callers at a node that has too much to do.
+// Gate refuses requests of heavy callers at an overloaded node.
 //
-// It answers this pattern: the platform chooses a caller's entry node by a hash,
-// so one large caller's requests all meet one small machine, and hundreds of
-// others are idle. That machine's processor or link is full, and all its requests
-// are late, also those of light callers. A request that is turned away at once
-// comes back through another node, well within its objective.
+// It guards against the following pattern. The platform selects a caller's entry node by a
+// hash, so all requests of one large caller arrive at one small machine while hundreds of
+// others are idle. That machine's processor or link is full, and all its requests are late,
+// including those of light callers. A request that is refused immediately is retried through
+// another node, well within its objective.
 //
-// The bound on heavy callers falls while the node has too much to do and rises
-// while it has room, as windows of transport protocols do. Callers that take less
-// than heavyShare of the node's work are not turned away.
+// The bound on heavy callers falls while the node is overloaded and rises while it has free
+// capacity, like the congestion window of a transport protocol. Requests of callers with less
+// than heavyShare of the node's work are not refused.
 //
-// It is a pure step and not safe for concurrent use.
+// It performs no I/O, reads no clock and is not safe for concurrent use.
 type Gate struct {
 	lag time.Duration
-	// bound is the most work a second that a caller may have; 0 means none.
+	// bound is the maximum work per second of a heavy caller; 0 means no bound.
 	bound   float64
 	callers map[string]*callerRate
-	// total is the work asked for, bytes are those of the bodies read, as of the last
-	// reading bodyBytes in all.
+	// total is the rate of the requested work, and bytes the rate of the body bytes read.
+	// bodyBytes is the total of body bytes at the last reading.
 	total     decayingRate
 	bytes     decayingRate
 	bodyBytes int64
 }
 
-// callerRate is one caller's work, asked for and let in.
+// callerRate is one caller's requested work and its credit for further work.
 type callerRate struct {
-	asked decayingRate
-	// credit is the work that it may have now, as of credited.
-	credit   float64
-	credited time.Duration
+	requested decayingRate
+	// credit is the work that the caller may use, as of creditedAt.
+	credit     float64
+	creditedAt time.Duration
 }
 
-// decayingRate is a smoothed rate.
+// decayingRate is an exponentially decaying rate.
 type decayingRate struct {
 	sum float64
 	at  time.Duration
@@ -96,36 +96,36 @@
 }
 
 func (r *decayingRate) decayed(now time.Duration) float64 {
-	return r.sum * math.Exp2(-float64(now-r.at)/float64(rateMemory))
+	return r.sum * math.Exp2(-float64(now-r.at)/float64(rateHalfLife))
 }
 
-// perSecond is the rate a second.
+// perSecond returns the rate per second.
 func (r *decayingRate) perSecond(now time.Duration) float64 {
-	return r.decayed(now) * math.Ln2 / rateMemory.Seconds()
+	return r.decayed(now) * math.Ln2 / rateHalfLife.Seconds()
 }
 
-// NewGate makes a gate that lets all in.
+// NewGate returns a gate without a bound, which admits all requests.
 func NewGate() *Gate { return &Gate{callers: map[string]*callerRate{}} }
 
-// Bound is the most work a second that a heavy caller may have; 0 means no bound.
+// Bound returns the maximum work per second of a heavy caller; 0 means no bound.
 func (g *Gate) Bound() float64 { return g.bound }
 
-// Lag is how long a goroutine waits for its turn, smoothed.
+// Lag returns the moving average of how long a goroutine waits to be scheduled.
 func (g *Gate) Lag() time.Duration { return g.lag }
 
-// Pressure is a reading of how much a node has to do.
+// Pressure is a measurement of a node's load.
 type Pressure struct {
-	// Lag is how long a goroutine waits for its turn.
+	// Lag is how long a goroutine waits to be scheduled.
 	Lag time.Duration
-	// FrameDelay is how late other nodes' frames are.
+	// FrameDelay is the delay of other nodes' frames.
 	FrameDelay time.Duration
-	// BodyBytes are the bytes of callers' bodies since the start, of known length or
-	// not. LinkBytes is what the link carries in a second; 0 if that is not known.
+	// BodyBytes is the total size of callers' bodies since the start, including bodies of
+	// unknown length. LinkBytes is the capacity of the link in bytes per second; 0 if unknown.
 	BodyBytes int64
 	LinkBytes float64
 }
 
-// Step takes a reading and tells whether the bound was set or lifted.
+// Step processes a measurement and reports whether the bound was set or lifted.
 func (g *Gate) Step(now time.Duration, pressure Pressure) (changed bool) {
 	g.lag += time.Duration(lagWeight * float64(pressure.Lag-g.lag))
 	g.bytes.add(now, float64(pressure.BodyBytes-g.bodyBytes))
@@ -134,37 +134,38 @@
 	if pressure.LinkBytes > 0 {
 		load = g.bytes.perSecond(now) / pressure.LinkBytes
 	}
-	isFull := g.lag > fullLag || pressure.FrameDelay > lateFrames || load > fullLoad
-	isCalm := g.lag < calmLag && pressure.FrameDelay < lateFrames/2 && load < fullLoad
+	isFull := g.lag > overloadLag || pressure.FrameDelay > maximumFrameDelay || load > fullLoad
+	isCalm := g.lag < calmLag && pressure.FrameDelay < maximumFrameDelay/2 && load < fullLoad
 	heaviest := g.Heaviest(now).Rate
 	before := g.bound
 	switch {
 	case isFull && g.bound == 0:
-		g.bound = max(firstBound*heaviest, leastBound)
+		g.bound = max(initialBoundShare*heaviest, minimumBound)
 	case isFull:
-		g.bound = max(boundFall*g.bound, leastBound)
+		g.bound = max(boundDecrease*g.bound, minimumBound)
 	case isCalm && g.bound > 0:
-		if g.bound *= boundRise; g.bound > heaviest/firstBound {
+		if g.bound *= boundIncrease; g.bound > heaviest/initialBoundShare {
 			g.bound = 0
 		}
 	}
 	return (before == 0) != (g.bound == 0)
 }
 
-// Heaviest is the caller with the most work, and what the node is asked for in
-// all, for logs.
+// Heaviest is the caller with the highest rate of work, along with the rates of all callers
+// together. It is written to logs.
 type Heaviest struct {
 	Name string
-	// Rate and Total are in work a second, Bytes in bytes of bodies a second.
+	// Rate and Total are in work per second, Bytes in body bytes per second.
 	Rate, Total, Bytes float64
 }
 
-// Heaviest returns the heaviest caller; it forgets those that are gone.
+// Heaviest returns the heaviest caller. It forgets callers whose rate has fallen below
+// minimumRate.
 func (g *Gate) Heaviest(now time.Duration) Heaviest {
 	heaviest := Heaviest{Total: g.total.perSecond(now), Bytes: g.bytes.perSecond(now)}
 	for name, caller := range g.callers {
-		rate := caller.asked.perSecond(now)
-		if rate < forgetRate {
+		rate := caller.requested.perSecond(now)
+		if rate < minimumRate {
 			delete(g.callers, name)
 			continue
 		}
@@ -175,29 +176,29 @@
 	return heaviest
 }
 
-// LetsIn notes a caller's request with a body of some bytes and tells whether it is
-// let in. One that must be served always is.
-func (g *Gate) LetsIn(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
+// Admits records a caller's request with a body of bodyBytes and reports whether it is admitted.
+// A request with mustServe is always admitted.
+func (g *Gate) Admits(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
 	known := g.callers[caller]
 	if known == nil {
-		known = &callerRate{credited: now}
+		known = &callerRate{creditedAt: now}
 		g.callers[caller] = known
 	}
 	work := Work(bodyBytes)
-	known.asked.add(now, work)
+	known.requested.add(now, work)
 	g.total.add(now, work)
-	return mustServe || g.bears(now, known, work)
+	return mustServe || g.admits(now, known, work)
 }
 
-// bears tells whether a caller's request is within the bound.
-func (g *Gate) bears(now time.Duration, caller *callerRate, work float64) bool {
-	rate := caller.asked.perSecond(now)
+// admits reports whether a caller's request is within the bound.
+func (g *Gate) admits(now time.Duration, caller *callerRate, work float64) bool {
+	rate := caller.requested.perSecond(now)
 	if g.bound == 0 || rate <= g.bound || rate < heavyShare*g.total.perSecond(now) {
 		return true
 	}
-	bound := max(g.bound, leastPart*rate)
-	caller.credit = min(caller.credit+bound*(now-caller.credited).Seconds(), max(bound*burstTime.Seconds(), work))
-	caller.credited = now
+	bound := max(g.bound, minimumAdmittedShare*rate)
+	caller.credit = min(caller.credit+bound*(now-caller.creditedAt).Seconds(), max(bound*burstTime.Seconds(), work))
+	caller.creditedAt = now
 	if caller.credit < work {
 		return false
 	}
--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -7,23 +7,24 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Verdict says that a request has come into quarantine, or out of it.
+// Verdict reports that a request has entered or left quarantine.
 type Verdict struct {
 	Record
-	// IsQuarantined tells which, Counted is how many ends are held against it.
+	// IsQuarantined reports which of both; Counted is the number of crashes that count against
+	// the request.
 	IsQuarantined bool
 	Counted       int
-	// Beside is how many other requests were at those ends.
-	Beside int
+	// OtherRequests is the number of other requests that were in flight at its crashes.
+	OtherRequests int
 }
 
-// IsDue tells whether there is anything to decide on.
+// IsDue reports whether Decide has anything to derive.
 func (t *Tracker) IsDue(now time.Duration) bool {
 	t.expire(now)
-	return t.isOutdated || t.settles != 0 && now >= t.settles
+	return t.isOutdated || t.settlesAt != 0 && now >= t.settlesAt
 }
 
-// Decide derives who is in quarantine, and returns what has changed.
+// Decide derives which requests are in quarantine and returns the changes.
 func (t *Tracker) Decide(now time.Duration) []Verdict {
 	if !t.IsDue(now) {
 		return nil
@@ -32,7 +33,7 @@
 	for fingerprint, one := range t.suspects {
 		before[fingerprint] = one.isQuarantined
 	}
-	found := t.weigh(now)
+	found := t.derive(now)
 	t.isOutdated, t.isDigestKnown = false, false
 	var verdicts []Verdict
 	for _, one := range t.inOrder() {
@@ -40,7 +41,7 @@
 			continue
 		}
 		verdicts = append(verdicts, Verdict{
-			Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted, Beside: found.beside(one),
+			Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted, OtherRequests: found.countOthers(one),
 		})
 	}
 	return verdicts
@@ -55,150 +56,156 @@
 	return suspects
 }
 
-// weighing is one derivation.
-type weighing struct {
-	// present are the requests at each end, strongest the highest suspicion there.
-	present   map[registry.Incarnation][]*suspect
-	strongest map[registry.Incarnation]Suspicion
-	// explained are the ends that a quarantined request was at.
+// derivation is the state of one derivation.
+type derivation struct {
+	// present are the requests in flight at each crash, highestSuspicion is the highest of their
+	// suspicions.
+	present          map[registry.Incarnation][]*suspect
+	highestSuspicion map[registry.Incarnation]Suspicion
+	// explained are the crashes at which a quarantined request was in flight.
 	explained map[registry.Incarnation]bool
-	settled   func(end) bool
+	settled   func(crash) bool
 }
 
-// weigh puts requests into quarantine one after the other, the most certain first: what
-// it explains counts against nobody else.
-func (t *Tracker) weigh(now time.Duration) *weighing {
-	found := &weighing{
-		present: map[registry.Incarnation][]*suspect{}, strongest: map[registry.Incarnation]Suspicion{}, explained: map[registry.Incarnation]bool{},
-		settled: func(held end) bool { return held.at+settleTime <= now },
+// derive puts requests into quarantine one after the other, the most certain first. The crashes
+// that a quarantined request explains count against no other request.
+func (t *Tracker) derive(now time.Duration) *derivation {
+	found := &derivation{
+		present: map[registry.Incarnation][]*suspect{}, highestSuspicion: map[registry.Incarnation]Suspicion{}, explained: map[registry.Incarnation]bool{},
+		settled: func(recorded crash) bool { return recorded.at+settleTime <= now },
 	}
-	t.settles = 0
-	// open are those that may be guilty. Most of what is held are requests that were at
-	// one end only, which need no count: no rival of a guilty one has so few.
-	var open []*suspect
+	t.settlesAt = 0
+	// candidates are the requests that may be quarantined. Most recorded requests were in flight
+	// at one crash only. They need no count: a rival of a candidate has more.
+	var candidates []*suspect
 	for _, one := range t.suspects {
 		one.isQuarantined, one.counted = false, 0
-		for life, held := range one.ends {
-			found.present[life] = append(found.present[life], one)
-			found.strongest[life] = max(found.strongest[life], held.suspicion)
-			if due := held.at + settleTime; due > now && (t.settles == 0 || due < t.settles) {
-				t.settles = due
+		for incarnation, recorded := range one.crashes {
+			found.present[incarnation] = append(found.present[incarnation], one)
+			found.highestSuspicion[incarnation] = max(found.highestSuspicion[incarnation], recorded.suspicion)
+			if due := recorded.at + settleTime; due > now && (t.settlesAt == 0 || due < t.settlesAt) {
+				t.settlesAt = due
 			}
 		}
-		if len(one.ends) >= suspectEnds {
-			open = append(open, one)
+		if len(one.crashes) >= suspectCrashes {
+			candidates = append(candidates, one)
 		}
 	}
-	slices.SortFunc(open, func(a, b *suspect) int { return a.compare(b.Fingerprint) })
+	slices.SortFunc(candidates, func(a, b *suspect) int { return a.compare(b.Fingerprint) })
 	for {
-		for _, one := range open {
+		for _, one := range candidates {
 			one.counted = len(found.counted(one))
 		}
-		position := found.mostCertain(open)
+		position := found.mostCertain(candidates)
 		if position < 0 {
 			return found
 		}
-		guilty := open[position]
-		guilty.isQuarantined = true
-		for life := range guilty.ends {
-			found.explained[life] = true
+		chosen := candidates[position]
+		chosen.isQuarantined = true
+		for incarnation := range chosen.crashes {
+			found.explained[incarnation] = true
 		}
-		open = slices.Delete(open, position, position+1)
+		candidates = slices.Delete(candidates, position, position+1)
 	}
 }
 
-// counted are the ends that count against a request: nobody there was more suspicious,
-// and nothing explains them.
-func (w *weighing) counted(one *suspect) []registry.Incarnation {
-	var lives []registry.Incarnation
-	for life, held := range one.ends {
-		if w.settled(held) && !w.explained[life] && w.isStrongest(life, held) {
-			lives = append(lives, life)
+// counted returns the crashes that count against a request: no other request there was more
+// suspicious, and no quarantined request explains them.
+func (d *derivation) counted(one *suspect) []registry.Incarnation {
+	var incarnations []registry.Incarnation
+	for incarnation, recorded := range one.crashes {
+		if d.settled(recorded) && !d.explained[incarnation] && d.isMostSuspicious(incarnation, recorded) {
+			incarnations = append(incarnations, incarnation)
 		}
 	}
-	return lives
+	return incarnations
 }
 
-// mostCertain returns the place of the request that is to be quarantined next, or -1 if
-// there is none: of those at certainEnds the one at the most ends, else the one that
-// most ends count against. At certainEnds no other request is an explanation any more for
-// one that was likeliest each time: two that end engines side by side would else take
-// turns in each other's excuse.
-func (w *weighing) mostCertain(open []*suspect) int {
-	best, bestEnds, bestCounted := -1, 0, 0
-	for position, one := range open {
-		ends := max(w.unexplained(one), w.likeliest(one))
-		if ends < certainEnds {
-			ends = 0
+// mostCertain returns the index of the request that is to be quarantined next, or -1 if there
+// is none. Requests with at least certainCrashes crashes come first, the one with the most
+// crashes leading; then the one that most crashes count against. From certainCrashes crashes on,
+// another request no longer explains the crashes of one that was the most suspicious each
+// time. Otherwise two poison requests at the same engines would alternately explain each
+// other's crashes.
+func (d *derivation) mostCertain(candidates []*suspect) int {
+	best, bestCrashes, bestCounted := -1, 0, 0
+	for position, one := range candidates {
+		crashes := max(d.countUnexplained(one), d.countMostSuspicious(one))
+		if crashes < certainCrashes {
+			crashes = 0
 		}
-		if ends < bestEnds || ends == bestEnds && one.counted <= bestCounted || ends == 0 && !w.isProven(one) {
+		if crashes < bestCrashes || crashes == bestCrashes && one.counted <= bestCounted || crashes == 0 && !d.isProven(one) {
 			continue
 		}
-		best, bestEnds, bestCounted = position, ends, one.counted
+		best, bestCrashes, bestCounted = position, crashes, one.counted
 	}
 	return best
 }
 
-// isStrongest tells whether nobody at an end was more suspicious, and there is any
-// suspicion at all.
-func (w *weighing) isStrongest(life registry.Incarnation, held end) bool {
-	return held.suspicion > Excused && held.suspicion == w.strongest[life]
+// isMostSuspicious reports whether no other request at a crash was more suspicious, and the request
+// was suspicious at all.
+func (d *derivation) isMostSuspicious(incarnation registry.Incarnation, recorded crash) bool {
+	return recorded.suspicion > Excused && recorded.suspicion == d.highestSuspicion[incarnation]
 }
 
-// isProven tells whether enough ends count against a request alone. Invariant: a request
-// at fewer than provenEnds ends is never in quarantine.
-func (w *weighing) isProven(one *suspect) bool {
-	if one.counted < provenEnds {
+// isProven reports whether enough crashes count against a request alone. Invariant: a request
+// with fewer than provenCrashes crashes is never in quarantine.
+func (d *derivation) isProven(one *suspect) bool {
+	if one.counted < provenCrashes {
 		return false
 	}
-	alone := 0
-	for _, life := range w.counted(one) {
-		if !w.hasRival(one, life) {
-			alone++
+	unrivalled := 0
+	for _, incarnation := range d.counted(one) {
+		if !d.hasRival(one, incarnation) {
+			unrivalled++
 		}
 	}
-	return alone >= provenEnds
+	return unrivalled >= provenCrashes
 }
 
-// unexplained is how many ends the request was at that nothing explains. Those at which
-// it was Excused count once they are as many as are held of a request.
-func (w *weighing) unexplained(one *suspect) int {
-	ends := w.count(one, func(life registry.Incarnation, _ end) bool { return !w.explained[life] })
-	if ends >= endsKept {
-		return ends
+// countUnexplained returns the number of a request's crashes that no quarantined request explains.
+// Those at which it was Excused count only if the number reaches maximumCrashes.
+func (d *derivation) countUnexplained(one *suspect) int {
+	crashes := d.count(one, func(incarnation registry.Incarnation, _ crash) bool { return !d.explained[incarnation] })
+	if crashes >= maximumCrashes {
+		return crashes
 	}
-	return w.count(one, func(life registry.Incarnation, held end) bool { return !w.explained[life] && held.suspicion > Excused })
+	return d.count(one, func(incarnation registry.Incarnation, recorded crash) bool {
+		return !d.explained[incarnation] && recorded.suspicion > Excused
+	})
 }
 
-// likeliest is at how many ends nobody was more suspicious than the request.
-func (w *weighing) likeliest(one *suspect) int {
-	return w.count(one, func(life registry.Incarnation, held end) bool { return w.isStrongest(life, held) })
+// countMostSuspicious returns at how many crashes no other request was more suspicious.
+func (d *derivation) countMostSuspicious(one *suspect) int {
+	return d.count(one, func(incarnation registry.Incarnation, recorded crash) bool {
+		return d.isMostSuspicious(incarnation, recorded)
+	})
 }
 
-// count counts the ends of a request that have settled and meet a condition.
-func (w *weighing) count(one *suspect, meets func(registry.Incarnation, end) bool) int {
+// count returns the number of a request's settled crashes that meet a condition.
+func (d *derivation) count(one *suspect, meets func(registry.Incarnation, crash) bool) int {
 	count := 0
-	for life, held := range one.ends {
-		if w.settled(held) && meets(life, held) {
+	for incarnation, recorded := range one.crashes {
+		if d.settled(recorded) && meets(incarnation, recorded) {
 			count++
 		}
 	}
 	return count
 }
 
-// hasRival tells whether another request that counts at an end has as many ends against
-// it: which of the two it was the next end will tell.
-func (w *weighing) hasRival(one *suspect, life registry.Incarnation) bool {
-	return slices.ContainsFunc(w.present[life], func(other *suspect) bool {
-		return other != one && !other.isQuarantined && other.counted >= one.counted && other.ends[life].suspicion == w.strongest[life]
+// hasRival reports whether another request that counts at a crash has at least as many crashes
+// against it. Only a further crash can then distinguish the two.
+func (d *derivation) hasRival(one *suspect, incarnation registry.Incarnation) bool {
+	return slices.ContainsFunc(d.present[incarnation], func(other *suspect) bool {
+		return other != one && !other.isQuarantined && other.counted >= one.counted && other.crashes[incarnation].suspicion == d.highestSuspicion[incarnation]
 	})
 }
 
-// beside is how many other requests were at a request's ends.
-func (w *weighing) beside(one *suspect) int {
+// countOthers returns the number of other requests that were in flight at a request's crashes.
+func (d *derivation) countOthers(one *suspect) int {
 	others := map[Fingerprint]bool{}
-	for life := range one.ends {
-		for _, other := range w.present[life] {
+	for incarnation := range one.crashes {
+		for _, other := range d.present[incarnation] {
 			if other != one {
 				others[other.Fingerprint] = true
 			}
--- a/internal/coordination/quarantine/fingerprint_test.go
+++ b/internal/coordination/quarantine/fingerprint_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestFingerprintIsThatOfPathCallerAndBody(t *testing.T) {
+func TestFingerprintDependsOnPathCallerAndBody(t *testing.T) {
 	scope := ScopeOf("host/path", "caller")
 	same := FingerprintOf(scope, []byte("body"))
 	assert.Equal(t, FingerprintOf(ScopeOf("host/path", "caller"), []byte("body")), same)
@@ -22,7 +22,7 @@
 	}
 }
 
-func TestFingerprintIsReadFromItsText(t *testing.T) {
+func TestFingerprintIsParsedFromItsText(t *testing.T) {
 	made := FingerprintOf(ScopeOf("host/path", "caller"), []byte("body"))
 	read, err := ParseFingerprint(made.String())
 	assert.NilError(t, err)
@@ -33,7 +33,7 @@
 	}
 }
 
-// A body of the usual size and the largest one that a deployment takes.
+// Bodies of usual sizes and the largest one that a deployment accepts.
 func BenchmarkFingerprint(b *testing.B) {
 	for _, length := range []int{4 << 10, 64 << 10, 4 << 20} {
 		b.Run(fmt.Sprintf("%dKB", length>>10), func(b *testing.B) {
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -12,138 +12,143 @@
 )
 
 const (
-	// provenEnds is how many ends that nothing else explains put a request into
-	// quarantine: the fourth engine is the first that the users' rule counts. Of 1,840
-	// other requests in 40 s none is taken for a poison one so, whether engines fail for
-	// other reasons or not (simulate.RunPoison, 40 seeds).
-	provenEnds = 3
-	// certainEnds is how many ends do so whoever else was there: a request that is sent to
-	// two engines each time and comes back once is at four ends at most.
-	certainEnds = 5
-	// suspectEnds is at how many ends a request is one that others are told of, so that a
-	// run of it to its end is noticed at any node; so many that count make it a suspect.
-	suspectEnds = 2
-	// endsKept bounds the ends held of one request.
-	endsKept = 8
-	// expireInterval is the time between looks for ends that are too old to count.
+	// provenCrashes is the number of crashes without another explanation that put a request into
+	// quarantine: the users' rule counts crashes from the fourth engine on. With this number none
+	// of 1,840 other requests in 40 s is quarantined by mistake, whether or not engines also
+	// crash for other reasons (simulate.RunPoison, 40 seeds).
+	provenCrashes = 3
+	// certainCrashes is the number of crashes that do so regardless of other requests in flight
+	// there. An innocent request stays below it: one that is sent to two engines each time and
+	// is retried once is in flight at four crashes at most.
+	certainCrashes = 5
+	// suspectCrashes is the number of crashes from which a request's record is sent to the other
+	// nodes, so that any node notices when it runs to completion. A request that so many
+	// crashes count against is Suspected.
+	suspectCrashes = 2
+	// maximumCrashes bounds the crashes recorded of one request.
+	maximumCrashes = 8
+	// expireInterval is the time between checks for crashes that are too old to count.
 	expireInterval = time.Second
-	// settleTime is how long after the word of an end it counts: by then the other
-	// nodes whose runs broke with it have said so.
+	// settleTime is how long after its report a crash begins to count: by then the other nodes
+	// whose runs it broke have reported it too.
 	settleTime = 60 * time.Millisecond
 )
 
 // Defaults of Options.
 const (
-	// DefaultMemory is how long ends count: a request that ends engines again and
-	// again costs one of them in that time.
-	DefaultMemory = 30 * time.Minute
-	// DefaultRequests bounds the requests held, at some 300 bytes each.
-	DefaultRequests = 1024
+	// DefaultRetention is how long crashes count: a request that crashes engines again and again
+	// costs one engine in that time, once it has been in quarantine.
+	DefaultRetention = 30 * time.Minute
+	// DefaultMaximumRequests bounds the recorded requests, at some 300 bytes each.
+	DefaultMaximumRequests = 1024
 )
 
-// Options bound a Tracker.
+// Options are the bounds of a Tracker.
 type Options struct {
-	// Memory is how long an end counts; 0 means the default.
-	Memory time.Duration
-	// Requests is the most requests held; 0 means the default. Beyond it those with
-	// the fewest ends are forgotten first, and of these the oldest.
-	Requests int
-}
-
-// End is one end of an engine with a run of the request there.
-type End struct {
-	Life      registry.Incarnation `msgpack:"l"`
-	Suspicion Suspicion            `msgpack:"s"`
-	// Age is how long ago it was, when this was sent.
+	// Retention is how long a crash counts; 0 means DefaultRetention.
+	Retention time.Duration
+	// MaximumRequests is the maximum number of recorded requests; 0 means
+	// DefaultMaximumRequests. Beyond it those with the fewest crashes are forgotten first, and of
+	// these the oldest. Quarantined requests are forgotten last.
+	MaximumRequests int
+}
+
+// Crash is a crash of an engine at which a run of the request was in flight.
+type Crash struct {
+	Incarnation registry.Incarnation `msgpack:"l"`
+	Suspicion   Suspicion            `msgpack:"s"`
+	// Age is the time from the crash to the sending of the record, in nanoseconds.
 	Age time.Duration `msgpack:"a"`
 }
 
-// Record is what one node tells another of a request.
+// Record is what one node sends another about a request.
 type Record struct {
 	Fingerprint Fingerprint `msgpack:"f"`
-	// Generation counts how often the request was cleared. The record of a higher one
-	// replaces those of lower ones.
-	Generation uint32 `msgpack:"g"`
-	Route      string `msgpack:"r"`
-	Tenant     string `msgpack:"t"`
-	Ends       []End  `msgpack:"e"`
+	// Generation is the number of times the request was cleared. A record replaces those with a
+	// lower generation.
+	Generation uint32  `msgpack:"g"`
+	Route      string  `msgpack:"r"`
+	Tenant     string  `msgpack:"t"`
+	Crashes    []Crash `msgpack:"e"`
 }
 
-// suspect is a request that was at the end of some engine.
+// suspect is a request that was in flight when some engine crashed.
 type suspect struct {
 	Fingerprint
 	generation    uint32
 	route, tenant string
-	ends          map[registry.Incarnation]end
-	// counted and isQuarantined are derived from the ends of all suspects.
+	crashes       map[registry.Incarnation]crash
+	// counted and isQuarantined are derived from the crashes of all suspects.
 	counted       int
 	isQuarantined bool
-	// changed is when the last end or clearing was noted.
-	changed time.Duration
+	// changedAt is the time of the last crash or clearing.
+	changedAt time.Duration
 }
 
-type end struct {
+type crash struct {
 	suspicion Suspicion
 	at        time.Duration
 }
 
-// Tracker holds which requests were there when engines ended, and derives which are in
-// quarantine. It is not safe for concurrent use. Times are those of a steady clock.
+// Tracker records which requests were in flight when engines crashed, and derives which are in
+// quarantine. It is not safe for concurrent use. Times are those of a monotonic clock.
 type Tracker struct {
 	options  Options
 	suspects map[Fingerprint]*suspect
-	// isOutdated tells that the derived part is, settles when the next end counts.
+	// isOutdated reports whether the derived fields are out of date; settlesAt is when the next
+	// crash begins to count, 0 if none is due.
 	isOutdated bool
-	settles    time.Duration
-	// expires is when the next end may be too old to count.
-	expires time.Duration
-	// news are the requests with own changes since TakeNews, told what TakeChanged
-	// last returned of each.
-	news map[Fingerprint]struct{}
-	told map[Fingerprint]uint64
-	// digest is that of what is told, while isDigestKnown: it is compared with each hello
-	// of a control node, some 40 a second of 25, and made anew only after a change.
+	settlesAt  time.Duration
+	// expiresAt is the time of the next check for crashes that are too old to count.
+	expiresAt time.Duration
+	// pendingUpdates are the requests that this node changed since the last call of TakeUpdates.
+	// sharedStates is the hash of the state of each request that TakeChanged last returned.
+	pendingUpdates map[Fingerprint]struct{}
+	sharedStates   map[Fingerprint]uint64
+	// digest is the digest of the records that are sent to other nodes, valid while
+	// isDigestKnown. It is compared with each hello of a control node, some 40 per second from
+	// 25 control nodes, so it is computed again only after a change.
 	digest        uint64
 	isDigestKnown bool
 }
 
-// NewTracker makes an empty tracker.
+// NewTracker returns an empty tracker.
 func NewTracker(options Options) *Tracker {
-	options.Memory = cmp.Or(options.Memory, DefaultMemory)
-	options.Requests = cmp.Or(options.Requests, DefaultRequests)
+	options.Retention = cmp.Or(options.Retention, DefaultRetention)
+	options.MaximumRequests = cmp.Or(options.MaximumRequests, DefaultMaximumRequests)
 	return &Tracker{
-		options: options, suspects: map[Fingerprint]*suspect{}, news: map[Fingerprint]struct{}{}, told: map[Fingerprint]uint64{},
+		options: options, suspects: map[Fingerprint]*suspect{}, pendingUpdates: map[Fingerprint]struct{}{}, sharedStates: map[Fingerprint]uint64{},
 	}
 }
 
-// Report takes this node's own evidence.
-func (t *Tracker) Report(now time.Duration, evidence Evidence) {
-	one := t.find(evidence.Fingerprint, now, 1)
+// Report records a crash report of this node.
+func (t *Tracker) Report(now time.Duration, report CrashReport) {
+	one := t.findOrAdd(report.Fingerprint, now, 1)
 	if one == nil {
 		return
 	}
-	one.route, one.tenant = evidence.Route, evidence.Tenant
-	if t.addEnd(one, End{Life: evidence.Life, Suspicion: evidence.Suspicion}, now) {
-		t.news[evidence.Fingerprint] = struct{}{}
+	one.route, one.tenant = report.Route, report.Tenant
+	if t.addCrash(one, Crash{Incarnation: report.Incarnation, Suspicion: report.Suspicion}, now) {
+		t.pendingUpdates[report.Fingerprint] = struct{}{}
 	}
 }
 
-// Clear forgets the ends of a request: it ran to its end somewhere, or an operator says
-// so. It returns whether the request was known.
+// Clear removes the crashes of a request that ran to completion somewhere or that an operator
+// clears. It reports whether any were recorded.
 func (t *Tracker) Clear(now time.Duration, fingerprint Fingerprint) bool {
 	one := t.suspects[fingerprint]
-	if one == nil || len(one.ends) == 0 {
+	if one == nil || len(one.crashes) == 0 {
 		return false
 	}
 	one.generation++
-	clear(one.ends)
-	one.changed = now
-	t.outdate()
-	t.news[fingerprint] = struct{}{}
+	clear(one.crashes)
+	one.changedAt = now
+	t.markOutdated()
+	t.pendingUpdates[fingerprint] = struct{}{}
 	return true
 }
 
-// Merge takes what another node holds.
+// Merge adds the records of another node.
 func (t *Tracker) Merge(now time.Duration, records []Record) {
 	for _, record := range records {
 		t.merge(now, record)
@@ -152,165 +157,166 @@
 
 func (t *Tracker) merge(now time.Duration, record Record) {
 	known := t.suspects[record.Fingerprint]
-	if known != nil && record.Generation < known.generation || known == nil && record.Generation == 0 && len(record.Ends) == 0 {
+	if known != nil && record.Generation < known.generation || known == nil && record.Generation == 0 && len(record.Crashes) == 0 {
 		return
 	}
-	one := t.find(record.Fingerprint, record.newest(now), len(record.Ends))
+	one := t.findOrAdd(record.Fingerprint, record.newest(now), len(record.Crashes))
 	if one == nil {
 		return
 	}
 	if record.Generation > one.generation {
 		one.generation = record.Generation
-		clear(one.ends)
-		t.outdate()
+		clear(one.crashes)
+		t.markOutdated()
 	}
 	one.route, one.tenant = cmp.Or(one.route, record.Route), cmp.Or(one.tenant, record.Tenant)
-	for _, told := range record.Ends {
-		if told.Suspicion >= Excused && told.Suspicion <= Likely {
-			t.addEnd(one, told, now-max(0, told.Age))
+	for _, received := range record.Crashes {
+		if received.Suspicion >= Excused && received.Suspicion <= Likely {
+			t.addCrash(one, received, now-max(0, received.Age))
 		}
 	}
 }
 
-// newest is when the record's latest end was, by the receiver's clock.
+// newest returns the time of the record's latest crash on the receiver's clock.
 func (r Record) newest(now time.Duration) time.Duration {
 	age := time.Duration(0)
-	for position, told := range r.Ends {
-		if position == 0 || told.Age < age {
-			age = told.Age
+	for position, received := range r.Crashes {
+		if position == 0 || received.Age < age {
+			age = received.Age
 		}
 	}
 	return now - age
 }
 
-// find returns a request's suspect, a new one if there is none. It returns nil if there
-// is no room, and everything held is worth more than a request with so many ends at
-// that time: so nodes that exchange what they hold come to hold the same.
-func (t *Tracker) find(fingerprint Fingerprint, changed time.Duration, ends int) *suspect {
+// findOrAdd returns a request's suspect and creates it if there is none. It returns nil if the
+// tracker is full and every recorded suspect ranks higher than one with so many crashes at
+// that time. Nodes that exchange records therefore converge to the same ones.
+func (t *Tracker) findOrAdd(fingerprint Fingerprint, changed time.Duration, crashes int) *suspect {
 	one := t.suspects[fingerprint]
 	if one != nil {
 		return one
 	}
-	made := &suspect{Fingerprint: fingerprint, ends: map[registry.Incarnation]end{}, changed: changed}
-	if len(t.suspects) >= t.options.Requests {
-		least := t.least()
-		if made.compareWorth(ends, least) < 0 {
+	created := &suspect{Fingerprint: fingerprint, crashes: map[registry.Incarnation]crash{}, changedAt: changed}
+	if len(t.suspects) >= t.options.MaximumRequests {
+		lowestRanking := t.lowestRanking()
+		if created.compareRank(crashes, lowestRanking) < 0 {
 			return nil
 		}
-		t.forget(least.Fingerprint)
+		t.forget(lowestRanking.Fingerprint)
 	}
-	t.suspects[fingerprint] = made
-	return made
+	t.suspects[fingerprint] = created
+	return created
 }
 
-// least is the suspect that it would cost the least to forget.
-func (t *Tracker) least() *suspect {
-	var least *suspect
+// lowestRanking returns the lowestRanking-ranking suspect, which is the first to be forgotten.
+func (t *Tracker) lowestRanking() *suspect {
+	var lowestRanking *suspect
 	for _, one := range t.suspects {
-		if least == nil || one.compareWorth(len(one.ends), least) < 0 {
-			least = one
+		if lowestRanking == nil || one.compareRank(len(one.crashes), lowestRanking) < 0 {
+			lowestRanking = one
 		}
 	}
-	return least
+	return lowestRanking
 }
 
-// compareWorth compares what it would cost to forget a suspect with so many ends and
-// another one: one in quarantine the most, then one with more ends, then a later one.
-func (s *suspect) compareWorth(ends int, other *suspect) int {
-	rank := func(one *suspect, ends int) int {
+// compareRank compares the ranks by which suspects are kept, of a suspect with so many crashes
+// and another one: quarantined ones rank highest, then those with more crashes, then the later
+// ones.
+func (s *suspect) compareRank(crashes int, other *suspect) int {
+	rank := func(one *suspect, crashes int) int {
 		if one.isQuarantined {
-			return endsKept + 1
+			return maximumCrashes + 1
 		}
-		return ends
+		return crashes
 	}
 	return cmp.Or(
-		cmp.Compare(rank(s, ends), rank(other, len(other.ends))), cmp.Compare(s.changed, other.changed), s.compare(other.Fingerprint),
+		cmp.Compare(rank(s, crashes), rank(other, len(other.crashes))), cmp.Compare(s.changedAt, other.changedAt), s.compare(other.Fingerprint),
 	)
 }
 
-// outdate notes a change of what is held.
-func (t *Tracker) outdate() { t.isOutdated, t.isDigestKnown = true, false }
+// markOutdated marks the derived fields and the digest as out of date.
+func (t *Tracker) markOutdated() { t.isOutdated, t.isDigestKnown = true, false }
 
 func (t *Tracker) forget(fingerprint Fingerprint) {
 	delete(t.suspects, fingerprint)
-	delete(t.news, fingerprint)
-	delete(t.told, fingerprint)
-	t.outdate()
+	delete(t.pendingUpdates, fingerprint)
+	delete(t.sharedStates, fingerprint)
+	t.markOutdated()
 }
 
-// addEnd notes an end and tells whether that is new.
-func (t *Tracker) addEnd(one *suspect, told End, at time.Duration) bool {
-	known, found := one.ends[told.Life]
-	if found && known.suspicion >= told.Suspicion || !found && len(one.ends) >= endsKept {
+// addCrash records a crash and reports whether it changes the suspect.
+func (t *Tracker) addCrash(one *suspect, received Crash, at time.Duration) bool {
+	known, found := one.crashes[received.Incarnation]
+	if found && known.suspicion >= received.Suspicion || !found && len(one.crashes) >= maximumCrashes {
 		return false
 	}
 	if found {
 		at = known.at
 	}
-	one.ends[told.Life] = end{suspicion: told.Suspicion, at: at}
-	one.changed = max(one.changed, at)
-	t.outdate()
+	one.crashes[received.Incarnation] = crash{suspicion: received.Suspicion, at: at}
+	one.changedAt = max(one.changedAt, at)
+	t.markOutdated()
 	return true
 }
 
-// expire forgets ends that are too old to count. A request that comes out of
-// quarantine so is on probation: its two latest ends count once more as long, so that
-// one further end puts it back.
+// expire forgets the requests whose latest crash is too old to count. A request that leaves
+// quarantine by this is on probation: its two latest crashes count for the same time again, so
+// one further crash puts it back into quarantine.
 func (t *Tracker) expire(now time.Duration) {
-	if now < t.expires {
+	if now < t.expiresAt {
 		return
 	}
-	t.expires = now + expireInterval
+	t.expiresAt = now + expireInterval
 	for fingerprint, one := range t.suspects {
-		if now-one.changed <= t.options.Memory {
+		if now-one.changedAt <= t.options.Retention {
 			continue
 		}
 		if !one.isQuarantined {
 			t.forget(fingerprint)
 			continue
 		}
-		kept := one.latest(suspectEnds)
-		clear(one.ends)
-		for _, life := range kept {
-			one.ends[life] = end{suspicion: Likely, at: now - settleTime}
+		kept := one.latest(suspectCrashes)
+		clear(one.crashes)
+		for _, incarnation := range kept {
+			one.crashes[incarnation] = crash{suspicion: Likely, at: now - settleTime}
 		}
-		one.changed = now
-		t.outdate()
+		one.changedAt = now
+		t.markOutdated()
 	}
 }
 
-// latest returns the lives of the latest ends.
+// latest returns the incarnations of the latest crashes.
 func (s *suspect) latest(count int) []registry.Incarnation {
-	lives := s.lives()
-	slices.SortStableFunc(lives, func(a, b registry.Incarnation) int { return cmp.Compare(s.ends[b].at, s.ends[a].at) })
-	return lives[:min(count, len(lives))]
+	incarnations := s.incarnations()
+	slices.SortStableFunc(incarnations, func(a, b registry.Incarnation) int { return cmp.Compare(s.crashes[b].at, s.crashes[a].at) })
+	return incarnations[:min(count, len(incarnations))]
 }
 
-// lives returns the lives that ended with the request there, in order.
-func (s *suspect) lives() []registry.Incarnation {
-	lives := make([]registry.Incarnation, 0, len(s.ends))
-	for life := range s.ends {
-		lives = append(lives, life)
+// incarnations returns the incarnations that crashed with the request in flight, in order.
+func (s *suspect) incarnations() []registry.Incarnation {
+	incarnations := make([]registry.Incarnation, 0, len(s.crashes))
+	for incarnation := range s.crashes {
+		incarnations = append(incarnations, incarnation)
 	}
-	slices.SortFunc(lives, func(a, b registry.Incarnation) int {
+	slices.SortFunc(incarnations, func(a, b registry.Incarnation) int {
 		return cmp.Or(cmp.Compare(a.ID, b.ID), cmp.Compare(a.StartedAt, b.StartedAt))
 	})
-	return lives
+	return incarnations
 }
 
 func (f Fingerprint) compare(other Fingerprint) int {
 	return cmp.Or(cmp.Compare(f.Scope, other.Scope), cmp.Compare(f.Length, other.Length), cmp.Compare(f.Body, other.Body))
 }
 
-// isTold tells whether other nodes are told of the request.
-func (s *suspect) isTold() bool {
-	return s.isQuarantined || len(s.ends) >= suspectEnds || s.generation > 0
+// isShared reports whether the request's record is sent to the other nodes.
+func (s *suspect) isShared() bool {
+	return s.isQuarantined || len(s.crashes) >= suspectCrashes || s.generation > 0
 }
 
-// state covers what others are told of the request.
-func (s *suspect) state() uint64 {
+// stateHash returns a hash of what is sent to other nodes about the request.
+func (s *suspect) stateHash() uint64 {
 	var encoded []byte
-	for _, number := range []uint64{s.Scope, s.Length, s.Body, uint64(s.generation), uint64(len(s.ends)), uint64(s.counted)} {
+	for _, number := range []uint64{s.Scope, s.Length, s.Body, uint64(s.generation), uint64(len(s.crashes)), uint64(s.counted)} {
 		encoded = binary.BigEndian.AppendUint64(encoded, number)
 	}
 	if s.isQuarantined {
@@ -320,54 +326,54 @@
 }
 
 func (s *suspect) record(now time.Duration) Record {
-	record := Record{Fingerprint: s.Fingerprint, Generation: s.generation, Route: s.route, Tenant: s.tenant, Ends: make([]End, 0, len(s.ends))}
-	for _, life := range s.lives() {
-		held := s.ends[life]
-		record.Ends = append(record.Ends, End{Life: life, Suspicion: held.suspicion, Age: now - held.at})
+	record := Record{Fingerprint: s.Fingerprint, Generation: s.generation, Route: s.route, Tenant: s.tenant, Crashes: make([]Crash, 0, len(s.crashes))}
+	for _, incarnation := range s.incarnations() {
+		recorded := s.crashes[incarnation]
+		record.Crashes = append(record.Crashes, Crash{Incarnation: incarnation, Suspicion: recorded.suspicion, Age: now - recorded.at})
 	}
 	return record
 }
 
-// Records returns all that is held, in order, for a node that may have nothing.
+// Records returns all records, in order, for a node that may have none.
 func (t *Tracker) Records(now time.Duration) []Record {
 	return t.recordsOf(now, func(*suspect) bool { return true })
 }
 
-// Told returns what all nodes are told, in order.
-func (t *Tracker) Told(now time.Duration) []Record {
-	return t.recordsOf(now, (*suspect).isTold)
+// SharedRecords returns the records that are sent to all nodes, in order.
+func (t *Tracker) SharedRecords(now time.Duration) []Record {
+	return t.recordsOf(now, (*suspect).isShared)
 }
 
-// TakeNews returns the requests with evidence or clearings of this node since the last
-// call.
-func (t *Tracker) TakeNews(now time.Duration) []Record {
-	if len(t.news) == 0 {
+// TakeUpdates returns the records of the requests that crash reports or clearings of this node have
+// changed since the last call.
+func (t *Tracker) TakeUpdates(now time.Duration) []Record {
+	if len(t.pendingUpdates) == 0 {
 		return nil
 	}
-	news := t.recordsOf(now, func(one *suspect) bool {
-		_, found := t.news[one.Fingerprint]
+	updates := t.recordsOf(now, func(one *suspect) bool {
+		_, found := t.pendingUpdates[one.Fingerprint]
 		return found
 	})
-	clear(t.news)
-	return news
+	clear(t.pendingUpdates)
+	return updates
 }
 
-// TakeChanged returns what all nodes are to be told since the last call.
+// TakeChanged returns the records to be sent to all nodes that have changed since the last call.
 func (t *Tracker) TakeChanged(now time.Duration) []Record {
 	return t.recordsOf(now, func(one *suspect) bool {
-		state := one.state()
-		if !one.isTold() || t.told[one.Fingerprint] == state {
+		hash := one.stateHash()
+		if !one.isShared() || t.sharedStates[one.Fingerprint] == hash {
 			return false
 		}
-		t.told[one.Fingerprint] = state
+		t.sharedStates[one.Fingerprint] = hash
 		return true
 	})
 }
 
-func (t *Tracker) recordsOf(now time.Duration, wanted func(*suspect) bool) []Record {
+func (t *Tracker) recordsOf(now time.Duration, isWanted func(*suspect) bool) []Record {
 	var records []Record
 	for _, one := range t.suspects {
-		if wanted(one) {
+		if isWanted(one) {
 			records = append(records, one.record(now))
 		}
 	}
@@ -375,7 +381,7 @@
 	return records
 }
 
-// Digest is equal on nodes that would tell the same; 0 on those with nothing to tell.
+// Digest is equal on nodes that would send the same records, and 0 on nodes without any to send.
 func (t *Tracker) Digest() uint64 {
 	if !t.isDigestKnown {
 		t.digest, t.isDigestKnown = t.computeDigest(), true
@@ -386,37 +392,37 @@
 func (t *Tracker) computeDigest() uint64 {
 	digest := uint64(0)
 	for _, one := range t.suspects {
-		if one.isTold() {
-			digest ^= one.state()
+		if one.isShared() {
+			digest ^= one.stateHash()
 		}
 	}
 	return digest
 }
 
-// Held is what is held against one request, for operators.
-type Held struct {
+// Summary is what is recorded against a request, as it is shown to operators.
+type Summary struct {
 	Record
 	IsQuarantined bool
 	Counted       int
 }
 
-// Held lists what is held, those in quarantine first and then those that most ends count
-// against.
-func (t *Tracker) Held(now time.Duration) []Held {
-	var held []Held
+// Summaries returns the requests with recorded crashes, those in quarantine first and then those
+// that most crashes count against.
+func (t *Tracker) Summaries(now time.Duration) []Summary {
+	var summaries []Summary
 	for _, one := range t.suspects {
-		if len(one.ends) > 0 {
-			held = append(held, Held{Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted})
+		if len(one.crashes) > 0 {
+			summaries = append(summaries, Summary{Record: one.record(now), IsQuarantined: one.isQuarantined, Counted: one.counted})
 		}
 	}
-	rank := func(one Held) int {
+	rank := func(one Summary) int {
 		if one.IsQuarantined {
-			return endsKept + 1
+			return maximumCrashes + 1
 		}
 		return one.Counted
 	}
-	slices.SortFunc(held, func(a, b Held) int {
+	slices.SortFunc(summaries, func(a, b Summary) int {
 		return cmp.Or(cmp.Compare(rank(b), rank(a)), a.Fingerprint.compare(b.Fingerprint))
 	})
-	return held
+	return summaries
 }
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -7,138 +7,142 @@
 )
 
 const (
-	// PermitLife is how long after it was asked for a permit may be used: a node that
-	// stood still meanwhile asks again.
-	PermitLife = time.Second
-	// unusedTime is how far back unused permits count: small differences in when requests
-	// come cost none of the rate, and a rest earns no burst.
-	unusedTime = 250 * time.Millisecond
-	// heldShare is the part of the unused time for which a slot is held back from the least
+	// PermitLifetime is how long after its request a permit may be used. A node that was
+	// suspended meanwhile requests another one.
+	PermitLifetime = time.Second
+	// unusedPermitTime is how long an unused permit stays available. Small variations in the arrival
+	// of requests therefore cost none of the rate, and an idle time allows no burst.
+	unusedPermitTime = 250 * time.Millisecond
+	// reservedShare is the fraction of unusedPermitTime for which a slot is reserved against the least
 	// urgent requests.
-	heldShare = 0.8
-	// silentHolder is how long an instance is left alone whose holder did not answer, or
-	// that has none.
-	silentHolder = 300 * time.Millisecond
-	// longestFree bounds the wait for a permit that a holder may tell of.
-	longestFree = time.Minute
+	reservedShare = 0.8
+	// unreachableIssuerDelay is how long no request is sent to an instance whose issuer did not
+	// respond, or that has no issuer.
+	unreachableIssuerDelay = 300 * time.Millisecond
+	// maximumPermitWait bounds the wait for the next permit in a response of an issuer.
+	maximumPermitWait = time.Minute
 )
 
-// Ask asks the holder for a permit.
-type Ask struct {
-	// Word is what the asking node knows of the limit.
-	Word Word   `msgpack:"w"`
-	Zone string `msgpack:"z"`
-	Need `msgpack:",inline"`
+// PermitRequest is a request to the issuer for a permit.
+type PermitRequest struct {
+	// Update is what the requesting node knows of the limit.
+	Update      Update `msgpack:"w"`
+	Zone        string `msgpack:"z"`
+	PermitNeeds `msgpack:",inline"`
 }
 
-// Need is what a request needs of a permit.
-type Need struct {
-	// PatienceMS is how long the request can wait for it.
-	PatienceMS uint64 `msgpack:"p,omitempty"`
-	// Priority is its rank, the most urgent first.
+// PermitNeeds is what a request needs of a permit before it can be sent.
+type PermitNeeds struct {
+	// MaximumWaitMS is how long the request can wait for the permit, in milliseconds.
+	MaximumWaitMS uint64 `msgpack:"p,omitempty"`
+	// Priority is the rank of the request; 0 is the most urgent.
 	Priority uint8 `msgpack:"u,omitempty"`
 }
 
-// Patience is how long the request can wait.
-func (n Need) Patience() time.Duration { return time.Duration(n.PatienceMS) * time.Millisecond }
+// MaximumWait returns how long the request can wait.
+func (n PermitNeeds) MaximumWait() time.Duration {
+	return time.Duration(n.MaximumWaitMS) * time.Millisecond
+}
 
-// Answer is the holder's.
-type Answer struct {
+// PermitResponse is the issuer's response to a request for a permit.
+type PermitResponse struct {
 	IsGranted bool `msgpack:"g,omitempty"`
-	// DelayMS is the time until a granted permit may be used.
+	// DelayMS is the time until a granted permit may be used, in milliseconds.
 	DelayMS uint64 `msgpack:"d,omitempty"`
-	// FreeMS is the time until the holder has another one.
+	// FreeMS is the time until the issuer has another permit, in milliseconds.
 	FreeMS uint64 `msgpack:"f,omitempty"`
-	// Words is the holder's word of the limit if it knows a newer one.
-	Words []Word `msgpack:"w,omitempty"`
+	// Updates is the issuer's update of the limit if it knows a newer one.
+	Updates []Update `msgpack:"w,omitempty"`
 }
 
-// slots are the moments at which permits may be used.
+// slots is the schedule of the moments at which permits may be used.
 type slots struct {
-	// next is the first that was not given out.
+	// next is the first slot that was not granted.
 	next time.Duration
 }
 
-// begin starts without any permit: what was sent before is not known.
+// begin starts the schedule one interval from now: it isn't known what other nodes sent just
+// before.
 func (s *slots) begin(now, between time.Duration) { s.next = now + between }
 
-// take gives out the next slot if it comes within a request's patience. One that is less
-// urgent takes only a slot that has been free for a moment: what is scarce goes to the
-// urgent first, and what they leave to the others.
-func (s *slots) take(now, between time.Duration, need Need) (wait time.Duration, isTaken bool) {
-	unused := min(unusedTime, between)
+// take grants the next slot if it lies within a request's maximum wait. A less urgent request
+// is granted only a slot that has been free for a while. Scarce slots thus go to urgent
+// requests first and the remaining ones to the others.
+func (s *slots) take(now, between time.Duration, needs PermitNeeds) (wait time.Duration, isTaken bool) {
+	unused := min(unusedPermitTime, between)
 	slot := max(s.next, now-unused)
-	held := time.Duration(heldShare * float64(unused) * float64(need.Priority) / float64(1+int(need.Priority)))
-	if slot+held-now > need.Patience() {
-		return slot + held - now, false
+	reserved := time.Duration(reservedShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
+	if slot+reserved-now > needs.MaximumWait() {
+		return slot + reserved - now, false
 	}
 	s.next = slot + between
 	return max(0, slot-now), true
 }
 
-// Ask prepares to ask for a permit: whom, and with what. It is not limited if the life has
-// no limit; without a holder nobody may send for now.
-func (l *Limits) Ask(now time.Duration, life registry.Incarnation, zone string, need Need) (ask Ask, holder string, isLimited bool) {
+// RequestPermit returns a request for a permit and the address of the issuer to which it goes.
+// isLimited is false if the incarnation has no limit and needs no permit. The address is "" if
+// there is no issuer; no request may be sent to the instance then.
+func (l *Limits) RequestPermit(now time.Duration, incarnation registry.Incarnation, zone string, needs PermitNeeds) (request PermitRequest, issuer string, isLimited bool) {
 	if !l.Any() {
-		return Ask{}, "", false
+		return PermitRequest{}, "", false
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.inForce(life)
+	known := l.active(incarnation)
 	if known == nil {
-		return Ask{}, "", false
+		return PermitRequest{}, "", false
 	}
-	return Ask{Word: known.word(life).sentAt(now), Zone: zone, Need: need}, l.holders.of(now, life.ID, zone), true
+	return PermitRequest{Update: known.update(incarnation).sentAt(now), Zone: zone, PermitNeeds: needs}, l.issuers.of(now, incarnation.ID, zone), true
 }
 
-// Grant answers a node, this one or another, as the holder.
-func (l *Limits) Grant(now time.Duration, from string, ask Ask) Answer {
+// Grant responds to a permit request of a node, this one or another, as the issuer.
+func (l *Limits) Grant(now time.Duration, from string, request PermitRequest) PermitResponse {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.holders.asked[from] = now
-	word := ask.Word.receivedAt(now)
-	l.hear(now, word)
-	known := l.entries[word.Life]
+	l.issuers.requestedAt[from] = now
+	update := request.Update.receivedAt(now)
+	l.receive(now, update)
+	known := l.entries[update.Incarnation]
 	if known == nil {
-		// What the other node says of the limit makes no sense here.
-		return Answer{FreeMS: uint64(silentHolder.Milliseconds())}
+		// The update in the request is not valid.
+		return PermitResponse{FreeMS: uint64(unreachableIssuerDelay.Milliseconds())}
 	}
-	answer := Answer{}
-	if known.at > word.At || known.hasEnded {
-		answer.Words = ForSending(now, []Word{known.word(word.Life)})
+	response := PermitResponse{}
+	if known.at > update.At || known.hasEnded {
+		response.Updates = ForSending(now, []Update{known.update(update.Incarnation)})
 	}
 	if known.hasEnded {
-		return answer
+		return response
 	}
-	part, wait := l.holders.part(now, word.Life.ID, ask.Zone)
-	if part <= 0 {
-		answer.FreeMS = uint64(max(wait, silentHolder).Milliseconds())
-		return answer
+	share, wait := l.issuers.share(now, update.Incarnation.ID, request.Zone)
+	if share <= 0 {
+		response.FreeMS = uint64(max(wait, unreachableIssuerDelay).Milliseconds())
+		return response
 	}
-	between := time.Duration(float64(interval(known.perSecond)) / part)
-	delay, isTaken := known.slots.take(now, between, ask.Need)
-	answer.IsGranted = isTaken
+	between := time.Duration(float64(interval(known.perSecond)) / share)
+	delay, isTaken := known.slots.take(now, between, request.PermitNeeds)
+	response.IsGranted = isTaken
 	if isTaken {
-		answer.DelayMS = uint64(delay.Milliseconds())
+		response.DelayMS = uint64(delay.Milliseconds())
 	}
-	answer.FreeMS = uint64(max(0, min(longestFree, known.slots.next-now)).Milliseconds())
-	return answer
+	response.FreeMS = uint64(max(0, min(maximumPermitWait, known.slots.next-now)).Milliseconds())
+	return response
 }
 
-// Answered notes a holder's answer.
-func (l *Limits) Answered(now time.Duration, life registry.Incarnation, answer Answer) []Change {
-	changes := l.Hear(now, Received(now, answer.Words))
+// RecordResponse records an issuer's response.
+func (l *Limits) RecordResponse(now time.Duration, incarnation registry.Incarnation, response PermitResponse) []Change {
+	changes := l.Receive(now, Received(now, response.Updates))
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	known := l.inForce(life)
+	known := l.active(incarnation)
 	if known == nil {
 		return changes
 	}
 	scarce := 1.0
 	switch {
-	case !answer.IsGranted:
+	case !response.IsGranted:
 		known.denied++
-	case answer.DelayMS > 0:
+	case response.DelayMS > 0:
 		known.granted++
 	default:
 		known.granted++
@@ -146,15 +150,15 @@
 	}
 	pressure := known.pressureNow(now)
 	known.pressure, known.pressureAt = pressure+(scarce-pressure)*pressureWeight, now
-	known.freeAt = now + min(longestFree, time.Duration(answer.FreeMS)*time.Millisecond)
+	known.freeAt = now + min(maximumPermitWait, time.Duration(response.FreeMS)*time.Millisecond)
 	return changes
 }
 
-// Unanswered notes that a holder did not answer, or that there is none.
-func (l *Limits) Unanswered(now time.Duration, life registry.Incarnation) {
+// RecordNoResponse records that the issuer did not respond, or that there is none.
+func (l *Limits) RecordNoResponse(now time.Duration, incarnation registry.Incarnation) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if known := l.inForce(life); known != nil {
-		known.freeAt = now + silentHolder
+	if known := l.active(incarnation); known != nil {
+		known.freeAt = now + unreachableIssuerDelay
 	}
 }
--- a/internal/coordination/ratelimit/ratelimit_bench_test.go
+++ b/internal/coordination/ratelimit/ratelimit_bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Sizes of fleets in the benchmarks.
+// fleetSizes are the numbers of entry nodes in the benchmarks.
 var fleetSizes = []int{300, 1000, 2000}
 
 const (
@@ -28,32 +28,32 @@
 	return nodes
 }
 
-func lifeOf(number int) registry.Incarnation {
+func incarnationOf(number int) registry.Incarnation {
 	return registry.Incarnation{ID: fmt.Sprintf("i-%010d", number), StartedAt: 1700000000000}
 }
 
-// withLimits are a node's limits when a third of 10,000 engines has named one.
+// withLimits returns a node's limits when a third of 10,000 engines has named one.
 func withLimits(nodes []Node) *Limits {
 	limits := limitsAt(nodes[0].Address, nodes)
 	for number := range limitedEngines {
-		limits.Learn(start, lifeOf(number), two, start)
+		limits.Learn(start, incarnationOf(number), two, start)
 	}
 	return limits
 }
 
-// What each request pays while no engine names a limit.
+// Cost of each request while no engine names a limit.
 func BenchmarkRequestWithoutAnyLimit(b *testing.B) {
 	limits := limitsAt("a-0", nodesOf("a", 3))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, _, isLimited := limits.Ask(start, engine, "a", Need{}); isLimited {
-			b.Fatal("a limit")
+		if _, _, isLimited := limits.RequestPermit(start, engine, "a", PermitNeeds{}); isLimited {
+			b.Fatal("a limit is in effect")
 		}
 		limits.Learn(start, engine, none, start)
 	}
 }
 
-// atFleetSizes runs a benchmark with the nodes and the limits of fleets of each size.
+// atFleetSizes runs a benchmark at each fleet size.
 func atFleetSizes(b *testing.B, step func(number int, now time.Duration, nodes []Node, limits *Limits)) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -67,31 +67,32 @@
 	}
 }
 
-// What the holder pays for a permit.
+// The issuer's cost of a permit.
 func BenchmarkPermit(b *testing.B) {
 	atFleetSizes(b, func(number int, now time.Duration, nodes []Node, limits *Limits) {
-		ask, _, _ := limits.Ask(now, lifeOf(number%limitedEngines), nodes[0].Zone, Need{PatienceMS: 100})
-		limits.Grant(now, nodes[1].Address, ask)
+		request, _, _ := limits.RequestPermit(now, incarnationOf(number%limitedEngines), nodes[0].Zone, PermitNeeds{MaximumWaitMS: 100})
+		limits.Grant(now, nodes[1].Address, request)
 	})
 }
 
-// What a node pays when another one starts or ends.
+// Cost for a node of another node starting or stopping.
 func BenchmarkNodesChange(b *testing.B) {
 	atFleetSizes(b, func(number int, now time.Duration, nodes []Node, limits *Limits) {
 		limits.SetNodes(now, nodes[:len(nodes)-number%2])
 	})
 }
 
-// What a node hears when a third of 10,000 engines names limits.
-func BenchmarkHearThousandsOfLimits(b *testing.B) {
-	words := withLimits(fleetOf(300)).InForce()
+// Cost of receiving the updates when a third of 10,000 engines names limits.
+func BenchmarkReceiveThousandsOfLimits(b *testing.B) {
+	updates := withLimits(fleetOf(300)).ActiveUpdates()
 	b.ReportAllocs()
 	for b.Loop() {
-		New("a-0").Hear(start+time.Second, words)
+		New("a-0").Receive(start+time.Second, updates)
 	}
 }
 
-// The memory for limits follows the engines that name one, and not the nodes.
+// The memory for limits grows with the number of engines that name one, not with the number of
+// nodes.
 func TestMemoryOfThousandsOfLimitsIsBounded(t *testing.T) {
 	heap := func() int64 {
 		runtime.GC()
@@ -103,16 +104,16 @@
 	kept := withLimits(fleetOf(1000))
 	grown := heap() - before
 	t.Logf("%d bytes for %d limits", grown, limitedEngines)
-	// A hundredth of a node's 256 MB for control.
+	// A hundredth of the 256 MB that a node has for control.
 	assert.Assert(t, grown < 256<<20/100)
 	runtime.KeepAlive(kept)
 }
 
-func TestRequestPaysNothingWhileNoEngineNamesALimit(t *testing.T) {
+func TestRequestAllocatesNothingWhileNoEngineNamesALimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 3))
 	allocated := testing.AllocsPerRun(100, func() {
-		limits.Ask(start, engine, "a", Need{})
-		limits.Room(start, engine)
+		limits.RequestPermit(start, engine, "a", PermitNeeds{})
+		limits.Headroom(start, engine)
 		limits.Learn(start, engine, none, start)
 	})
 	assert.Equal(t, allocated, 0.0)
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -1,9 +1,9 @@
-// Package roster keeps what a node with open membership has heard of others.
+// Package roster tracks the other nodes that a node with open membership knows.
 //
-// A node starts with nothing but seeds: addresses of a few control nodes. It
-// says hello to them; control nodes say hello back and name the others. Seeds
-// may be exchanged at any time; nodes that were heard of stay known until they
-// have been silent for long, so exchanged or dead seeds cut nobody off.
+// A node starts with seeds only: the addresses of a few control nodes. It sends hellos to them;
+// control nodes reply with hellos that list the other nodes. Seeds may be replaced at any time.
+// Known nodes stay known until no hello of them has arrived for long, so replaced or failed
+// seeds isolate no node.
 package roster
 
 import (
@@ -18,54 +18,54 @@
 const (
 	// AliveFor is how long a node counts as alive after its last hello.
 	AliveFor = 2500 * time.Millisecond
-	// forgetAfter is the silence after which a node is forgotten.
-	forgetAfter = 60 * time.Second
-	// listedFor is how long another node's word that a control node exists
-	// keeps it among those to be greeted.
-	listedFor = 15 * time.Second
-	// renameAfter is how long a control node's list stands before a hello without
-	// one is taken to repeat it: noting hundreds of nodes at each hello would be
-	// most of its cost.
-	renameAfter = listedFor / 3
+	// forgetTime is the time since the last contact after which a node is forgotten.
+	forgetTime = 60 * time.Second
+	// listedTime is how long a node stays listed after another node's hello has listed it: a
+	// control node stays among those to which hellos are sent, an entry node in Entries.
+	listedTime = 15 * time.Second
+	// relistInterval is the minimum time between two recordings of a control node's unchanged list.
+	// A hello without a list repeats the last one, but recording hundreds of nodes at each hello
+	// would be most of its cost.
+	relistInterval = listedTime / 3
 )
 
-// Heard is the last hello of a node.
-type Heard struct {
+// Peer is what is known of another node from its last hello.
+type Peer struct {
 	peer.Hello
-	At time.Duration
-	// Meter measures how long the node's hellos are on their way.
+	ReceivedAt time.Duration
+	// Meter measures the transit delay of the node's hellos.
 	delay.Meter
-	// namedAt is when the nodes that it lists were last noted.
-	namedAt time.Duration
+	// listRecordedAt is when the nodes that it lists were last recorded.
+	listRecordedAt time.Duration
 }
 
-// Roster is one node's view of the others. It is not safe for concurrent use.
+// Roster is one node's view of the other nodes. It is not safe for concurrent use.
 type Roster struct {
 	self  string
 	seeds []string
-	heard map[string]*Heard
-	// order are the addresses of heard in order: sorting a thousand nodes at each of tens
-	// of hellos a second was a third of what a control node did.
-	order []string
-	// listed are control nodes that another node named, with the time of it.
-	listed map[string]time.Duration
-	// entries are the entry nodes that control nodes named.
+	peers map[string]*Peer
+	// addresses is the sorted list of the addresses in peers. Sorting a thousand nodes at each of
+	// tens of hellos per second took a third of a control node's processor time.
+	addresses []string
+	// controlListedAt is when each control node was last listed by another node, by address.
+	controlListedAt map[string]time.Duration
+	// entries are the entry nodes that control nodes listed, by address.
 	entries map[string]listedEntry
-	// listing is the last answer of Entries, live that of LiveEntries.
+	// listing is the last result of Entries, live that of LiveEntries.
 	listing entryListing
 	live    liveListing
 }
 
-// entryListing is the list of entry nodes in order. It is made anew only when it
-// has changed: each of hundreds of nodes is asked for it many times a second.
+// entryListing is the sorted list of entry nodes. It is built again only when it has changed,
+// since hundreds of nodes look it up many times a second.
 type entryListing struct {
 	entries []peer.NodeEntry
-	// generation counts the lists that differed; 0 before the first.
+	// generation is the number of different lists so far; 0 before the first.
 	generation uint64
-	// outdated tells that a node was named that is not in it, or not so.
-	outdated bool
-	// until is when the word on the first of its nodes is too old, at the earliest.
-	until time.Duration
+	// isOutdated reports whether a node was listed that the list lacks or contains differently.
+	isOutdated bool
+	// expiresAt is the earliest time at which a node of the list may expire.
+	expiresAt time.Duration
 }
 
 type listedEntry struct {
@@ -73,66 +73,67 @@
 	at time.Duration
 }
 
-// New makes a roster of a node that knows seeds only.
+// New returns the roster of a node that knows only its seeds.
 func New(self string, seeds []string) *Roster {
-	return &Roster{self: self, seeds: seeds, heard: map[string]*Heard{}, listed: map[string]time.Duration{}, entries: map[string]listedEntry{}}
+	return &Roster{self: self, seeds: seeds, peers: map[string]*Peer{}, controlListedAt: map[string]time.Duration{}, entries: map[string]listedEntry{}}
 }
 
-// SetSeeds exchanges the seeds.
+// SetSeeds replaces the seeds.
 func (r *Roster) SetSeeds(seeds []string) { r.seeds = seeds }
 
 // Seeds returns the seeds.
 func (r *Roster) Seeds() []string { return r.seeds }
 
-// Hello takes a node's hello. It returns whether the node was not known, or
-// runs a new life.
+// Hello records a node's hello. It reports whether the node was not known or not alive before, or
+// runs in a new incarnation.
 func (r *Roster) Hello(now time.Duration, hello peer.Hello) (isNew bool) {
 	if hello.Address == r.self || hello.Address == "" {
 		return false
 	}
-	known := r.heard[hello.Address]
-	isNew = known == nil || known.Life != hello.Life || now-known.At > AliveFor
-	heard := &Heard{At: now}
-	hasList := len(hello.Nodes) > 0 || known != nil && takeChanges(&hello, known)
-	repeats := known != nil && !hasList
+	known := r.peers[hello.Address]
+	isNew = known == nil || known.Life != hello.Life || now-known.ReceivedAt > AliveFor
+	current := &Peer{ReceivedAt: now}
+	hasList := len(hello.Nodes) > 0 || known != nil && applyChanges(&hello, known)
+	isRepeated := known != nil && !hasList
 	if !hasList {
-		// Changes of a list that is not known here are of no use.
+		// Changes to a list that is not known here can't be applied.
 		hello.ListVersion, hello.Joined, hello.Left = 0, nil, nil
 	}
-	if repeats {
-		hello.Nodes, heard.namedAt = known.Nodes, known.namedAt
+	if isRepeated {
+		hello.Nodes, current.listRecordedAt = known.Nodes, known.listRecordedAt
 		if known.Life == hello.Life {
 			hello.ListVersion = known.ListVersion
 		}
 	}
-	heard.Hello = hello
+	current.Hello = hello
 	if known != nil && known.Life == hello.Life {
-		heard.Meter = known.Meter
+		current.Meter = known.Meter
 	}
-	heard.Note(now, time.Duration(hello.AgeMS)*time.Millisecond)
-	r.heard[hello.Address] = heard
+	current.Record(now, time.Duration(hello.AgeMS)*time.Millisecond)
+	r.peers[hello.Address] = current
 	if known == nil {
-		place, _ := slices.BinarySearch(r.order, hello.Address)
-		r.order = slices.Insert(r.order, place, hello.Address)
+		position, _ := slices.BinarySearch(r.addresses, hello.Address)
+		r.addresses = slices.Insert(r.addresses, position, hello.Address)
 	}
-	if !hello.Control || repeats && now-heard.namedAt < renameAfter {
+	if !hello.Control || isRepeated && now-current.listRecordedAt < relistInterval {
 		return isNew
 	}
-	heard.namedAt = now
+	current.listRecordedAt = now
 	for _, node := range hello.Nodes {
 		if node.Control && node.Address != r.self {
-			r.listed[node.Address] = now
+			r.controlListedAt[node.Address] = now
 		}
 		if node.Entry && node.Address != r.self {
-			r.nameEntry(now, node)
+			r.recordEntry(now, node)
 		}
 	}
 	return isNew
 }
 
-// takeChanges makes a hello's list of that before and its changes. It returns false if it
-// has none, or if those before were lost: the whole list comes again.
-func takeChanges(hello *peer.Hello, before *Heard) bool {
+// applyChanges builds a hello's list from the list before and the changes in the hello. It returns
+// false if the hello has no changes, or if earlier changes were lost: then the sender sends the
+// whole list again.
+func applyChanges(hello *peer.Hello, before *Peer) bool {
 	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Life != before.Life {
 		return false
 	}
@@ -151,87 +152,86 @@
 	return true
 }
 
-func (r *Roster) nameEntry(now time.Duration, node peer.NodeEntry) {
+func (r *Roster) recordEntry(now time.Duration, node peer.NodeEntry) {
 	known, found := r.entries[node.Address]
-	if !found || known.NodeEntry != node || now-known.at > listedFor {
-		r.listing.outdated = true
+	if !found || known.NodeEntry != node || now-known.at > listedTime {
+		r.listing.isOutdated = true
 	}
 	r.entries[node.Address] = listedEntry{NodeEntry: node, at: now}
 }
 
-// Get returns a node's last hello, or nil.
-func (r *Roster) Get(address string) *Heard { return r.heard[address] }
+// Get returns what is known of a node, or nil.
+func (r *Roster) Get(address string) *Peer { return r.peers[address] }
 
-// Alive tells whether a node was heard from lately.
+// Alive reports whether a node's last hello is at most AliveFor old.
 func (r *Roster) Alive(now time.Duration, address string) bool {
-	known := r.heard[address]
-	return known != nil && now-known.At <= AliveFor
+	known := r.peers[address]
+	return known != nil && now-known.ReceivedAt <= AliveFor
 }
 
-// Greet returns the control nodes that this node says hello to, in order.
-func (r *Roster) Greet(now time.Duration) []string {
-	set := map[string]bool{}
+// HelloTargets returns the addresses of the control nodes to which this node sends hellos, in order.
+func (r *Roster) HelloTargets(now time.Duration) []string {
+	targets := map[string]bool{}
 	for _, seed := range r.seeds {
-		set[seed] = true
+		targets[seed] = true
 	}
-	for address, at := range r.listed {
-		if now-at <= listedFor {
-			set[address] = true
+	for address, at := range r.controlListedAt {
+		if now-at <= listedTime {
+			targets[address] = true
 		}
 	}
-	for address, known := range r.heard {
-		if known.Control && now-known.At <= listedFor {
-			set[address] = true
+	for address, known := range r.peers {
+		if known.Control && now-known.ReceivedAt <= listedTime {
+			targets[address] = true
 		}
 	}
-	delete(set, r.self)
-	addresses := make([]string, 0, len(set))
-	for address := range set {
+	delete(targets, r.self)
+	addresses := make([]string, 0, len(targets))
+	for address := range targets {
 		addresses = append(addresses, address)
 	}
 	slices.Sort(addresses)
 	return addresses
 }
 
-// AliveNodes returns the nodes that were heard from lately, in order.
-func (r *Roster) AliveNodes(now time.Duration) []*Heard {
-	return r.alive(now, func(*Heard) bool { return true })
+// AliveNodes returns the nodes that are alive, in order.
+func (r *Roster) AliveNodes(now time.Duration) []*Peer {
+	return r.alive(now, func(*Peer) bool { return true })
 }
 
-// alive returns those of the nodes heard from lately that are wanted, in order.
-func (r *Roster) alive(now time.Duration, isWanted func(*Heard) bool) []*Heard {
-	var alive []*Heard
-	for _, address := range r.order {
-		if known := r.heard[address]; now-known.At <= AliveFor && isWanted(known) {
+// alive returns the wanted ones of the nodes that are alive, in order.
+func (r *Roster) alive(now time.Duration, isWanted func(*Peer) bool) []*Peer {
+	var alive []*Peer
+	for _, address := range r.addresses {
+		if known := r.peers[address]; now-known.ReceivedAt <= AliveFor && isWanted(known) {
 			alive = append(alive, known)
 		}
 	}
 	return alive
 }
 
-// Controls returns the control nodes that were heard from lately, in order.
-func (r *Roster) Controls(now time.Duration) []*Heard {
-	return r.alive(now, func(known *Heard) bool { return known.Control })
+// Controls returns the control nodes that are alive, in order.
+func (r *Roster) Controls(now time.Duration) []*Peer {
+	return r.alive(now, func(known *Peer) bool { return known.Control })
 }
 
-// Entries returns the other entry nodes that control nodes named of late, in
-// order, and a number that is another one whenever they have changed. The caller
-// must not change them.
+// Entries returns the other entry nodes that control nodes listed within listedTime, in order,
+// and a generation that differs whenever they have changed. The caller must not modify them.
 func (r *Roster) Entries(now time.Duration) (entries []peer.NodeEntry, generation uint64) {
-	if r.listing.generation == 0 || r.listing.outdated || now > r.listing.until {
+	if r.listing.generation == 0 || r.listing.isOutdated || now > r.listing.expiresAt {
 		r.listEntries(now)
 	}
 	return r.listing.entries, r.listing.generation
 }
 
 func (r *Roster) listEntries(now time.Duration) {
-	listing := entryListing{generation: r.listing.generation, until: now + listedFor}
+	listing := entryListing{generation: r.listing.generation, expiresAt: now + listedTime}
 	for _, listed := range r.entries {
-		if now-listed.at > listedFor {
+		if now-listed.at > listedTime {
 			continue
 		}
 		listing.entries = append(listing.entries, listed.NodeEntry)
-		listing.until = min(listing.until, listed.at+listedFor)
+		listing.expiresAt = min(listing.expiresAt, listed.at+listedTime)
 	}
 	slices.SortFunc(listing.entries, compareEntries)
 	if listing.generation == 0 || !slices.Equal(listing.entries, r.listing.entries) {
@@ -242,22 +242,22 @@
 
 func compareEntries(one, other peer.NodeEntry) int { return cmp.Compare(one.Address, other.Address) }
 
-// Leader returns the leader of the control group as the freshest hello with
-// the highest term names it, or "". While no control node is heard it is the
-// last one known: the first to be tried once a cut is over.
+// Leader returns the leader of the control group according to the latest hello with the highest
+// term, or "". While no control node is alive it returns the last known leader: the first node
+// to try once a partition has healed.
 func (r *Roster) Leader(now time.Duration) string {
 	candidates := r.Controls(now)
 	if len(candidates) == 0 {
-		for _, known := range r.heard {
+		for _, known := range r.peers {
 			candidates = append(candidates, known)
 		}
 	}
-	var best *Heard
+	var best *Peer
 	for _, known := range candidates {
 		if known.Leader == "" {
 			continue
 		}
-		if best == nil || known.Term > best.Term || known.Term == best.Term && known.At > best.At {
+		if best == nil || known.Term > best.Term || known.Term == best.Term && known.ReceivedAt > best.ReceivedAt {
 			best = known
 		}
 	}
@@ -267,23 +267,23 @@
 	return best.Leader
 }
 
-// Forget drops nodes that have been silent for long and returns them.
+// Forget drops the nodes without contact for forgetTime and returns their addresses in order.
 func (r *Roster) Forget(now time.Duration) []string {
 	var gone []string
-	for address, known := range r.heard {
-		if now-known.At > forgetAfter {
-			delete(r.heard, address)
+	for address, known := range r.peers {
+		if now-known.ReceivedAt > forgetTime {
+			delete(r.peers, address)
 			gone = append(gone, address)
 		}
 	}
-	r.order = slices.DeleteFunc(r.order, func(address string) bool { return r.heard[address] == nil })
-	for address, at := range r.listed {
-		if now-at > forgetAfter {
-			delete(r.listed, address)
+	r.addresses = slices.DeleteFunc(r.addresses, func(address string) bool { return r.peers[address] == nil })
+	for address, at := range r.controlListedAt {
+		if now-at > forgetTime {
+			delete(r.controlListedAt, address)
 		}
 	}
 	for address, listed := range r.entries {
-		if now-listed.at > forgetAfter {
+		if now-listed.at > forgetTime {
 			delete(r.entries, address)
 		}
 	}
--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -34,13 +34,13 @@
 }
 
 func newPauseRecorder(node *Node) *pauseRecorder {
-	return &pauseRecorder{node: node, tracker: backoff.NewTracker(backoff.DefaultReturn), lines: forward.NewLineBudget(backoffLinesPerSecond)}
+	return &pauseRecorder{node: node, tracker: backoff.NewTracker(backoff.DefaultRecovery), lines: forward.NewLineBudget(backoffLinesPerSecond)}
 }
 
 // tick records the pauses that have expired. The loads duty calls it.
 func (p *pauseRecorder) tick() {
 	now := p.node.now()
-	for _, change := range p.tracker.Look(now) {
+	for _, change := range p.tracker.TakeEnded(now) {
 		p.record(change, 0)
 	}
 	if now-p.prunedAt >= pruneInterval {
@@ -51,7 +51,7 @@
 }
 
 // Learn implements forward.Backoff.
-func (p *pauseRecorder) Learn(instance registry.Instance, request string, signal backoff.Said, writtenAt time.Time) {
+func (p *pauseRecorder) Learn(instance registry.Instance, request string, signal backoff.Signal, writtenAt time.Time) {
 	response := backoff.Request{ID: request, WrittenAt: p.node.monotonicTime(writtenAt)}
 	for _, change := range p.tracker.Learn(p.node.now(), instance.Incarnation(), response, signal) {
 		p.record(change, p.node.table.InFlight(instance.Incarnation()))
@@ -79,10 +79,10 @@
 		pausesBegan.Inc()
 	case backoff.Extended:
 		pausesExtended.Inc()
-	case backoff.Left:
+	case backoff.AnnouncedLeaving:
 		instancesLeaving.Inc()
 		event = "instance_leaving"
-	case backoff.Back:
+	case backoff.Recovered:
 		instancesResumed.Inc()
 	case backoff.Unreadable:
 		pausesUnreadable.Inc()
@@ -92,9 +92,9 @@
 	if !p.lines.Take() {
 		return
 	}
-	p.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
-		Int64("asked_ms", change.Asked.Milliseconds()).Int64("left_ms", change.Left.Milliseconds()).Str("request", change.Request).
-		Int("answers", change.Answers).Int("in_flight", inFlight).AnErr("error", change.Fault).Send()
+	p.node.log.Info().Str("event", event).Stringer("life", change.Incarnation).Stringer("change", change.Kind).
+		Int64("asked_ms", change.Requested.Milliseconds()).Int64("left_ms", change.Remaining.Milliseconds()).Str("request", change.RequestID).
+		Int("answers", change.Responses).Int("in_flight", inFlight).AnErr("error", change.Fault).Send()
 }
 
 // summarize logs how many lines on pauses were omitted since the last call.
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -216,7 +216,9 @@
 
 func (n *Node) executeCall(ctx context.Context, from string, call peer.Call) (any, error) {
 	if call.Method == peer.MethodPermit && n.limits != nil {
-		return peer.Execute(call, func(permitRequest ratelimit.Ask) (any, error) { return n.limits.grant(from, permitRequest), nil })
+		return peer.Execute(call, func(permitRequest ratelimit.PermitRequest) (any, error) {
+			return n.limits.grant(from, permitRequest), nil
+		})
 	}
 	if n.replica == nil {
 		return nil, consensus.ErrNotLeader
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -117,7 +117,7 @@
 
 // fleetView is an immutable snapshot of the roster for other goroutines.
 type fleetView struct {
-	alive []*roster.Heard
+	alive []*roster.Peer
 	// controls is the number of control nodes among them.
 	controls int
 	leader   string
@@ -145,7 +145,7 @@
 	freshness := controlFreshness{contactAges: []int64{}, delays: []int64{}}
 	for _, known := range f.view.Load().alive {
 		if known.Control {
-			freshness.contactAges = append(freshness.contactAges, (now - known.At).Milliseconds())
+			freshness.contactAges = append(freshness.contactAges, (now - known.ReceivedAt).Milliseconds())
 			freshness.delays = append(freshness.delays, known.Delay().Milliseconds())
 		}
 	}
@@ -225,7 +225,7 @@
 	for address := range f.previousControls {
 		if known := f.roster.Get(address); !alive[address] && known != nil {
 			f.node.log.Warn().Str("event", "node_lost").Str("peer", known.Node).Str("address", address).
-				Int64("silent_ms", (now-known.At).Milliseconds()).Int("control_nodes_heard", len(alive)).Send()
+				Int64("silent_ms", (now-known.ReceivedAt).Milliseconds()).Int("control_nodes_heard", len(alive)).Send()
 		}
 	}
 	f.previousControls = alive
@@ -276,7 +276,7 @@
 func (f *fleetDuty) sendHello(isDue func(receiver string) bool) {
 	now := f.node.now()
 	own := f.ownHello()
-	receivers := f.roster.Greet(now)
+	receivers := f.roster.HelloTargets(now)
 	if f.isControl() {
 		sorted := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
@@ -316,7 +316,7 @@
 // incarnations held can't be granted.
 func (f *fleetDuty) sendHelloToNamed(now time.Duration) {
 	var named []string
-	for _, address := range f.roster.Greet(now) {
+	for _, address := range f.roster.HelloTargets(now) {
 		if !f.helloReceivers[address] {
 			f.helloReceivers[address] = true
 			named = append(named, address)
@@ -349,7 +349,7 @@
 
 // hasOlderPeers reports whether any live node runs an older build that compares ordered digests.
 func (f *fleetDuty) hasOlderPeers() bool {
-	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Heard) bool { return known.Dialect < peer.DialectSums })
+	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Peer) bool { return known.Dialect < peer.DialectSums })
 }
 
 // handleHello records another node's hello and starts to reconcile state that differs.
@@ -442,7 +442,7 @@
 			continue
 		}
 		view.certainVersion = max(view.certainVersion, known.Version)
-		view.rootContactAt = max(view.rootContactAt, known.At)
+		view.rootContactAt = max(view.rootContactAt, known.ReceivedAt)
 	}
 	f.view.Store(view)
 }
@@ -451,7 +451,7 @@
 // uses its own contacts, and counts itself among them while it has a quorum.
 func (f *fleetDuty) liveEntries(now time.Duration) roster.LiveEntries {
 	if f.isControl() {
-		return f.roster.HeardEntries(now, f.node.isRootReachable())
+		return f.roster.ReachableEntries(now, f.node.isRootReachable())
 	}
 	return f.roster.LiveEntries(now)
 }
--- a/internal/gateway/incarnations.go
+++ b/internal/gateway/incarnations.go
@@ -22,7 +22,7 @@
 	var others []int64
 	for _, known := range r.node.fleet.view.Load().alive {
 		if known.Control && known.WallMS != 0 {
-			others = append(others, known.WallMS+(now-known.At).Milliseconds())
+			others = append(others, known.WallMS+(now-known.ReceivedAt).Milliseconds())
 		}
 	}
 	wall := time.Now().UnixMilli()
@@ -56,7 +56,7 @@
 			continue
 		}
 		// The successor has been running for this long, so the incarnation ended before.
-		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Monotonic - successor.At
+		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Monotonic - successor.ReceivedAt
 		sinceContact, known := clocks.TimeSinceContact(r.machine.Accounts().LastContact(holder), reading, sinceOver)
 		if !known && r.node.now()-r.leaderSince < clockTimeout {
 			continue
@@ -69,8 +69,8 @@
 }
 
 // runningEntries are the live entry nodes by address.
-func (r *replicaDuty) runningEntries() map[string]*roster.Heard {
-	running := map[string]*roster.Heard{}
+func (r *replicaDuty) runningEntries() map[string]*roster.Peer {
+	running := map[string]*roster.Peer{}
 	for _, node := range r.node.fleet.view.Load().alive {
 		if node.Entry {
 			running[node.Address] = node
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -60,7 +60,7 @@
 func (e *limitEnforcer) tick() {
 	now, live := e.node.now(), e.node.fleet.view.Load().live
 	e.updateNodes(now, live)
-	e.limits.SetSure(now, live.NamesSelf && !e.node.isStopping())
+	e.limits.SetReliable(now, live.IncludesSelf && !e.node.isStopping())
 	if now-e.prunedAt >= pruneInterval {
 		e.limits.Prune(now)
 		e.prunedAt = now
@@ -84,13 +84,13 @@
 }
 
 // Learn implements forward.RateLimits.
-func (e *limitEnforcer) Learn(instance registry.Instance, signal ratelimit.Said, writtenAt time.Time) {
+func (e *limitEnforcer) Learn(instance registry.Instance, signal ratelimit.Signal, writtenAt time.Time) {
 	e.record("answer", e.limits.Learn(e.node.now(), instance.Incarnation(), signal, e.node.monotonicTime(writtenAt)))
 }
 
 // handleUpdates accepts other nodes' updates on limits.
-func (e *limitEnforcer) handleUpdates(updates []ratelimit.Word) {
-	e.record("peer", e.limits.Hear(e.node.now(), updates)...)
+func (e *limitEnforcer) handleUpdates(updates []ratelimit.Update) {
+	e.record("peer", e.limits.Receive(e.node.now(), updates)...)
 }
 
 // record counts and logs each change, with the source it was learnt from.
@@ -112,19 +112,19 @@
 		if !e.lines.Take() {
 			continue
 		}
-		e.node.log.Info().Str("event", event).Stringer("life", change.Life).Stringer("change", change.Kind).
+		e.node.log.Info().Str("event", event).Stringer("life", change.Incarnation).Stringer("change", change.Kind).
 			Float64("per_second", change.PerSecond).Float64("before", change.Before).Int64("age_ms", change.Age.Milliseconds()).
 			Str("how", how).AnErr("error", change.Fault).Send()
 	}
 }
 
 // Permit implements forward.RateLimits.
-func (e *limitEnforcer) Permit(ctx context.Context, instance registry.Instance, needs ratelimit.Need) error {
+func (e *limitEnforcer) Permit(ctx context.Context, instance registry.Instance, needs ratelimit.PermitNeeds) error {
 	if !e.limits.Any() {
 		return nil
 	}
 	incarnation, startedAt := instance.Incarnation(), e.node.now()
-	permitRequest, issuer, isLimited := e.limits.Ask(startedAt, incarnation, instance.Zone, needs)
+	permitRequest, issuer, isLimited := e.limits.RequestPermit(startedAt, incarnation, instance.Zone, needs)
 	if !isLimited {
 		return nil
 	}
@@ -132,12 +132,12 @@
 	now := e.node.now()
 	if err != nil {
 		permitsUnanswered.Inc()
-		e.limits.Unanswered(now, incarnation)
+		e.limits.RecordNoResponse(now, incarnation)
 		return fmt.Errorf("%w: the holder %q of %s gave no answer: %w", forward.ErrNoPermit, issuer, incarnation, err)
 	}
-	e.record("holder", e.limits.Answered(now, incarnation, response)...)
+	e.record("holder", e.limits.RecordResponse(now, incarnation, response)...)
 	if !response.IsGranted {
-		if _, isStill := e.limits.Room(now, incarnation); !isStill {
+		if _, isStill := e.limits.Headroom(now, incarnation); !isStill {
 			return nil
 		}
 		permitsDenied.Inc()
@@ -146,7 +146,7 @@
 	if !pause.For(ctx, time.Duration(response.DelayMS)*time.Millisecond) {
 		return context.Cause(ctx)
 	}
-	if e.node.now()-startedAt > needs.Patience()+ratelimit.PermitLife {
+	if e.node.now()-startedAt > needs.MaximumWait()+ratelimit.PermitLifetime {
 		permitsStale.Inc()
 		return fmt.Errorf("%w: that for %s came too late", forward.ErrNoPermit, incarnation)
 	}
@@ -158,20 +158,20 @@
 var errNoIssuer = errors.New("gateway: no node holds the limit")
 
 // requestPermit requests a permit from the issuer.
-func (e *limitEnforcer) requestPermit(ctx context.Context, issuer string, permitRequest ratelimit.Ask) (ratelimit.Answer, error) {
+func (e *limitEnforcer) requestPermit(ctx context.Context, issuer string, permitRequest ratelimit.PermitRequest) (ratelimit.PermitResponse, error) {
 	switch issuer {
 	case "":
-		return ratelimit.Answer{}, errNoIssuer
+		return ratelimit.PermitResponse{}, errNoIssuer
 	case e.node.address:
 		return e.grant(issuer, permitRequest), nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, permitRequest.Patience()+issuerTimeout)
+	ctx, cancel := context.WithTimeout(ctx, permitRequest.MaximumWait()+issuerTimeout)
 	defer cancel()
-	return peer.Invoke[ratelimit.Answer](ctx, e.node.calls, issuer, peer.MethodPermit, permitRequest)
+	return peer.Invoke[ratelimit.PermitResponse](ctx, e.node.calls, issuer, peer.MethodPermit, permitRequest)
 }
 
 // grant responds to a node's request for a permit.
-func (e *limitEnforcer) grant(from string, permitRequest ratelimit.Ask) ratelimit.Answer {
+func (e *limitEnforcer) grant(from string, permitRequest ratelimit.PermitRequest) ratelimit.PermitResponse {
 	response := e.limits.Grant(e.node.now(), from, permitRequest)
 	if response.IsGranted {
 		permitsIssued.Inc()
@@ -185,7 +185,7 @@
 	now := e.node.now()
 	for _, use := range e.limits.TakeUse(now) {
 		if e.lines.Take() {
-			e.node.log.Info().Str("event", "instance_limit_use").Stringer("life", use.Life).Float64("per_second", use.PerSecond).
+			e.node.log.Info().Str("event", "instance_limit_use").Stringer("life", use.Incarnation).Float64("per_second", use.PerSecond).
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
--- a/internal/gateway/link.go
+++ b/internal/gateway/link.go
@@ -83,7 +83,7 @@
 
 // delay returns the median delay of the control nodes' last hellos, or if there are none that of
 // load reports.
-func (l *linkMonitor) delay(now time.Duration, alive []*roster.Heard) (time.Duration, bool) {
+func (l *linkMonitor) delay(now time.Duration, alive []*roster.Peer) (time.Duration, bool) {
 	var delays []time.Duration
 	for _, known := range alive {
 		if known.Control && known.IsFresh(now, maximumHelloAge) {
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -66,7 +66,7 @@
 const maximumHistory = 32
 
 // update rebuilds the list from the live nodes.
-func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Heard) {
+func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Peer) {
 	before, beforeProtocols := l.nodes, l.protocols
 	l.nodes, l.protocols, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
 	digest := xxhash.New()
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -66,8 +66,8 @@
 	now := l.node.now()
 	l.node.limits.tick()
 	l.node.backoff.tick()
-	updates := balance.Updates{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeNews()}
-	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), updates, l.node.limits.limits.InForce)
+	updates := balance.Updates{Parts: l.node.table.TakeSpilled(), Limits: l.node.limits.limits.TakeUpdates()}
+	reports, known := l.exchange.Step(now, l.node.table.OwnLoads(), updates, l.node.limits.limits.ActiveUpdates)
 	l.node.limits.handleUpdates(known.Limits)
 	l.node.table.SetOthersLoads(known.Loads)
 	l.node.table.NoteHeld(now, known.Parts)
@@ -86,7 +86,7 @@
 			meter = &delay.Meter{}
 			l.meters[from] = meter
 		}
-		meter.Note(now, time.Duration(report.AgeMS)*time.Millisecond)
+		meter.Record(now, time.Duration(report.AgeMS)*time.Millisecond)
 		l.exchange.Receive(now, from, report)
 	})
 }
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -52,12 +52,12 @@
 func (p *documentPublisher) isDue(address, incarnation string, has uint64, document peer.DocumentData) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.publisher.Has(address, incarnation, has)
-	return p.publisher.Due(p.node.now(), address, document.Version, len(document.Encoded))
+	p.publisher.RecordVersion(address, incarnation, has)
+	return p.publisher.TakeDue(p.node.now(), address, document.Version, len(document.Encoded))
 }
 
 // controls are the control nodes that may send documents, this one included.
-func (p *documentPublisher) controls(alive []*roster.Heard) []follow.Node {
+func (p *documentPublisher) controls(alive []*roster.Peer) []follow.Node {
 	var controls []follow.Node
 	if !p.node.isStopping() {
 		controls = append(controls, follow.Node{Address: p.node.address, Zone: p.node.settings.Load().Node.Zone})
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -71,7 +71,7 @@
 	bounds := node.settings.Load().Quarantine
 	created := &quarantineDuty{
 		node: node, duty: duty.New("quarantine", quarantineTick),
-		tracker: quarantine.NewTracker(quarantine.Options{Memory: bounds.Memory, Requests: bounds.Requests}),
+		tracker: quarantine.NewTracker(quarantine.Options{Retention: bounds.Memory, MaximumRequests: bounds.Requests}),
 	}
 	created.guard = quarantine.NewGuard(created)
 	created.duty.Tick, created.duty.Flush = created.tick, created.flush
@@ -82,8 +82,8 @@
 	return created
 }
 
-// EnginesEnded implements quarantine.Sink.
-func (q *quarantineDuty) EnginesEnded(reports []quarantine.Evidence) {
+// EnginesCrashed implements quarantine.Sink.
+func (q *quarantineDuty) EnginesCrashed(reports []quarantine.CrashReport) {
 	q.duty.Offer(func() {
 		for _, one := range reports {
 			quarantineReports.Inc()
@@ -92,8 +92,8 @@
 	})
 }
 
-// RanToItsEnd implements quarantine.Sink.
-func (q *quarantineDuty) RanToItsEnd(fingerprint quarantine.Fingerprint) {
+// RequestCompleted implements quarantine.Sink.
+func (q *quarantineDuty) RequestCompleted(fingerprint quarantine.Fingerprint) {
 	q.duty.Offer(func() { q.clear(fingerprint, "ran_to_its_end") })
 }
 
@@ -109,7 +109,7 @@
 func (q *quarantineDuty) tick() {
 	q.ticks++
 	if q.hints != nil && q.ticks%quarantineHintTicks == 0 {
-		q.hints.writeIfChanged(q.digest.Load(), func() []quarantine.Record { return q.tracker.Told(q.node.now()) })
+		q.hints.writeIfChanged(q.digest.Load(), func() []quarantine.Record { return q.tracker.SharedRecords(q.node.now()) })
 	}
 }
 
@@ -133,7 +133,7 @@
 	}
 	digest := q.tracker.Digest()
 	q.digest.Store(digest)
-	updates := q.tracker.TakeNews(now)
+	updates := q.tracker.TakeUpdates(now)
 	if len(updates) > 0 {
 		q.sendTo(q.controls(), quarantineMessage{Records: updates})
 	}
@@ -152,14 +152,14 @@
 		event = "quarantined"
 		quarantineVerdicts.Inc()
 	}
-	incarnations, ages, suspicions := make([]string, 0, len(verdict.Ends)), make([]int64, 0, len(verdict.Ends)), make([]string, 0, len(verdict.Ends))
-	for _, end := range verdict.Ends {
-		incarnations = append(incarnations, end.Life.String())
+	incarnations, ages, suspicions := make([]string, 0, len(verdict.Crashes)), make([]int64, 0, len(verdict.Crashes)), make([]string, 0, len(verdict.Crashes))
+	for _, end := range verdict.Crashes {
+		incarnations = append(incarnations, end.Incarnation.String())
 		ages = append(ages, end.Age.Milliseconds())
 		suspicions = append(suspicions, end.Suspicion.String())
 	}
 	q.node.log.Warn().Str("event", event).Stringer("fingerprint", verdict.Fingerprint).Str("route", verdict.Route).
-		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.Beside).
+		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.OtherRequests).
 		Strs("lives", incarnations).Ints64("ages_ms", ages).Strs("suspicions", suspicions).Uint32("generation", verdict.Generation).Send()
 }
 
@@ -252,8 +252,8 @@
 
 // summaries lists the summaries of the requests with recorded crashes: those in quarantine first,
 // then those with the most crashes.
-func (q *quarantineDuty) summaries(ctx context.Context) ([]quarantine.Held, error) {
-	return duty.Ask(ctx, q.duty, func(respond func([]quarantine.Held)) { respond(q.tracker.Held(q.node.now())) })
+func (q *quarantineDuty) summaries(ctx context.Context) ([]quarantine.Summary, error) {
+	return duty.Ask(ctx, q.duty, func(respond func([]quarantine.Summary)) { respond(q.tracker.Summaries(q.node.now())) })
 }
 
 // release clears the crashes recorded against a request, on all nodes.
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -125,7 +125,7 @@
 		case *instancesMessage:
 			body.Instances[0].StartedAt, body.Instances[0].Epoch = 1700000000000, 1
 		case *balance.LoadReport:
-			body.Limits = []ratelimit.Word{{Life: registry.Incarnation{ID: "i-1", StartedAt: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
+			body.Limits = []ratelimit.Update{{Incarnation: registry.Incarnation{ID: "i-1", StartedAt: 1700000000000}, PerSecond: 0.25, HasEnded: true, AgeMS: 40}}
 		}
 	}
 	sample := canary.Samples{
@@ -290,7 +290,7 @@
 			}
 		}
 	}
-	for _, body := range []any{commitDocumentRequest{}, readDocumentRequest{}, readDocumentResponse{}, readRolloutRequest{}, rolloutResponse{}, machine.DocumentOutcome{}, machine.ZoneCommand{}, ratelimit.Ask{}, ratelimit.Answer{}} {
+	for _, body := range []any{commitDocumentRequest{}, readDocumentRequest{}, readDocumentResponse{}, readRolloutRequest{}, rolloutResponse{}, machine.DocumentOutcome{}, machine.ZoneCommand{}, ratelimit.PermitRequest{}, ratelimit.PermitResponse{}} {
 		for _, line := range peer.Shape(reflect.TypeOf(body)) {
 			if !slices.Contains(lines, line) {
 				lines = append(lines, line)
