--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -47,8 +47,8 @@
 	notAdmitted
 )
 
-// errorResponse is an instance's own error response. The caller receives it if no later attempt does
-// better.
+// errorResponse is an instance's own error response. The caller receives it if no later attempt
+// does better.
 type errorResponse struct {
 	exchange *exchange
 	choice   balance.Choice
@@ -125,7 +125,8 @@
 	return ReasonTimeout
 }
 
-// reasonForFailedAttempts returns the reason why a request that reached instances ends without a response.
+// reasonForFailedAttempts returns the reason why a request that reached instances ends without a
+// response.
 func (r *request) reasonForFailedAttempts(result attemptResult, service string) Reason {
 	if result != rejected {
 		return ReasonOutcomeUnknown
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -24,7 +24,7 @@
 	// dialTimeout bounds the opening of a connection: engines accept within milliseconds, and a
 	// machine that is gone does not respond at all. Where this node's own link is congested, the
 	// response is delayed as much as all other incoming traffic, so that delay is added, up to
-	// longestDialTimeout in all.
+	// maximumDialTimeout in all.
 	dialTimeout        = 250 * time.Millisecond
 	maximumDialTimeout = 1500 * time.Millisecond
 	// engineUserTimeout closes connections whose data is not acknowledged.
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -93,8 +93,8 @@
 	// crashMemory is how long a crashed engine is remembered, so that runs whose interruption is
 	// noticed late are reported with the others.
 	crashMemory = 2 * time.Second
-	// aliveCheckTime is how long a new connection to an engine must stay open to show that the engine
-	// is alive: a crashing process closes its listener and its connections in any order.
+	// aliveCheckTime is how long a new connection to an engine must stay open to show that the
+	// engine is alive: a crashing process closes its listener and its connections in any order.
 	aliveCheckTime = 50 * time.Millisecond
 	// maximumReportedRuns bounds the runs that are reported for one engine crash.
 	maximumReportedRuns = 16
@@ -208,8 +208,8 @@
 	w.report(incarnation)
 }
 
-// incarnationReplaced records that a newer incarnation has replaced one: runs that were interrupted there
-// recently, or are from now on, were in flight when it ended.
+// incarnationReplaced records that a newer incarnation has replaced one: runs that were
+// interrupted there recently, or are from now on, were in flight when it ended.
 func (w *crashDetector) incarnationReplaced(incarnation registry.Life) {
 	w.mutex.Lock()
 	w.forgetOld()
--- a/internal/forward/incarnations.go
+++ b/internal/forward/incarnations.go
@@ -6,10 +6,10 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// replacedIdleTimeout is how long an exchange with a replaced incarnation may receive nothing before it
-// is closed. Its connection may lead to the engine's new incarnation already, which was sent the
-// request under the same id. In that case data arrives within the longest gap between two events,
-// 400 ms on the users' routes.
+// replacedIdleTimeout is how long an exchange with a replaced incarnation may receive nothing
+// before it is closed. Its connection may lead to the engine's new incarnation already, which was
+// sent the request under the same id. In that case data arrives within the longest gap between
+// two events, 400 ms on the users' routes.
 const replacedIdleTimeout = 500 * time.Millisecond
 
 // track registers an exchange in flight.
@@ -42,8 +42,8 @@
 	delete(p.idle, address)
 }
 
-// closeInactive closes the connections of an incarnation's exchanges that have received nothing since
-// a given time. Their requests end like those of a crashed engine.
+// closeInactive closes the connections of an incarnation's exchanges that have received nothing
+// since a given time. Their requests end like those of a crashed engine.
 func (p *pool) closeInactive(incarnation registry.Life, since time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -75,8 +75,8 @@
 	Since, Left time.Duration
 }
 
-// acceptsAllPeriod is how long after the beginning of a stop requests of any length are accepted: callers
-// may not know of the stop for that long.
+// acceptsAllPeriod is how long after the beginning of a stop requests of any length are accepted:
+// callers may not know of the stop for that long.
 const acceptsAllPeriod = 2800 * time.Millisecond
 
 // accepts reports whether a request that may take up to the given time is accepted. Later in a
@@ -194,8 +194,8 @@
 	body       []byte
 	arrived    time.Time
 	deadline   time.Time
-	// tried are the instances that the request was offered to, arrivals is how many of them it
-	// reached.
+	// tried are the instances that the request was offered to, instancesReached is how many of
+	// them it reached.
 	tried            []string
 	instancesReached int
 	// permitsRefused counts the instances for which the request was refused a permit.
@@ -208,8 +208,8 @@
 	reservation Reservation
 	// events counts the events relayed to the caller.
 	events uint64
-	// isResponding indicates that a response is being relayed, endedWhole that it was relayed to its
-	// end.
+	// isResponding indicates that a response is being relayed, isComplete that it was relayed to
+	// its end.
 	isResponding, isComplete bool
 	// tokenWait is how long the request waited for its tokens.
 	tokenWait time.Duration
@@ -326,8 +326,8 @@
 	r.pipeline.options.Log.Behind(r, newest, since)
 }
 
-// refuseUnknown refuses a request for something that the document in effect does not contain. A node
-// that may lack the newest document can't be certain of that.
+// refuseUnknown refuses a request for something that the document in effect does not contain. A
+// node that may lack the newest document can't be certain of that.
 func (r *request) refuseUnknown(status int, reason Reason) *Refusal {
 	if !r.pipeline.options.Environment.Certain() {
 		return refuse(http.StatusServiceUnavailable, ReasonNotCertain)
@@ -382,10 +382,10 @@
 	return nil
 }
 
-// tokenMaximumWait is the maximum wait for a request's tokens, regardless of its objective. The root
-// responds within 10 to 25 ms. If it is unreachable, neighbours are queried after 50 ms, and two
-// rounds of 40 ms find nearly all that they have. A caller that retries at another node is served
-// sooner than by a longer wait.
+// tokenMaximumWait is the maximum wait for a request's tokens, regardless of its objective. The
+// root responds within 10 to 25 ms. If it is unreachable, neighbours are queried after 50 ms, and
+// two rounds of 40 ms find nearly all that they have. A caller that retries at another node is
+// served sooner than by a longer wait.
 const tokenMaximumWait = 120 * time.Millisecond
 
 // reserve reserves the maximum number of tokens that the request can use.
@@ -424,10 +424,10 @@
 	noteCharged(r, used)
 }
 
-// deliveredTokens returns the tokens delivered to the caller: the prompt once a response has begun, and
-// the events that were relayed. Work of an instance of which the caller received nothing is not
-// charged, whether its response was lost or the caller left before it arrived. So the charge is
-// always known exactly on this node, and nothing is charged on a guess.
+// deliveredTokens returns the tokens delivered to the caller: the prompt once a response has
+// begun, and the events that were relayed. Work of an instance of which the caller received
+// nothing is not charged, whether its response was lost or the caller left before it arrived. So
+// the charge is always known exactly on this node, and nothing is charged on a guess.
 func (r *request) deliveredTokens() uint64 {
 	switch {
 	case !r.isResponding:
--- a/internal/forward/pipeline_test.go
+++ b/internal/forward/pipeline_test.go
@@ -244,8 +244,8 @@
 	return request
 }
 
-// sendAfterContinue sends the body only after "100 Continue": a refusal that arrives while a body is
-// being sent may be lost with the connection.
+// sendAfterContinue sends the body only after "100 Continue": a refusal that arrives while a body
+// is being sent may be lost with the connection.
 func (h *harness) sendAfterContinue(t *testing.T, path, id, body string) result {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, h.server.URL+path, strings.NewReader(body))
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -66,16 +66,17 @@
 const minimumRedirectObjective = 400 * time.Millisecond
 
 var (
-	// retryElsewhere is for requests that any other node serves immediately: the time is random only
-	// to spread the retries of a burst.
+	// retryElsewhere is for requests that any other node serves immediately: the time is random
+	// only to spread the retries of a burst.
 	retryElsewhere = retryRange{minimum: 0.03, maximum: 0.1}
 	// retrySoon is for requests that another node can serve, or this one a moment later.
 	retrySoon = retryRange{minimum: 0.2, maximum: 0.7}
 	// retryAfterStart is for what a node that has just started lacks: after a power loss of all
 	// machines a leader is elected within 0.6 s and all requests are served within 1.2 s.
 	retryAfterStart = retryRange{minimum: 0.9, maximum: 1.8}
-	// retryLater is for tokens that can't be reserved and for missing instances in an allowed region:
-	// this lasts as long as a network partition, and an earlier retry is only refused again.
+	// retryLater is for tokens that can't be reserved and for missing instances in an allowed
+	// region: this lasts as long as a network partition, and an earlier retry is only refused
+	// again.
 	retryLater = retryRange{minimum: 2.5, maximum: 4.5}
 )
 
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -13,8 +13,8 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// maximumBufferedResponse is the size up to which a response is read completely before it is relayed,
-// so that an interrupted one can be requested again.
+// maximumBufferedResponse is the size up to which a response is read completely before it is
+// relayed, so that an interrupted one can be requested again.
 const maximumBufferedResponse = 256 << 10
 
 // maximumDiscardBytes bounds the bytes that are read of a response that is not relayed.
--- a/internal/forward/retrytime.go
+++ b/internal/forward/retrytime.go
@@ -7,7 +7,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/balance"
 )
 
-// leastReturnSpread and mostReturnSpread bound the time over which retries are spread after a
+// minimumRetrySpread and maximumRetrySpread bound the time over which retries are spread after a
 // pause ends. The spread is a quarter of the time left of the pause.
 const (
 	minimumRetrySpread = 200 * time.Millisecond
--- a/internal/forward/unknownheaders.go
+++ b/internal/forward/unknownheaders.go
@@ -18,8 +18,8 @@
 // serviceHeader is a header of a service's responses.
 type serviceHeader struct{ service, name string }
 
-// unknownHeaderDetector detects headers of engines' responses that this build doesn't know: an engine may
-// send a signal that is not handled. Safe for concurrent use.
+// unknownHeaderDetector detects headers of engines' responses that this build doesn't know: an
+// engine may send a signal that is not handled. Safe for concurrent use.
 type unknownHeaderDetector struct {
 	mutex sync.RWMutex
 	seen  *bounded.Set[serviceHeader]
--- a/internal/forward/unread.go
+++ b/internal/forward/unread.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// responseMemoryShare is the share of the memory left for bodies and responses that one buffered
-	// response may take, so that callers that don't read can't take all of it. Longer responses
-	// are relayed as they arrive, at the pace at which the caller reads.
+	// responseMemoryShare is the share of the memory left for bodies and responses that one
+	// buffered response may take, so that callers that don't read can't take all of it. Longer
+	// responses are relayed as they arrive, at the pace at which the caller reads.
 	responseMemoryShare = 1.0 / 8
 	// minimumBufferedResponse is buffered of each response regardless of the memory left, so that a
 	// short one that is interrupted can be requested again.
 	minimumBufferedResponse = 4 << 10
 )
 
-// extendWriteDeadline sets the time that the caller has to read the next data written. If it does not
-// read, the connection is closed after that time and its engine is freed.
+// extendWriteDeadline sets the time that the caller has to read the next data written. If it does
+// not read, the connection is closed after that time and its engine is freed.
 func (r *request) extendWriteDeadline() {
 	// Only writers in tests don't support deadlines.
 	_ = r.controller.SetWriteDeadline(time.Now().Add(r.pipeline.options.UnreadPatience))
 }
 
-// bufferedResponse is a response that is read completely before it is relayed, with its share of the
-// memory for bodies and responses.
+// bufferedResponse is a response that is read completely before it is relayed, with its share of
+// the memory for bodies and responses.
 type bufferedResponse struct {
 	pipeline *Pipeline
 	bytes    []byte
 }
 
-// readResponse reads a response up to the size that may be buffered; isWhole indicates that this is
-// all of it. Memory is reserved piece by piece before each is read, so that simultaneous
-// responses respect the bound; beyond the bound each has leastBufferedAnswer. release returns the
-// memory.
+// readResponse reads a response up to the size that may be buffered; isWhole indicates that this
+// is all of it. Memory is reserved piece by piece before each is read, so that simultaneous
+// responses respect the bound; beyond the bound each has minimumBufferedResponse. release returns
+// the memory.
 func (p *Pipeline) readResponse(body io.Reader) (response *bufferedResponse, isWhole bool, err error) {
 	response = &bufferedResponse{pipeline: p, bytes: make([]byte, 0, minimumBufferedResponse)}
 	p.buffered.Add(minimumBufferedResponse)
--- a/internal/forward/unread_test.go
+++ b/internal/forward/unread_test.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// sendUnreadRequests sends requests of callers that read nothing of their responses, until all are at the
-// engine.
+// sendUnreadRequests sends requests of callers that read nothing of their responses, until all
+// are at the engine.
 func (h *harness) sendUnreadRequests(t *testing.T, engine *scriptedEngine, path string, callers int) {
 	t.Helper()
 	connections := map[string]net.Conn{}
