--- a/internal/protocol/engine/client.go
+++ b/internal/protocol/engine/client.go
@@ -15,31 +15,31 @@
 )
 
 const (
-	// maximumEventBytes bounds one event.
+	// maximumEventBytes bounds one event of a stream, and the body of a refusal.
 	maximumEventBytes = 1 << 20
-	// maximumBodyBytes bounds a whole reply.
+	// maximumBodyBytes bounds the body of a response that is not a stream.
 	maximumBodyBytes = 8 << 20
 	eventPrefix      = "data: "
 )
 
-// ErrUnknownRequest says that the engine does not know the request.
+// ErrUnknownRequest means that the engine does not know the request.
 var ErrUnknownRequest = errors.New("engine: unknown request")
 
-// ErrCutShort says that a stream ended without its end mark.
+// ErrCutShort means that a stream ended without the event that is marked as done.
 var ErrCutShort = errors.New("engine: the stream ended without its end mark")
 
-// Client speaks to engines.
+// Client is an HTTP client for engines.
 type Client struct {
 	http *http.Client
 }
 
-// NewClient makes a client. Each stream has a connection of its own while it
-// lasts; the transport keeps idle ones for the next.
+// NewClient returns a client. Each stream occupies a connection of its own while it lasts; the
+// transport keeps idle connections for later requests.
 func NewClient(transport http.RoundTripper) *Client {
 	return &Client{http: &http.Client{Transport: transport}}
 }
 
-// Stream is an answer as it comes.
+// Stream reads the events of a response as they arrive.
 type Stream struct {
 	requestID string
 	offset    uint64
@@ -48,7 +48,8 @@
 	onClose   func()
 }
 
-// Generate starts a request. An error is a *RefusedError or a *TransportError.
+// Generate starts a request and returns its stream. An error is a *RefusedError or a
+// *TransportError.
 func (c *Client) Generate(ctx context.Context, address string, request GenerateRequest) (*Stream, error) {
 	response, err := c.post(ctx, address, PathGenerate, request)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return newStream(request.RequestID, 0, response), nil
 }
 
-// Resume continues a request's stream at an offset in tokens, or fails with
+// Resume resumes a request's stream at an offset in output tokens, or fails with
 // ErrUnknownRequest.
 func (c *Client) Resume(ctx context.Context, address, requestID string, offset uint64) (*Stream, error) {
 	path := fmt.Sprintf("%s%s/stream?offset=%d", PathRequests, requestID, offset)
@@ -68,28 +69,28 @@
 	return newStream(requestID, offset, response), nil
 }
 
-// Status returns what the engine knows of a request, or ErrUnknownRequest.
+// Status returns the engine's status of a request, or ErrUnknownRequest.
 func (c *Client) Status(ctx context.Context, address, requestID string) (RequestStatus, error) {
 	var status RequestStatus
 	err := c.call(ctx, http.MethodGet, address, PathRequests+requestID, nil, &status)
 	return status, unknownIfNotFound(err)
 }
 
-// Cancel ends a request and returns what it used, or ErrUnknownRequest.
+// Cancel cancels a request and returns its status with the usage so far, or ErrUnknownRequest.
 func (c *Client) Cancel(ctx context.Context, address, requestID string) (RequestStatus, error) {
 	var status RequestStatus
 	err := c.call(ctx, http.MethodDelete, address, PathRequests+requestID, nil, &status)
 	return status, unknownIfNotFound(err)
 }
 
-// Load returns the engine's report of itself.
+// Load returns the load that the engine reports.
 func (c *Client) Load(ctx context.Context, address string) (Load, error) {
 	var load Load
 	err := c.call(ctx, http.MethodGet, address, PathLoad, nil, &load)
 	return load, err
 }
 
-// CacheEvents returns the events from a sequence on.
+// CacheEvents returns the cache events from a sequence number on.
 func (c *Client) CacheEvents(ctx context.Context, address string, from uint64) (CacheEvents, error) {
 	var events CacheEvents
 	err := c.call(ctx, http.MethodGet, address, fmt.Sprintf("%s?from=%d", PathCacheEvents, from), nil, &events)
@@ -103,34 +104,34 @@
 	return reply.Tokens, err
 }
 
-// GiveOrder gives an order.
+// GiveOrder sends an order to an engine and returns the engine's order state.
 func (c *Client) GiveOrder(ctx context.Context, address string, order Order) (OrderState, error) {
 	var state OrderState
 	err := c.call(ctx, http.MethodPost, address, PathOrders, order, &state)
 	return state, err
 }
 
-// OrderState returns the engine's newest order.
+// OrderState returns the state of the engine's newest order.
 func (c *Client) OrderState(ctx context.Context, address string) (OrderState, error) {
 	var state OrderState
 	err := c.call(ctx, http.MethodGet, address, PathOrders, nil, &state)
 	return state, err
 }
 
-// ExportKV returns the cached blocks of a prompt.
+// ExportKV returns the cached KV blocks of a prompt.
 func (c *Client) ExportKV(ctx context.Context, address, prompt string) (KVBlocks, error) {
 	var blocks KVBlocks
 	err := c.call(ctx, http.MethodPost, address, PathKVExport, CountRequest{Prompt: prompt}, &blocks)
 	return blocks, err
 }
 
-// ImportKV gives an engine cached blocks.
+// ImportKV loads cached KV blocks into an engine.
 func (c *Client) ImportKV(ctx context.Context, address string, blocks KVBlocks) error {
 	return c.call(ctx, http.MethodPost, address, PathKVImport, blocks, nil)
 }
 
-// Next returns the next event. After the one with the end mark it returns
-// io.EOF; a stream that ends without it returns ErrCutShort.
+// Next returns the next event. After the event that is marked as done it returns io.EOF; if the
+// stream ends without that event it returns ErrCutShort.
 func (s *Stream) Next() (Event, error) {
 	for s.lines.Scan() {
 		payload, found := strings.CutPrefix(s.lines.Text(), eventPrefix)
@@ -141,8 +142,8 @@
 		if err := json.Unmarshal([]byte(payload), &event); err != nil {
 			return Event{}, &TransportError{Offered: true, Err: fmt.Errorf("reading an event: %w", err)}
 		}
-		// The id and the offset are checked on each event: an answer is never
-		// another request's, and never has a gap.
+		// The id and the offset are checked on each event, so that a stream never carries another
+		// request's output and never has a gap.
 		if event.RequestID != s.requestID || event.Offset != s.offset {
 			return Event{}, &MisdirectedError{Expected: s.requestID, Got: event.RequestID, ExpectedOffset: s.offset, GotOffset: event.Offset}
 		}
@@ -156,10 +157,10 @@
 	return Event{}, &TransportError{Offered: true, Err: err}
 }
 
-// Offset is the number of tokens received so far.
+// Offset returns the number of output tokens received so far.
 func (s *Stream) Offset() uint64 { return s.offset }
 
-// Close ends reading; it does not cancel the request.
+// Close stops reading the stream; it does not cancel the request.
 func (s *Stream) Close() {
 	_ = s.body.Close()
 	if s.onClose != nil {
@@ -167,7 +168,7 @@
 	}
 }
 
-// OnClose has a function called when the stream is closed.
+// OnClose registers a function that is called when the stream is closed.
 func (s *Stream) OnClose(closed func()) { s.onClose = closed }
 
 func newStream(requestID string, offset uint64, response *http.Response) *Stream {
@@ -180,7 +181,8 @@
 	return c.do(ctx, http.MethodPost, address, path, message)
 }
 
-// do sends a request and returns a response with status 200.
+// do sends a request and returns a response with status 200. Any other status is returned as an
+// error.
 func (c *Client) do(ctx context.Context, method, address, path string, message any) (*http.Response, error) {
 	var body io.Reader
 	if message != nil {
@@ -197,8 +199,7 @@
 		return nil, &TransportError{Err: err}
 	}
 	if method == http.MethodPost {
-		// Without GetBody, net/http never sends a body again on another
-		// connection behind our back.
+		// Without GetBody, net/http never resends a body on another connection by itself.
 		request.GetBody = nil
 		request.Header.Set("Content-Type", "application/json")
 	}
@@ -232,7 +233,7 @@
 	refused := &RefusedError{Status: response.StatusCode, RetryAfter: response.Header.Values("Retry-After")}
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumEventBytes))
 	if err := json.Unmarshal(body, &refused.Body); err != nil {
-		// Not an engine's own words: nothing is known about what ran.
+		// The body does not come from an engine, so it is not known what ran.
 		refused.Body = ErrorBody{Code: "unreadable", Message: strings.TrimSpace(string(body))}
 	}
 	return refused
@@ -246,5 +247,5 @@
 	return err
 }
 
-// CodeUnknownRequest is the code of an engine that does not know a request.
+// CodeUnknownRequest is the error code of an engine that does not know a request.
 const CodeUnknownRequest = "unknown_request"
--- a/internal/protocol/engine/messages.go
+++ b/internal/protocol/engine/messages.go
@@ -1,9 +1,8 @@
-// Package engine is the adapter to the language model engines: their messages
-// and a client. Another dialect is another package with the same methods.
+// Package engine is the adapter to the language model engines: their messages and a client.
+// Support for another interface is another package with the same methods.
 //
-// Engines are spoken to over HTTP with JSON; generated text comes as
-// server-sent events, each with the request's id and its offset in tokens, so
-// that a stream can be checked and resumed.
+// The interface is HTTP with JSON. Generated text arrives as server-sent events, each with the
+// request's id and its offset in output tokens, so that a stream can be checked and resumed.
 package engine
 
 import (
@@ -22,10 +21,10 @@
 	PathKVImport    = "/engine/v1/kv/import"
 )
 
-// Priority is the engines' own: a higher one is scheduled first.
+// Priority is the engines' scheduling priority: requests with a higher one are scheduled first.
 type Priority int
 
-// GenerateRequest asks for output.
+// GenerateRequest is a request to generate output.
 type GenerateRequest struct {
 	RequestID string `json:"request_id"`
 	Model     string `json:"model"`
@@ -33,11 +32,11 @@
 	// MaxTokens bounds the output; it is always sent.
 	MaxTokens uint64   `json:"max_tokens"`
 	Priority  Priority `json:"priority"`
-	// Tenant is for the engine's own accounting.
+	// Tenant is used for the engine's own accounting.
 	Tenant string `json:"tenant,omitempty"`
 }
 
-// Event is one part of an answer.
+// Event is one event of a stream.
 type Event struct {
 	RequestID string `json:"request_id"`
 	// Offset is the number of output tokens before this event.
@@ -45,23 +44,23 @@
 	Text   string `json:"text,omitempty"`
 	// Tokens is the number of output tokens in Text.
 	Tokens uint64 `json:"tokens,omitempty"`
-	// Done is the end mark; Usage and FinishReason come with it.
+	// Done marks the last event of a stream; Usage and FinishReason are set with it.
 	Done         bool   `json:"done,omitempty"`
 	FinishReason string `json:"finish_reason,omitempty"`
 	Usage        *Usage `json:"usage,omitempty"`
 }
 
-// Usage is what a request used, in tokens.
+// Usage is the number of tokens that a request used.
 type Usage struct {
 	Prompt     uint64 `json:"prompt_tokens"`
 	Cached     uint64 `json:"cached_tokens"`
 	Completion uint64 `json:"completion_tokens"`
 }
 
-// Total is what is billed.
+// Total returns the number of billed tokens.
 func (u Usage) Total() uint64 { return u.Prompt + u.Completion }
 
-// RequestState is how far an engine has come with a request.
+// RequestState is the progress of a request at an engine.
 type RequestState string
 
 // States of a request at an engine.
@@ -72,14 +71,14 @@
 	StateCancelled RequestState = "cancelled"
 )
 
-// RequestStatus is what an engine knows of a request.
+// RequestStatus is an engine's status of a request.
 type RequestStatus struct {
 	RequestID string       `json:"request_id"`
 	State     RequestState `json:"state"`
 	Usage     Usage        `json:"usage"`
 }
 
-// Load is an engine's report of itself. It lags.
+// Load is an engine's own report of its load. It lags behind the actual load.
 type Load struct {
 	Running   int    `json:"running"`
 	Queued    int    `json:"queued"`
@@ -90,47 +89,48 @@
 	CacheUsed uint64 `json:"cache_used_tokens"`
 }
 
-// CacheEvent says that a prefix block entered or left an engine's cache.
+// CacheEvent reports that a prefix block was added to an engine's cache or evicted from it.
 type CacheEvent struct {
-	// Sequence has no gaps at the engine; a gap seen is a lost event.
+	// Sequence is consecutive at the engine; a gap means that an event was lost.
 	Sequence uint64 `json:"sequence"`
-	// Block is the chained hash of the prompt up to the block's end.
+	// Block is the chained hash of the prompt up to the end of the block.
 	Block   uint64 `json:"block"`
 	Evicted bool   `json:"evicted"`
 }
 
-// CacheEvents is a page of events.
+// CacheEvents is a page of cache events.
 type CacheEvents struct {
 	Events []CacheEvent `json:"events"`
-	// Next is the sequence to ask from.
+	// Next is the sequence number from which to request the next page.
 	Next uint64 `json:"next"`
 }
 
-// Order tells an engine to load something or to change role.
+// Order makes an engine load something or change its role.
 type Order struct {
-	// Fence grows with each order; an engine that checks refuses lower ones.
+	// Fence is a fencing token: it grows with each order, and an engine that checks it refuses
+	// lower ones.
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
 	Target  string `json:"target"`
 	Version string `json:"version"`
 }
 
-// OrderState is what an engine says of its newest order.
+// OrderState is an engine's state of its newest order.
 type OrderState struct {
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
 	Target  string `json:"target"`
 	Version string `json:"version"`
-	// Loaded tells that it is done.
+	// Loaded indicates that the order has been carried out.
 	Loaded bool `json:"loaded"`
 }
 
-// CountRequest asks for the exact number of tokens of a prompt.
+// CountRequest requests the exact number of tokens of a prompt. Export of KV blocks uses it too.
 type CountRequest struct {
 	Prompt string `json:"prompt"`
 }
 
-// CountReply answers it.
+// CountReply is the response to a CountRequest for a token count.
 type CountReply struct {
 	Tokens uint64 `json:"tokens"`
 }
@@ -143,7 +143,7 @@
 // ErrorBody is the body of an engine's refusal.
 type ErrorBody struct {
 	Code string `json:"code"`
-	// NotRun is the engine's word that it did not and will not run the request.
+	// NotRun is the engine's statement that it did not run the request and never will.
 	NotRun  bool   `json:"not_run"`
 	Message string `json:"message"`
 }
@@ -152,7 +152,7 @@
 type RefusedError struct {
 	Status int
 	Body   ErrorBody
-	// RetryAfter are the values of the field by which the engine asks for a pause.
+	// RetryAfter are the values of the Retry-After header, by which the engine requests a pause.
 	RetryAfter []string
 }
 
@@ -161,9 +161,9 @@
 	return fmt.Sprintf("the engine refused with status %d, code %s: %s", e.Status, e.Body.Code, e.Body.Message)
 }
 
-// TransportError is a failure to reach an engine or to hear it out.
+// TransportError is a failure to reach an engine or to read its complete response.
 type TransportError struct {
-	// Offered tells that some of the request may have reached the engine.
+	// Offered indicates that part of the request may have reached the engine.
 	Offered bool
 	Err     error
 }
@@ -179,8 +179,8 @@
 // Unwrap returns the cause.
 func (e *TransportError) Unwrap() error { return e.Err }
 
-// MisdirectedError is a stream whose events carry another request's id or an
-// offset that does not follow.
+// MisdirectedError means that a stream's event carries another request's id, or an offset that
+// does not follow the previous event.
 type MisdirectedError struct {
 	Expected, Got             string
 	ExpectedOffset, GotOffset uint64
--- a/internal/protocol/engine/prefix.go
+++ b/internal/protocol/engine/prefix.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// PrefixBlockBytes is the size of the blocks in which engines cache prompts.
+// PrefixBlockBytes is the size of the blocks in which engines cache prompts, in bytes.
 const PrefixBlockBytes = 256
 
-// PrefixBlocks returns the chained hash of a prompt up to the end of each
-// whole block: equal hashes mean equal prefixes.
+// PrefixBlocks returns the chained hash of a prompt up to the end of each complete block: equal
+// hashes mean equal prefixes.
 func PrefixBlocks(prompt string) []uint64 {
 	blocks := make([]uint64, 0, len(prompt)/PrefixBlockBytes)
 	var previous uint64
