--- a/internal/protocol/caller/caller.go
+++ b/internal/protocol/caller/caller.go
@@ -1,5 +1,5 @@
-// Package caller holds the messages of callers: the OpenAI-style requests and
-// answers, ravenway's headers, and its typed errors.
+// Package caller defines the messages exchanged with callers: the OpenAI-style requests and
+// responses, ravenway's headers, and its error codes.
 package caller
 
 import (
@@ -8,28 +8,29 @@
 	"strings"
 )
 
-// Headers of callers' requests and answers.
+// Headers of callers' requests and of the responses.
 const (
-	// HeaderIdempotencyKey names a request, so that a retry runs and bills once.
+	// HeaderIdempotencyKey identifies a request, so that a retry neither runs nor is billed
+	// again.
 	HeaderIdempotencyKey = "Idempotency-Key"
-	// HeaderDeadline is the time the caller waits for the first byte, as a Go
+	// HeaderDeadline is the maximum time that the caller waits for the first byte, as a Go
 	// duration ("30s").
 	HeaderDeadline = "Ravenway-Deadline"
 	// HeaderPriority is "urgent", "normal" or "batch".
 	HeaderPriority = "Ravenway-Priority"
-	// HeaderNotRepeatable ("true") marks a request that may run once at most.
+	// HeaderNotRepeatable ("true") marks a request that may run at most once.
 	HeaderNotRepeatable = "Ravenway-Not-Repeatable"
 	// HeaderBudget names the budget to charge instead of the tenant's default.
 	HeaderBudget = "Ravenway-Budget"
-	// HeaderRequestID identifies the request in answers, logs and "explain".
+	// HeaderRequestID identifies the request in responses, logs and "explain".
 	HeaderRequestID = "Ravenway-Request-Id"
 	// HeaderBackendRequestID is the id under which an engine runs the request.
 	HeaderBackendRequestID = "Ravenway-Backend-Request-Id"
-	// HeaderNode names the node that answered.
+	// HeaderNode names the node that responded.
 	HeaderNode = "Ravenway-Node"
 )
 
-// Code is a stable name for a kind of refusal or failure.
+// Code is the stable name of a kind of refusal or failure.
 type Code string
 
 // Codes that callers can rely on.
@@ -60,12 +61,12 @@
 	Error ErrorDetail `json:"error"`
 }
 
-// ErrorDetail tells what happened and whether the request ran.
+// ErrorDetail describes what happened and whether the request ran.
 type ErrorDetail struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// NotRun is true only if no byte of the request was offered to a back end,
-	// or the back end said itself that it did not run it.
+	// NotRun is true only if no byte of the request was offered to a back end, or if the back end
+	// itself stated that it did not run it.
 	NotRun    bool   `json:"not_run"`
 	RequestID string `json:"request_id"`
 }
@@ -76,8 +77,8 @@
 	Content string `json:"content"`
 }
 
-// CompletionRequest is the body of both OpenAI-style calls: Messages for chat,
-// Prompt for plain completions.
+// CompletionRequest is the body of both OpenAI-style calls: Messages is set for chat, Prompt for
+// plain completions.
 type CompletionRequest struct {
 	Model     string    `json:"model"`
 	Messages  []Message `json:"messages,omitempty"`
@@ -86,8 +87,8 @@
 	Stream    bool      `json:"stream,omitempty"`
 }
 
-// ParseCompletion reads and checks a body. Unknown fields are ignored, as
-// callers' libraries send many.
+// ParseCompletion parses and validates a body. Unknown fields are ignored, because callers'
+// libraries send many.
 func ParseCompletion(body []byte, chat bool) (CompletionRequest, error) {
 	var request CompletionRequest
 	if err := json.Unmarshal(body, &request); err != nil {
@@ -109,7 +110,7 @@
 	return request, nil
 }
 
-// PromptText is the text that the engine is given.
+// PromptText returns the prompt that is sent to the engine.
 func (r CompletionRequest) PromptText() string {
 	if len(r.Messages) == 0 {
 		return r.Prompt
@@ -121,7 +122,7 @@
 	return text.String()
 }
 
-// Choice is one answer, whole or in part.
+// Choice is one alternative of a completion, complete or streamed in parts.
 type Choice struct {
 	Index        int      `json:"index"`
 	Message      *Message `json:"message,omitempty"`
@@ -130,14 +131,14 @@
 	FinishReason *string  `json:"finish_reason"`
 }
 
-// Usage is what a request used, in tokens.
+// Usage is the number of tokens that a request used.
 type Usage struct {
 	PromptTokens     uint64 `json:"prompt_tokens"`
 	CompletionTokens uint64 `json:"completion_tokens"`
 	TotalTokens      uint64 `json:"total_tokens"`
 }
 
-// Completion is a whole answer or one streamed part of it.
+// Completion is a complete response or one streamed part of it.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -147,7 +148,7 @@
 	Usage   *Usage   `json:"usage,omitempty"`
 }
 
-// Objects of answers.
+// Values of Completion.Object.
 const (
 	ObjectChat       = "chat.completion"
 	ObjectChatChunk  = "chat.completion.chunk"
