--- a/internal/protocol/engine/client.go
+++ b/internal/protocol/engine/client.go
@@ -64,7 +64,7 @@
 	path := fmt.Sprintf("%s%s/stream?offset=%d", PathRequests, requestID, offset)
 	response, err := c.do(ctx, http.MethodGet, address, path, nil)
 	if err != nil {
-		return nil, unknownIfNotFound(err)
+		return nil, mapNotFound(err)
 	}
 	return newStream(requestID, offset, response), nil
 }
@@ -73,14 +73,14 @@
 func (c *Client) Status(ctx context.Context, address, requestID string) (RequestStatus, error) {
 	var status RequestStatus
 	err := c.call(ctx, http.MethodGet, address, PathRequests+requestID, nil, &status)
-	return status, unknownIfNotFound(err)
+	return status, mapNotFound(err)
 }
 
 // Cancel cancels a request and returns its status with the usage so far, or ErrUnknownRequest.
 func (c *Client) Cancel(ctx context.Context, address, requestID string) (RequestStatus, error) {
 	var status RequestStatus
 	err := c.call(ctx, http.MethodDelete, address, PathRequests+requestID, nil, &status)
-	return status, unknownIfNotFound(err)
+	return status, mapNotFound(err)
 }
 
 // Load returns the load that the engine reports.
@@ -169,7 +169,7 @@
 }
 
 // OnClose registers a function that is called when the stream is closed.
-func (s *Stream) OnClose(closed func()) { s.onClose = closed }
+func (s *Stream) OnClose(callback func()) { s.onClose = callback }
 
 func newStream(requestID string, offset uint64, response *http.Response) *Stream {
 	lines := bufio.NewScanner(response.Body)
@@ -209,7 +209,7 @@
 	}
 	if response.StatusCode != http.StatusOK {
 		defer response.Body.Close()
-		return nil, refusalFrom(response)
+		return nil, readRefusal(response)
 	}
 	return response, nil
 }
@@ -229,7 +229,7 @@
 	return nil
 }
 
-func refusalFrom(response *http.Response) error {
+func readRefusal(response *http.Response) error {
 	refused := &RefusedError{Status: response.StatusCode, RetryAfter: response.Header.Values("Retry-After")}
 	body, _ := io.ReadAll(io.LimitReader(response.Body, maximumEventBytes))
 	if err := json.Unmarshal(body, &refused.Body); err != nil {
@@ -239,7 +239,7 @@
 	return refused
 }
 
-func unknownIfNotFound(err error) error {
+func mapNotFound(err error) error {
 	var refused *RefusedError
 	if errors.As(err, &refused) && refused.Status == http.StatusNotFound && refused.Body.Code == CodeUnknownRequest {
 		return ErrUnknownRequest
