--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -30,7 +30,7 @@
 	prepared.learn = func(response *exchange, writtenAt time.Time) {
 		options.Backoff.Learn(choice.Instance, r.call.ID, response.backoffSignal(), writtenAt)
 		options.RateLimits.Learn(choice.Instance, response.rateLimitSignal(), writtenAt)
-		if names := r.pipeline.headers.takeNew(choice.Service, response.response.Header, options.Dialect.KnowsAnswerHeader); len(names) > 0 {
+		if names := r.pipeline.headers.takeNew(choice.Service, response.response.Header, options.Dialect.KnowsResponseHeader); len(names) > 0 {
 			options.Log.UnknownHeaders(r, choice, names)
 		}
 	}
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -102,7 +102,7 @@
 			r.giveUp(last, ReasonQuarantined)
 			return
 		}
-		r.pipeline.options.Log.Again(r, choice)
+		r.pipeline.options.Log.Retried(r, choice)
 	}
 }
 
@@ -134,7 +134,7 @@
 	if next, isKeptAway := r.nextAvailable(service); isKeptAway && next.IsPause {
 		return r.planRetry(service, next)
 	}
-	return ReasonTurnedAway
+	return ReasonRejected
 }
 
 // mayRetry reports whether another attempt is allowed after one that reached an instance.
@@ -245,7 +245,7 @@
 			result = "other_instance"
 		}
 		sending.discard(r.call.ID)
-		r.pipeline.options.Log.TurnedAway(r, choice, result, sending)
+		r.pipeline.options.Log.Rejected(r, choice, result, sending)
 		return nil, rejected
 	}
 	r.mayHaveRun = true
@@ -295,7 +295,7 @@
 }
 
 func (r *request) outgoing(choice balance.Choice, lastEvent string) outgoing {
-	attempt := Attempt{Call: r.call, Instance: choice.ID, Left: time.Until(r.deadline), LastEvent: lastEvent}
+	attempt := Attempt{Call: r.call, Instance: choice.ID, TimeLeft: time.Until(r.deadline), LastEvent: lastEvent}
 	attempt.Priority, attempt.HasPriority = r.route.Priority, true
 	if r.tenant != nil {
 		attempt.Tenant = r.tenant.Name
@@ -325,7 +325,7 @@
 			status = http.StatusGatewayTimeout
 		}
 		switch reason {
-		case ReasonNoInstance, ReasonNoRegion, ReasonTurnedAway, ReasonRateLimited, ReasonPaused:
+		case ReasonNoInstance, ReasonNoRegion, ReasonRejected, ReasonRateLimited, ReasonPaused:
 			reason = ReasonOutcomeUnknown
 		}
 		r.refuse(Refusal{Status: status, Reason: reason})
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -41,7 +41,7 @@
 // noteInterrupted records an interrupted run. Unless this node ended the run, the engine may have
 // crashed, and the request may be the cause.
 func (r *request) noteInterrupted(ctx context.Context, interrupted interruptedRun, result string, err error) {
-	r.pipeline.options.Log.Broken(r, interrupted, result, err)
+	r.pipeline.options.Log.RunInterrupted(r, interrupted, result, err)
 	if ctx.Err() != nil || isTimeout(err) || errors.Is(err, errForeignResponse) || errors.Is(err, errCallerGone) {
 		return
 	}
@@ -204,7 +204,7 @@
 	w.mutex.Unlock()
 	enginesCrashed.Inc()
 	w.pipeline.options.Table.Ended(w.pipeline.options.Environment.Now(), incarnation)
-	w.pipeline.options.Log.EngineEnded(choice, runs, w.pipeline.options.Table.IsLeaving(incarnation))
+	w.pipeline.options.Log.EngineCrashed(choice, runs, w.pipeline.options.Table.IsLeaving(incarnation))
 	w.report(incarnation)
 }
 
--- a/internal/forward/crashes_test.go
+++ b/internal/forward/crashes_test.go
@@ -221,8 +221,8 @@
 	results := make(chan result, 1)
 	go func() { results <- h.send(t, http.MethodPost, "/resumable/x", "r1", "poison") }()
 	<-arrived
-	h.pipeline.Quarantined(quarantine.FingerprintOf(quarantine.ScopeOf("elsewhere/resumable/x", "t"), []byte("poison")))
-	h.pipeline.Quarantined(quarantine.FingerprintOf(quarantine.ScopeOf(strings.TrimPrefix(h.server.URL, "http://")+"/resumable/x", "t"), []byte("poison")))
+	h.pipeline.CancelQuarantined(quarantine.FingerprintOf(quarantine.ScopeOf("elsewhere/resumable/x", "t"), []byte("poison")))
+	h.pipeline.CancelQuarantined(quarantine.FingerprintOf(quarantine.ScopeOf(strings.TrimPrefix(h.server.URL, "http://")+"/resumable/x", "t"), []byte("poison")))
 	select {
 	case <-closed:
 	case <-time.After(2 * time.Second):
--- a/internal/forward/decisions.go
+++ b/internal/forward/decisions.go
@@ -127,9 +127,9 @@
 		Uint64("events", r.events).AnErr("error", err).Send()
 }
 
-// TurnedAway logs that an instance rejected the request without running it, and the pause that
+// Rejected logs that an instance rejected the request without running it, and the pause that
 // the instance requested of this node.
-func (l *DecisionLog) TurnedAway(r *request, choice balance.Choice, result string, response *exchange) {
+func (l *DecisionLog) Rejected(r *request, choice balance.Choice, result string, response *exchange) {
 	signal := response.head.Backoff
 	text := fmt.Sprintf("instance %s at %s, one of %d: %s with status %d, requests a pause of %s", choice.ID, choice.Address, choice.Candidates,
 		result, response.response.StatusCode, signal.Pause)
@@ -145,9 +145,9 @@
 	l.line(r, "answer_headers_unknown").Str("service", choice.Service).Str("instance", choice.ID).Strs("headers", names).Send()
 }
 
-// Broken logs an interrupted run at an instance that may have begun it, with what indicates
+// RunInterrupted logs an interrupted run at an instance that may have begun it, with what indicates
 // whether the request itself is the cause.
-func (l *DecisionLog) Broken(r *request, run interruptedRun, result string, err error) {
+func (l *DecisionLog) RunInterrupted(r *request, run interruptedRun, result string, err error) {
 	fingerprint := quarantine.FingerprintOfRequest(r.content())
 	text := fmt.Sprintf("instance %s at %s: %s, %s, fingerprint %s: %v", run.choice.ID, run.choice.Address, result, run, fingerprint, err)
 	if !l.keep(r, text) {
@@ -158,15 +158,15 @@
 		Int64("answered_ms", run.run.BeganFor.Milliseconds()).AnErr("error", err).Send()
 }
 
-// EngineEnded logs that an engine has crashed, and how many of this node's runs were in flight
+// EngineCrashed logs that an engine has crashed, and how many of this node's runs were in flight
 // there.
-func (l *DecisionLog) EngineEnded(choice balance.Choice, runs int, wasLeaving bool) {
+func (l *DecisionLog) EngineCrashed(choice balance.Choice, runs int, wasLeaving bool) {
 	l.logger.Info().Str("event", "engine_ended").Stringer("life", choice.Life()).Str("address", choice.Address).
 		Str("service", choice.Service).Int("runs", runs).Bool("was_leaving", wasLeaving).Send()
 }
 
-// Behind logs a request that is handled under an older document than the newest one known.
-func (l *DecisionLog) Behind(r *request, newest uint64, since time.Duration) {
+// OutdatedConfiguration logs a request that is handled under an older document than the newest one known.
+func (l *DecisionLog) OutdatedConfiguration(r *request, newest uint64, since time.Duration) {
 	text := fmt.Sprintf("taken under version %d, %d was heard of %d ms before", r.index.Document.Version, newest, since.Milliseconds())
 	if !l.keep(r, text) {
 		return
@@ -174,8 +174,8 @@
 	l.line(r, "behind").Uint64("newest", newest).Int64("newest_heard_ms", since.Milliseconds()).Send()
 }
 
-// Again logs that a request is sent to another instance.
-func (l *DecisionLog) Again(r *request, choice balance.Choice) {
+// Retried logs that a request is sent to another instance.
+func (l *DecisionLog) Retried(r *request, choice balance.Choice) {
 	if !l.keep(r, fmt.Sprintf("sent once more after %s, %d arrivals so far", choice.ID, r.instancesReached)) {
 		return
 	}
@@ -232,7 +232,7 @@
 	served, late, refused := l.served, l.lateCount, l.refused
 	l.served, l.lateCount, l.refused = 0, 0, map[Reason]int{}
 	l.mutex.Unlock()
-	leftOut := l.lines.TakeLeftOut()
+	leftOut := l.lines.TakeOmitted()
 	if served == 0 && leftOut == 0 && len(refused) == 0 {
 		return
 	}
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -23,8 +23,8 @@
 	ID string
 	// Key is the caller's API key, empty if it sent none.
 	Key string
-	// Wait is the maximum time that the caller waits; 0 if it names none.
-	Wait time.Duration
+	// MaximumWait is the maximum time that the caller waits; 0 if it names none.
+	MaximumWait time.Duration
 	// TokensIn and TokensOut are the tokens of the prompt and the maximum number that may be
 	// generated; HasTokens indicates that they are known.
 	TokensIn, TokensOut uint64
@@ -48,8 +48,8 @@
 	Call     *Call
 	Instance string
 	Tenant   string
-	// Left is the time left for the engine.
-	Left time.Duration
+	// TimeLeft is the time left for the engine.
+	TimeLeft time.Duration
 	// Priority is passed to the engine if HasPriority is set.
 	Priority    int
 	HasPriority bool
@@ -57,8 +57,8 @@
 	LastEvent string
 }
 
-// AnswerHead is the information in the head of an engine's response.
-type AnswerHead struct {
+// ResponseHead is the information in the head of an engine's response.
+type ResponseHead struct {
 	// ID is the request's id as the engine echoed it.
 	ID string
 	// NotRun indicates that the engine did not run the request and never will.
@@ -77,11 +77,11 @@
 	ReadCall(request *http.Request) (*Call, error)
 	// EngineHeader returns the headers that are sent to an engine.
 	EngineHeader(attempt Attempt) http.Header
-	// ReadAnswer reads the head of an engine's response.
-	ReadAnswer(status int, header http.Header) AnswerHead
-	// KnowsAnswerHeader reports whether a header of an engine's response, in its canonical form,
+	// ReadResponse reads the head of an engine's response.
+	ReadResponse(status int, header http.Header) ResponseHead
+	// KnowsResponseHeader reports whether a header of an engine's response, in its canonical form,
 	// belongs to the interface or to HTTP.
-	KnowsAnswerHeader(name string) bool
+	KnowsResponseHeader(name string) bool
 }
 
 // httpResponseHeaders are general HTTP headers, which describe the response and carry no
@@ -92,5 +92,5 @@
 	"Vary", "X-Content-Type-Options",
 }
 
-// IsHTTPAnswerHeader reports whether a header is one that any HTTP response may have.
-func IsHTTPAnswerHeader(name string) bool { return slices.Contains(httpResponseHeaders, name) }
+// IsHTTPResponseHeader reports whether a header is one that any HTTP response may have.
+func IsHTTPResponseHeader(name string) bool { return slices.Contains(httpResponseHeaders, name) }
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -36,7 +36,7 @@
 	incarnation registry.Life
 	connection  *connection
 	response    *http.Response
-	head        AnswerHead
+	head        ResponseHead
 	sentAt      time.Time
 	// respondedAt is when the head of the response arrived: an engine sends it when it starts to
 	// run a stream, and at the end of any other request.
@@ -145,7 +145,7 @@
 			continue
 		}
 		e.response, e.respondedAt = response, time.Now()
-		e.head = dialect.ReadAnswer(response.StatusCode, response.Header)
+		e.head = dialect.ReadResponse(response.StatusCode, response.Header)
 		isOwn := e.head.ID == request.id || e.head.ID == "" && (e.head.NotRun || e.head.OtherInstance)
 		switch {
 		case e.head.OtherInstance:
--- a/internal/forward/incarnations.go
+++ b/internal/forward/incarnations.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// LivesOver handles the replacement of engines' incarnations by newer ones: requests that ran at
+// IncarnationsReplaced handles the replacement of engines' incarnations by newer ones: requests that ran at
 // the old incarnations have ended, even if their connections still seem open.
-func (p *Pipeline) LivesOver(replaced []registry.Instance) {
+func (p *Pipeline) IncarnationsReplaced(replaced []registry.Instance) {
 	now := time.Now()
 	for _, one := range replaced {
 		p.pool.closeIdle(one.Address)
--- a/internal/forward/linebudget.go
+++ b/internal/forward/linebudget.go
@@ -32,8 +32,8 @@
 	return true
 }
 
-// TakeLeftOut returns and resets the number of lines omitted since the last call.
-func (b *LineBudget) TakeLeftOut() int {
+// TakeOmitted returns and resets the number of lines omitted since the last call.
+func (b *LineBudget) TakeOmitted() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	leftOut := b.leftOut
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -22,9 +22,9 @@
 
 // Errors of reservations, see Environment.Reserve.
 var (
-	// ErrSpent means that the remainder of a tenant's prepaid tokens definitely can't cover the
+	// ErrPrepaidSpent means that the remainder of a tenant's prepaid tokens definitely can't cover the
 	// request.
-	ErrSpent = errors.New("forward: the tenant's prepaid tokens can't cover the request")
+	ErrPrepaidSpent = errors.New("forward: the tenant's prepaid tokens can't cover the request")
 	// ErrNotReserved means that the tokens could not be reserved now.
 	ErrNotReserved = errors.New("forward: the tokens could not be reserved now")
 	// ErrNotReservedYet means that the tokens could not be reserved now but probably can be in a
@@ -42,11 +42,11 @@
 type Environment interface {
 	// Configuration returns the document in effect, or nil before the first one is known.
 	Configuration() *document.Index
-	// Certain reports whether the document in effect is known to be the newest.
-	Certain() bool
-	// NewestHeard returns the highest version known to be in effect at some node, and the time
+	// HasNewestConfiguration reports whether the document in effect is known to be the newest.
+	HasNewestConfiguration() bool
+	// NewestKnown returns the highest version known to be in effect at some node, and the time
 	// since this node first learned of it.
-	NewestHeard() (version uint64, since time.Duration)
+	NewestKnown() (version uint64, since time.Duration)
 	// Reserve reserves tokens of a tenant before a request is sent. It waits for them no longer
 	// than the patience.
 	Reserve(ctx context.Context, tenant string, tokens uint64, maximumWait time.Duration) (Reservation, error)
@@ -60,9 +60,9 @@
 	LinkDelay() time.Duration
 	// Shedding reports whether callers are being moved to other nodes for a while.
 	Shedding() bool
-	// LetsIn counts a caller's request with a body of bodyBytes, and reports whether it is served
+	// Admit counts a caller's request with a body of bodyBytes, and reports whether it is served
 	// here. A request with mustServe set is always served.
-	LetsIn(caller string, bodyBytes int64, mustServe bool) bool
+	Admit(caller string, bodyBytes int64, mustServe bool) bool
 	// Now returns the time of a monotonic clock.
 	Now() time.Duration
 }
@@ -95,8 +95,8 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// BufferedBytes bounds the request bodies and responses in memory.
 	BufferedBytes int64
-	// UnreadPatience is how long a caller may leave data unread; 0 means DefaultUnreadPatience.
-	UnreadPatience time.Duration
+	// UnreadTimeout is how long a caller may leave data unread; 0 means DefaultUnreadPatience.
+	UnreadTimeout time.Duration
 	// Guard knows the requests that crash engines; nil means a guard that receives no verdicts.
 	Guard *quarantine.Guard
 	// Recorder records how instances respond; nil means that the records are not used.
@@ -136,15 +136,15 @@
 // memory limit is not known.
 const DefaultBufferedBytes = 32 << 20
 
-// DefaultUnreadPatience is how long a caller may leave data unread. Until then its connections,
+// DefaultUnreadTimeout is how long a caller may leave data unread. Until then its connections,
 // to this node and to the engine, are held, at a cost of some 50 KB for a stream. Callers give up
 // a stream after 2 to 7 s without an event, so holding it longer serves no caller.
-const DefaultUnreadPatience = 8 * time.Second
+const DefaultUnreadTimeout = 8 * time.Second
 
 // New returns a pipeline with defaults for the options that are not set.
 func New(options Options) *Pipeline {
-	if options.UnreadPatience == 0 {
-		options.UnreadPatience = DefaultUnreadPatience
+	if options.UnreadTimeout == 0 {
+		options.UnreadTimeout = DefaultUnreadTimeout
 	}
 	if options.BufferedBytes == 0 {
 		options.BufferedBytes = DefaultBufferedBytes
@@ -277,13 +277,13 @@
 		}
 	}
 	r.deadline = r.arrived.Add(r.route.Timeout)
-	if call.Wait > 0 && call.Wait < r.route.Timeout {
-		r.deadline = r.arrived.Add(call.Wait)
+	if call.MaximumWait > 0 && call.MaximumWait < r.route.Timeout {
+		r.deadline = r.arrived.Add(call.MaximumWait)
 	}
 	if !environment.Stop().accepts(time.Until(r.deadline)) {
 		return refuse(http.StatusServiceUnavailable, ReasonStopping)
 	}
-	if !environment.LetsIn(r.callerName(), r.incoming.ContentLength, r.route.Objective < minimumRedirectObjective) {
+	if !environment.Admit(r.callerName(), r.incoming.ContentLength, r.route.Objective < minimumRedirectObjective) {
 		// The body is received over the link even though the request is refused.
 		r.pipeline.received.Add(max(0, r.incoming.ContentLength))
 		return refuse(http.StatusServiceUnavailable, ReasonOverloaded)
@@ -318,18 +318,18 @@
 // noteBehind records that the request is handled under an older document than the newest that
 // this node knows to be in effect somewhere.
 func (r *request) noteBehind() {
-	newest, since := r.pipeline.options.Environment.NewestHeard()
+	newest, since := r.pipeline.options.Environment.NewestKnown()
 	if newest <= r.index.Document.Version {
 		return
 	}
 	requestsBehind.Inc()
-	r.pipeline.options.Log.Behind(r, newest, since)
+	r.pipeline.options.Log.OutdatedConfiguration(r, newest, since)
 }
 
 // refuseUnknown refuses a request for something that the document in effect does not contain. A
 // node that may lack the newest document can't be certain of that.
 func (r *request) refuseUnknown(status int, reason Reason) *Refusal {
-	if !r.pipeline.options.Environment.Certain() {
+	if !r.pipeline.options.Environment.HasNewestConfiguration() {
 		return refuse(http.StatusServiceUnavailable, ReasonNotCertain)
 	}
 	return refuse(status, reason)
@@ -400,8 +400,8 @@
 	}()
 	reservation, err := r.pipeline.options.Environment.Reserve(ctx, r.tenant.Name, r.call.TokensIn+r.call.TokensOut, tokenMaximumWait)
 	switch {
-	case errors.Is(err, ErrSpent):
-		return refuse(http.StatusPaymentRequired, ReasonSpent)
+	case errors.Is(err, ErrPrepaidSpent):
+		return refuse(http.StatusPaymentRequired, ReasonPrepaidSpent)
 	case err != nil:
 		refused := refuse(http.StatusTooManyRequests, ReasonNotReserved)
 		if errors.Is(err, ErrNotReservedYet) {
--- a/internal/forward/pipeline_test.go
+++ b/internal/forward/pipeline_test.go
@@ -43,7 +43,7 @@
 }
 
 func (testDialect) EngineHeader(attempt Attempt) http.Header {
-	header := EndToEnd(attempt.Call.Header)
+	header := EndToEndHeader(attempt.Call.Header)
 	delete(header, "After")
 	if attempt.LastEvent != "" {
 		header.Set("After", attempt.LastEvent)
@@ -51,15 +51,15 @@
 	return header
 }
 
-func (testDialect) ReadAnswer(_ int, header http.Header) AnswerHead {
-	return AnswerHead{
+func (testDialect) ReadResponse(_ int, header http.Header) ResponseHead {
+	return ResponseHead{
 		ID: header.Get("Id"), NotRun: header.Get("Not-Run") != "", RateLimit: ratelimit.Read(header.Values("Limit")),
 		Backoff: backoff.ReadPause(header.Values("Pause")).WithLeaving(header.Values("Leaving")),
 	}
 }
 
-func (testDialect) KnowsAnswerHeader(name string) bool {
-	return IsHTTPAnswerHeader(name) || slices.Contains([]string{"Id", "Not-Run", "Limit", "Pause", "Leaving"}, name)
+func (testDialect) KnowsResponseHeader(name string) bool {
+	return IsHTTPResponseHeader(name) || slices.Contains([]string{"Id", "Not-Run", "Limit", "Pause", "Leaving"}, name)
 }
 
 // testEnvironment is a node with one document, which records reservations and charges.
@@ -81,13 +81,13 @@
 }
 
 func (e *testEnvironment) Configuration() *document.Index       { return e.index }
-func (e *testEnvironment) Certain() bool                        { return e.certain }
-func (e *testEnvironment) NewestHeard() (uint64, time.Duration) { return e.newestVersion, time.Second }
+func (e *testEnvironment) HasNewestConfiguration() bool         { return e.certain }
+func (e *testEnvironment) NewestKnown() (uint64, time.Duration) { return e.newestVersion, time.Second }
 func (e *testEnvironment) LinkDelay() time.Duration             { return e.linkDelay }
 func (e *testEnvironment) EntryNodes() int                      { return 1 }
 func (e *testEnvironment) Stop() StopState                      { return e.stop }
 func (e *testEnvironment) Shedding() bool                       { return e.shedding }
-func (e *testEnvironment) LetsIn(_ string, _ int64, mustServe bool) bool {
+func (e *testEnvironment) Admit(_ string, _ int64, mustServe bool) bool {
 	return !e.overloaded || mustServe
 }
 func (e *testEnvironment) Now() time.Duration { return time.Since(e.began) }
@@ -459,7 +459,7 @@
 	assert.Equal(t, h.send(t, http.MethodGet, "/safe/", "r2", "").status, http.StatusServiceUnavailable)
 	h.environment.certain = false
 	assert.Equal(t, h.send(t, http.MethodGet, "/nowhere/", "r3", "").status, http.StatusServiceUnavailable)
-	h.environment.refusal = ErrSpent
+	h.environment.refusal = ErrPrepaidSpent
 	assert.Equal(t, h.send(t, http.MethodGet, "/safe/", "r4", "").status, http.StatusPaymentRequired)
 	h.environment.refusal = ErrNotReserved
 	refused := h.send(t, http.MethodGet, "/safe/", "r5", "")
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -79,7 +79,7 @@
 	for number := range 5 {
 		got := h.send(t, http.MethodPost, "/once/x", fmt.Sprint("r", number), "b")
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
-		assert.Assert(t, strings.Contains(got.body, string(ReasonTurnedAway)), got.body)
+		assert.Assert(t, strings.Contains(got.body, string(ReasonRejected)), got.body)
 	}
 	next := h.pipeline.retryTimes.Next(h.environment.Now(), "s", 0, 0.1)
 	assert.Assert(t, next < time.Second, "the next retry time is %s away", next)
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -25,14 +25,14 @@
 	ReasonNoMemory        Reason = "no_memory"
 	ReasonStopping        Reason = "stopping"
 	ReasonOverloaded      Reason = "node_overloaded"
-	ReasonSpent           Reason = "prepaid_spent"
+	ReasonPrepaidSpent    Reason = "prepaid_spent"
 	ReasonNotReserved     Reason = "tokens_not_reserved"
 	ReasonNotReservedYet  Reason = "tokens_not_reserved_yet"
 	ReasonNoInstance      Reason = "no_instance"
 	// ReasonNoRegion: the service has no instance in the regions that the request is restricted
 	// to.
-	ReasonNoRegion   Reason = "no_instance_in_allowed_regions"
-	ReasonTurnedAway Reason = "engines_turned_it_away"
+	ReasonNoRegion Reason = "no_instance_in_allowed_regions"
+	ReasonRejected Reason = "engines_turned_it_away"
 	// ReasonRateLimited: the rate limits of the service's instances have no headroom for the
 	// request.
 	ReasonRateLimited Reason = "instances_rate_limited"
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -147,8 +147,8 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// EndToEnd copies the end-to-end headers without Content-Length, which is written anew.
-func EndToEnd(header http.Header) http.Header {
+// EndToEndHeader copies the end-to-end headers without Content-Length, which is written anew.
+func EndToEndHeader(header http.Header) http.Header {
 	kept := make(http.Header, len(header))
 	for name, values := range header {
 		kept[name] = values
@@ -169,7 +169,7 @@
 	headSeconds.UpdateDuration(r.arrived)
 	r.pipeline.waiting.remove(r)
 	header := r.writer.Header()
-	for name, values := range EndToEnd(sending.response.Header) {
+	for name, values := range EndToEndHeader(sending.response.Header) {
 		header[name] = values
 	}
 	if _, found := header["Content-Type"]; !found {
--- a/internal/forward/waiting.go
+++ b/internal/forward/waiting.go
@@ -35,11 +35,11 @@
 	delete(w.cancels, one)
 }
 
-// Quarantined applies a verdict: it cancels a request with the fingerprint that waits at an
+// CancelQuarantined applies a verdict: it cancels a request with the fingerprint that waits at an
 // engine before the engine starts it. In an overload such requests wait there for up to two
 // seconds, several of one fingerprint at a time, and each would crash one more engine. A request
 // whose response has begun continues: if it completes, the verdict was wrong.
-func (p *Pipeline) Quarantined(fingerprint quarantine.Fingerprint) {
+func (p *Pipeline) CancelQuarantined(fingerprint quarantine.Fingerprint) {
 	p.waiting.mutex.Lock()
 	defer p.waiting.mutex.Unlock()
 	for one, cancel := range p.waiting.cancels {
--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -97,7 +97,7 @@
 
 // summarize writes how many lines on pauses were left out since the last call.
 func (k *backoffKeeper) summarize() {
-	if leftOut := k.lines.TakeLeftOut(); leftOut > 0 {
+	if leftOut := k.lines.TakeOmitted(); leftOut > 0 {
 		k.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", leftOut).Int64("in_backoff", k.tracker.Count()).Send()
 	}
 }
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -19,15 +19,15 @@
 // Configuration implements forward.Environment.
 func (e *entryEnvironment) Configuration() *document.Index { return e.node.documents.index.Load() }
 
-// Certain implements forward.Environment: a control node that lately had word
+// HasNewestConfiguration implements forward.Environment: a control node that lately had word
 // of a quorum has no higher version.
-func (e *entryEnvironment) Certain() bool {
+func (e *entryEnvironment) HasNewestConfiguration() bool {
 	view := e.node.fleet.view.Load()
 	return e.node.now() < view.rootHeardAt+certainFor && e.node.documents.version() >= view.certainVersion
 }
 
-// NewestHeard implements forward.Environment.
-func (e *entryEnvironment) NewestHeard() (version uint64, since time.Duration) {
+// NewestKnown implements forward.Environment.
+func (e *entryEnvironment) NewestKnown() (version uint64, since time.Duration) {
 	return e.node.documents.newestHeard()
 }
 
@@ -65,8 +65,8 @@
 // Shedding implements forward.Environment.
 func (e *entryEnvironment) Shedding() bool { return e.node.link.shedding.Load() }
 
-// LetsIn implements forward.Environment.
-func (e *entryEnvironment) LetsIn(caller string, bodyBytes int64, mustServe bool) bool {
+// Admit implements forward.Environment.
+func (e *entryEnvironment) Admit(caller string, bodyBytes int64, mustServe bool) bool {
 	return e.node.gate.letsIn(caller, bodyBytes, mustServe)
 }
 
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -343,7 +343,7 @@
 		}
 	}
 	if len(replaced) > 0 {
-		f.node.pipeline.LivesOver(replaced)
+		f.node.pipeline.IncarnationsReplaced(replaced)
 	}
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -189,7 +189,7 @@
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
-	if leftOut := k.lines.TakeLeftOut(); leftOut > 0 {
+	if leftOut := k.lines.TakeOmitted(); leftOut > 0 {
 		k.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", leftOut).Int("in_force", len(k.limits.List(now))).Send()
 	}
 }
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -128,7 +128,7 @@
 	for _, verdict := range verdicts {
 		q.logVerdict(verdict)
 		if verdict.IsQuarantined && q.node.pipeline != nil {
-			q.node.pipeline.Quarantined(verdict.Fingerprint)
+			q.node.pipeline.CancelQuarantined(verdict.Fingerprint)
 		}
 	}
 	digest := q.tracker.Digest()
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -109,7 +109,7 @@
 	}
 	var exhausted *escrow.ExhaustedError
 	if errors.As(err, &exhausted) && exhausted.IsFinal(amount) {
-		return nil, errors.Join(forward.ErrSpent, err)
+		return nil, errors.Join(forward.ErrPrepaidSpent, err)
 	}
 	if !errors.Is(err, escrow.ErrExhausted) && t.node.rootMayComeBack() {
 		return nil, errors.Join(forward.ErrNotReservedYet, err)
--- a/internal/lab/fleet/promise_test.go
+++ b/internal/lab/fleet/promise_test.go
@@ -159,7 +159,7 @@
 		inside := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), acknowledgement(f, "duty-officer"))
 		outside := f.LoadClient().Send(context.Background(), f.Entry("hall-b-2"), acknowledgement(f, "duty-officer"))
 		assert.Equal(t, inside.Outcome, load.Refused, inside.Detail)
-		assert.Equal(t, inside.Code, caller.CodeHoldersUnreached)
+		assert.Equal(t, inside.Code, caller.CodeAcceptorsUnreachable)
 		assert.Assert(t, inside.RetryAfter != "")
 		assert.Equal(t, outside.Outcome, load.Whole, outside.Detail)
 		f.Network.Heal()
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, err
 		}
-		call.Wait = wait
+		call.MaximumWait = wait
 	}
 	if in, out, found := strings.Cut(header.Get(HeaderTokens), ","); found {
 		call.TokensIn, _ = strconv.ParseUint(in, 10, 64)
@@ -73,10 +73,10 @@
 
 // EngineHeader implements forward.Dialect.
 func (Dialect) EngineHeader(attempt forward.Attempt) http.Header {
-	header := forward.EndToEnd(attempt.Call.Header)
+	header := forward.EndToEndHeader(attempt.Call.Header)
 	delete(header, HeaderKey)
 	header.Set(HeaderInstance, attempt.Instance)
-	header.Set(HeaderWait, attempt.Left.String())
+	header.Set(HeaderWait, attempt.TimeLeft.String())
 	header.Set(HeaderTenant, attempt.Tenant)
 	delete(header, HeaderAfter)
 	if attempt.LastEvent != "" {
@@ -85,18 +85,18 @@
 	return header
 }
 
-// ReadAnswer implements forward.Dialect.
-func (Dialect) ReadAnswer(status int, header http.Header) forward.AnswerHead {
-	return forward.AnswerHead{
+// ReadResponse implements forward.Dialect.
+func (Dialect) ReadResponse(status int, header http.Header) forward.ResponseHead {
+	return forward.ResponseHead{
 		ID: header.Get(HeaderRequest), NotRun: header.Get(HeaderNotRun) != "",
 		OtherInstance: status == http.StatusMisdirectedRequest, RateLimit: ratelimit.Read(header[HeaderRateLimit]),
 		Backoff: backoff.ReadPause(header[HeaderPause]).WithLeaving(header[HeaderLeaving]),
 	}
 }
 
-// KnowsAnswerHeader implements forward.Dialect.
-func (Dialect) KnowsAnswerHeader(name string) bool {
-	return forward.IsHTTPAnswerHeader(name) || slices.Contains([]string{HeaderRequest, HeaderNotRun, HeaderRateLimit, HeaderPause, HeaderLeaving}, name)
+// KnowsResponseHeader implements forward.Dialect.
+func (Dialect) KnowsResponseHeader(name string) bool {
+	return forward.IsHTTPResponseHeader(name) || slices.Contains([]string{HeaderRequest, HeaderNotRun, HeaderRateLimit, HeaderPause, HeaderLeaving}, name)
 }
 
 // ControlHandler implements gateway.Dialect: the lab calls gateway.Control.
--- a/internal/node/billed.go
+++ b/internal/node/billed.go
@@ -215,7 +215,7 @@
 	if errors.Is(err, claims.ErrForgotten) {
 		return &refusal{status: http.StatusConflict, code: caller.CodeAlreadyDone, detail: "the request was done and billed long ago"}
 	}
-	return refuseNotRun(http.StatusServiceUnavailable, caller.CodeHoldersUnreached, retryLong,
+	return refuseNotRun(http.StatusServiceUnavailable, caller.CodeAcceptorsUnreachable, retryLong,
 		"too few of the nodes that guard against double billing can be reached: %v", err)
 }
 
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -102,7 +102,7 @@
 	defer cancel()
 	state, err := n.engines.OrderState(ctx, target.Address)
 	if err == nil && state.Fence < order.Fence && mayStart && n.replica.shared.Load().leading {
-		state, err = n.engines.GiveOrder(ctx, target.Address, engine.Order{
+		state, err = n.engines.SendOrder(ctx, target.Address, engine.Order{
 			Fence: order.Fence, Kind: order.Order.Kind.String(), Target: order.Order.Target, Version: order.Order.Version,
 		})
 		n.log.Info().Str("event", "order_given").Str("backend", target.Name).Uint64("fence", order.Fence).
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -148,7 +148,7 @@
 	switch {
 	case err != nil:
 		p.settle(claims.NotRun)
-		return nil, refuseNotRun(http.StatusServiceUnavailable, caller.CodeHoldersUnreached, retryLong,
+		return nil, refuseNotRun(http.StatusServiceUnavailable, caller.CodeAcceptorsUnreachable, retryLong,
 			"too few of the nodes that guard against a repeated call can be reached: %v", err)
 	case outcome.Changed:
 		return nil, nil
--- a/internal/protocol/engine/client.go
+++ b/internal/protocol/engine/client.go
@@ -25,8 +25,8 @@
 // ErrUnknownRequest means that the engine does not know the request.
 var ErrUnknownRequest = errors.New("engine: unknown request")
 
-// ErrCutShort means that a stream ended without the event that is marked as done.
-var ErrCutShort = errors.New("engine: the stream ended without its end mark")
+// ErrTruncated means that a stream ended without the event that is marked as done.
+var ErrTruncated = errors.New("engine: the stream ended without its end mark")
 
 // Client is an HTTP client for engines.
 type Client struct {
@@ -104,8 +104,8 @@
 	return reply.Tokens, err
 }
 
-// GiveOrder sends an order to an engine and returns the engine's order state.
-func (c *Client) GiveOrder(ctx context.Context, address string, order Order) (OrderState, error) {
+// SendOrder sends an order to an engine and returns the engine's order state.
+func (c *Client) SendOrder(ctx context.Context, address string, order Order) (OrderState, error) {
 	var state OrderState
 	err := c.call(ctx, http.MethodPost, address, PathOrders, order, &state)
 	return state, err
@@ -152,7 +152,7 @@
 	}
 	err := s.lines.Err()
 	if err == nil {
-		err = ErrCutShort
+		err = ErrTruncated
 	}
 	return Event{}, &TransportError{Offered: true, Err: err}
 }
