--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -295,7 +295,7 @@
 }
 
 func (r *request) outgoing(choice balance.Choice, lastEvent string) outgoing {
-	attempt := Attempt{Call: r.call, Instance: choice.ID, TimeLeft: time.Until(r.deadline), LastEvent: lastEvent}
+	attempt := Attempt{Call: r.call, Instance: choice.ID, Left: time.Until(r.deadline), LastEvent: lastEvent}
 	attempt.Priority, attempt.HasPriority = r.route.Priority, true
 	if r.tenant != nil {
 		attempt.Tenant = r.tenant.Name
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -23,8 +23,8 @@
 	ID string
 	// Key is the caller's API key, empty if it sent none.
 	Key string
-	// MaximumWait is the maximum time that the caller waits; 0 if it names none.
-	MaximumWait time.Duration
+	// Wait is the maximum time that the caller waits; 0 if it names none.
+	Wait time.Duration
 	// TokensIn and TokensOut are the tokens of the prompt and the maximum number that may be
 	// generated; HasTokens indicates that they are known.
 	TokensIn, TokensOut uint64
@@ -48,8 +48,8 @@
 	Call     *Call
 	Instance string
 	Tenant   string
-	// TimeLeft is the time left for the engine.
-	TimeLeft time.Duration
+	// Left is the time left for the engine.
+	Left time.Duration
 	// Priority is passed to the engine if HasPriority is set.
 	Priority    int
 	HasPriority bool
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -95,8 +95,8 @@
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// BufferedBytes bounds the request bodies and responses in memory.
 	BufferedBytes int64
-	// UnreadTimeout is how long a caller may leave data unread; 0 means DefaultUnreadPatience.
-	UnreadTimeout time.Duration
+	// UnreadPatience is how long a caller may leave data unread; 0 means DefaultUnreadPatience.
+	UnreadPatience time.Duration
 	// Guard knows the requests that crash engines; nil means a guard that receives no verdicts.
 	Guard *quarantine.Guard
 	// Recorder records how instances respond; nil means that the records are not used.
@@ -136,15 +136,15 @@
 // memory limit is not known.
 const DefaultBufferedBytes = 32 << 20
 
-// DefaultUnreadTimeout is how long a caller may leave data unread. Until then its connections,
+// DefaultUnreadPatience is how long a caller may leave data unread. Until then its connections,
 // to this node and to the engine, are held, at a cost of some 50 KB for a stream. Callers give up
 // a stream after 2 to 7 s without an event, so holding it longer serves no caller.
-const DefaultUnreadTimeout = 8 * time.Second
+const DefaultUnreadPatience = 8 * time.Second
 
 // New returns a pipeline with defaults for the options that are not set.
 func New(options Options) *Pipeline {
-	if options.UnreadTimeout == 0 {
-		options.UnreadTimeout = DefaultUnreadTimeout
+	if options.UnreadPatience == 0 {
+		options.UnreadPatience = DefaultUnreadPatience
 	}
 	if options.BufferedBytes == 0 {
 		options.BufferedBytes = DefaultBufferedBytes
@@ -277,8 +277,8 @@
 		}
 	}
 	r.deadline = r.arrived.Add(r.route.Timeout)
-	if call.MaximumWait > 0 && call.MaximumWait < r.route.Timeout {
-		r.deadline = r.arrived.Add(call.MaximumWait)
+	if call.Wait > 0 && call.Wait < r.route.Timeout {
+		r.deadline = r.arrived.Add(call.Wait)
 	}
 	if !environment.Stop().accepts(time.Until(r.deadline)) {
 		return refuse(http.StatusServiceUnavailable, ReasonStopping)
--- a/internal/forward/unread.go
+++ b/internal/forward/unread.go
@@ -20,7 +20,7 @@
 // not read, the connection is closed after that time and its engine is freed.
 func (r *request) extendWriteDeadline() {
 	// Only writers in tests don't support deadlines.
-	_ = r.controller.SetWriteDeadline(time.Now().Add(r.pipeline.options.UnreadTimeout))
+	_ = r.controller.SetWriteDeadline(time.Now().Add(r.pipeline.options.UnreadPatience))
 }
 
 // bufferedResponse is a response that is read completely before it is relayed, with its share of
--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return nil, err
 		}
-		call.MaximumWait = wait
+		call.Wait = wait
 	}
 	if in, out, found := strings.Cut(header.Get(HeaderTokens), ","); found {
 		call.TokensIn, _ = strconv.ParseUint(in, 10, 64)
@@ -76,7 +76,7 @@
 	header := forward.EndToEndHeader(attempt.Call.Header)
 	delete(header, HeaderKey)
 	header.Set(HeaderInstance, attempt.Instance)
-	header.Set(HeaderWait, attempt.TimeLeft.String())
+	header.Set(HeaderWait, attempt.Left.String())
 	header.Set(HeaderTenant, attempt.Tenant)
 	delete(header, HeaderAfter)
 	if attempt.LastEvent != "" {
