--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -111,7 +111,7 @@
 	if regions := r.regions(); regions.IsBound && !r.pipeline.options.Table.HasInRegions(service, regions) {
 		return ReasonNoRegion
 	}
-	if next, isKeptAway := r.nextAvailable(service); isKeptAway {
+	if next, isExcluded := r.nextAvailable(service); isExcluded {
 		return r.planRetry(service, next)
 	}
 	return ReasonNoInstance
@@ -131,7 +131,7 @@
 	if result != rejected {
 		return ReasonOutcomeUnknown
 	}
-	if next, isKeptAway := r.nextAvailable(service); isKeptAway && next.IsPause {
+	if next, isExcluded := r.nextAvailable(service); isExcluded && next.IsPause {
 		return r.planRetry(service, next)
 	}
 	return ReasonRejected
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -75,11 +75,11 @@
 // Guards against pauses that are read from some kinds of response only.
 func TestPauseIsReadFromEveryResponse(t *testing.T) {
 	for name, head := range map[string]string{
-		"turned away":            pauseHead,
-		"without not run":        "HTTP/1.1 503 Busy\r\nId: ID\r\nPause: 3\r\n",
-		"without an id":          "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nPause: 3\r\n",
-		"of another request":     "HTTP/1.1 503 Busy\r\nId: stranger\r\nNot-Run: 1\r\nPause: 3\r\n",
-		"with a connection ends": "HTTP/1.1 503 Busy\r\nId: ID\r\nConnection: close\r\nNot-Run: 1\r\nPause: 3\r\n",
+		"rejected":                 pauseHead,
+		"without not run":          "HTTP/1.1 503 Busy\r\nId: ID\r\nPause: 3\r\n",
+		"without an id":            "HTTP/1.1 503 Busy\r\nNot-Run: 1\r\nPause: 3\r\n",
+		"of another request":       "HTTP/1.1 503 Busy\r\nId: stranger\r\nNot-Run: 1\r\nPause: 3\r\n",
+		"with a closed connection": "HTTP/1.1 503 Busy\r\nId: ID\r\nConnection: close\r\nNot-Run: 1\r\nPause: 3\r\n",
 	} {
 		t.Run(name, func(t *testing.T) { assertOneRequestOnly(t, head) })
 	}
@@ -169,10 +169,10 @@
 // that it leaves.
 func TestLeavingIsReadFromEveryResponse(t *testing.T) {
 	for name, head := range map[string]string{
-		"served":      "HTTP/1.1 200 OK\r\nId: ID\r\nLeaving: 1\r\n",
-		"not found":   "HTTP/1.1 404 Not Found\r\nId: ID\r\nLeaving: 1\r\n",
-		"failed":      "HTTP/1.1 500 Failed\r\nId: ID\r\nLeaving: 1\r\n",
-		"turned away": "HTTP/1.1 503 Busy\r\nId: ID\r\nNot-Run: 1\r\nLeaving: 1\r\n",
+		"served":    "HTTP/1.1 200 OK\r\nId: ID\r\nLeaving: 1\r\n",
+		"not found": "HTTP/1.1 404 Not Found\r\nId: ID\r\nLeaving: 1\r\n",
+		"failed":    "HTTP/1.1 500 Failed\r\nId: ID\r\nLeaving: 1\r\n",
+		"rejected":  "HTTP/1.1 503 Busy\r\nId: ID\r\nNot-Run: 1\r\nLeaving: 1\r\n",
 	} {
 		t.Run(name, func(t *testing.T) { assertOneRequestOnly(t, head) })
 	}
--- a/internal/forward/callerleft_test.go
+++ b/internal/forward/callerleft_test.go
@@ -30,7 +30,7 @@
 func TestEngineIsFreedOfACallerThatLeft(t *testing.T) {
 	head := "HTTP/1.1 200 OK\r\nId: r1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for name, response := range map[string]string{
-		"before the answer": "", "before the first event": head, "in the stream": head + "f\r\nid: 1\ndata: a\n\n\r\n",
+		"before the response": "", "before the first event": head, "in the stream": head + "f\r\nid: 1\ndata: a\n\n\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
 			freed := make(chan time.Time, 1)
--- a/internal/forward/charge_test.go
+++ b/internal/forward/charge_test.go
@@ -22,7 +22,7 @@
 		charged int64
 	}{
 		{name: "whole", last: "7\r\nid: 2\n\n\r\n0\r\n\r\n", charged: 100 + 2*3},
-		{name: "broken off", last: "", charged: 100 + 3},
+		{name: "interrupted", last: "", charged: 100 + 3},
 	} {
 		t.Run(ending.name, func(t *testing.T) {
 			engine := newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
--- a/internal/forward/connection.go
+++ b/internal/forward/connection.go
@@ -61,9 +61,9 @@
 
 // newConnection wraps a network connection to an engine.
 func newConnection(network net.Conn) *connection {
-	made := &connection{network: network}
-	made.reader = bufio.NewReaderSize(activityReader{network, &made.lastRead}, readBufferBytes)
-	return made
+	opened := &connection{network: network}
+	opened.reader = bufio.NewReaderSize(activityReader{network, &opened.lastRead}, readBufferBytes)
+	return opened
 }
 
 // activityReader records when bytes are received.
@@ -218,12 +218,12 @@
 	defer p.mutex.Unlock()
 	for address, kept := range p.idle {
 		fresh := kept[:0]
-		for _, one := range kept {
-			if now.Before(one.keepUntil) {
-				fresh = append(fresh, one)
+		for _, unused := range kept {
+			if now.Before(unused.keepUntil) {
+				fresh = append(fresh, unused)
 				continue
 			}
-			one.close()
+			unused.close()
 		}
 		p.idle[address] = fresh
 		if len(fresh) == 0 {
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -31,11 +31,11 @@
 }
 
 // String describes the run for the decision log.
-func (b interruptedRun) String() string {
-	if !b.run.AnswerBegan {
+func (i interruptedRun) String() string {
+	if !i.run.AnswerBegan {
 		return "no answer had begun"
 	}
-	return fmt.Sprintf("its answer had begun %d ms before", b.run.BeganFor.Milliseconds())
+	return fmt.Sprintf("its answer had begun %d ms before", i.run.BeganFor.Milliseconds())
 }
 
 // noteInterrupted records an interrupted run. Unless this node ended the run, the engine may have
@@ -72,10 +72,10 @@
 }
 
 // Scope implements quarantine.Request.
-func (w requestContent) Scope() uint64 { return w.scope }
+func (c requestContent) Scope() uint64 { return c.scope }
 
 // Body implements quarantine.Request.
-func (w requestContent) Body() []byte { return w.body }
+func (c requestContent) Body() []byte { return c.body }
 
 func (r *request) content() requestContent {
 	if r.scope == 0 {
@@ -125,51 +125,51 @@
 
 // runInterrupted records a run that was interrupted at an engine, and checks whether the engine has
 // crashed.
-func (w *crashDetector) runInterrupted(choice balance.Choice, run quarantine.Present) {
+func (d *crashDetector) runInterrupted(choice balance.Choice, run quarantine.Present) {
 	incarnation := choice.Life()
-	w.mutex.Lock()
-	w.forgetOld()
-	engine := w.engines[incarnation]
+	d.mutex.Lock()
+	d.forgetOld()
+	engine := d.engines[incarnation]
 	isFirst := engine == nil
 	if isFirst {
 		engine = &suspectedEngine{since: time.Now()}
-		w.engines[incarnation] = engine
+		d.engines[incarnation] = engine
 	}
 	if len(engine.unreported) < maximumReportedRuns {
 		engine.unreported = append(engine.unreported, run)
 	}
 	hasCrashed := engine.hasCrashed
-	w.mutex.Unlock()
+	d.mutex.Unlock()
 	switch {
 	case hasCrashed:
-		w.report(incarnation)
+		d.report(incarnation)
 	case isFirst:
-		go w.check(choice)
+		go d.check(choice)
 	}
 }
 
-func (w *crashDetector) forgetOld() {
-	for incarnation, engine := range w.engines {
+func (d *crashDetector) forgetOld() {
+	for incarnation, engine := range d.engines {
 		if time.Since(engine.since) > crashMemory {
-			delete(w.engines, incarnation)
+			delete(d.engines, incarnation)
 		}
 	}
 }
 
 // check connects to an engine at which a run was interrupted.
-func (w *crashDetector) check(choice balance.Choice) {
+func (d *crashDetector) check(choice balance.Choice) {
 	ctx, cancel := context.WithTimeout(context.Background(), maximumDialTimeout)
 	defer cancel()
 	for {
-		opened, err := w.pipeline.pool.open(ctx, choice.Address)
+		opened, err := d.pipeline.pool.open(ctx, choice.Address)
 		if err != nil {
-			w.connectionFailed(choice, err)
-			w.forgetUnlessCrashed(choice.Life())
+			d.connectionFailed(choice, err)
+			d.forgetUnlessCrashed(choice.Life())
 			return
 		}
 		if opened.staysQuiet(aliveCheckTime) {
-			w.pipeline.pool.put(choice.Address, opened, nil)
-			w.forgetUnlessCrashed(choice.Life())
+			d.pipeline.pool.put(choice.Address, opened, nil)
+			d.forgetUnlessCrashed(choice.Life())
 			return
 		}
 		opened.close()
@@ -178,61 +178,61 @@
 
 // forgetUnlessCrashed drops the state of an engine that is alive, or whose state can't be
 // determined.
-func (w *crashDetector) forgetUnlessCrashed(incarnation registry.Life) {
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	if engine := w.engines[incarnation]; engine != nil && !engine.hasCrashed {
-		delete(w.engines, incarnation)
+func (d *crashDetector) forgetUnlessCrashed(incarnation registry.Life) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if engine := d.engines[incarnation]; engine != nil && !engine.hasCrashed {
+		delete(d.engines, incarnation)
 	}
 }
 
 // connectionFailed records that no connection to an engine could be opened. Right after interrupted
 // runs, a refused connection shows that the engine has crashed.
-func (w *crashDetector) connectionFailed(choice balance.Choice, err error) {
+func (d *crashDetector) connectionFailed(choice balance.Choice, err error) {
 	if !errors.Is(err, syscall.ECONNREFUSED) {
 		return
 	}
 	incarnation := choice.Life()
-	w.mutex.Lock()
-	engine := w.engines[incarnation]
+	d.mutex.Lock()
+	engine := d.engines[incarnation]
 	if engine == nil || engine.hasCrashed {
-		w.mutex.Unlock()
+		d.mutex.Unlock()
 		return
 	}
 	engine.hasCrashed, engine.since = true, time.Now()
 	runs := len(engine.unreported)
-	w.mutex.Unlock()
+	d.mutex.Unlock()
 	enginesCrashed.Inc()
-	w.pipeline.options.Table.Ended(w.pipeline.options.Environment.Now(), incarnation)
-	w.pipeline.options.Log.EngineCrashed(choice, runs, w.pipeline.options.Table.IsLeaving(incarnation))
-	w.report(incarnation)
+	d.pipeline.options.Table.Ended(d.pipeline.options.Environment.Now(), incarnation)
+	d.pipeline.options.Log.EngineCrashed(choice, runs, d.pipeline.options.Table.IsLeaving(incarnation))
+	d.report(incarnation)
 }
 
 // incarnationReplaced records that a newer incarnation has replaced one: runs that were
 // interrupted there recently, or are from now on, were in flight when it ended.
-func (w *crashDetector) incarnationReplaced(incarnation registry.Life) {
-	w.mutex.Lock()
-	w.forgetOld()
-	engine := w.engines[incarnation]
+func (d *crashDetector) incarnationReplaced(incarnation registry.Life) {
+	d.mutex.Lock()
+	d.forgetOld()
+	engine := d.engines[incarnation]
 	if engine == nil {
 		engine = &suspectedEngine{}
-		w.engines[incarnation] = engine
+		d.engines[incarnation] = engine
 	}
 	engine.hasCrashed, engine.since = true, time.Now()
-	w.mutex.Unlock()
-	w.report(incarnation)
+	d.mutex.Unlock()
+	d.report(incarnation)
 }
 
 // report reports the runs that were in flight at a crashed engine. An engine that was leaving
 // ended as planned, so its runs are not reported.
-func (w *crashDetector) report(incarnation registry.Life) {
-	w.mutex.Lock()
+func (d *crashDetector) report(incarnation registry.Life) {
+	d.mutex.Lock()
 	var runs []quarantine.Present
-	if engine := w.engines[incarnation]; engine != nil {
+	if engine := d.engines[incarnation]; engine != nil {
 		runs, engine.unreported = engine.unreported, nil
 	}
-	w.mutex.Unlock()
-	if len(runs) > 0 && !w.pipeline.options.Table.IsLeaving(incarnation) {
-		w.pipeline.options.Guard.Ended(incarnation, runs)
+	d.mutex.Unlock()
+	if len(runs) > 0 && !d.pipeline.options.Table.IsLeaving(incarnation) {
+		d.pipeline.options.Guard.Ended(incarnation, runs)
 	}
 }
--- a/internal/forward/decisions.go
+++ b/internal/forward/decisions.go
@@ -165,7 +165,8 @@
 		Str("service", choice.Service).Int("runs", runs).Bool("was_leaving", wasLeaving).Send()
 }
 
-// OutdatedConfiguration logs a request that is handled under an older document than the newest one known.
+// OutdatedConfiguration logs a request that is handled under an older document than the newest
+// one known.
 func (l *DecisionLog) OutdatedConfiguration(r *request, newest uint64, since time.Duration) {
 	text := fmt.Sprintf("taken under version %d, %d was heard of %d ms before", r.index.Document.Version, newest, since.Milliseconds())
 	if !l.keep(r, text) {
--- a/internal/forward/incarnations.go
+++ b/internal/forward/incarnations.go
@@ -36,8 +36,8 @@
 func (p *pool) closeIdle(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, one := range p.idle[address] {
-		one.close()
+	for _, unused := range p.idle[address] {
+		unused.close()
 	}
 	delete(p.idle, address)
 }
@@ -54,13 +54,13 @@
 	}
 }
 
-// IncarnationsReplaced handles the replacement of engines' incarnations by newer ones: requests that ran at
-// the old incarnations have ended, even if their connections still seem open.
+// IncarnationsReplaced handles the replacement of engines' incarnations by newer ones: requests
+// that ran at the old incarnations have ended, even if their connections still seem open.
 func (p *Pipeline) IncarnationsReplaced(replaced []registry.Instance) {
 	now := time.Now()
-	for _, one := range replaced {
-		p.pool.closeIdle(one.Address)
-		p.crashes.incarnationReplaced(one.Life())
-		time.AfterFunc(replacedIdleTimeout, func() { p.pool.closeInactive(one.Life(), now) })
+	for _, instance := range replaced {
+		p.pool.closeIdle(instance.Address)
+		p.crashes.incarnationReplaced(instance.Life())
+		time.AfterFunc(replacedIdleTimeout, func() { p.pool.closeInactive(instance.Life(), now) })
 	}
 }
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -22,8 +22,8 @@
 
 // Errors of reservations, see Environment.Reserve.
 var (
-	// ErrPrepaidSpent means that the remainder of a tenant's prepaid tokens definitely can't cover the
-	// request.
+	// ErrPrepaidSpent means that the remainder of a tenant's prepaid tokens definitely can't
+	// cover the request.
 	ErrPrepaidSpent = errors.New("forward: the tenant's prepaid tokens can't cover the request")
 	// ErrNotReserved means that the tokens could not be reserved now.
 	ErrNotReserved = errors.New("forward: the tokens could not be reserved now")
@@ -48,7 +48,7 @@
 	// since this node first learned of it.
 	NewestKnown() (version uint64, since time.Duration)
 	// Reserve reserves tokens of a tenant before a request is sent. It waits for them no longer
-	// than the patience.
+	// than maximumWait.
 	Reserve(ctx context.Context, tenant string, tokens uint64, maximumWait time.Duration) (Reservation, error)
 	// RetryPolicy returns the limits on retries.
 	RetryPolicy() balance.RetryPolicy
@@ -164,9 +164,9 @@
 	if options.Backoff == nil {
 		options.Backoff = noBackoff{}
 	}
-	made := &Pipeline{options: options, retryTimes: ratelimit.NewReturns(), headers: newUnknownHeaderDetector(), pool: newPool(options.Dial, options.Environment.LinkDelay), retries: balance.NewRetryBudget()}
-	made.crashes = newCrashDetector(made)
-	return made
+	created := &Pipeline{options: options, retryTimes: ratelimit.NewReturns(), headers: newUnknownHeaderDetector(), pool: newPool(options.Dial, options.Environment.LinkDelay), retries: balance.NewRetryBudget()}
+	created.crashes = newCrashDetector(created)
+	return created
 }
 
 // Active returns the number of requests in progress.
@@ -228,26 +228,26 @@
 		// node.
 		writer.Header().Set("Connection", "close")
 	}
-	one := &request{pipeline: p, writer: writer, controller: http.NewResponseController(writer), incoming: incoming, arrived: time.Now()}
-	one.extendWriteDeadline()
-	defer requestSeconds.UpdateDuration(one.arrived)
-	if refused := one.admit(); refused != nil {
-		one.refuse(*refused)
+	current := &request{pipeline: p, writer: writer, controller: http.NewResponseController(writer), incoming: incoming, arrived: time.Now()}
+	current.extendWriteDeadline()
+	defer requestSeconds.UpdateDuration(current.arrived)
+	if refused := current.admit(); refused != nil {
+		current.refuse(*refused)
 		return
 	}
-	defer p.buffered.Add(-int64(len(one.body)))
-	ctx, cancel := context.WithDeadline(incoming.Context(), one.deadline)
+	defer p.buffered.Add(-int64(len(current.body)))
+	ctx, cancel := context.WithDeadline(incoming.Context(), current.deadline)
 	defer cancel()
 	ctx, end := context.WithCancelCause(ctx)
 	defer end(nil)
-	p.waiting.add(one, end)
-	defer p.waiting.remove(one)
-	if refused := one.reserve(ctx); refused != nil {
-		one.refuse(*refused)
+	p.waiting.add(current, end)
+	defer p.waiting.remove(current)
+	if refused := current.reserve(ctx); refused != nil {
+		current.refuse(*refused)
 		return
 	}
-	defer one.settle()
-	one.serve(ctx)
+	defer current.settle()
+	current.serve(ctx)
 }
 
 // admit decides whether the request is allowed, and reads its body.
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -35,12 +35,12 @@
 // that named no limit was taken for its end and broadcast to all nodes.
 func TestRefusalsAndFailuresWithoutALimitDoNotEndIt(t *testing.T) {
 	responses := map[string]string{
-		"names it":    "HTTP/1.1 200 OK\r\nId: %s\r\nLimit: 2\r\nContent-Length: 0\r\n\r\n",
-		"turns away":  "HTTP/1.1 503 Service Unavailable\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
-		"fails":       "HTTP/1.1 500 Internal Server Error\r\nId: %s\r\nContent-Length: 0\r\n\r\n",
-		"can't say":   "HTTP/1.1 200 OK\r\nId: %s\r\nLimit: many\r\nContent-Length: 0\r\n\r\n",
-		"finds none":  "HTTP/1.1 404 Not Found\r\nId: %s\r\nContent-Length: 0\r\n\r\n",
-		"serves well": "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 0\r\n\r\n",
+		"names the limit": "HTTP/1.1 200 OK\r\nId: %s\r\nLimit: 2\r\nContent-Length: 0\r\n\r\n",
+		"rejects":         "HTTP/1.1 503 Service Unavailable\r\nId: %s\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
+		"fails":           "HTTP/1.1 500 Internal Server Error\r\nId: %s\r\nContent-Length: 0\r\n\r\n",
+		"is unreadable":   "HTTP/1.1 200 OK\r\nId: %s\r\nLimit: many\r\nContent-Length: 0\r\n\r\n",
+		"finds none":      "HTTP/1.1 404 Not Found\r\nId: %s\r\nContent-Length: 0\r\n\r\n",
+		"serves well":     "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 0\r\n\r\n",
 	}
 	h := newHarness(t, newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = fmt.Fprintf(connection, responses[request.body], request.Header.Get("Id"))
@@ -51,9 +51,9 @@
 		body string
 		kind ratelimit.ChangeKind
 	}{
-		{"names it", ratelimit.Began}, {"turns away", ratelimit.Unchanged}, {"fails", ratelimit.Unchanged},
-		{"can't say", ratelimit.Unreadable}, {"serves well", ratelimit.Ended},
-		{"names it", ratelimit.Began}, {"finds none", ratelimit.Ended},
+		{"names the limit", ratelimit.Began}, {"rejects", ratelimit.Unchanged}, {"fails", ratelimit.Unchanged},
+		{"is unreadable", ratelimit.Unreadable}, {"serves well", ratelimit.Ended},
+		{"names the limit", ratelimit.Began}, {"finds none", ratelimit.Ended},
 	} {
 		h.send(t, http.MethodPost, "/once/x", fmt.Sprint("r", number), step.body)
 		kind := (<-limits.changes).Kind
--- a/internal/forward/unknownheaders.go
+++ b/internal/forward/unknownheaders.go
@@ -31,10 +31,10 @@
 
 // takeNew returns, in order, the unknown header names in the head of a response that were not seen
 // in the service's responses before.
-func (w *unknownHeaderDetector) takeNew(service string, header http.Header, isKnown func(name string) bool) []string {
+func (d *unknownHeaderDetector) takeNew(service string, header http.Header, isKnown func(name string) bool) []string {
 	var names []string
 	for name := range header {
-		if !isKnown(name) && w.note(serviceHeader{service: service, name: name}) {
+		if !isKnown(name) && d.note(serviceHeader{service: service, name: name}) {
 			names = append(names, name)
 		}
 	}
@@ -43,15 +43,15 @@
 }
 
 // note reports whether a header is seen for the first time and there is capacity to remember it.
-func (w *unknownHeaderDetector) note(seen serviceHeader) bool {
+func (d *unknownHeaderDetector) note(seen serviceHeader) bool {
 	unknownHeaders.Inc()
-	w.mutex.RLock()
-	isSkipped := w.seen.Contains(seen) || w.seen.IsFull()
-	w.mutex.RUnlock()
+	d.mutex.RLock()
+	isSkipped := d.seen.Contains(seen) || d.seen.IsFull()
+	d.mutex.RUnlock()
 	if isSkipped {
 		return false
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.seen.Add(seen)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.seen.Add(seen)
 }
--- a/internal/forward/unread.go
+++ b/internal/forward/unread.go
@@ -54,23 +54,23 @@
 
 // grow doubles the capacity of the response within its share of the memory. It returns false if
 // none is left.
-func (a *bufferedResponse) grow() bool {
-	capacity := cap(a.bytes)
-	others := a.pipeline.buffered.Load() - int64(capacity)
-	limit := min(maximumBufferedResponse, int(responseMemoryShare*float64(a.pipeline.options.BufferedBytes-others)))
+func (b *bufferedResponse) grow() bool {
+	capacity := cap(b.bytes)
+	others := b.pipeline.buffered.Load() - int64(capacity)
+	limit := min(maximumBufferedResponse, int(responseMemoryShare*float64(b.pipeline.options.BufferedBytes-others)))
 	more := min(capacity, limit-capacity)
 	if more <= 0 {
 		return false
 	}
-	if a.pipeline.buffered.Add(int64(more)) > a.pipeline.options.BufferedBytes {
-		a.pipeline.buffered.Add(-int64(more))
+	if b.pipeline.buffered.Add(int64(more)) > b.pipeline.options.BufferedBytes {
+		b.pipeline.buffered.Add(-int64(more))
 		return false
 	}
-	grown := make([]byte, len(a.bytes), capacity+more)
-	copy(grown, a.bytes)
-	a.bytes = grown
+	grown := make([]byte, len(b.bytes), capacity+more)
+	copy(grown, b.bytes)
+	b.bytes = grown
 	return true
 }
 
 // release returns the memory.
-func (a *bufferedResponse) release() { a.pipeline.buffered.Add(-int64(cap(a.bytes))) }
+func (b *bufferedResponse) release() { b.pipeline.buffered.Add(-int64(cap(b.bytes))) }
--- a/internal/forward/unread_test.go
+++ b/internal/forward/unread_test.go
@@ -99,7 +99,7 @@
 	h.setUnreadTimeout(time.Minute)
 	before := heapNow()
 	h.sendUnreadRequests(t, engine, "/stream/x", callers)
-	waitUntil(t, "all have an answer", func() bool { return open.Load() == callers })
+	waitUntil(t, "all have a response", func() bool { return open.Load() == callers })
 	each := (int64(heapNow()) - int64(before)) / callers
 	t.Logf("%d bytes of heap a caller", each)
 	assert.Assert(t, each < unreadHeapBytes, "%d bytes of heap for a caller that does not read", each)
@@ -114,7 +114,7 @@
 	h := newHarness(t, engine)
 	h.setUnreadTimeout(4 * time.Second)
 	h.sendUnreadRequests(t, engine, "/stream/x", callers)
-	waitUntil(t, "none is any more", func() bool { return open.Load() == 0 && h.pipeline.Active() == 0 })
+	waitUntil(t, "no stream and no request is left", func() bool { return open.Load() == 0 && h.pipeline.Active() == 0 })
 }
 
 // unreadHeapBytes is the maximum heap for a caller that does not read, with both ends of both its
@@ -150,7 +150,7 @@
 	h.setUnreadTimeout(2 * time.Second)
 	h.sendUnreadRequests(t, engine, "/safe/x", callers)
 	assert.Assert(t, h.pipeline.buffered.Load() <= bound+callers*minimumBufferedResponse, "%d bytes", h.pipeline.buffered.Load())
-	waitUntil(t, "all are given up", func() bool { return h.pipeline.Active() == 0 })
+	waitUntil(t, "all are disconnected", func() bool { return h.pipeline.Active() == 0 })
 	assert.Equal(t, h.pipeline.buffered.Load(), int64(0))
 	got := h.send(t, http.MethodPost, "/once/x", "reads", "b")
 	assert.Equal(t, got.status, http.StatusOK)
@@ -177,7 +177,7 @@
 	time.Sleep(200 * time.Millisecond)
 	close(bodies)
 	maximum := int64(0)
-	waitUntil(t, "all are given up", func() bool {
+	waitUntil(t, "all are disconnected", func() bool {
 		maximum = max(maximum, h.pipeline.buffered.Load())
 		return h.pipeline.Active() == 0
 	})
--- a/internal/forward/waiting.go
+++ b/internal/forward/waiting.go
@@ -18,21 +18,21 @@
 	cancels map[*request]context.CancelCauseFunc
 }
 
-func (w *waitingRequests) add(one *request, cancel context.CancelCauseFunc) {
+func (w *waitingRequests) add(waiting *request, cancel context.CancelCauseFunc) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.cancels == nil {
 		w.cancels = map[*request]context.CancelCauseFunc{}
 	}
 	// Computes the request's scope while no other goroutine has the request.
-	one.content()
-	w.cancels[one] = cancel
+	waiting.content()
+	w.cancels[waiting] = cancel
 }
 
-func (w *waitingRequests) remove(one *request) {
+func (w *waitingRequests) remove(waiting *request) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.cancels, one)
+	delete(w.cancels, waiting)
 }
 
 // CancelQuarantined applies a verdict: it cancels a request with the fingerprint that waits at an
@@ -42,8 +42,8 @@
 func (p *Pipeline) CancelQuarantined(fingerprint quarantine.Fingerprint) {
 	p.waiting.mutex.Lock()
 	defer p.waiting.mutex.Unlock()
-	for one, cancel := range p.waiting.cancels {
-		content := one.content()
+	for waiting, cancel := range p.waiting.cancels {
+		content := waiting.content()
 		if content.scope == fingerprint.Scope && uint64(len(content.body)) == fingerprint.Length && quarantine.FingerprintOfRequest(content) == fingerprint {
 			cancel(errQuarantined)
 		}
