--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -215,7 +215,7 @@
 	tokenWait time.Duration
 	// pace records when a stream's events arrived.
 	pace eventPace
-	// scope is part of the request's identity, 0 until it is first computed, see work.
+	// scope is part of the request's identity, 0 until it is first computed, see content.
 	scope uint64
 }
 
