--- a/internal/forward/charge_test.go
+++ b/internal/forward/charge_test.go
@@ -13,17 +13,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// What is charged beyond what callers were handed can be spent by nobody, though they
-// paid for it: a stream is charged for the events that were passed on, whether or not
-// it ends as it should.
-func TestStreamIsChargedForTheEventsThatWerePassedOn(t *testing.T) {
+// Tokens charged beyond what callers received are lost to the tenant that paid for them: a stream
+// is charged for the events that were relayed, whether or not it ends as it should.
+func TestStreamIsChargedForTheEventsThatWereRelayed(t *testing.T) {
 	for _, ending := range []struct {
 		name    string
 		last    string
 		charged int64
 	}{
 		{name: "whole", last: "7\r\nid: 2\n\n\r\n0\r\n\r\n", charged: 100 + 2*3},
-		{name: "broken off", last: "", charged: 100 + 3},
+		{name: "interrupted", last: "", charged: 100 + 3},
 	} {
 		t.Run(ending.name, func(t *testing.T) {
 			engine := newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
@@ -33,19 +32,19 @@
 				_ = connection.Close()
 			})
 			h := newHarness(t, engine)
-			h.ask(t, http.MethodPost, "/stream/x", "r1", "b")
+			h.send(t, http.MethodPost, "/stream/x", "r1", "b")
 			h.waitForCharge(t, ending.charged)
 		})
 	}
 }
 
-// An instance that ran a request and whose answer is lost, and a caller that leaves
-// before its answer: nobody was handed anything.
-func TestRequestWhoseCallerWasHandedNothingIsNotCharged(t *testing.T) {
+// The caller receives nothing if an instance ran the request and its response is lost, or if the
+// caller leaves before the response.
+func TestRequestWhoseCallerReceivedNothingIsNotCharged(t *testing.T) {
 	lost := newEngine(t, func(connection net.Conn, _ *bufio.Reader, _ received) { _ = connection.Close() })
 	h := newHarness(t, lost)
 	h.environment.settled.Store(notSettled)
-	assert.Equal(t, h.ask(t, http.MethodPost, "/stream/x", "r1", "b").status, http.StatusBadGateway)
+	assert.Equal(t, h.send(t, http.MethodPost, "/stream/x", "r1", "b").status, http.StatusBadGateway)
 	h.waitForCharge(t, 0)
 
 	h = newHarness(t, newEngine(t, func(_ net.Conn, reader *bufio.Reader, _ received) { _, _ = reader.ReadByte() }))
@@ -56,21 +55,22 @@
 	h.waitForCharge(t, 0)
 }
 
-// A whole answer is charged at its most: nothing tells how long it is.
-func TestWholeAnswerIsChargedAtItsMost(t *testing.T) {
+// A response that is not a stream is charged at the maximum, because its length in tokens is not
+// known.
+func TestUnstreamedResponseIsChargedAtTheMaximum(t *testing.T) {
 	engine := newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok", request.Header.Get("Id"))
 	})
 	h := newHarness(t, engine)
-	assert.Equal(t, h.ask(t, http.MethodPost, "/once/x", "r1", "b").status, http.StatusOK)
+	assert.Equal(t, h.send(t, http.MethodPost, "/once/x", "r1", "b").status, http.StatusOK)
 	h.waitForCharge(t, 100+50)
 }
 
-// notSettled stands for a charge that was not made yet.
+// notSettled is the value before a charge is made.
 const notSettled = -1
 
-// waitForCharge waits until a request's charge is the expected one: it is
-// settled after the caller has its answer.
+// waitForCharge waits until a request's charge is the expected one: it is settled after the
+// caller has its response.
 func (h *harness) waitForCharge(t *testing.T, charged int64) {
 	t.Helper()
 	for range 200 {
--- /dev/null
+++ b/internal/forward/crashes.go
@@ -0,0 +1,238 @@
+package forward
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"sync"
+	"syscall"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+
+	"github.com/ravenway/ravenway/internal/coordination/balance"
+	"github.com/ravenway/ravenway/internal/coordination/quarantine"
+	"github.com/ravenway/ravenway/internal/coordination/registry"
+	"github.com/ravenway/ravenway/internal/state/document"
+)
+
+// interruptedRun is a run at an instance that ended without a complete response.
+type interruptedRun struct {
+	choice balance.Choice
+	run    quarantine.Run
+}
+
+// interruptedRun describes the exchange's run at the moment it is interrupted.
+func (e *exchange) interruptedRun(r *request, choice balance.Choice) interruptedRun {
+	return interruptedRun{choice: choice, run: quarantine.Run{
+		ResponseBegan: true, ResponseAge: time.Since(e.respondedAt), RespondsAtStart: r.route.Kind == document.Stream && e.isSuccess(),
+	}}
+}
+
+// String describes the run for the decision log.
+func (i interruptedRun) String() string {
+	if !i.run.ResponseBegan {
+		return "no answer had begun"
+	}
+	return fmt.Sprintf("its answer had begun %d ms before", i.run.ResponseAge.Milliseconds())
+}
+
+// noteInterrupted records an interrupted run. Unless this node ended the run, the engine may have
+// crashed, and the request may be the cause.
+func (r *request) noteInterrupted(ctx context.Context, interrupted interruptedRun, result string, err error) {
+	r.pipeline.options.Log.RunInterrupted(r, interrupted, result, err)
+	if ctx.Err() != nil || isTimeout(err) || errors.Is(err, errForeignResponse) || errors.Is(err, errCallerGone) {
+		return
+	}
+	r.pipeline.crashes.runInterrupted(interrupted.choice, quarantine.Present{
+		Fingerprint: quarantine.FingerprintOfRequest(r.content()), Run: interrupted.run, Route: r.route.Name, Tenant: r.callerIdentity(),
+	})
+}
+
+func isTimeout(err error) bool {
+	var failure net.Error
+	return errors.As(err, &failure) && failure.Timeout()
+}
+
+// callerIdentity identifies the request's caller by something that is the same when the request
+// is retried: the tenant's name, or the empty string without a tenant. A machine's address may
+// change between two retries.
+func (r *request) callerIdentity() string {
+	if r.tenant == nil {
+		return ""
+	}
+	return r.tenant.Name
+}
+
+// requestContent identifies a request by its content, independent of its id.
+type requestContent struct {
+	scope uint64
+	body  []byte
+}
+
+// Scope implements quarantine.Request.
+func (c requestContent) Scope() uint64 { return c.scope }
+
+// Body implements quarantine.Request.
+func (c requestContent) Body() []byte { return c.body }
+
+func (r *request) content() requestContent {
+	if r.scope == 0 {
+		r.scope = quarantine.ScopeOf(r.incoming.Host+r.incoming.RequestURI, r.callerIdentity())
+	}
+	return requestContent{scope: r.scope, body: r.body}
+}
+
+// quarantineStatus returns the quarantine status of the request.
+func (r *request) quarantineStatus() quarantine.Status {
+	return r.pipeline.options.Guard.Status(r.content())
+}
+
+const (
+	// crashMemory is how long a crashed engine is remembered, so that runs whose interruption is
+	// noticed late are reported with the others.
+	crashMemory = 2 * time.Second
+	// aliveCheckTime is how long a new connection to an engine must stay open to show that the
+	// engine is alive: a crashing process closes its listener and its connections in any order.
+	aliveCheckTime = 50 * time.Millisecond
+	// maximumReportedRuns bounds the runs that are reported for one engine crash.
+	maximumReportedRuns = 16
+)
+
+// enginesCrashed counts crashes that were detected by an interrupted run and a refused connection.
+var enginesCrashed = metrics.GetOrCreateCounter("ravenway_engine_ends_seen_total")
+
+// crashDetector detects whether an engine whose runs were interrupted has crashed. If its address
+// still accepts connections, only connections were lost. Safe for concurrent use.
+type crashDetector struct {
+	pipeline *Pipeline
+	mutex    sync.Mutex
+	engines  map[registry.Incarnation]*suspectedEngine
+}
+
+// suspectedEngine is an engine whose runs were interrupted recently.
+type suspectedEngine struct {
+	since      time.Time
+	hasCrashed bool
+	// unreported are the interrupted runs that have not been reported yet.
+	unreported []quarantine.Present
+}
+
+func newCrashDetector(pipeline *Pipeline) *crashDetector {
+	return &crashDetector{pipeline: pipeline, engines: map[registry.Incarnation]*suspectedEngine{}}
+}
+
+// runInterrupted records a run that was interrupted at an engine, and checks whether the engine has
+// crashed.
+func (d *crashDetector) runInterrupted(choice balance.Choice, run quarantine.Present) {
+	incarnation := choice.Incarnation()
+	d.mutex.Lock()
+	d.forgetOld()
+	engine := d.engines[incarnation]
+	isFirst := engine == nil
+	if isFirst {
+		engine = &suspectedEngine{since: time.Now()}
+		d.engines[incarnation] = engine
+	}
+	if len(engine.unreported) < maximumReportedRuns {
+		engine.unreported = append(engine.unreported, run)
+	}
+	hasCrashed := engine.hasCrashed
+	d.mutex.Unlock()
+	switch {
+	case hasCrashed:
+		d.report(incarnation)
+	case isFirst:
+		go d.check(choice)
+	}
+}
+
+func (d *crashDetector) forgetOld() {
+	for incarnation, engine := range d.engines {
+		if time.Since(engine.since) > crashMemory {
+			delete(d.engines, incarnation)
+		}
+	}
+}
+
+// check connects to an engine at which a run was interrupted.
+func (d *crashDetector) check(choice balance.Choice) {
+	ctx, cancel := context.WithTimeout(context.Background(), maximumDialTimeout)
+	defer cancel()
+	for {
+		opened, err := d.pipeline.pool.open(ctx, choice.Address)
+		if err != nil {
+			d.connectionFailed(choice, err)
+			d.forgetUnlessCrashed(choice.Incarnation())
+			return
+		}
+		if opened.staysQuiet(aliveCheckTime) {
+			d.pipeline.pool.put(choice.Address, opened, nil)
+			d.forgetUnlessCrashed(choice.Incarnation())
+			return
+		}
+		opened.close()
+	}
+}
+
+// forgetUnlessCrashed drops the state of an engine that is alive, or whose state can't be
+// determined.
+func (d *crashDetector) forgetUnlessCrashed(incarnation registry.Incarnation) {
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	if engine := d.engines[incarnation]; engine != nil && !engine.hasCrashed {
+		delete(d.engines, incarnation)
+	}
+}
+
+// connectionFailed records that no connection to an engine could be opened. Right after interrupted
+// runs, a refused connection shows that the engine has crashed.
+func (d *crashDetector) connectionFailed(choice balance.Choice, err error) {
+	if !errors.Is(err, syscall.ECONNREFUSED) {
+		return
+	}
+	incarnation := choice.Incarnation()
+	d.mutex.Lock()
+	engine := d.engines[incarnation]
+	if engine == nil || engine.hasCrashed {
+		d.mutex.Unlock()
+		return
+	}
+	engine.hasCrashed, engine.since = true, time.Now()
+	runs := len(engine.unreported)
+	d.mutex.Unlock()
+	enginesCrashed.Inc()
+	d.pipeline.options.Table.IncarnationEnded(d.pipeline.options.Environment.Now(), incarnation)
+	d.pipeline.options.Log.EngineCrashed(choice, runs, d.pipeline.options.Table.IsLeaving(incarnation))
+	d.report(incarnation)
+}
+
+// incarnationReplaced records that a newer incarnation has replaced one: runs that were
+// interrupted there recently, or are from now on, were in flight when it ended.
+func (d *crashDetector) incarnationReplaced(incarnation registry.Incarnation) {
+	d.mutex.Lock()
+	d.forgetOld()
+	engine := d.engines[incarnation]
+	if engine == nil {
+		engine = &suspectedEngine{}
+		d.engines[incarnation] = engine
+	}
+	engine.hasCrashed, engine.since = true, time.Now()
+	d.mutex.Unlock()
+	d.report(incarnation)
+}
+
+// report reports the runs that were in flight at a crashed engine. An engine that was leaving
+// ended as planned, so its runs are not reported.
+func (d *crashDetector) report(incarnation registry.Incarnation) {
+	d.mutex.Lock()
+	var runs []quarantine.Present
+	if engine := d.engines[incarnation]; engine != nil {
+		runs, engine.unreported = engine.unreported, nil
+	}
+	d.mutex.Unlock()
+	if len(runs) > 0 && !d.pipeline.options.Table.IsLeaving(incarnation) {
+		d.pipeline.options.Guard.ReportCrash(incarnation, runs)
+	}
+}
--- a/internal/forward/decisions.go
+++ b/internal/forward/decisions.go
@@ -14,69 +14,69 @@
 )
 
 const (
-	// linesPerSecond bounds the lines on single requests; what is left out is
-	// counted in the next summary.
+	// linesPerSecond bounds the log lines on single requests; lines beyond it are counted in the
+	// next summary.
 	linesPerSecond = 40
-	// decisionsKept bounds the decisions that Explain finds.
-	decisionsKept = 2048
+	// maximumDecisions bounds the decisions that Explain can find.
+	maximumDecisions = 2048
 )
 
-// DecisionLog writes one line for each decision that went other than planned,
-// sums up the rest, and keeps the latest ones for Explain.
+// DecisionLog writes one line for each decision that deviates from the normal course, summarizes
+// the others, and keeps the latest ones for Explain.
 type DecisionLog struct {
 	logger zerolog.Logger
 	lines  *LineBudget
 
 	mutex sync.Mutex
-	// served and late are counts since the last summary, refused those by reason.
+	// served and lateCount are counts since the last summary; refused counts refusals by reason.
 	served, lateCount int
 	refused           map[Reason]int
-	// kept is a ring of the latest decisions; next is its oldest place.
-	kept []keptDecision
+	// kept is a ring buffer of the latest decisions; next is the index of the oldest.
+	kept []decision
 	next int
 }
 
-type keptDecision struct {
+type decision struct {
 	request string
 	text    string
 }
 
-// NewDecisionLog makes a log.
+// NewDecisionLog returns a log that writes to logger.
 func NewDecisionLog(logger zerolog.Logger) *DecisionLog {
 	return &DecisionLog{logger: logger, lines: NewLineBudget(linesPerSecond), refused: map[Reason]int{}}
 }
 
-// Explain returns what was decided on a request of late, oldest first.
+// Explain returns the recent decisions on a request, oldest first.
 func (l *DecisionLog) Explain(request string) []string {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	var found []string
 	for position := range l.kept {
-		one := l.kept[(l.next+position)%len(l.kept)]
-		if one.request == request {
-			found = append(found, one.text)
+		entry := l.kept[(l.next+position)%len(l.kept)]
+		if entry.request == request {
+			found = append(found, entry.text)
 		}
 	}
 	return found
 }
 
-// keep remembers a decision and tells whether its line may be written.
+// keep stores a decision for Explain and reports whether its line may be written.
 func (l *DecisionLog) keep(r *request, text string) bool {
 	if r.call != nil {
-		l.remember(keptDecision{request: r.call.ID, text: fmt.Sprintf("after %d ms: %s", time.Since(r.arrived).Milliseconds(), text)})
+		l.remember(decision{request: r.call.ID, text: fmt.Sprintf("after %d ms: %s", time.Since(r.arrived).Milliseconds(), text)})
 	}
 	return l.lines.Take()
 }
 
-func (l *DecisionLog) remember(one keptDecision) {
+func (l *DecisionLog) remember(entry decision) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	if len(l.kept) < decisionsKept {
-		l.kept = append(l.kept, one)
+	if len(l.kept) < maximumDecisions {
+		l.kept = append(l.kept, entry)
 		return
 	}
-	l.kept[l.next] = one
-	l.next = (l.next + 1) % decisionsKept
+	l.kept[l.next] = entry
+	l.next = (l.next + 1) % maximumDecisions
 }
 
 func (l *DecisionLog) line(r *request, event string) *zerolog.Event {
@@ -96,7 +96,7 @@
 	return line
 }
 
-// Refused notes a request that no engine's answer ended.
+// Refused logs a request that ended without a complete response from an engine.
 func (l *DecisionLog) Refused(r *request, refused Refusal) {
 	text := fmt.Sprintf("ended with %d for %s, may have run %v, %d events passed on, tried %s: %s",
 		refused.Status, refused.Reason, r.mayHaveRun, r.events, strings.Join(r.tried, " "), refused.Detail)
@@ -111,62 +111,63 @@
 		line = line.Int64("objective_ms", r.route.Objective.Milliseconds())
 	}
 	if refused.Reason == ReasonRateLimited || refused.Reason == ReasonPaused {
-		line = line.Int64("come_back_ms", r.comeBack.Milliseconds()).Int("permits_refused", r.permitsRefused)
+		line = line.Int64("come_back_ms", r.retryTime.Milliseconds()).Int("permits_refused", r.permitsRefused)
 	}
 	line.Int64("token_wait_ms", r.tokenWait.Milliseconds()).
 		Bool("may_have_run", r.mayHaveRun).Uint64("events", r.events).Strs("tried", r.tried).Send()
 }
 
-// Attempt notes an attempt that did not end with an answer for the caller.
+// Attempt logs an attempt that did not end with a response for the caller, or a resumed stream.
 func (l *DecisionLog) Attempt(r *request, choice balance.Choice, result string, err error) {
 	text := fmt.Sprintf("instance %s at %s, one of %d: %s %v", choice.ID, choice.Address, choice.Candidates, result, err)
 	if !l.keep(r, text) {
 		return
 	}
-	weighed(l.line(r, "attempt"), choice).Str("address", choice.Address).Str("result", result).
+	addChoice(l.line(r, "attempt"), choice).Str("address", choice.Address).Str("result", result).
 		Uint64("events", r.events).AnErr("error", err).Send()
 }
 
-// TurnedAway notes that an instance answered without running the request, and the pause
-// that it asked this node for.
-func (l *DecisionLog) TurnedAway(r *request, choice balance.Choice, result string, answer *exchange) {
-	said := answer.head.Backoff
-	text := fmt.Sprintf("instance %s at %s, one of %d: %s with %d, asks for a pause of %s", choice.ID, choice.Address, choice.Candidates,
-		result, answer.response.StatusCode, said.Pause)
+// Rejected logs that an instance rejected the request without running it, and the pause that
+// the instance requested of this node.
+func (l *DecisionLog) Rejected(r *request, choice balance.Choice, result string, response *exchange) {
+	signal := response.head.Backoff
+	text := fmt.Sprintf("instance %s at %s, one of %d: %s with status %d, requests a pause of %s", choice.ID, choice.Address, choice.Candidates,
+		result, response.response.StatusCode, signal.Pause)
 	if !l.keep(r, text) {
 		return
 	}
-	weighed(l.line(r, "attempt"), choice).Str("address", choice.Address).Str("result", result).
-		Int("status", answer.response.StatusCode).Int64("asked_pause_ms", said.Pause.Milliseconds()).AnErr("error", said.Fault).Send()
+	addChoice(l.line(r, "attempt"), choice).Str("address", choice.Address).Str("result", result).
+		Int("status", response.response.StatusCode).Int64("asked_pause_ms", signal.Pause.Milliseconds()).AnErr("error", signal.Fault).Send()
 }
 
-// UnknownHeaders notes headers of a service's answers that this build doesn't know.
+// UnknownHeaders logs headers of a service's responses that this build doesn't know.
 func (l *DecisionLog) UnknownHeaders(r *request, choice balance.Choice, names []string) {
 	l.line(r, "answer_headers_unknown").Str("service", choice.Service).Str("instance", choice.ID).Strs("headers", names).Send()
 }
 
-// Broken notes a run that broke at an instance, which may have begun it, with what
-// tells whether the request itself may be why.
-func (l *DecisionLog) Broken(r *request, run brokenRun, result string, err error) {
-	fingerprint := quarantine.FingerprintOfRequest(r.work())
+// RunInterrupted logs an interrupted run at an instance that may have begun it, with what indicates
+// whether the request itself is the cause.
+func (l *DecisionLog) RunInterrupted(r *request, run interruptedRun, result string, err error) {
+	fingerprint := quarantine.FingerprintOfRequest(r.content())
 	text := fmt.Sprintf("instance %s at %s: %s, %s, fingerprint %s: %v", run.choice.ID, run.choice.Address, result, run, fingerprint, err)
 	if !l.keep(r, text) {
 		return
 	}
-	weighed(l.line(r, "attempt"), run.choice).Str("address", run.choice.Address).Str("result", result).
+	addChoice(l.line(r, "attempt"), run.choice).Str("address", run.choice.Address).Str("result", result).
 		Uint64("events", r.events).Stringer("fingerprint", fingerprint).Bool("answer_begun", run.run.ResponseBegan).
 		Int64("answered_ms", run.run.ResponseAge.Milliseconds()).AnErr("error", err).Send()
 }
 
-// EngineEnded notes that an engine has ended, and how many of this node's runs with it.
-func (l *DecisionLog) EngineEnded(choice balance.Choice, runs int, wasLeaving bool) {
+// EngineCrashed logs that an engine has crashed, and how many of this node's runs were in flight
+// there.
+func (l *DecisionLog) EngineCrashed(choice balance.Choice, runs int, wasLeaving bool) {
 	l.logger.Info().Str("event", "engine_ended").Stringer("life", choice.Incarnation()).Str("address", choice.Address).
 		Str("service", choice.Service).Int("runs", runs).Bool("was_leaving", wasLeaving).Send()
 }
 
-// Behind notes a request that is handled under an older document than the
-// newest one heard of.
-func (l *DecisionLog) Behind(r *request, newest uint64, since time.Duration) {
+// OutdatedConfiguration logs a request that is handled under an older document than the newest
+// one known.
+func (l *DecisionLog) OutdatedConfiguration(r *request, newest uint64, since time.Duration) {
 	text := fmt.Sprintf("taken under version %d, %d was heard of %d ms before", r.index.Document.Version, newest, since.Milliseconds())
 	if !l.keep(r, text) {
 		return
@@ -174,20 +175,20 @@
 	l.line(r, "behind").Uint64("newest", newest).Int64("newest_heard_ms", since.Milliseconds()).Send()
 }
 
-// Again notes that a request is sent once more.
-func (l *DecisionLog) Again(r *request, choice balance.Choice) {
-	if !l.keep(r, fmt.Sprintf("sent once more after %s, %d arrivals so far", choice.ID, r.arrivals)) {
+// Retried logs that a request is sent to another instance.
+func (l *DecisionLog) Retried(r *request, choice balance.Choice) {
+	if !l.keep(r, fmt.Sprintf("sent once more after %s, %d arrivals so far", choice.ID, r.instancesReached)) {
 		return
 	}
-	l.line(r, "again").Str("after", choice.ID).Int("arrivals", r.arrivals).Send()
+	l.line(r, "again").Str("after", choice.ID).Int("arrivals", r.instancesReached).Send()
 }
 
-// Served counts a request that an engine's answer ended, and notes why one did
-// not meet its objective.
+// Served counts a request that ended with an engine's complete response, and logs why it missed
+// its objective if it did.
 func (l *DecisionLog) Served(r *request, status int, choice balance.Choice) {
-	if r.arrivals > 0 {
-		// It went other than planned before.
-		if l.keep(r, fmt.Sprintf("answered with %d by %s", status, r.tried[len(r.tried)-1])) {
+	if r.instancesReached > 0 {
+		// An earlier attempt failed.
+		if l.keep(r, fmt.Sprintf("served with status %d by %s", status, r.tried[len(r.tried)-1])) {
 			l.line(r, "answered").Int("status", status).Strs("tried", r.tried).Uint64("events", r.events).Send()
 		}
 	}
@@ -195,7 +196,7 @@
 	if r.route.Kind != document.Stream {
 		first = time.Since(r.arrived)
 	}
-	isLate := first > r.route.Objective || r.hadLongPause()
+	isLate := first > r.route.Objective || r.hadLongGap()
 	if isLate {
 		l.late(r, first, choice)
 	}
@@ -208,30 +209,31 @@
 }
 
 func (l *DecisionLog) late(r *request, first time.Duration, choice balance.Choice) {
-	text := fmt.Sprintf("late: the first event after %d ms of %d, the longest pause %d ms of %d", first.Milliseconds(),
+	text := fmt.Sprintf("late: first event after %d ms (objective %d ms), longest gap between events %d ms (limit %d ms)", first.Milliseconds(),
 		r.route.Objective.Milliseconds(), r.pace.longestGap.Milliseconds(), r.route.EventGap.Milliseconds())
 	if !l.keep(r, text) {
 		return
 	}
-	weighed(l.line(r, "late"), choice).Int64("first_ms", first.Milliseconds()).Int64("objective_ms", r.route.Objective.Milliseconds()).
+	addChoice(l.line(r, "late"), choice).Int64("first_ms", first.Milliseconds()).Int64("objective_ms", r.route.Objective.Milliseconds()).
 		Int64("pause_ms", r.pace.longestGap.Milliseconds()).Int64("pause_limit_ms", r.route.EventGap.Milliseconds()).
-		Int64("token_wait_ms", r.tokenWait.Milliseconds()).Int("arrivals", r.arrivals).Uint64("events", r.events).Send()
+		Int64("token_wait_ms", r.tokenWait.Milliseconds()).Int("arrivals", r.instancesReached).Uint64("events", r.events).Send()
 }
 
-// weighed adds what the choice of an instance weighed, in tokens.
-func weighed(line *zerolog.Event, choice balance.Choice) *zerolog.Event {
+// addChoice adds the factors in the choice of an instance, in tokens where they are amounts of
+// work.
+func addChoice(line *zerolog.Event, choice balance.Choice) *zerolog.Event {
 	return line.Str("instance", choice.ID).Int("candidates", choice.Candidates).Bool("spilled", choice.Spilled).
 		Int("ahead", choice.Ahead).Bool("ahead_known", choice.AheadKnown).Int("unread", choice.Unread).
 		Int("reread", choice.Reread).Int("far", choice.CrossZone).Int("streams", choice.Streams).Int("paused", choice.Stalls).Int("permit", choice.Permit)
 }
 
-// Summarize writes what was not written line by line since the last call.
+// Summarize logs the totals since the last call, including the number of omitted lines.
 func (l *DecisionLog) Summarize() {
 	l.mutex.Lock()
 	served, late, refused := l.served, l.lateCount, l.refused
 	l.served, l.lateCount, l.refused = 0, 0, map[Reason]int{}
 	l.mutex.Unlock()
-	leftOut := l.lines.TakeLeftOut()
+	leftOut := l.lines.TakeOmitted()
 	if served == 0 && leftOut == 0 && len(refused) == 0 {
 		return
 	}
--- a/internal/forward/regions_test.go
+++ b/internal/forward/regions_test.go
@@ -13,12 +13,12 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// A request that is bound to regions is refused at once where no engine stands in them,
-// and goes nowhere else, whatever happens to the ones that do.
+// A request that is restricted to regions is refused immediately if no engine is in them. It is
+// sent nowhere else, even if the engines in its regions fail.
 func TestRequestStaysInItsRegions(t *testing.T) {
 	broken := newEngine(t, func(connection net.Conn, _ *bufio.Reader, _ received) { _ = connection.Close() })
 	elsewhere := newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
-		_, _ = io.WriteString(connection, answerOf(request.Header.Get("Id"), "ok"))
+		_, _ = io.WriteString(connection, responseOf(request.Header.Get("Id"), "ok"))
 	})
 	h := newHarness(t, broken, elsewhere)
 	table := h.pipeline.options.Table
@@ -32,11 +32,11 @@
 		h.environment.index.Document.Routes[position].Regions = []string{"north", "west"}
 	}
 	tenant := h.environment.index.Tenant("t")
-	assert.Equal(t, h.ask(t, http.MethodPost, "/safe/x", "r1", "b").status, http.StatusBadGateway)
+	assert.Equal(t, h.send(t, http.MethodPost, "/safe/x", "r1", "b").status, http.StatusBadGateway)
 	assert.Equal(t, elsewhere.ids(), "")
 	for _, regions := range [][]string{{"south"}, {"west"}} {
 		tenant.Regions = regions
-		got := h.ask(t, http.MethodPost, "/safe/x", "r2", "b")
+		got := h.send(t, http.MethodPost, "/safe/x", "r2", "b")
 		assert.Equal(t, got.status, http.StatusServiceUnavailable)
 		assert.Assert(t, strings.Contains(got.body, string(ReasonNoRegion)) && strings.Contains(got.body, `"not_run":true`), got.body)
 	}
@@ -46,5 +46,5 @@
 		h.environment.index.Document.Routes[position].Regions = nil
 	}
 	tenant.Regions = []string{"south"}
-	assert.Equal(t, h.ask(t, http.MethodPost, "/safe/x", "r3", "b").status, http.StatusOK)
+	assert.Equal(t, h.send(t, http.MethodPost, "/safe/x", "r3", "b").status, http.StatusOK)
 }
--- a/internal/forward/unknownheaders.go
+++ b/internal/forward/unknownheaders.go
@@ -10,31 +10,31 @@
 	"github.com/ravenway/ravenway/internal/bounded"
 )
 
-// unknownHeadersKept bounds the headers that are remembered to have been told.
-const unknownHeadersKept = 256
+// maximumUnknownHeaders bounds the headers that are remembered as already logged.
+const maximumUnknownHeaders = 256
 
 var unknownHeaders = metrics.GetOrCreateCounter("ravenway_answer_headers_unknown_total")
 
-// serviceHeader is a header of a service's answers.
+// serviceHeader is a header of a service's responses.
 type serviceHeader struct{ service, name string }
 
-// headerWatch finds the headers of engines' answers that this build doesn't know: an engine
-// may say something by them that nobody acts on. Safe for concurrent use.
-type headerWatch struct {
+// unknownHeaderDetector detects headers of engines' responses that this build doesn't know: an
+// engine may send a signal that is not handled. Safe for concurrent use.
+type unknownHeaderDetector struct {
 	mutex sync.RWMutex
 	seen  *bounded.Set[serviceHeader]
 }
 
-func newHeaderWatch() *headerWatch {
-	return &headerWatch{seen: bounded.NewSet[serviceHeader](unknownHeadersKept)}
+func newUnknownHeaderDetector() *unknownHeaderDetector {
+	return &unknownHeaderDetector{seen: bounded.NewSet[serviceHeader](maximumUnknownHeaders)}
 }
 
-// take returns the names in the head of an answer that are not known and were not seen in
-// the service's answers before, in order.
-func (w *headerWatch) take(service string, header http.Header, isKnown func(name string) bool) []string {
+// takeNew returns, in order, the unknown header names in the head of a response that were not seen
+// in the service's responses before.
+func (d *unknownHeaderDetector) takeNew(service string, header http.Header, isKnown func(name string) bool) []string {
 	var names []string
 	for name := range header {
-		if !isKnown(name) && w.note(serviceHeader{service: service, name: name}) {
+		if !isKnown(name) && d.note(serviceHeader{service: service, name: name}) {
 			names = append(names, name)
 		}
 	}
@@ -42,16 +42,16 @@
 	return names
 }
 
-// note tells whether a header is seen for the first time, and there is room to remember it.
-func (w *headerWatch) note(seen serviceHeader) bool {
+// note reports whether a header is seen for the first time and there is capacity to remember it.
+func (d *unknownHeaderDetector) note(seen serviceHeader) bool {
 	unknownHeaders.Inc()
-	w.mutex.RLock()
-	isPassedOver := w.seen.Contains(seen) || w.seen.IsFull()
-	w.mutex.RUnlock()
-	if isPassedOver {
+	d.mutex.RLock()
+	isSkipped := d.seen.Contains(seen) || d.seen.IsFull()
+	d.mutex.RUnlock()
+	if isSkipped {
 		return false
 	}
-	w.mutex.Lock()
-	defer w.mutex.Unlock()
-	return w.seen.Add(seen)
+	d.mutex.Lock()
+	defer d.mutex.Unlock()
+	return d.seen.Add(seen)
 }
--- a/internal/forward/unread.go
+++ b/internal/forward/unread.go
@@ -7,69 +7,70 @@
 )
 
 const (
-	// An answer that is read whole before the caller gets it takes at most this part of the
-	// memory that is left for bodies and answers, so that callers who don't read can't take
-	// all of it; what is longer is passed on as it comes, at the pace at which it is read.
-	answerShare = 1.0 / 8
-	// leastBufferedAnswer is kept of each answer all the same, so that a short one that breaks
-	// off can be had anew.
-	leastBufferedAnswer = 4 << 10
+	// responseMemoryShare is the share of the memory left for bodies and responses that one
+	// buffered response may take, so that callers that don't read can't take all of it. Longer
+	// responses are relayed as they arrive, at the pace at which the caller reads.
+	responseMemoryShare = 1.0 / 8
+	// minimumBufferedResponse is buffered of each response regardless of the memory left, so that a
+	// short one that is interrupted can be requested again.
+	minimumBufferedResponse = 4 << 10
 )
 
-// awaitReader gives the caller its time to read what is written next. A connection whose
-// caller does not read is closed after that, and its engine is freed.
-func (r *request) awaitReader() {
-	// A writer without deadlines is a test's.
+// extendWriteDeadline sets the time that the caller has to read the next data written. If it does
+// not read, the connection is closed after that time and its engine is freed.
+func (r *request) extendWriteDeadline() {
+	// Only writers in tests don't support deadlines.
 	_ = r.controller.SetWriteDeadline(time.Now().Add(r.pipeline.options.UnreadPatience))
 }
 
-// heldAnswer is an answer that is read whole before the caller gets it, and its part of the
-// memory for bodies and answers.
-type heldAnswer struct {
+// bufferedResponse is a response that is read completely before it is relayed, with its share of
+// the memory for bodies and responses.
+type bufferedResponse struct {
 	pipeline *Pipeline
 	bytes    []byte
 }
 
-// readAnswer reads an answer as far as it may be held; isWhole tells that this is all of it.
-// The memory is taken piece by piece before each is read, so that answers which come
-// together keep the bound: beyond it each has leastBufferedAnswer. release gives it back.
-func (p *Pipeline) readAnswer(body io.Reader) (answer *heldAnswer, isWhole bool, err error) {
-	answer = &heldAnswer{pipeline: p, bytes: make([]byte, 0, leastBufferedAnswer)}
-	p.buffered.Add(leastBufferedAnswer)
+// readResponse reads a response up to the size that may be buffered; isWhole indicates that this
+// is all of it. Memory is reserved piece by piece before each is read, so that simultaneous
+// responses respect the bound; beyond the bound each has minimumBufferedResponse. release returns
+// the memory.
+func (p *Pipeline) readResponse(body io.Reader) (response *bufferedResponse, isWhole bool, err error) {
+	response = &bufferedResponse{pipeline: p, bytes: make([]byte, 0, minimumBufferedResponse)}
+	p.buffered.Add(minimumBufferedResponse)
 	for {
-		if len(answer.bytes) == cap(answer.bytes) && !answer.grow() {
-			return answer, false, nil
+		if len(response.bytes) == cap(response.bytes) && !response.grow() {
+			return response, false, nil
 		}
-		read, err := body.Read(answer.bytes[len(answer.bytes):cap(answer.bytes)])
-		answer.bytes = answer.bytes[:len(answer.bytes)+read]
+		read, err := body.Read(response.bytes[len(response.bytes):cap(response.bytes)])
+		response.bytes = response.bytes[:len(response.bytes)+read]
 		if errors.Is(err, io.EOF) {
-			return answer, true, nil
+			return response, true, nil
 		}
 		if err != nil {
-			return answer, false, err
+			return response, false, err
 		}
 	}
 }
 
-// grow doubles what the answer may hold, as far as its part of the memory allows. It returns
-// false if that is all taken.
-func (a *heldAnswer) grow() bool {
-	held := cap(a.bytes)
-	others := a.pipeline.buffered.Load() - int64(held)
-	limit := min(bufferedAnswerBytes, int(answerShare*float64(a.pipeline.options.BufferedBytes-others)))
-	more := min(held, limit-held)
+// grow doubles the capacity of the response within its share of the memory. It returns false if
+// none is left.
+func (b *bufferedResponse) grow() bool {
+	capacity := cap(b.bytes)
+	others := b.pipeline.buffered.Load() - int64(capacity)
+	limit := min(maximumBufferedResponse, int(responseMemoryShare*float64(b.pipeline.options.BufferedBytes-others)))
+	more := min(capacity, limit-capacity)
 	if more <= 0 {
 		return false
 	}
-	if a.pipeline.buffered.Add(int64(more)) > a.pipeline.options.BufferedBytes {
-		a.pipeline.buffered.Add(-int64(more))
+	if b.pipeline.buffered.Add(int64(more)) > b.pipeline.options.BufferedBytes {
+		b.pipeline.buffered.Add(-int64(more))
 		return false
 	}
-	grown := make([]byte, len(a.bytes), held+more)
-	copy(grown, a.bytes)
-	a.bytes = grown
+	grown := make([]byte, len(b.bytes), capacity+more)
+	copy(grown, b.bytes)
+	b.bytes = grown
 	return true
 }
 
-// release gives the memory back.
-func (a *heldAnswer) release() { a.pipeline.buffered.Add(-int64(cap(a.bytes))) }
+// release returns the memory.
+func (b *bufferedResponse) release() { b.pipeline.buffered.Add(-int64(cap(b.bytes))) }
--- a/internal/forward/unread_test.go
+++ b/internal/forward/unread_test.go
@@ -16,8 +16,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// endless streams events until its connection closes, and counts those that are open.
-func endless(open *atomic.Int64) func(net.Conn, *bufio.Reader, received) {
+// endlessStream streams events until its connection closes, and counts the open streams.
+func endlessStream(open *atomic.Int64) func(net.Conn, *bufio.Reader, received) {
 	event := []byte("id: 1\ndata: " + strings.Repeat("x", 4000) + "\n\n")
 	return func(connection net.Conn, _ *bufio.Reader, request received) {
 		open.Add(1)
@@ -29,8 +29,8 @@
 	}
 }
 
-// unread sends a request whose caller reads nothing of the answer.
-func (h *harness) unread(t *testing.T, path, id string) net.Conn {
+// sendUnread sends a request whose caller reads nothing of the response.
+func (h *harness) sendUnread(t *testing.T, path, id string) net.Conn {
 	t.Helper()
 	connection, err := net.Dial("tcp", h.server.Listener.Addr().String())
 	assert.NilError(t, err)
@@ -44,45 +44,45 @@
 func waitUntil(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for began := time.Now(); !holds(); time.Sleep(5 * time.Millisecond) {
-		assert.Assert(t, time.Since(began) < 20*time.Second, "waited in vain: %s", what)
+		assert.Assert(t, time.Since(began) < 20*time.Second, "condition not met in time: %s", what)
 	}
 }
 
-// setUnreadPatience sets how long callers may leave what they are sent unread. Their route's
-// timeout, which frees their engines too, is beyond what a test waits.
-func (h *harness) setUnreadPatience(patience time.Duration) {
-	h.pipeline.options.UnreadPatience = patience
+// setUnreadTimeout sets how long callers may leave data unread. It raises the routes' timeout,
+// which also frees engines, beyond the duration of the tests.
+func (h *harness) setUnreadTimeout(unreadTimeout time.Duration) {
+	h.pipeline.options.UnreadPatience = unreadTimeout
 	routes := h.environment.index.Document.Routes
 	for position := range routes {
 		routes[position].Timeout = time.Minute
 	}
 }
 
-// crowd sends requests of callers that read nothing of their answers, until all are at the
-// engine.
-func (h *harness) crowd(t *testing.T, engine *scriptedEngine, path string, callers int) {
+// sendUnreadRequests sends requests of callers that read nothing of their responses, until all
+// are at the engine.
+func (h *harness) sendUnreadRequests(t *testing.T, engine *scriptedEngine, path string, callers int) {
 	t.Helper()
 	connections := map[string]net.Conn{}
 	for number := range callers {
 		id := fmt.Sprint("unread-", number)
-		connections[id] = h.unread(t, path, id)
+		connections[id] = h.sendUnread(t, path, id)
 	}
 	waitUntil(t, "all are at the engine", func() bool {
 		for _, id := range strings.Fields(engine.ids()) {
 			delete(connections, id)
 		}
 		for id, connection := range connections {
-			if isTurnedAway(connection) {
-				connections[id] = h.unread(t, path, id)
+			if isRefused(connection) {
+				connections[id] = h.sendUnread(t, path, id)
 			}
 		}
 		return len(connections) == 0
 	})
 }
 
-// isTurnedAway tells whether a caller is to come again, as when the connection to its engine
-// came up slowly.
-func isTurnedAway(caller net.Conn) bool {
+// isRefused reports whether a caller was refused and has to retry, as when the connection to
+// its engine took too long to open.
+func isRefused(caller net.Conn) bool {
 	const turnedAway = "HTTP/1.1 503"
 	_ = caller.SetReadDeadline(time.Now().Add(time.Millisecond))
 	status := make([]byte, len(turnedAway))
@@ -90,38 +90,39 @@
 	return err == nil && string(status) == turnedAway
 }
 
-func TestCallersThatDoNotReadTakeLittleMemory(t *testing.T) {
+func TestCallersThatDoNotReadUseLittleMemory(t *testing.T) {
 	const callers = 40
 	var open atomic.Int64
-	engine := newEngine(t, endless(&open))
+	engine := newEngine(t, endlessStream(&open))
 	h := newHarness(t, engine)
-	// None is given up before all are there.
-	h.setUnreadPatience(time.Minute)
+	// No caller is disconnected before all have arrived.
+	h.setUnreadTimeout(time.Minute)
 	before := heapNow()
-	h.crowd(t, engine, "/stream/x", callers)
-	waitUntil(t, "all have an answer", func() bool { return open.Load() == callers })
+	h.sendUnreadRequests(t, engine, "/stream/x", callers)
+	waitUntil(t, "all have a response", func() bool { return open.Load() == callers })
 	each := (int64(heapNow()) - int64(before)) / callers
 	t.Logf("%d bytes of heap a caller", each)
 	assert.Assert(t, each < unreadHeapBytes, "%d bytes of heap for a caller that does not read", each)
 }
 
-// Callers that read nothing hold their engines for a time only, with whatever the engines
-// would send.
-func TestCallersThatDoNotReadAreGivenUp(t *testing.T) {
+// Callers that read nothing occupy their engines for a limited time only, regardless of how much
+// the engines would send.
+func TestCallersThatDoNotReadAreDisconnected(t *testing.T) {
 	const callers = 40
 	var open atomic.Int64
-	engine := newEngine(t, endless(&open))
+	engine := newEngine(t, endlessStream(&open))
 	h := newHarness(t, engine)
-	h.setUnreadPatience(4 * time.Second)
-	h.crowd(t, engine, "/stream/x", callers)
-	waitUntil(t, "none is any more", func() bool { return open.Load() == 0 && h.pipeline.Active() == 0 })
+	h.setUnreadTimeout(4 * time.Second)
+	h.sendUnreadRequests(t, engine, "/stream/x", callers)
+	waitUntil(t, "no stream and no request is left", func() bool { return open.Load() == 0 && h.pipeline.Active() == 0 })
 }
 
-// unreadHeapBytes is what a caller that does not read may take of the heap, with both ends
-// of both its connections in this process: 2,000 of them then fit into a machine of 144 MB.
+// unreadHeapBytes is the maximum heap for a caller that does not read, with both ends of both its
+// connections in this process: 2,000 such callers then fit into a machine of 144 MB.
 const unreadHeapBytes = 60 << 10
 
-// heapNow is the live heap: what lies in a sync.Pool is dropped by the second collection.
+// heapNow returns the size of the live heap. It runs two collections because the second one frees
+// the contents of sync.Pools.
 func heapNow() uint64 {
 	runtime.GC()
 	runtime.GC()
@@ -130,15 +131,15 @@
 	return stats.HeapAlloc
 }
 
-// Long answers that nobody reads don't take the memory for bodies: they are passed on at
-// their callers' pace.
-func TestLongUnreadAnswersTakeABoundedPartOfTheMemory(t *testing.T) {
+// Long responses that callers don't read do not exhaust the memory for bodies: they are relayed
+// at the callers' pace.
+func TestLongUnreadResponsesUseBoundedMemory(t *testing.T) {
 	const callers, bound = 30, 1 << 20
 	long := bytes.Repeat([]byte("y"), 8<<20)
 	engine := newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		id := request.Header.Get("Id")
 		if id == "reads" {
-			_, _ = io.WriteString(connection, answerOf(id, "short"))
+			_, _ = io.WriteString(connection, responseOf(id, "short"))
 			return
 		}
 		_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n", id, len(long))
@@ -146,40 +147,41 @@
 	})
 	h := newHarness(t, engine)
 	h.pipeline.options.BufferedBytes = bound
-	h.setUnreadPatience(2 * time.Second)
-	h.crowd(t, engine, "/safe/x", callers)
-	assert.Assert(t, h.pipeline.buffered.Load() <= bound+callers*leastBufferedAnswer, "%d bytes", h.pipeline.buffered.Load())
-	waitUntil(t, "all are given up", func() bool { return h.pipeline.Active() == 0 })
+	h.setUnreadTimeout(2 * time.Second)
+	h.sendUnreadRequests(t, engine, "/safe/x", callers)
+	assert.Assert(t, h.pipeline.buffered.Load() <= bound+callers*minimumBufferedResponse, "%d bytes", h.pipeline.buffered.Load())
+	waitUntil(t, "all are disconnected", func() bool { return h.pipeline.Active() == 0 })
 	assert.Equal(t, h.pipeline.buffered.Load(), int64(0))
-	got := h.ask(t, http.MethodPost, "/once/x", "reads", "b")
+	got := h.send(t, http.MethodPost, "/once/x", "reads", "b")
 	assert.Equal(t, got.status, http.StatusOK)
 }
 
-// The finding of CI: answers that came in the same moment each took their part of what was
-// left before any of them, and together four times the memory that there is for all.
-func TestAnswersThatComeTogetherKeepTheBoundOfMemory(t *testing.T) {
+// Guards against simultaneous responses that exceed the memory bound: each took its share of the
+// memory left before any of the others, and together they took four times the memory available
+// for all.
+func TestSimultaneousResponsesRespectTheMemoryBound(t *testing.T) {
 	const callers, bound = 30, 1 << 20
 	bodies := make(chan struct{})
-	long := bytes.Repeat([]byte("y"), bufferedAnswerBytes-1)
+	long := bytes.Repeat([]byte("y"), maximumBufferedResponse-1)
 	engine := newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = fmt.Fprintf(connection, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n", request.Header.Get("Id"), len(long))
 		<-bodies
-		// Part of it comes, and no end: all that is read is held.
+		// Part of the response arrives, but not its end, so all that is read is buffered.
 		_, _ = connection.Write(long[:len(long)-1])
 	})
 	h := newHarness(t, engine)
 	h.pipeline.options.BufferedBytes = bound
-	h.setUnreadPatience(time.Second)
-	h.crowd(t, engine, "/safe/x", callers)
-	// Their heads are read meanwhile.
+	h.setUnreadTimeout(time.Second)
+	h.sendUnreadRequests(t, engine, "/safe/x", callers)
+	// Leaves time for the heads of the responses to be read.
 	time.Sleep(200 * time.Millisecond)
 	close(bodies)
-	most := int64(0)
-	waitUntil(t, "all are given up", func() bool {
-		most = max(most, h.pipeline.buffered.Load())
+	maximum := int64(0)
+	waitUntil(t, "all are disconnected", func() bool {
+		maximum = max(maximum, h.pipeline.buffered.Load())
 		return h.pipeline.Active() == 0
 	})
-	assert.Assert(t, most <= bound+callers*leastBufferedAnswer, "%d bytes", most)
-	assert.Assert(t, most > 0)
+	assert.Assert(t, maximum <= bound+callers*minimumBufferedResponse, "%d bytes", maximum)
+	assert.Assert(t, maximum > 0)
 	assert.Equal(t, h.pipeline.buffered.Load(), int64(0))
 }
--- a/internal/forward/waiting.go
+++ b/internal/forward/waiting.go
@@ -8,44 +8,44 @@
 	"github.com/ravenway/ravenway/internal/coordination/quarantine"
 )
 
-// errQuarantined says that a request was ended since engines end by it.
-var errQuarantined = errors.New("forward: engines end by the request")
+// errQuarantined means that a request was canceled because it crashes engines.
+var errQuarantined = errors.New("forward: the request crashes engines")
 
-// waitingRequests are the requests of which no answer has begun yet, with what ends
-// them. Safe for concurrent use.
+// waitingRequests are the requests whose response has not begun, with their cancel functions.
+// Safe for concurrent use.
 type waitingRequests struct {
-	mutex sync.Mutex
-	ends  map[*request]context.CancelCauseFunc
+	mutex   sync.Mutex
+	cancels map[*request]context.CancelCauseFunc
 }
 
-func (w *waitingRequests) add(one *request, end context.CancelCauseFunc) {
+func (w *waitingRequests) add(waiting *request, cancel context.CancelCauseFunc) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if w.ends == nil {
-		w.ends = map[*request]context.CancelCauseFunc{}
+	if w.cancels == nil {
+		w.cancels = map[*request]context.CancelCauseFunc{}
 	}
-	// It is asked for here, where nobody else has the request yet.
-	one.work()
-	w.ends[one] = end
+	// Computes the request's scope while no other goroutine has the request.
+	waiting.content()
+	w.cancels[waiting] = cancel
 }
 
-func (w *waitingRequests) remove(one *request) {
+func (w *waitingRequests) remove(waiting *request) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	delete(w.ends, one)
+	delete(w.cancels, waiting)
 }
 
-// Quarantined takes a verdict: a request that waits at an engine is taken back before
-// that begins it. In an overload they wait there for up to two seconds, several of one
-// fingerprint at a time, and each would end one engine more. One whose answer has begun
-// goes on: if it ends well, the verdict was wrong.
-func (p *Pipeline) Quarantined(fingerprint quarantine.Fingerprint) {
+// CancelQuarantined applies a verdict: it cancels a request with the fingerprint that waits at an
+// engine before the engine starts it. In an overload such requests wait there for up to two
+// seconds, several of one fingerprint at a time, and each would crash one more engine. A request
+// whose response has begun continues: if it completes, the verdict was wrong.
+func (p *Pipeline) CancelQuarantined(fingerprint quarantine.Fingerprint) {
 	p.waiting.mutex.Lock()
 	defer p.waiting.mutex.Unlock()
-	for one, end := range p.waiting.ends {
-		held := one.work()
-		if held.scope == fingerprint.Scope && uint64(len(held.body)) == fingerprint.Length && quarantine.FingerprintOfRequest(held) == fingerprint {
-			end(errQuarantined)
+	for waiting, cancel := range p.waiting.cancels {
+		content := waiting.content()
+		if content.scope == fingerprint.Scope && uint64(len(content.body)) == fingerprint.Length && quarantine.FingerprintOfRequest(content) == fingerprint {
+			cancel(errQuarantined)
 		}
 	}
 }
--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -99,7 +99,7 @@
 
 // summarize logs how many lines on pauses were omitted since the last call.
 func (p *pauseRecorder) summarize() {
-	if leftOut := p.lines.TakeLeftOut(); leftOut > 0 {
+	if leftOut := p.lines.TakeOmitted(); leftOut > 0 {
 		p.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", leftOut).Int64("in_backoff", p.tracker.Count()).Send()
 	}
 }
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -355,7 +355,7 @@
 		}
 	}
 	if len(replaced) > 0 {
-		f.node.pipeline.LivesOver(replaced)
+		f.node.pipeline.IncarnationsReplaced(replaced)
 	}
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -189,7 +189,7 @@
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
-	if leftOut := e.lines.TakeLeftOut(); leftOut > 0 {
+	if leftOut := e.lines.TakeOmitted(); leftOut > 0 {
 		e.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", leftOut).Int("in_force", len(e.limits.List(now))).Send()
 	}
 }
