--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -21,25 +21,25 @@
 
 const (
 	backendsTick = 20 * time.Millisecond
-	// reportInterval is the time between questions to each back end, and
-	// platformInterval that between readings of the platform's list. Both are
-	// well under the 2 s in which a leaving back end gets nothing new.
+	// reportInterval is the time between two load polls of each back end, platformInterval the time
+	// between two reads of the platform's machine list. Both are well under 2 s, the time within
+	// which a leaving back end must stop receiving new requests.
 	reportInterval   = 500 * time.Millisecond
 	platformInterval = 500 * time.Millisecond
 	pollTimeout      = time.Second
-	// pollLanes bounds the questions under way at once.
+	// pollLanes is the maximum number of concurrent polls.
 	pollLanes       = 32
 	defaultMaxQueue = 1000
 )
 
-// errDeadline says that a request was given up on at its deadline.
+// errDeadline indicates that a request reached its deadline while it was queued.
 var errDeadline = errors.New("its deadline passed while it waited")
 
-// backendPauses counts the answers by which back ends asked for a pause.
+// backendPauses counts the responses in which a back end requested a pause.
 var backendPauses = metrics.GetOrCreateCounter("ravenway_backend_pauses_total")
 
-// pausedError says that all back ends have asked for pauses that last beyond the request's
-// deadline.
+// pausedError indicates that all back ends of a service have requested pauses that last beyond the
+// deadline of the request. wait is the time until the first of them ends.
 type pausedError struct{ wait time.Duration }
 
 // Error implements error.
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("all back ends have asked for a pause, the first ends in %d ms", e.wait.Milliseconds())
 }
 
-// placement is what a request needs of a back end.
+// placement is a request that waits in the queue of its service for a back end.
 type placement struct {
 	requestID string
 	tenant    string
@@ -55,11 +55,11 @@
 	class     queueing.Class
 	cost      uint64
 	route     routing.Request
-	// answer is called once with the placed back end or an error.
+	// answer is called once, with the chosen back end or an error.
 	answer func(placed)
 }
 
-// placed is a back end given to a request.
+// placed is the result of a placement: the chosen back end and the time spent queued, or an error.
 type placed struct {
 	backend routing.Backend
 	choice  routing.Choice
@@ -67,7 +67,8 @@
 	err     error
 }
 
-// backendsDuty owns the table of back ends and the queues before them.
+// backendsDuty owns the routing table of the back ends and one queue of waiting requests per
+// service.
 type backendsDuty struct {
 	node   *Node
 	duty   *duty.Duty
@@ -75,7 +76,8 @@
 	queues map[string]*queueing.Queue[*placement]
 	limits map[string]int
 
-	// targets is what the pollers ask, readable from their goroutines.
+	// targets are the back ends of the active catalog and kinds the kinds of their services. mutex
+	// guards both, since pollers and requests read them from their own goroutines.
 	mutex   sync.RWMutex
 	targets []routing.Backend
 	kinds   map[string]ravenwayv1.ServiceKind
@@ -99,7 +101,7 @@
 	return counts
 }
 
-// setCatalog takes over the back ends and services of a new revision.
+// setCatalog replaces the back ends and services by those of a new catalog revision.
 func (b *backendsDuty) setCatalog(view *catalogView) {
 	var backends []routing.Backend
 	for _, backend := range view.backends {
@@ -123,7 +125,8 @@
 	})
 }
 
-// acquire waits for a back end. The caller must release what it was given.
+// acquire queues a request and waits until it has a back end. On success, the caller must call
+// release.
 func (b *backendsDuty) acquire(ctx context.Context, wanted placement) (placed, error) {
 	answers := make(chan placed, 1)
 	wanted.answer = func(given placed) { answers <- given }
@@ -143,8 +146,8 @@
 		return given, given.err
 	case <-ctx.Done():
 	}
-	// The caller went away: its request leaves the queue at once. It may have
-	// been placed just before; then it is given back.
+	// The caller is gone, so its request leaves the queue immediately. If it was placed just before,
+	// its place at the back end is freed.
 	_ = b.duty.Do(context.Background(), func() {
 		if b.queue(wanted.route.Service).Remove(item) {
 			return
@@ -180,7 +183,7 @@
 	}
 }
 
-// place gives waiting requests to back ends that can take them now.
+// place assigns queued requests to back ends that have capacity now.
 func (b *backendsDuty) place() {
 	now := b.node.now()
 	for _, queue := range b.queues {
@@ -189,7 +192,8 @@
 	}
 }
 
-// placeOne places the first request that any back end can take.
+// placeOne assigns the first queued request for which a back end has capacity, and reports whether
+// there was one.
 func (b *backendsDuty) placeOne(now time.Duration, queue *queueing.Queue[*placement]) bool {
 	for _, item := range queue.Candidates(now) {
 		choice, found := b.table.Choose(now, item.Value.route)
@@ -204,7 +208,7 @@
 	return false
 }
 
-// expire gives up on requests whose deadline has passed, at that moment.
+// expire fails the queued requests whose deadline has passed.
 func (b *backendsDuty) expire() {
 	for _, queue := range b.queues {
 		for _, item := range queue.Expire(b.node.now()) {
@@ -213,13 +217,14 @@
 	}
 }
 
-// release notes how a request ended at the back end that it was given.
+// release records how a request ended at its back end, and frees its place there.
 func (b *backendsDuty) release(name string, result routing.Result) {
 	_ = b.duty.Do(context.Background(), func() { b.table.End(b.node.now(), name, result) })
 }
 
-// takePause notes the pause that a back end asked for as it answered with a status. What
-// waits for it and can't wait for the end is given up on.
+// takePause records the pause that a back end requests by a status 503 with a Retry-After header.
+// If that leaves all back ends of the service paused, the queued requests whose deadline comes
+// before the first pause ends are failed.
 func (b *backendsDuty) takePause(name string, status int, retryAfter []string) {
 	if status != http.StatusServiceUnavailable || len(retryAfter) == 0 {
 		return
@@ -242,18 +247,18 @@
 	})
 }
 
-// paused returns the back ends in a pause that they asked for.
+// paused returns the back ends that are in a pause they requested.
 func (b *backendsDuty) paused(ctx context.Context) ([]routing.PausedBackend, error) {
 	return duty.Ask(ctx, b.duty, func(answer func([]routing.PausedBackend)) { answer(b.table.Paused(b.node.now())) })
 }
 
-// markLeaving notes a back end's own answer that it is leaving.
+// markLeaving records that a back end reported in a response that it is leaving.
 func (b *backendsDuty) markLeaving(name string) {
 	_ = b.duty.Do(context.Background(), func() { b.table.MarkLeaving(name) })
 }
 
-// stillUsable checks again at the moment of dispatch that a back end is not
-// leaving.
+// stillUsable reports whether a back end can still be used at the moment of dispatch, since it may
+// have begun to leave after the request was placed. The text is the reason if it can't.
 func (b *backendsDuty) stillUsable(ctx context.Context, name string) (bool, string) {
 	type verdict struct {
 		usable bool
@@ -261,13 +266,13 @@
 	}
 	found, err := duty.Ask(ctx, b.duty, func(answer func(verdict)) {
 		usable, why := b.table.Usable(b.node.now(), name)
-		// The request itself may have made it full.
+		// "full" is no obstacle: the request itself may have taken the last place.
 		answer(verdict{usable: usable || why == "full", why: why})
 	})
 	return err == nil && found.usable, found.why
 }
 
-// backend returns a back end of the catalog in force.
+// backend returns a back end of the active catalog.
 func (b *backendsDuty) backend(name string) (routing.Backend, bool) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -2,12 +2,12 @@
 
 import "sync"
 
-// background counts work that outlives the request it came from. Unlike a
-// sync.WaitGroup it may get new work while somebody waits.
+// background counts the work that outlives the request it belongs to. Unlike with a sync.WaitGroup,
+// new work may start while another goroutine waits.
 type background struct {
 	mutex   sync.Mutex
 	running int
-	// idle is signalled when nothing runs any more.
+	// idle is signalled when the last running work ends.
 	idle *sync.Cond
 }
 
@@ -17,7 +17,7 @@
 	return made
 }
 
-// start runs work in a goroutine of its own.
+// start runs work in a new goroutine.
 func (b *background) start(work func()) {
 	b.mutex.Lock()
 	b.running++
@@ -37,7 +37,7 @@
 	}
 }
 
-// wait returns once nothing runs.
+// wait blocks until no work is running.
 func (b *background) wait() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
--- a/internal/node/background_test.go
+++ b/internal/node/background_test.go
@@ -9,8 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Requests that end while the node stops still start settlements. A
-// sync.WaitGroup panicked there ("reused before previous Wait has returned").
+// Guards against a panic at a stop: requests that end while the node waits for its background work
+// still start settlements, and a sync.WaitGroup panics on that ("reused before previous Wait has
+// returned").
 func TestWorkMayStartWhileTheNodeWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := newBackground()
--- a/internal/node/billed.go
+++ b/internal/node/billed.go
@@ -16,40 +16,39 @@
 )
 
 const (
-	// maximumAttempts bounds the back ends tried for one request.
+	// maximumAttempts is the maximum number of back ends tried for one request.
 	maximumAttempts = 4
-	// resumeAttempts bounds the tries to resume a broken stream, resumePause
-	// apart.
+	// resumeAttempts is the maximum number of failures of one stream, resumePause the delay after a
+	// failed attempt to resume it.
 	resumeAttempts = 10
 	resumePause    = 200 * time.Millisecond
-	// settleRetry is the pause before a settlement is tried again.
+	// settleRetry is the delay before a settlement is retried.
 	settleRetry = time.Second
-	// stallTimeout is how long a stream may say nothing before its connection is
-	// given up and the stream resumed: a cut does not close connections.
+	// stallTimeout is the time without an event after which the connection of a stream is closed and
+	// the stream resumed. It is needed because a network partition does not close connections.
 	stallTimeout = 15 * time.Second
-	// joinPause is the pause before a request in progress elsewhere is looked
-	// at again.
+	// joinPause is the delay before the claim of a request that another node runs is read again.
 	joinPause = 200 * time.Millisecond
 )
 
-// run is one billed request on its way.
+// run is the processing of one billed request.
 type run struct {
 	node *Node
 	of   *completion
-	// held pays for it.
+	// held is the reservation that pays for the request.
 	held  reserved
 	scope string
-	// answer takes the events; callerGone is done when the caller has left.
+	// answer writes the events to the caller; callerGone is canceled when the caller disconnects.
 	answer     *completionWriter
 	callerGone context.Context
 	tried      []string
 	attempts   int
-	// delivered is the number of tokens given to the caller.
+	// delivered is the number of tokens delivered to the caller.
 	delivered uint64
 }
 
-// runCompletion serves a completion: it reserves, claims, dispatches, streams
-// and settles. ctx ends at the deadline for the first byte.
+// runCompletion serves a completion: it reserves tokens, claims the request, dispatches it, streams
+// the response and settles the use. ctx ends at the deadline for the first byte.
 func (n *Node) runCompletion(ctx, callerGone context.Context, of *completion, answer *completionWriter) *refusal {
 	amount, refused := n.worstCase(ctx, of)
 	if refused != nil {
@@ -63,14 +62,15 @@
 	return started.attempt(ctx)
 }
 
-// worstCase is what a request can use at most, in tokens: a token has at least
-// one byte.
+// worstCase returns the maximum number of tokens that a request can use. A token has at least one
+// byte, so the bytes of the prompt bound its tokens.
 func (n *Node) worstCase(ctx context.Context, of *completion) (uint64, *refusal) {
 	bound := uint64(len(of.prompt)) + of.bound
 	if !of.budget.GetExactCount() {
 		return bound, nil
 	}
-	// A tight budget: an engine tells the exact size of the prompt.
+	// The budget requires exact counts, so an engine counts the tokens of the prompt. If no engine
+	// responds, the bound in bytes applies.
 	for _, backend := range n.backends.engines() {
 		if backend.Service != of.service.GetName() {
 			continue
@@ -82,8 +82,8 @@
 	return bound, nil
 }
 
-// attempt tries back ends until one runs the request or none is left. The
-// reservation is settled on every way out.
+// attempt tries back ends until one runs the request, none is available, or maximumAttempts have
+// refused it. Every exit settles the reservation.
 func (r *run) attempt(ctx context.Context) *refusal {
 	for {
 		given, err := r.acquire(ctx)
@@ -127,7 +127,7 @@
 	return given, err
 }
 
-// refusePlacement tells why no back end was given.
+// refusePlacement returns the refusal for a request that was assigned no back end.
 func (of *request) refusePlacement(err error) *refusal {
 	var paused *pausedError
 	switch {
@@ -141,14 +141,14 @@
 	return refuseNotRun(http.StatusServiceUnavailable, caller.CodeNoBackend, retrySoon, "%v", err)
 }
 
-// requestID is the engine's name of the request. It stays the same when
-// another router takes the claim over, so that an engine runs it once.
+// requestID returns the id under which an engine runs the request. It stays the same when another
+// node takes the claim over, so that an engine runs the request only once.
 func (r *run) requestID() string {
 	return fmt.Sprintf("%s-%d", r.of.key, r.attempts)
 }
 
-// dispatch claims the request for a back end and runs it there. done is false
-// if another back end should be tried.
+// dispatch claims the request for a back end and runs it there. done is false if another back end
+// should be tried.
 func (r *run) dispatch(ctx context.Context, given placed) (done bool, refused *refusal) {
 	n := r.node
 	mine := &claims.Claim{
@@ -169,7 +169,7 @@
 		n.backends.release(given.backend.Name, routing.Neutral)
 		return true, r.existing(ctx, outcome.Claim)
 	}
-	// Checked again now: a back end that began to leave gets nothing new.
+	// The back end may have begun to leave since the placement; it must then receive nothing new.
 	if usable, why := n.backends.stillUsable(ctx, given.backend.Name); !usable {
 		n.backends.release(given.backend.Name, routing.Neutral)
 		n.decisions.add(decision{RequestID: r.of.id, Tenant: r.of.tenant.GetName(), Service: r.of.service.GetName(),
@@ -179,7 +179,7 @@
 	return r.generate(ctx, given, mine)
 }
 
-// claim writes the claim; the first of a minted key needs one round only.
+// claim writes the claim. The first claim of a generated key needs only one round of messages.
 func (r *run) claim(ctx context.Context, mine *claims.Claim) (claims.Outcome, error) {
 	if !r.of.callerKey && r.attempts == 0 {
 		return r.node.claims.changeMinted(ctx, r.of.key, r.claimChange(mine))
@@ -187,7 +187,9 @@
 	return r.node.claims.change(ctx, r.scope, r.of.key, r.claimChange(mine))
 }
 
-// fallBack moves a request whose home zone can't be reached into this zone.
+// fallBack moves the claim of a request whose home zone is unreachable into this zone, and reports
+// whether it did. It does not for requests that are not repeatable, nor for claims that are already
+// in this zone.
 func (r *run) fallBack() bool {
 	if r.of.notRepeatable || r.scope == r.node.zone {
 		return false
@@ -197,8 +199,8 @@
 	return true
 }
 
-// claimChange takes the claim if it is free, if it was not run, or if it is
-// this run's own from an earlier attempt.
+// claimChange returns the change that takes the claim if there is none, if the claimed request was
+// not run, or if the claim is this run's own from an earlier attempt.
 func (r *run) claimChange(mine *claims.Claim) claims.Change {
 	return func(current *claims.Claim) *claims.Claim {
 		free := current == nil || (current.State == claims.Settled && current.Result == claims.NotRun)
@@ -219,10 +221,11 @@
 		"too few of the nodes that guard against double billing can be reached: %v", err)
 }
 
-// generate offers the request to the engine and streams its answer.
+// generate sends the request to the engine and streams the response. done is false if the request
+// certainly did not run, so that another back end can be tried.
 func (r *run) generate(ctx context.Context, given placed, mine *claims.Claim) (done bool, refused *refusal) {
 	n := r.node
-	// The engine's work outlives the caller's deadline for the first byte.
+	// The engine's work continues after the caller's deadline, which is for the first byte only.
 	streamCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	wanted := engine.GenerateRequest{
@@ -241,8 +244,8 @@
 	return true, r.follow(streamCtx, given, mine, stream)
 }
 
-// notRun tells whether a failed offer certainly did not run, so that another
-// back end can be tried.
+// notRun reports whether a request that failed at an engine certainly did not run, so that another
+// back end can be tried. If so, it releases the back end.
 func (r *run) notRun(ctx context.Context, given placed, mine *claims.Claim, err error) bool {
 	n := r.node
 	var refused *engine.RefusedError
@@ -261,7 +264,7 @@
 		n.backends.release(given.backend.Name, routing.Failed)
 		return true
 	}
-	// It may have arrived: the engine's word decides.
+	// The request may have arrived, so the engine's own status decides.
 	asking, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	if _, statusErr := n.engines.Status(asking, given.backend.Address, mine.RequestID); errors.Is(statusErr, engine.ErrUnknownRequest) {
@@ -271,8 +274,8 @@
 	return false
 }
 
-// follow passes the stream on to its end, resuming where it breaks, and
-// settles. A nil stream is resumed from its start.
+// follow relays the stream to the caller until it ends, resumes it where it breaks, and settles the
+// use. A nil stream is resumed from its start.
 func (r *run) follow(ctx context.Context, given placed, mine *claims.Claim, stream *engine.Stream) *refusal {
 	r.answer.backendRequestID(mine.RequestID)
 	final, err := r.deliver(ctx, given.backend.Address, mine.RequestID, stream)
@@ -292,10 +295,11 @@
 		detail: fmt.Sprintf("the back end was lost: %v; the same %s gets the answer once it is back", err, caller.HeaderIdempotencyKey)}
 }
 
-// errCallerGone says that the caller went away.
-var errCallerGone = errors.New("the caller went away")
+// errCallerGone indicates that the caller disconnected.
+var errCallerGone = errors.New("the caller disconnected")
 
-// deliver passes events on until the end mark.
+// deliver relays events to the caller until the final one, which it returns, and resumes the stream
+// where it breaks.
 func (r *run) deliver(ctx context.Context, address, requestID string, stream *engine.Stream) (engine.Event, error) {
 	failures := 0
 	for {
@@ -325,15 +329,15 @@
 	}
 }
 
-// resume asks an engine to go on with a stream.
+// resume opens the stream of a request at an engine again, from an offset in tokens.
 func (n *Node) resume(ctx context.Context, address, requestID string, offset uint64) (*engine.Stream, error) {
 	return openStream(ctx, pollTimeout, func(ctx context.Context) (*engine.Stream, error) {
 		return n.engines.Resume(ctx, address, requestID, offset)
 	})
 }
 
-// openStream gives up on a stream that does not begin to be answered in time:
-// a cut does not close connections.
+// openStream opens a stream and fails if no response begins within the given time. It needs a
+// timeout of its own because a network partition does not close connections.
 func openStream(ctx context.Context, patience time.Duration, open func(context.Context) (*engine.Stream, error)) (*engine.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	stalled := time.AfterFunc(patience, cancel)
@@ -350,7 +354,7 @@
 	return stream, nil
 }
 
-// pump passes the events of one stream on.
+// pump relays the events of one stream until its final event or a failure.
 func (r *run) pump(stream *engine.Stream) (engine.Event, error) {
 	stopWatching := context.AfterFunc(r.callerGone, stream.Close)
 	defer stopWatching()
@@ -375,9 +379,8 @@
 	}
 }
 
-// leave ends a request whose caller went away. One with a caller's key runs
-// on, so that the retry gets its answer; any other is cancelled and billed for
-// what ran.
+// leave ends a request whose caller disconnected. A request with an idempotency key runs on, so
+// that a retry gets its response. Any other is cancelled at the engine and billed for what ran.
 func (r *run) leave(given placed, mine *claims.Claim) {
 	if r.of.callerKey {
 		r.settleLater(given.backend.Name, mine.RequestID)
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// followInterval is the time between requests to the node followed.
+	// followInterval is the time between two requests to the node that this one follows.
 	followInterval = time.Second
-	// followerSilence is the silence after which a follower is forgotten.
+	// followerSilence is the time since the last request of a follower after which it is removed.
 	followerSilence = 5 * time.Second
-	// relaysPerZone are the nodes of a zone that follow control nodes; the
-	// zone's others follow them.
+	// relaysPerZone is the number of nodes of a zone that follow control nodes. The zone's other nodes
+	// follow these relays.
 	relaysPerZone = 2
 )
 
-// catalogView is the catalog in force, indexed for requests. It does not change.
+// catalogView is one revision of the catalog, indexed for requests. It is immutable.
 type catalogView struct {
 	revision uint64
-	// tenants is by API key hash.
+	// tenants holds the tenants by API key hash in lower-case hexadecimal.
 	tenants  map[string]*ravenwayv1.Tenant
 	budgets  map[string]*ravenwayv1.Budget
 	services map[string]*ravenwayv1.Service
-	// models is the engine service of each model.
+	// models maps each model to the engine service that serves it.
 	models map[string]*ravenwayv1.Service
-	// routes have the longest prefixes first.
+	// routes is sorted by descending length of the prefix.
 	routes   []*ravenwayv1.Route
 	backends []*ravenwayv1.Backend
 }
@@ -66,7 +66,7 @@
 	return view
 }
 
-// route returns the route of a path, or nil.
+// route returns the route with the longest prefix of a path, or nil.
 func (v *catalogView) route(path string) *ravenwayv1.Route {
 	for _, route := range v.routes {
 		if strings.HasPrefix(path, route.GetPathPrefix()) {
@@ -76,9 +76,9 @@
 	return nil
 }
 
-// catalogDuty follows the catalog and passes it on to the nodes that follow
-// this one. A node takes deltas from any node and never applies a lower
-// revision, so it is in no danger from a source that is behind.
+// catalogDuty receives catalog changes from another node, the source, and sends them to the nodes
+// that follow this one. A node accepts deltas from any node and never applies a lower revision, so
+// a source that is behind does no harm.
 type catalogDuty struct {
 	node      *Node
 	duty      *duty.Duty
@@ -87,7 +87,7 @@
 	// sent is the revision last sent to each follower.
 	sent       map[string]uint64
 	nextFollow time.Time
-	// behindFor counts the requests since a newer revision was heard of.
+	// behindFor counts the follow requests since a heartbeat named a revision newer than this node's.
 	behindFor int
 }
 
@@ -129,7 +129,8 @@
 	})
 }
 
-// push sends followers what they lack.
+// push sends each follower the changes that it lacks, and removes followers that have stopped
+// requesting.
 func (c *catalogDuty) push() {
 	for name, heard := range c.followers {
 		if time.Since(heard) > followerSilence {
@@ -144,8 +145,8 @@
 	}
 }
 
-// follow asks one source for what comes. Control nodes have their replica, but
-// one that is cut off or far behind follows its zone as well.
+// follow requests catalog changes from one source. Control nodes do so as well as reading their own
+// replica, since that may be partitioned or far behind.
 func (c *catalogDuty) follow() {
 	if time.Now().Before(c.nextFollow) {
 		return
@@ -156,9 +157,10 @@
 	}
 }
 
-// chooseSource prefers, among the nodes heard from lately: a control node of
-// the zone, the zone's relays, other control nodes, the zone's others. A
-// source that stays behind the newest revision heard of is passed over.
+// chooseSource returns the reachable node to follow, or "". It prefers, in this order: control
+// nodes of the zone, the zone's relays (unless this node is one), other control nodes, the zone's
+// other nodes. After more than two follow requests while a heartbeat names a newer revision than
+// this node's, it skips nodes that don't have the newest one.
 func (c *catalogDuty) chooseSource() string {
 	newest := c.newestHeard()
 	if newest <= c.catalog.Revision() {
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -16,17 +16,18 @@
 
 const (
 	claimsTick = 10 * time.Millisecond
-	// claimTimeout bounds one change of a claim.
+	// claimTimeout is the timeout of one change of a claim.
 	claimTimeout = 2 * time.Second
-	// unreachedFor is how long a scope that could not be reached is passed over.
+	// unreachedFor is the time for which a scope that could not be reached is skipped.
 	unreachedFor = 5 * time.Second
-	// announceNear and announceFar are the times between announcements of what
-	// may be forgotten.
+	// announceNear and announceFar are the times between two announcements of watermarks: to the
+	// acceptors of this zone's keys, and to all nodes.
 	announceNear = 2 * time.Second
 	announceFar  = time.Minute
 )
 
-// claimsDuty owns the node's holder of claims and its proposer.
+// claimsDuty owns the node's acceptor, which stores claims and votes on them, and its proposer,
+// which changes them. A claim records which run of a request may be billed.
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
@@ -35,22 +36,24 @@
 	outgoing map[string][]claims.Message
 	wasReady bool
 
-	// marks are the watermarks of this node's own settlements; the changed ones
-	// are yet to be announced near and far.
+	// marks are the watermarks of this node's own settlements: claims up to a watermark are settled at
+	// the root. changedNear and changedFar are those yet to be announced to the acceptors of this
+	// zone's keys and to all nodes.
 	marks                   map[markName]uint64
 	changedNear, changedFar map[markName]struct{}
 	nextNear, nextFar       time.Duration
 
-	// unreached are the scopes that could not be reached lately, with the time.
+	// unreached maps each scope that could not be reached to the time of the last failure.
 	scopesMutex sync.Mutex
 	unreached   map[string]time.Duration
 
-	// fenced is the holder's fences, readable from the escrow duty.
+	// fenced maps a node to its highest fenced incarnation. mutex guards it, since the escrow duty
+	// reads it.
 	mutex  sync.RWMutex
 	fenced map[string]uint64
 }
 
-// markName names a watermark.
+// markName identifies a watermark.
 type markName struct {
 	owner  accounts.HolderID
 	budget string
@@ -76,7 +79,7 @@
 	c.proposer = claims.NewProposer(claims.ProposerOptions{ID: id, Incarnation: c.node.incarnation, Pool: c.node.pool, Random: newRandom()})
 }
 
-// takeNewLife starts proposing under a new life after the old one was fenced.
+// takeNewLife starts a proposer under a new incarnation after the old one was fenced.
 func (c *claimsDuty) takeNewLife(id accounts.HolderID) {
 	_ = c.duty.Do(context.Background(), func() { c.begin(id) })
 }
@@ -104,8 +107,7 @@
 	}
 }
 
-// flush sends one batch to each node. Messages to this node itself are stepped
-// at once.
+// flush sends one batch of messages to each node. Messages to this node are processed directly.
 func (c *claimsDuty) flush() {
 	c.queue(c.proposer.Outgoing())
 	for len(c.outgoing[c.node.name]) > 0 {
@@ -126,7 +128,7 @@
 	}
 }
 
-// change changes a claim and waits for the end.
+// change changes a claim and waits for the outcome.
 func (c *claimsDuty) change(ctx context.Context, scope string, key claims.Key, change claims.Change) (claims.Outcome, error) {
 	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
 		now := c.node.now()
@@ -139,12 +141,12 @@
 	return outcome, outcome.Err
 }
 
-// read returns a claim as a majority of its holders has it.
+// read returns a claim as a majority of its acceptors has it.
 func (c *claimsDuty) read(ctx context.Context, scope string, key claims.Key) (claims.Outcome, error) {
 	return c.change(ctx, scope, key, func(*claims.Claim) *claims.Claim { return nil })
 }
 
-// changeMinted makes the first change of a key that this node made up.
+// changeMinted makes the first change of a claim whose key this node has generated.
 func (c *claimsDuty) changeMinted(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
 	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
 		now := c.node.now()
@@ -156,8 +158,8 @@
 	return outcome, outcome.Err
 }
 
-// noteReach remembers for a while that a scope could not be reached, so that
-// not every request waits to find out.
+// noteReach records whether a scope could be reached, so that not every request waits for the
+// timeout while it can't be.
 func (c *claimsDuty) noteReach(scope string, err error) {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
@@ -168,7 +170,8 @@
 	delete(c.unreached, scope)
 }
 
-// reachedLately tells whether a scope is worth trying.
+// reachedLately reports whether a scope should be tried: no change there has failed within
+// unreachedFor for want of reachable acceptors.
 func (c *claimsDuty) reachedLately(scope string) bool {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
@@ -176,7 +179,8 @@
 	return !failed || c.node.now()-at > unreachedFor
 }
 
-// noteWatermarks keeps the settlements that the root has, to be announced.
+// noteWatermarks records up to which settlement the root has this node's settlements, to be
+// announced to the acceptors.
 func (c *claimsDuty) noteWatermarks(marks []claims.Watermark) {
 	c.duty.Offer(func() {
 		for _, mark := range marks {
@@ -188,9 +192,10 @@
 	})
 }
 
-// announceWatermarks tells the holders which claims may be forgotten: those of
-// minted keys, which lie near, every few seconds; those of callers' keys, which
-// may lie in any zone and are kept for long anyway, once a minute.
+// announceWatermarks tells the acceptors which claims they may discard. Claims of generated keys
+// are stored at the acceptors of this zone's keys, which are told every few seconds. Claims of
+// callers' keys may be stored in any zone and are kept for long anyway, so all nodes are told once
+// a minute.
 func (c *claimsDuty) announceWatermarks() {
 	now := c.node.now()
 	if now >= c.nextNear {
@@ -221,7 +226,8 @@
 	}
 }
 
-// nearHolders are the nodes that may hold this zone's keys.
+// nearHolders returns the nodes that may be acceptors of this zone's keys: the zone's nodes, or all
+// nodes if the zone has too few.
 func (c *claimsDuty) nearHolders() []string {
 	near := slices.Clone(c.node.pool.InZone(c.node.zone))
 	if len(near) >= membership.HoldersPerKey {
@@ -235,7 +241,8 @@
 	return near
 }
 
-// fence makes this holder acknowledge nothing more of a life.
+// fence makes this acceptor acknowledge no further claims of an incarnation, and returns the claims
+// of it that it stores.
 func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceAnswer, error) {
 	return duty.Ask(ctx, c.duty, func(answer func(fenceAnswer)) {
 		records := c.holder.Fence(owner)
@@ -246,15 +253,15 @@
 	})
 }
 
-// fencedHere tells whether a life is fenced at this holder.
+// fencedHere reports whether an incarnation is fenced at this acceptor.
 func (c *claimsDuty) fencedHere(id accounts.HolderID) bool {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
 	return id.Incarnation <= c.fenced[id.Node]
 }
 
-// ClaimsRecovered tells whether the node's holder of claims has heard from all
-// others since its start.
+// ClaimsRecovered reports whether the node's acceptor has recovered its claims from all other nodes
+// since its start.
 func (n *Node) ClaimsRecovered() bool {
 	recovering, err := duty.Ask(n.life, n.claims.duty, func(answer func(int)) { answer(len(n.claims.holder.Recovering())) })
 	return err == nil && recovering == 0
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -14,7 +14,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// completion is one OpenAI-style request.
+// completion is one request for a completion or chat completion in the OpenAI format. bound is the
+// maximum number of output tokens.
 type completion struct {
 	*request
 	body   caller.CompletionRequest
@@ -72,7 +73,8 @@
 	return wanted, nil
 }
 
-// completionWriter writes an answer, streamed or whole.
+// completionWriter writes the response to a completion, as a stream of events or as one JSON
+// document.
 type completionWriter struct {
 	writer  http.ResponseWriter
 	flusher *http.ResponseController
@@ -86,7 +88,8 @@
 	return &completionWriter{writer: writer, flusher: http.NewResponseController(writer), of: of, created: time.Now().Unix()}
 }
 
-// event passes one part of the answer on.
+// event writes one event of the engine's stream to the caller, or collects its text for a response
+// in one document.
 func (c *completionWriter) event(event engine.Event) error {
 	if !c.of.body.Stream {
 		c.text.WriteString(event.Text)
@@ -111,7 +114,8 @@
 	return errors.Join(err, c.flusher.Flush())
 }
 
-// backendRequestID tells the caller under which id the engine runs the request.
+// backendRequestID sets the response header that names the id under which the engine runs the
+// request.
 func (c *completionWriter) backendRequestID(id string) {
 	c.writer.Header().Set(caller.HeaderBackendRequestID, id)
 }
@@ -155,7 +159,7 @@
 	return answer
 }
 
-// whole writes the answer in one piece.
+// whole writes the collected response as one JSON document.
 func (c *completionWriter) whole(event engine.Event) error {
 	answer := c.part(c.text.String(), &event.FinishReason, usageOf(event))
 	if c.of.chat {
@@ -168,8 +172,8 @@
 	return json.NewEncoder(c.writer).Encode(answer)
 }
 
-// fail ends the answer with an error: a status before the first byte, an
-// explicit error event after it. An answer never ends silently short.
+// fail ends the response with an error: by a status code before the first byte, by an error event
+// after it. A response is never truncated without an error.
 func (c *completionWriter) fail(n *Node, cause *refusal) {
 	if !c.begun {
 		n.refuse(c.writer, c.of.request, cause)
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// decisionsKept bounds the decisions that "explain" can find.
+	// decisionsKept is the number of requests whose decisions "explain" can find.
 	decisionsKept = 20000
-	// scoresLogged bounds the candidates in a decision's line.
+	// scoresLogged is the maximum number of candidates in the log line of a decision.
 	scoresLogged = 6
 )
 
-// decision is one routing or placement decision.
+// decision is one routing decision about a request.
 type decision struct {
 	RequestID string
 	Tenant    string
@@ -30,7 +30,7 @@
 	Detail    string
 }
 
-// decisionLog writes one line a decision and keeps the newest for "explain".
+// decisionLog writes one log line per decision and keeps the newest decisions for "explain".
 type decisionLog struct {
 	log   zerolog.Logger
 	mutex sync.Mutex
@@ -62,7 +62,7 @@
 	}
 }
 
-// formatScores lists candidates as backend:cost(cached blocks).
+// formatScores formats candidates as "backend:cost(cached blocks)"; "+N" stands for N more.
 func formatScores(scores []routing.Score) string {
 	var parts []string
 	for _, score := range scores[:min(scoresLogged, len(scores))] {
@@ -74,7 +74,7 @@
 	return strings.Join(parts, " ")
 }
 
-// explainQuestion asks for the decisions about a request.
+// explainQuestion requests the decisions that a node made about a request.
 type explainQuestion struct {
 	RequestID string `msgpack:"r"`
 }
@@ -85,12 +85,12 @@
 	return append([]string(nil), d.lines[requestID]...)
 }
 
-// answerQuestion asks for a settled answer that a node keeps.
+// answerQuestion requests the response to a settled request that a node has stored.
 type answerQuestion struct {
 	RequestID string `msgpack:"r"`
 }
 
-// storedAnswer is a plain service's whole answer.
+// storedAnswer is the whole response of a plain service. Found is false if there is none.
 type storedAnswer struct {
 	Found       bool   `msgpack:"f"`
 	Status      int    `msgpack:"s"`
@@ -98,7 +98,8 @@
 	Body        []byte `msgpack:"b"`
 }
 
-// answerStore keeps the newest answers of keyed plain calls, for retries.
+// answerStore keeps the newest responses of plain services to requests with an idempotency key, for
+// retries. maximum and size are in bytes of response bodies.
 type answerStore struct {
 	mutex   sync.Mutex
 	maximum int64
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -30,22 +30,23 @@
 )
 
 const (
-	// maximumKeyLength bounds a caller's idempotency key.
+	// maximumKeyLength is the maximum length of a caller's idempotency key, in bytes.
 	maximumKeyLength = 256
-	// defaultOutputTokens is the bound of a request that names none.
+	// defaultOutputTokens is the output limit of a request that sets none.
 	defaultOutputTokens = 256
-	// defaultMaxOutput is the largest output of a service that names none.
+	// defaultMaxOutput is the largest output limit, in tokens, of a service that sets none.
 	defaultMaxOutput = 4096
 	bearerPrefix     = "Bearer "
-	// Retry-After of refusals by their cause, in whole seconds.
+	// retrySoon and retryLong are the Retry-After values of refusals; each is whole seconds.
 	retrySoon = 1 * time.Second
 	retryLong = 5 * time.Second
 )
 
-// streamTracker counts the requests in progress.
+// streamTracker counts the requests in flight.
 type streamTracker struct{ active atomic.Int64 }
 
-// refusal is an answer that ends a request.
+// refusal is an error response that ends a request. notRun indicates that the request certainly did
+// not run.
 type refusal struct {
 	status     int
 	code       caller.Code
@@ -57,19 +58,20 @@
 // Error implements error.
 func (r *refusal) Error() string { return fmt.Sprintf("%s: %s", r.code, r.detail) }
 
-// refuseNotRun is a refusal of a request that no back end was offered.
+// refuseNotRun returns a refusal of a request that certainly did not run.
 func refuseNotRun(status int, code caller.Code, retryAfter time.Duration, format string, arguments ...any) *refusal {
 	return &refusal{status: status, code: code, notRun: true, retryAfter: retryAfter, detail: fmt.Sprintf(format, arguments...)}
 }
 
-// request is one caller's request as the flow needs it.
+// request is one caller's request: its attributes, the service and budget it uses, and its claim
+// key.
 type request struct {
 	id       string
 	tenant   *ravenwayv1.Tenant
 	service  *ravenwayv1.Service
 	class    queueing.Class
 	deadline time.Duration
-	// key is the claim's, minted or from the caller.
+	// key is the key of the claim: derived from the caller's idempotency key, or generated.
 	key           claims.Key
 	callerKey     bool
 	notRepeatable bool
@@ -77,7 +79,7 @@
 	budget        *ravenwayv1.Budget
 }
 
-// callerHandler serves tenants.
+// callerHandler returns the HTTP handler for callers.
 func (n *Node) callerHandler() http.Handler {
 	router := mux.NewRouter().SkipClean(true)
 	router.HandleFunc("/v1/chat/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *request) {
@@ -90,14 +92,15 @@
 	return router
 }
 
-// admit checks what all requests have in common: room, the tenant, headers.
+// admit wraps a handler with the checks that all requests share: capacity, tenant and headers.
 func (n *Node) admit(serve func(http.ResponseWriter, *http.Request, *request)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
 		accepted := &request{id: uuid.NewString()}
 		writer.Header().Set(caller.HeaderRequestID, accepted.id)
 		writer.Header().Set(caller.HeaderNode, n.name)
 		if n.stopping.Load() {
-			// Served all the same: the balancer lags. Only the connection ends.
+			// The request is still served, since the load balancer reacts with a delay. Only the
+			// connection is closed.
 			writer.Header().Set("Connection", "close")
 		}
 		active := n.streams.active.Add(1)
@@ -165,7 +168,7 @@
 	return nil
 }
 
-// readKey takes the caller's key, or mints one.
+// readKey sets the claim key: from the caller's idempotency key, or a newly generated one.
 func (n *Node) readKey(httpRequest *http.Request, accepted *request) *refusal {
 	key := httpRequest.Header.Get(caller.HeaderIdempotencyKey)
 	if len(key) > maximumKeyLength {
@@ -180,11 +183,11 @@
 	return nil
 }
 
-// maximumMints bounds the keys tried for one request.
+// maximumMints is the maximum number of keys generated for one request.
 const maximumMints = 64
 
-// mintKey makes up a key, if possible one that this node holds itself: its
-// claim then needs one other node only.
+// mintKey generates a key, if possible one that has this node among its acceptors: its claim then
+// needs only one other node.
 func (n *Node) mintKey(accepted *request) claims.Key {
 	var key claims.Key
 	for attempt := range maximumMints {
@@ -196,9 +199,10 @@
 	return key
 }
 
-// scope is where the claim's holders lie. A repeatable request's are in its
-// key's home zone, so that retries through any zone find it; a minted key's
-// are in this zone; a non-repeatable request's lie one to a zone.
+// scope returns where the acceptors of a request's claim are. For a repeatable request with a
+// caller's key, they are in the home zone of the key, so that retries through any zone find the
+// claim. For a generated key, or while the home zone is unreachable, they are in this zone. For a
+// non-repeatable request with a caller's key, each is in a different zone.
 func (n *Node) scope(of *request) string {
 	switch {
 	case of.notRepeatable && of.callerKey:
@@ -211,7 +215,8 @@
 	return n.zone
 }
 
-// homeZone is where a caller's key is claimed while that zone can be reached.
+// homeZone returns the zone whose acceptors store the claim of a caller's key while that zone is
+// reachable.
 func (n *Node) homeZone(key claims.Key) string {
 	return n.pool.ZonesFor(string(key[:]))[0]
 }
@@ -220,7 +225,7 @@
 	return refuseNotRun(http.StatusBadRequest, caller.CodeBadRequest, 0, format, arguments...)
 }
 
-// refuse answers with a typed error, at once.
+// refuse sends an error response with a code.
 func (n *Node) refuse(writer http.ResponseWriter, of *request, cause *refusal) {
 	tenant := ""
 	if of.tenant != nil {
@@ -240,7 +245,7 @@
 	}})
 }
 
-// readBody reads a whole body within bounds of size and time.
+// readBody reads a whole body within the limits of size and time.
 func (n *Node) readBody(writer http.ResponseWriter, httpRequest *http.Request, maximum int64) ([]byte, *refusal) {
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(time.Now().Add(n.settings.Limits.BodyTimeout))
@@ -256,7 +261,8 @@
 	return body, nil
 }
 
-// chooseBudget finds the budget to charge.
+// chooseBudget sets the budget to charge: the one that the caller's header names, or the tenant's
+// default.
 func (n *Node) chooseBudget(httpRequest *http.Request, of *request) *refusal {
 	view := n.view.Load()
 	name := httpRequest.Header.Get(caller.HeaderBudget)
@@ -270,12 +276,12 @@
 	return nil
 }
 
-// reserve sets the worst case of a request aside.
+// reserve reserves the maximum number of tokens that a request can use.
 func (n *Node) reserve(ctx context.Context, of *request, amount uint64) (reserved, *refusal) {
 	policy := escrow.Policy{Horizon: time.Duration(of.budget.GetGrantHorizonSeconds()) * time.Second}
 	held, err := n.escrow.reserve(ctx, of.budget.GetName(), amount, policy)
 	if errors.Is(err, escrow.ErrClosed) {
-		// The node has just taken a new life: once more under that.
+		// The node has just started a new incarnation: reserve again under that one.
 		held, err = n.escrow.reserve(ctx, of.budget.GetName(), amount, policy)
 	}
 	switch {
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -16,13 +16,14 @@
 
 const escrowTick = 50 * time.Millisecond
 
-// escrowDuty owns the node's part of the budgets.
+// escrowDuty owns the node's part of the budgets: the holder, which keeps the tokens granted to
+// this node by the root (the leader's side of the escrow).
 type escrowDuty struct {
 	node   *Node
 	duty   *duty.Duty
 	holder *escrow.Holder
-	// id is the life that the holder stands for; it changes when the node
-	// finds itself fenced.
+	// id names the node and the holder's incarnation. The incarnation changes when the node learns
+	// that it is fenced.
 	id atomic.Pointer[accounts.HolderID]
 }
 
@@ -34,7 +35,7 @@
 	return owner
 }
 
-// begin starts a life with nothing granted.
+// begin starts an incarnation of the holder that has no grants.
 func (e *escrowDuty) begin(incarnation uint64) {
 	id := accounts.HolderID{Node: e.node.name, Incarnation: incarnation}
 	var lenders []string
@@ -47,7 +48,7 @@
 	e.id.Store(&id)
 }
 
-// flush sends reports and loans, and takes a new life if this one is fenced.
+// flush sends reports and loans, and starts a new incarnation if this one is fenced.
 func (e *escrowDuty) flush() {
 	if e.holder.Closed() {
 		e.takeNewLife()
@@ -64,8 +65,8 @@
 	}
 }
 
-// takeNewLife goes on after this life was fenced: its claims are settled by
-// those who fenced it, and nothing more is spent or billed under it.
+// takeNewLife starts a new incarnation after the current one was fenced. The leader that fenced it
+// settles its claims; nothing more is spent or billed under it.
 func (e *escrowDuty) takeNewLife() {
 	incarnation := max(e.holder.ID().Incarnation+1, uint64(time.Now().UnixNano()))
 	e.node.log.Warn().Str("event", "life_fenced").Stringer("old", e.holder.ID()).Uint64("incarnation", incarnation).Send()
@@ -73,14 +74,14 @@
 	e.node.claims.takeNewLife(accounts.HolderID{Node: e.node.name, Incarnation: incarnation})
 }
 
-// reserved is the end of a reservation.
+// reserved is the result of a reservation. owner is the incarnation that made it.
 type reserved struct {
 	reservation escrow.Reservation
 	owner       accounts.HolderID
 	err         error
 }
 
-// reserve sets tokens aside; it waits for the root if needed.
+// reserve reserves tokens of a budget. It waits for the root if the node has not enough of them.
 func (e *escrowDuty) reserve(ctx context.Context, budget string, amount uint64, policy escrow.Policy) (reserved, error) {
 	deadline := e.node.now() + 24*time.Hour
 	if limit, found := ctx.Deadline(); found {
@@ -90,7 +91,7 @@
 		owner := e.holder.ID()
 		e.holder.Reserve(e.node.now(), deadline, budget, amount, policy, func(reservation escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
-				// Nobody waits for it any more.
+				// The request no longer waits for the reservation.
 				e.holder.Settle(e.node.now(), reservation, 0)
 			}
 			answer(reserved{reservation: reservation, owner: owner, err: err})
@@ -102,7 +103,8 @@
 	return ended, ended.err
 }
 
-// settle ends a reservation. One of an earlier life is settled by its fence.
+// settle ends a reservation with the tokens used. A reservation of an earlier incarnation is left
+// to the leader that fenced it.
 func (e *escrowDuty) settle(held reserved, used uint64) {
 	_ = e.duty.Do(context.Background(), func() {
 		if e.holder.ID() == held.owner {
@@ -111,7 +113,7 @@
 	})
 }
 
-// shrink lowers a reservation to its known use.
+// shrink lowers a reservation to the use that is known.
 func (e *escrowDuty) shrink(held reserved, used uint64) {
 	_ = e.duty.Do(context.Background(), func() {
 		if e.holder.ID() == held.owner {
@@ -154,8 +156,8 @@
 	})
 }
 
-// agreeLoan puts a loan into its claim register, so that it is still known
-// when both sides are lost together, and then tells the borrower.
+// agreeLoan writes a loan to its claim register and then gives it to the borrower. The register
+// keeps the loan known if lender and borrower crash together.
 func (e *escrowDuty) agreeLoan(loan accounts.Loan) {
 	name := fmt.Sprintf("loan %s %s %s", loan.Lender, loan.Borrower, loan.Budget)
 	value := &claims.Claim{State: claims.Lent, Owner: loan.Lender, Borrower: loan.Borrower, Budget: loan.Budget, Reserved: loan.Total}
@@ -166,15 +168,15 @@
 		return value
 	})
 	if err != nil || outcome.Claim == nil {
-		// Not told, so not spent. The next request of the borrower tries again.
+		// The borrower has not received the loan and can't spend it. Its next request retries.
 		e.node.log.Info().Str("event", "loan_not_agreed").Str("borrower", loan.Borrower.Node).AnErr("error", err).Send()
 		return
 	}
 	_ = e.duty.Do(e.node.life, func() { e.holder.Agreed(e.node.now(), loan) })
 }
 
-// returnAll gives back the node's unused grant and waits until the root has
-// every settlement, for a planned stop.
+// returnAll returns the node's unused grant to the root and waits until the root has every
+// settlement, for a planned stop.
 func (e *escrowDuty) returnAll(ctx context.Context) error {
 	if err := e.duty.Do(ctx, func() { e.holder.ReturnAll() }); err != nil {
 		return err
@@ -193,7 +195,7 @@
 	}
 }
 
-// loansWith returns what is known here of a fenced life's loans.
+// loansWith returns the loans of a fenced incarnation that this node knows.
 func (e *escrowDuty) loansWith(ctx context.Context, other accounts.HolderID) ([]accounts.Loan, error) {
 	return duty.Ask(ctx, e.duty, func(answer func([]accounts.Loan)) { answer(e.holder.LoansWith(other)) })
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -11,11 +11,11 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// silentAfter is the silence after which a node is not relied on.
+	// silentAfter is the time since the last heartbeat after which a node counts as unreachable.
 	silentAfter = 3 * time.Second
 )
 
-// fleetView is what this node has heard of the others.
+// fleetView holds the last heartbeat of each other node.
 type fleetView struct {
 	node  *Node
 	mutex sync.RWMutex
@@ -31,7 +31,7 @@
 	return &fleetView{node: node, nodes: map[string]heardStatus{}}
 }
 
-// take notes a heartbeat. One of an earlier life is ignored.
+// take records a heartbeat. It ignores one of an earlier incarnation.
 func (f *fleetView) take(status peer.Status) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -41,7 +41,7 @@
 	f.nodes[status.Node] = heardStatus{Status: status, at: time.Now()}
 }
 
-// heard returns a node's last heartbeat and its age.
+// heard returns the last heartbeat of a node and the time since it arrived.
 func (f *fleetView) heard(name string) (peer.Status, time.Duration, bool) {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
@@ -49,13 +49,13 @@
 	return known.Status, time.Since(known.at), found
 }
 
-// alive tells whether a node was heard from lately.
+// alive reports whether a node is this one, or has sent a heartbeat within silentAfter.
 func (f *fleetView) alive(name string) bool {
 	_, age, found := f.heard(name)
 	return name == f.node.name || (found && age < silentAfter)
 }
 
-// all returns the last heartbeats by name.
+// all returns the last heartbeat of every known node, sorted by node name.
 func (f *fleetView) all() []heardStatus {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
@@ -67,7 +67,7 @@
 	return statuses
 }
 
-// leader returns the control node that the newest term says leads, or "".
+// leader returns the leader of the highest term in recent heartbeats, or "" if none names a leader.
 func (f *fleetView) leader() string {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
@@ -80,7 +80,7 @@
 	return leader
 }
 
-// status is this node's own heartbeat.
+// status returns this node's own heartbeat.
 func (n *Node) status() peer.Status {
 	status := peer.Status{
 		Node: n.name, Zone: n.zone, Incarnation: n.incarnation,
@@ -93,14 +93,14 @@
 	return status
 }
 
-// runHeartbeats tells the control nodes and the zone that this node is alive.
+// runHeartbeats sends heartbeats to the control nodes and to the nodes of the same zone.
 func (n *Node) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		status := n.status()
 		for name, other := range n.peers {
-			// Control nodes tell everyone, so that all know the leader.
+			// Control nodes send to all nodes, so that every node knows the leader.
 			if name == n.name || other.Control || other.Zone == n.zone || n.replica != nil {
 				n.send(name, peer.KindStatus, &status)
 			}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// healthHandler serves /healthz (the process works), /readyz (it should get
-// requests) and /metrics.
+// healthHandler serves /healthz (the process is alive), /readyz (the node should receive requests)
+// and /metrics.
 func (n *Node) healthHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", func(writer http.ResponseWriter, _ *http.Request) {
@@ -36,7 +36,7 @@
 	}
 }
 
-// writeGauges writes what is a state and not a count.
+// writeGauges writes the gauges, which are computed at each scrape.
 func (n *Node) writeGauges(writer http.ResponseWriter) {
 	metrics.WriteGaugeFloat64(writer, "ravenway_streams", float64(n.streams.active.Load()))
 	metrics.WriteGaugeFloat64(writer, "ravenway_catalog_revision", float64(n.view.Load().revision))
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -11,9 +11,10 @@
 
 const membershipInterval = 500 * time.Millisecond
 
-// runMembership founds the group once, and on the leader keeps its members in
-// step with the control nodes: a new identity becomes a learner, gets its vote
-// once its disk holds the log, and the old identity of the same node goes.
+// runMembership bootstraps the control group at its first start. On the leader, it keeps the
+// members of the group in line with the control nodes: a new replica id is added as a learner (a
+// member without a vote) and promoted to voter once its disk holds the log, and the old replica id
+// of the same node is removed.
 func (n *Node) runMembership(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
 		view := n.replica.shared.Load()
@@ -26,9 +27,9 @@
 	}
 }
 
-// bootstrapIfAllEmpty founds the group if every control node is heard from and
-// none has one. A node that lost its disk finds the others' group instead and
-// joins it.
+// bootstrapIfAllEmpty bootstraps the control group if every other control node is reachable and
+// none belongs to a group. A node that has lost its disk finds that the others have a group, and
+// the leader adds it to that one.
 func (n *Node) bootstrapIfAllEmpty(ctx context.Context) {
 	for name, other := range n.peers {
 		if !other.Control || name == n.name {
@@ -42,7 +43,8 @@
 	_ = n.replica.duty.Do(ctx, n.replica.bootstrap)
 }
 
-// bootstrap makes this replica the first voter of a new group.
+// bootstrap makes this replica the only voter of a new group. It does nothing if the replica
+// already belongs to one.
 func (r *replicaDuty) bootstrap() {
 	if len(r.replica.Core().Configuration().Members) > 0 {
 		return
@@ -60,7 +62,7 @@
 	r.node.log.Info().Str("event", "group_founded").Uint64("replica", uint64(r.id)).Send()
 }
 
-// manageMembers makes at most one change; the next interval makes the next.
+// manageMembers makes at most one membership change. Further changes follow in later intervals.
 func (r *replicaDuty) manageMembers() {
 	core := r.replica.Core()
 	if !r.leading() {
@@ -77,7 +79,8 @@
 	}
 }
 
-// changeMember makes the next change that one control node needs.
+// changeMember makes the next membership change required for one control node, and reports whether
+// one was required: remove the node's old replica id, add the new one as a learner, promote it.
 func (r *replicaDuty) changeMember(core *consensus.Core, name string, id consensus.ReplicaID) bool {
 	current, isMember := core.Configuration().Member(id)
 	if isMember && !current.Learner {
@@ -106,8 +109,8 @@
 	r.node.log.Info().Str("event", event).Str("node", name).Uint64("replica", uint64(id)).AnErr("error", err).Send()
 }
 
-// VotersIfLeading returns the number of voters that hold every committed entry
-// on disk, as the leader knows it; 0 on other nodes.
+// VotersIfLeading returns the number of reachable voters that hold every committed entry on disk.
+// Only the leader knows it: other nodes return 0.
 func (n *Node) VotersIfLeading() int {
 	if n.replica == nil || !n.replica.shared.Load().leading {
 		return 0
--- a/internal/node/merge.go
+++ b/internal/node/merge.go
@@ -9,18 +9,20 @@
 	"github.com/ravenway/ravenway/internal/coordination/membership"
 )
 
-// errHomeOpen says that another run of the same key is not settled yet.
+// errHomeOpen indicates that another run of the same key holds the claim in the home zone and is
+// not settled yet.
 var errHomeOpen = errors.New("the key's claim in its home zone is not settled yet")
 
-// needsMerge tells whether a settled claim was made outside its key's home
-// zone, which could not be reached: the key may have been run there as well.
+// needsMerge reports whether a settled claim with a caller's key was made outside the home zone of
+// the key. That happens while the home zone is unreachable, so the key may have been run there as
+// well.
 func (n *Node) needsMerge(scope string, key claims.Key, claim *claims.Claim) bool {
 	return claim.CallerKey && claim.Used > 0 && scope != membership.ScopeGlobal && scope != n.homeZone(key)
 }
 
-// mergeWithHome settles a key that was run outside its home zone. The first
-// settlement to reach the home zone's register is the one that is charged;
-// any other is not. It may be repeated: a settlement knows itself again.
+// mergeWithHome settles, in the home zone of a key, a claim that was made outside it, and reports
+// whether its use is charged. Only the first settlement that reaches the register in the home zone
+// is charged. The call may be repeated: it recognizes its own settlement by the reservation.
 func (n *Node) mergeWithHome(ctx context.Context, key claims.Key, mine *claims.Claim) (charged bool, err error) {
 	home := n.homeZone(key)
 	outcome, err := n.claims.change(ctx, home, key, func(current *claims.Claim) *claims.Claim {
@@ -45,7 +47,7 @@
 	return false, nil
 }
 
-// sameRun tells whether two claims are paid for by the same reservation.
+// sameRun reports whether two claims are paid from the same reservation.
 func sameRun(a, b *claims.Claim) bool {
 	return a != nil && b != nil && a.Owner == b.Owner && a.Budget == b.Budget && a.Sequence == b.Sequence
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,10 +1,9 @@
-// Package node wires a daemon together: its duties, the listeners, and the
-// links to the fleet's other daemons.
+// Package node assembles a daemon of a fleet whose nodes are all listed in the settings: its
+// duties, its listeners and its links to the other daemons.
 //
-// Each duty is a goroutine that owns one part of the state (the replica, the
-// catalog's distribution, the escrow, the claims, the back ends) and reads one
-// bounded ring. Requests of callers run in their own goroutines and ask the
-// duties.
+// A duty is a goroutine that owns one part of the state (the replica, the distribution of the
+// catalog, the escrow, the claims, the back ends) and processes functions from one bounded ring.
+// Each caller's request runs in its own goroutine and calls the duties.
 package node
 
 import (
@@ -31,8 +30,8 @@
 	"github.com/ravenway/ravenway/internal/transport"
 )
 
-// Listeners are a daemon's open listeners. Callers may be nil without the
-// entry role.
+// Listeners holds the open listeners of a daemon. Callers may be nil in a daemon without the entry
+// role.
 type Listeners struct {
 	Callers   net.Listener
 	Operators net.Listener
@@ -40,25 +39,25 @@
 	Health    net.Listener
 }
 
-// Options set up a Node.
+// Options configures a Node.
 type Options struct {
 	Settings      *settings.Settings
 	PeerKey       []byte
 	OperatorToken []byte
-	// PeerTLS and OperatorTLS are nil for plain TCP.
+	// PeerTLS and OperatorTLS are the TLS configurations of the two listeners; nil means plain TCP.
 	PeerTLS     *tls.Config
 	OperatorTLS *tls.Config
 	Listeners   Listeners
-	// DialPeer is nil for TCP.
+	// DialPeer opens a connection to another node; nil means TCP.
 	DialPeer func(ctx context.Context, address string) (net.Conn, error)
-	// BackendTransport is nil for HTTP over TCP.
+	// BackendTransport carries the requests to back ends; nil means HTTP over TCP.
 	BackendTransport http.RoundTripper
-	// FileSystem is the data folder; needed by the control role.
+	// FileSystem is the data folder. The control role requires it.
 	FileSystem disk.FileSystem
 	Logger     zerolog.Logger
 }
 
-// Node is one daemon.
+// Node is one daemon of the fleet: an entry node, a control node, or both.
 type Node struct {
 	options     Options
 	settings    *settings.Settings
@@ -83,21 +82,21 @@
 	decisions *decisionLog
 	answers   *answerStore
 
-	// view is the catalog in force, indexed for requests.
+	// view is the active catalog, indexed for requests.
 	view     atomic.Pointer[catalogView]
 	stopping atomic.Bool
 	streams  streamTracker
-	// callers is the server of the callers' listener, nil without one.
+	// callers is the HTTP server of the callers' listener; nil without such a listener.
 	callers atomic.Pointer[http.Server]
-	// life ends with Run; work that outlives its request ends with it.
+	// life is canceled when Run ends. Work that outlives its request runs under it.
 	life    context.Context
 	endLife context.CancelCauseFunc
-	// background counts settlements that outlive their request.
+	// background counts the settlements that run after their request has ended.
 	background *background
 	failure    chan error
 }
 
-// New makes a node. Its listeners are served by Run.
+// New returns a node. Run serves its listeners.
 func New(options Options) (*Node, error) {
 	node := &Node{
 		options: options, settings: options.Settings,
@@ -142,7 +141,8 @@
 	return node, nil
 }
 
-// newBackendTransport keeps enough idle connections for a busy engine.
+// newBackendTransport returns an HTTP transport that keeps enough idle connections for an engine
+// under load.
 func newBackendTransport() http.RoundTripper {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: backendDialTimeout}).DialContext,
@@ -152,24 +152,23 @@
 	}
 }
 
-// errStopped ends what still runs when the node stops.
+// errStopped is the cancellation cause of the work that still runs when the node stops.
 var errStopped = errors.New("the node has stopped")
 
 const backendDialTimeout = time.Second
 
-// now is the time since the node started, the clock of all duties.
+// now returns the time since the node started, which is the clock of all duties.
 func (n *Node) now() time.Duration { return time.Since(n.started) }
 
-// newRandom makes a random source for one duty.
+// newRandom returns a random source for one duty, seeded from the operating system.
 func newRandom() *mathrand.Rand {
 	var seed [16]byte
-	// crypto/rand.Read never fails: it ends the process instead.
+	// crypto/rand.Read returns no error: it ends the process instead.
 	_, _ = rand.Read(seed[:])
 	return mathrand.New(mathrand.NewPCG(binary.BigEndian.Uint64(seed[:8]), binary.BigEndian.Uint64(seed[8:])))
 }
 
-// Run serves until the context ends or the node fails. Use Stop for a planned
-// stop before that.
+// Run serves until the context is canceled or the node fails. For a planned stop, call Stop first.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -210,7 +209,8 @@
 	return failure
 }
 
-// fail ends the node because it can't keep its promises any more.
+// fail makes Run end with an error, for faults after which the node can't keep its guarantees. Only
+// the first error counts.
 func (n *Node) fail(err error) {
 	select {
 	case n.failure <- err:
@@ -218,7 +218,7 @@
 	}
 }
 
-// serve starts the HTTP servers.
+// serve starts the HTTP servers of the open listeners and returns them.
 func (n *Node) serve(duties *sync.WaitGroup) []*http.Server {
 	var servers []*http.Server
 	start := func(listener net.Listener, handler http.Handler, security *tls.Config) {
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -23,20 +23,20 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// lowerRecallPause is the time that nodes get to return unused grants before a
-// limit is lowered.
+// lowerRecallPause is the time for nodes to return unused grants before a limit is lowered.
 const lowerRecallPause = time.Second
 
-// operatorServer serves the operators' schema.
+// operatorServer implements the operator service of the schema.
 type operatorServer struct{ node *Node }
 
-// operatorHandler serves operators; a token is needed if the settings have one.
+// operatorHandler returns the HTTP handler for operators. It requires a token if the settings have
+// one.
 func (n *Node) operatorHandler() http.Handler {
 	_, handler := ravenwayv1connect.NewOperatorServiceHandler(&operatorServer{node: n})
 	return operator.RequireToken(n.options.OperatorToken, handler)
 }
 
-// operatorError turns an error into one with a code that tools can rely on.
+// operatorError converts an error to one with a code that operators' tools can rely on.
 func operatorError(err error) error {
 	switch {
 	case err == nil:
@@ -49,7 +49,7 @@
 	return connect.NewError(connect.CodeInternal, err)
 }
 
-// operationID mints an id if the operator gave none.
+// operationID returns the given id, or a newly generated one if it is empty.
 func operationID(given string) string {
 	if given != "" {
 		return given
@@ -85,7 +85,7 @@
 	return connect.NewResponse(answer), nil
 }
 
-// readKind names what a read returns.
+// readKind names the part of the state that a read returns.
 type readKind string
 
 const (
@@ -94,19 +94,20 @@
 	readOrders  readKind = "orders"
 )
 
-// readQuestion asks the leader for committed state.
+// readQuestion requests committed state from the leader.
 type readQuestion struct {
 	Kind readKind `msgpack:"k"`
-	// Name restricts the answer; empty for all.
+	// Name restricts the response to one budget; empty means all.
 	Name string `msgpack:"n"`
 }
 
-// readAnswer is an encoded message of the schema.
+// readAnswer holds an encoded message of the schema.
 type readAnswer struct {
 	Message []byte `msgpack:"m"`
 }
 
-// readHere answers a read if this node leads, with everything committed before.
+// readHere executes a read if this node leads. The response includes everything committed before
+// it.
 func (n *Node) readHere(ctx context.Context, question readQuestion) (readAnswer, error) {
 	message, err := atLeader(ctx, n, func(state *machine.Machine) proto.Message { return readState(state, question) })
 	if err != nil {
@@ -144,7 +145,8 @@
 	}
 }
 
-// read asks the leader, wherever it is, and decodes its answer.
+// read reads committed state from the leader, which may be another node, and decodes it. It retries
+// until proposeTimeout.
 func (n *Node) read(ctx context.Context, question readQuestion, into proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
@@ -199,8 +201,8 @@
 	return o.changeBudget(ctx, request.Msg.GetOperationId(), &machine.BudgetCommand{Budget: request.Msg.GetBudget(), TopUp: request.Msg.GetTokens()})
 }
 
-// LowerBudget implements the schema's LowerBudget. Unused grants are recalled
-// first, so that what nobody uses does not stand in the way.
+// LowerBudget implements the schema's LowerBudget. It recalls unused grants first, so that tokens
+// that no node uses do not prevent the change.
 func (o *operatorServer) LowerBudget(ctx context.Context, request *connect.Request[ravenwayv1.LowerBudgetRequest]) (*connect.Response[ravenwayv1.BudgetChangeResponse], error) {
 	command := &machine.BudgetCommand{Budget: request.Msg.GetBudget(), Lower: request.Msg.GetTokens()}
 	if err := o.node.recallBudget(ctx, command.Budget); err != nil {
@@ -258,8 +260,8 @@
 	return connect.NewResponse(answer), nil
 }
 
-// Explain implements the schema's Explain: it asks every node, since any may
-// have decided.
+// Explain implements the schema's Explain. It requests the decisions from every reachable node,
+// since any of them may have handled the request.
 func (o *operatorServer) Explain(ctx context.Context, request *connect.Request[ravenwayv1.ExplainRequest]) (*connect.Response[ravenwayv1.ExplainResponse], error) {
 	n := o.node
 	id := request.Msg.GetRequestId()
@@ -280,19 +282,20 @@
 	return nil, connect.NewError(connect.CodeNotFound, fmt.Errorf("no node that answers remembers request %q", id))
 }
 
-// OrderRollout implements the schema's OrderRollout: versions are rolled out in fleets whose
-// engines register themselves.
+// OrderRollout implements the schema's OrderRollout. It is unimplemented here: only fleets whose
+// engines register themselves roll out versions.
 func (o *operatorServer) OrderRollout(context.Context, *connect.Request[ravenwayv1.OrderRolloutRequest]) (*connect.Response[ravenwayv1.OrderRolloutResponse], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, errors.New("rollouts need fleet.dialect in the settings"))
 }
 
-// OrderZone implements the schema's OrderZone: zones are evacuated in fleets whose
-// members find each other from seeds.
+// OrderZone implements the schema's OrderZone. It is unimplemented here: only fleets whose members
+// find each other from seeds evacuate zones.
 func (o *operatorServer) OrderZone(context.Context, *connect.Request[ravenwayv1.OrderZoneRequest]) (*connect.Response[ravenwayv1.OrderZoneResponse], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, errors.New("a fleet of fixed peers has no evacuation; drain its back ends one by one"))
 }
 
-// errNoQuarantine says that nothing is held against requests here.
+// errNoQuarantine indicates that a fleet of fixed peers has no quarantine: it records no crashes
+// against requests.
 var errNoQuarantine = errors.New("a fleet of fixed peers holds nothing against requests that end back ends")
 
 // GetQuarantine implements the schema's GetQuarantine.
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -13,19 +13,21 @@
 
 const (
 	orderInterval = time.Second
-	// maximumLoadsAtOnce bounds the orders that back ends work on at once.
+	// maximumLoadsAtOnce is the number of orders in progress at back ends from which on no further
+	// order is sent.
 	maximumLoadsAtOnce = 2
-	// orderFlight is the longest that an order can be under way.
+	// orderFlight is the timeout of one exchange with a back end, and so the longest time that a sent
+	// order can take to arrive.
 	orderFlight = 2 * time.Second
-	// orderLease is how long an earlier leader may have gone on giving orders:
-	// the longest election timeout, after which it knows that it lost its quorum.
+	// orderLease is the longest time for which an earlier leader may still send orders after it has
+	// lost its quorum: the longest election timeout, after which it steps down.
 	orderLease = 2 * electionTicks * replicaTick
 )
 
-// runOrders gives back ends the orders whose intent is committed. Only the
-// leader does. The fence number lets back ends that check it refuse an old
-// leader's order; for those that don't, a new leader first waits until an old
-// one has stopped and its last order has arrived.
+// runOrders sends committed orders to their back ends while this node leads. An order carries a
+// fence, the index of its entry in the replicated log: back ends that check it refuse the late
+// order of an earlier leader. For back ends that don't check it, a new leader first waits until an
+// earlier one has stopped and its last order has arrived.
 func (n *Node) runOrders(ctx context.Context) {
 	var leadingSince time.Duration
 	leading := false
@@ -56,8 +58,8 @@
 		if !checksFence && leadingFor < orderLease+orderFlight {
 			continue
 		}
-		// The weight store's rate is shared: more loads at once would only make
-		// each of them slower.
+		// Back ends share the bandwidth of the weight store, so more concurrent loads would only slow
+		// each of them down.
 		result, progress := n.giveOrder(ctx, order, loading < maximumLoadsAtOnce)
 		switch progress {
 		case orderLoading:
@@ -68,15 +70,15 @@
 	}
 }
 
-// orderProgress is how far an order has come at its back end.
+// orderProgress is the progress of an order at its back end.
 type orderProgress int
 
 const (
-	// orderWaiting: not given, or the back end does not answer.
+	// orderWaiting means that the order was not sent, or that the back end does not respond.
 	orderWaiting orderProgress = iota
-	// orderLoading: given, and the back end is at it.
+	// orderLoading means that the back end has the order and is executing it.
 	orderLoading
-	// orderEnded: the result is known.
+	// orderEnded means that the result of the order is known.
 	orderEnded
 )
 
@@ -89,8 +91,9 @@
 	return false
 }
 
-// giveOrder observes the back end first: an order whose answer was lost may
-// have arrived, and is not given twice. It is given only if it may start now.
+// giveOrder reads the state of the back end and sends the order if the back end does not have it
+// yet. Reading first avoids sending an order twice whose response was lost. With mayStart false, it
+// only reads.
 func (n *Node) giveOrder(ctx context.Context, order machine.OrderRecord, mayStart bool) (machine.OrderResult, orderProgress) {
 	result := machine.OrderResult{Fence: order.Fence}
 	target, found := n.backends.backend(order.Order.Backend)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -16,10 +16,10 @@
 	"github.com/ravenway/ravenway/internal/transport"
 )
 
-// errNoLeader says that no leader of the control group is known.
+// errNoLeader indicates that this node knows no leader of the control group.
 var errNoLeader = errors.New("no leader of the control group is known")
 
-// send encodes and sends a message to another node, or handles it here.
+// send encodes a message and sends it to another node. A message to this node is handled directly.
 func (n *Node) send(to string, kind peer.Kind, body any) {
 	frame, err := peer.Encode(kind, body)
 	if err != nil {
@@ -35,7 +35,8 @@
 	n.mesh.Send(to, frame)
 }
 
-// SentFrames and SentBytes count what this process sends to peers, by kind.
+// SentFrames and SentBytes count the frames and bytes that this process sends to peers, by message
+// kind.
 var SentFrames, SentBytes = countersByKind("frames"), countersByKind("bytes")
 
 func countersByKind(unit string) map[peer.Kind]*metrics.Counter {
@@ -46,7 +47,7 @@
 	return counters
 }
 
-// handleFrame hands a frame to the duty that it is for.
+// handleFrame decodes a frame and passes it to the duty that handles its kind.
 func (n *Node) handleFrame(from string, frame []byte) {
 	envelope, err := peer.Decode(frame)
 	if err == nil {
@@ -80,7 +81,7 @@
 	case peer.KindLend:
 		return peer.Dispatch(envelope, func(message escrow.LendMessage) { n.escrow.takeLend(from, message) })
 	}
-	return fmt.Errorf("kind %d has no duty", envelope.Kind)
+	return fmt.Errorf("no duty handles message kind %d", envelope.Kind)
 }
 
 func (n *Node) takeConsensus(message consensus.Message) {
@@ -100,21 +101,21 @@
 	}
 }
 
-// claimsBatch is all claim messages to one node of one flush.
+// claimsBatch holds all claim messages that one flush sends to one node.
 type claimsBatch struct {
 	Messages []claims.Message `msgpack:"m"`
 }
 
-// callNode asks another node and decodes its answer. An error is a
-// *peer.ReplyError if the other node answered.
+// callNode calls a method of another node and decodes the response. The error is a *peer.ReplyError
+// if the other node responded with an error.
 func callNode[T any](ctx context.Context, n *Node, to string, method peer.Method, question any) (T, error) {
 	return peer.Invoke[T](ctx, n.calls, to, method, question)
 }
 
-// callTimeout bounds the work on another node's call.
+// callTimeout is the maximum time spent on a call from another node.
 const callTimeout = 10 * time.Second
 
-// serveCall answers another node's call.
+// serveCall executes a call from another node and sends the response.
 func (n *Node) serveCall(from string, call peer.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -21,17 +21,17 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// maximumStoredAnswer bounds one answer kept for a retry.
+// maximumStoredAnswer is the size limit, in bytes, of a response that is kept for retries.
 const maximumStoredAnswer = 1 << 20
 
-// plainHopHeaders are not passed on: they concern one connection, or are
-// ravenway's own.
+// plainHopHeaders lists headers that are not forwarded: hop-by-hop headers, and Authorization,
+// which is the caller's key for ravenway.
 var plainHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization",
 }
 
-// plainRun is one request to a plain service.
+// plainRun is the processing of one request to a plain service, which is not billed.
 type plainRun struct {
 	node  *Node
 	of    *request
@@ -41,7 +41,7 @@
 	owner accounts.HolderID
 }
 
-// servePlain routes a request by its path's prefix.
+// servePlain routes a request by the prefix of its path.
 func (n *Node) servePlain(writer http.ResponseWriter, httpRequest *http.Request, of *request) {
 	route := n.view.Load().route(httpRequest.URL.Path)
 	if route == nil {
@@ -60,8 +60,8 @@
 	if own := of.service.GetMaxBodyBytes(); own > 0 {
 		maximum = min(maximum, int64(own))
 	}
-	// The body is read whole first: a call that breaks off while its body
-	// arrives has then certainly not run.
+	// The whole body is read first, so that a request that breaks off while its body arrives has
+	// certainly not run.
 	body, refused := n.readBody(writer, httpRequest, maximum)
 	if refused != nil {
 		n.refuse(writer, of, refused)
@@ -76,8 +76,8 @@
 	}
 }
 
-// serve claims a keyed request first; others need no claim and are served by a
-// lone node too.
+// serve runs the request at a back end. A request with an idempotency key is claimed first. Others
+// need no claim, so a node that reaches no other node serves them too.
 func (p *plainRun) serve(ctx context.Context, writer http.ResponseWriter) *refusal {
 	var tried []string
 	for range maximumAttempts {
@@ -110,8 +110,8 @@
 	return refuseNotRun(http.StatusBadGateway, caller.CodeNoBackend, retrySoon, "no back end of service %q could be reached", p.of.service.GetName())
 }
 
-// isRepeatable follows HTTP: without a key, only idempotent methods are sent
-// again.
+// isRepeatable reports whether a request may be sent again. Without an idempotency key, only
+// requests with methods that HTTP defines as idempotent may.
 func isRepeatable(method string, callerKey bool) bool {
 	return callerKey || slices.Contains([]string{http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions}, method)
 }
@@ -128,7 +128,7 @@
 	return given, nil
 }
 
-// claim takes the request's claim, or returns the one that is there.
+// claim claims the request, or returns the existing claim of its key.
 func (p *plainRun) claim(ctx context.Context, given placed) (existing *claims.Claim, refused *refusal) {
 	mine := &claims.Claim{
 		State: claims.Dispatched, Owner: p.owner, Backend: given.backend.Name, RequestID: p.of.id,
@@ -158,8 +158,7 @@
 	return outcome.Claim, nil
 }
 
-// call offers the request to a back end. offered tells whether any of it may
-// have arrived.
+// call sends the request to a back end. offered reports whether any part of it may have arrived.
 func (p *plainRun) call(ctx context.Context, given placed) (response *http.Response, offered bool, err error) {
 	reached := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached.Store(true) }}
@@ -177,15 +176,15 @@
 	outgoing.Header.Set(caller.HeaderRequestID, p.of.id)
 	outgoing.Header.Set("Ravenway-Tenant", p.of.tenant.GetName())
 	if p.of.notRepeatable {
-		// A connection of its own: one that the other side has just closed
-		// would leave in doubt whether the call arrived.
+		// The request gets a connection of its own: on a reused one that the back end has just closed,
+		// it would be unknown whether the request arrived.
 		outgoing.Close = true
 	}
 	response, err = p.node.backendHTTP.RoundTrip(outgoing)
 	return response, reached.Load(), err
 }
 
-// pass gives the answer to the caller, and keeps that of a keyed request.
+// pass relays the response to the caller, and stores it if the request has an idempotency key.
 func (p *plainRun) pass(ctx context.Context, writer http.ResponseWriter, given placed, response *http.Response) *refusal {
 	defer response.Body.Close()
 	var kept bytes.Buffer
@@ -204,8 +203,8 @@
 		p.node.backends.release(given.backend.Name, routing.Failed)
 		p.settle(claims.OutcomeUnknown)
 		p.node.log.Warn().Str("event", "stream_failed").Str("request", p.of.id).Err(err).Send()
-		// The status is out: cutting the connection tells the caller that the
-		// answer is not whole.
+		// The status code is already sent. Aborting the connection shows the caller that the response
+		// is incomplete.
 		panic(http.ErrAbortHandler)
 	}
 	p.node.backends.release(given.backend.Name, routing.Succeeded)
@@ -218,7 +217,7 @@
 	return nil
 }
 
-// settle ends the claim of a keyed request.
+// settle settles the claim of a request with an idempotency key, in the background.
 func (p *plainRun) settle(result claims.Result) {
 	if !p.of.callerKey {
 		return
@@ -241,8 +240,8 @@
 	})
 }
 
-// replay answers a retry of a keyed request that was claimed before: with the
-// first answer if a node still has it.
+// replay answers a retry of a request that is already claimed: with the stored response if a node
+// still has it, otherwise with a refusal that names the outcome.
 func (p *plainRun) replay(ctx context.Context, writer http.ResponseWriter, claim *claims.Claim) *refusal {
 	n := p.node
 	for claim.State == claims.Dispatched {
@@ -273,7 +272,7 @@
 	return outcomeUnknown("and nobody can tell whether it ran")
 }
 
-// findAnswer looks for a kept answer here and at the node that sent the call.
+// findAnswer returns the stored response from this node or from the node that ran the request.
 func (n *Node) findAnswer(ctx context.Context, claim *claims.Claim) storedAnswer {
 	if answer := n.answers.find(claim.RequestID); answer.Found || claim.Owner.Node == n.name {
 		return answer
@@ -287,7 +286,7 @@
 	return answer
 }
 
-// limitedBuffer keeps the first bytes written to it.
+// limitedBuffer keeps the first bytes written to it, up to a limit, and ignores the remainder.
 type limitedBuffer struct {
 	buffer *bytes.Buffer
 	left   int
@@ -300,7 +299,7 @@
 	return len(data), nil
 }
 
-// flushingWriter passes each part on as it comes.
+// flushingWriter flushes after each write, so that the caller receives each part as it arrives.
 type flushingWriter struct{ http.ResponseWriter }
 
 func (f flushingWriter) Write(data []byte) (int, error) {
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -16,16 +16,16 @@
 	"github.com/ravenway/ravenway/internal/protocol/platform"
 )
 
-// directPollLimit is the number of engines up to which a node asks each itself.
-// Beyond that the nodes of a zone share its engines and pass the reports on,
-// and engines of other zones are known by this node's own work there only.
+// directPollLimit is the number of engines up to which every node polls all of them. Beyond it, the
+// nodes of a zone divide the zone's engines among them and exchange the reports. Of an engine in
+// another zone, a node then knows only its own requests there.
 const directPollLimit = 64
 
-// pollersPerEngine are the nodes of a zone that ask one engine, so that its
-// reports go on when one of them is lost.
+// pollersPerEngine is the number of nodes of a zone that poll one engine, so that its reports
+// continue when one of them fails.
 const pollersPerEngine = 2
 
-// polled lists the engines that this node asks itself.
+// polled returns the engines that this node polls.
 func (b *backendsDuty) polled() []routing.Backend {
 	engines := b.engines()
 	if len(engines) <= directPollLimit {
@@ -45,15 +45,15 @@
 	return share
 }
 
-// pollReports asks engines for their load and cache events, round by round.
+// pollReports polls the engines for load and cache events at every reportInterval.
 func (b *backendsDuty) pollReports(ctx context.Context) {
 	for pause.For(ctx, reportInterval) {
 		b.pollRound(ctx, b.polled())
 	}
 }
 
-// pollRound asks a share of the engines, and passes their reports on if the
-// zone shares the asking.
+// pollRound polls the given engines, and sends their reports to the other nodes of the zone if
+// these divide the engines among them.
 func (b *backendsDuty) pollRound(ctx context.Context, targets []routing.Backend) {
 	var questions sync.WaitGroup
 	lanes := make(chan struct{}, pollLanes)
@@ -77,7 +77,7 @@
 	}
 }
 
-// takeReports takes over what another node of the zone has asked.
+// takeReports records engine reports that another node of the zone has polled.
 func (b *backendsDuty) takeReports(message peer.BackendReports) {
 	b.duty.Offer(func() {
 		for _, report := range message.Reports {
@@ -89,7 +89,7 @@
 	})
 }
 
-// pollEngine asks one engine; the report is empty if it did not answer.
+// pollEngine polls one engine. The report is empty if the engine did not respond.
 func (b *backendsDuty) pollEngine(ctx context.Context, target routing.Backend) peer.BackendReport {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
@@ -128,7 +128,8 @@
 	return events
 }
 
-// pollPlatform reads the platform's list of live and leaving machines.
+// pollPlatform reads the platform's list of machines and marks the back ends on those that are
+// leaving.
 func (b *backendsDuty) pollPlatform(ctx context.Context) {
 	url := b.node.settings.Platform.MachinesURL
 	if url == "" {
--- a/internal/node/reclaim.go
+++ b/internal/node/reclaim.go
@@ -15,14 +15,15 @@
 
 const reclaimInterval = time.Second
 
-// fenceQuestion asks a claim holder to acknowledge nothing more of a life.
+// fenceQuestion requests that an acceptor acknowledge no further claims of an incarnation.
 type fenceQuestion struct {
 	Owner accounts.HolderID `msgpack:"o"`
 }
 
-// fenceAnswer is what the holder knows of that life.
+// fenceAnswer holds the claims and loans that a node knows of a fenced incarnation.
 type fenceAnswer struct {
-	// Recovering holders don't know all their claims yet: ask again.
+	// Recovering indicates that the acceptor does not have all its claims yet: the fence must be
+	// requested again.
 	Recovering bool            `msgpack:"w"`
 	Records    []claims.Record `msgpack:"r"`
 	Loans      []accounts.Loan `msgpack:"l"`
@@ -37,7 +38,7 @@
 	return answer, err
 }
 
-// runReclaim runs on the leader: it brings back what lost nodes held.
+// runReclaim returns to the budgets what lost holders held. It works only while this node leads.
 func (n *Node) runReclaim(ctx context.Context) {
 	for pause.For(ctx, reclaimInterval) {
 		if !n.replica.shared.Load().leading {
@@ -58,9 +59,9 @@
 	}
 }
 
-// isLost tells whether a life is over, or silent for so long that its grant
-// should be used elsewhere. A wrong guess is safe: a fenced node that is alive
-// takes a new life.
+// isLost reports whether an incarnation has ended, or has been unreachable for so long (DeadAfter)
+// that its grant should be used elsewhere. A wrong result is safe: a fenced node that is alive
+// starts a new incarnation.
 func (n *Node) isLost(holder accounts.HolderID) bool {
 	if holder.Node == n.name {
 		return holder.Incarnation < n.escrow.id.Load().Incarnation
@@ -72,8 +73,8 @@
 	return age > n.settings.Control.DeadAfter || status.OwnerIncarnation > holder.Incarnation
 }
 
-// reclaim fences a life everywhere, settles what it left open, and closes its
-// accounts. It may be begun again at any point, by any leader.
+// reclaim fences an incarnation at all other nodes, settles its open claims and closes its
+// accounts. Any leader can start it again after an interruption at any point.
 func (n *Node) reclaim(ctx context.Context, holder accounts.HolderID) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -98,17 +99,18 @@
 	return nil
 }
 
-// collected is everything that the other nodes know of a life.
+// collected holds everything that the other nodes know of an incarnation.
 type collected struct {
 	records map[claims.Register]claims.Record
-	// loans are the other sides' own words, registered what the claims say.
+	// loans are those that the other party of a loan has reported, registered those read from claim
+	// registers.
 	loans      []accounts.Loan
 	registered []accounts.Loan
 }
 
-// collectClaims fences a life at every other node. Only when all have answered
-// is it certain that no claim of it is missing and none can be added. The
-// lost node's own machine counts only once it has a new life.
+// collectClaims fences an incarnation at every other node and collects its claims. All of them must
+// respond: only then is no claim missing and none can be added. The lost node itself is included
+// only once it has a newer incarnation.
 func (n *Node) collectClaims(ctx context.Context, holder accounts.HolderID) (collected, error) {
 	found := collected{records: map[claims.Register]claims.Record{}}
 	for _, member := range n.pool.Nodes() {
@@ -117,7 +119,7 @@
 		}
 		answer, err := n.askFence(ctx, member.Name, holder)
 		if err != nil {
-			return found, fmt.Errorf("node %s has not fenced it: %w", member.Name, err)
+			return found, fmt.Errorf("node %s did not acknowledge the fence: %w", member.Name, err)
 		}
 		if answer.Recovering {
 			return found, fmt.Errorf("node %s is still recovering its claims", member.Name)
@@ -152,14 +154,14 @@
 	c.loans = append(c.loans, answer.Loans...)
 }
 
-// claimedReservation names a reservation of one life.
+// claimedReservation identifies a reservation of one incarnation.
 type claimedReservation struct {
 	budget   string
 	sequence uint64
 }
 
-// resolveClaims agrees an end for each claim behind the root's watermark, and
-// sums up the use.
+// resolveClaims settles each claim whose settlement the root does not have yet, that is, each
+// beyond the root's watermark, and returns the tokens used by each.
 func (n *Node) resolveClaims(ctx context.Context, holder accounts.HolderID, found *collected) ([]accounts.FinalUse, error) {
 	watermarks, err := atLeader(ctx, n, func(state *machine.Machine) map[string]uint64 {
 		marks := map[string]uint64{}
@@ -204,7 +206,7 @@
 			}
 		}
 		if counted[claimedReservation{ended.Budget, ended.Sequence}] {
-			// The same run, claimed in its home zone and outside it.
+			// The same run was claimed both in its home zone and outside it.
 			continue
 		}
 		counted[claimedReservation{ended.Budget, ended.Sequence}] = true
@@ -213,7 +215,7 @@
 	return uses, nil
 }
 
-// readLoan reads what was agreed of a loan.
+// readLoan reads the registered state of a loan.
 func (n *Node) readLoan(ctx context.Context, key claims.Key, record claims.Record, found *collected) error {
 	outcome, err := n.claims.read(ctx, record.Scope, key)
 	if err != nil {
@@ -227,7 +229,7 @@
 	return nil
 }
 
-// resolveClaim settles an open claim with what its back end says.
+// resolveClaim settles an open claim with the outcome that its back end reports.
 func (n *Node) resolveClaim(ctx context.Context, key claims.Key, record claims.Record) (*claims.Claim, error) {
 	outcome, err := n.claims.read(ctx, record.Scope, key)
 	if err != nil {
@@ -239,7 +241,7 @@
 	}
 	result, used := n.findOutcome(ctx, open.Backend, open.RequestID, open.Reserved)
 	if result == 0 {
-		return nil, fmt.Errorf("back end %s does not say what became of %s", open.Backend, open.RequestID)
+		return nil, fmt.Errorf("back end %s did not report the outcome of request %s", open.Backend, open.RequestID)
 	}
 	outcome, err = n.claims.change(ctx, record.Scope, key, func(current *claims.Claim) *claims.Claim {
 		if current == nil || *current != *open {
@@ -254,7 +256,7 @@
 	return outcome.Claim, nil
 }
 
-// recallBudget has the leader recall a budget's unused grants.
+// recallBudget requests that the leader recall a budget's unused grants from their holders.
 func (n *Node) recallBudget(ctx context.Context, budget string) error {
 	leader := n.leader()
 	switch leader {
@@ -268,7 +270,7 @@
 	return err
 }
 
-// recallQuestion asks the leader to recall a budget's unused grants.
+// recallQuestion requests that the leader recall a budget's unused grants.
 type recallQuestion struct {
 	Budget string `msgpack:"b"`
 }
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -19,18 +19,19 @@
 
 const (
 	replicaTick = 50 * time.Millisecond
-	// electionTicks make an election timeout of 1 to 2 seconds.
+	// electionTicks is the minimum election timeout in ticks; the timeout is 1 to 2 seconds.
 	electionTicks = 20
-	// heartbeatTicks make a heartbeat of 200 milliseconds.
+	// heartbeatTicks is the interval of the leader's heartbeats in ticks: 200 milliseconds.
 	heartbeatTicks = 4
-	// proposeTimeout bounds a proposal with all its tries, attemptTimeout one
-	// try: an election takes longer than that, so a dead leader costs one try.
+	// proposeTimeout is the timeout of a proposal with all its attempts, attemptTimeout that of one
+	// attempt. An election takes longer than one attempt, so a dead leader costs only one attempt.
 	proposeTimeout = 10 * time.Second
 	attemptTimeout = 1500 * time.Millisecond
 	retryPause     = 100 * time.Millisecond
 )
 
-// replicaDuty owns the node's replica of the durable state.
+// replicaDuty owns the node's replica of the replicated log, the state machine that the log feeds,
+// and the root of the budgets (the leader's side of the escrow).
 type replicaDuty struct {
 	node    *Node
 	duty    *duty.Duty
@@ -38,14 +39,14 @@
 	machine *machine.Machine
 	root    *escrow.Root
 	id      consensus.ReplicaID
-	// published is the catalog revision last handed to the catalog duty.
+	// published is the catalog revision last passed to the catalog duty.
 	published uint64
 	wasLeader bool
-	// shared is what other goroutines may read.
+	// shared is the part of the state that other goroutines may read.
 	shared atomic.Pointer[replicaView]
 }
 
-// replicaView is the replica's state as others may read it.
+// replicaView is an immutable summary of the replica's state for other goroutines.
 type replicaView struct {
 	leader        string
 	leading       bool
@@ -54,7 +55,8 @@
 	quorumSilence time.Duration
 	configuration consensus.Configuration
 	hasGroup      bool
-	// caughtUpVoters hold every committed entry on disk, as the leader knows.
+	// caughtUpVoters is the number of reachable voters that hold every committed entry on disk, as the
+	// leader knows it.
 	caughtUpVoters int
 }
 
@@ -88,14 +90,14 @@
 	})
 }
 
-// send finds the node that holds a replica.
+// send sends a message to the node of the replica that it is addressed to.
 func (r *replicaDuty) send(message consensus.Message) {
 	if member, found := r.replica.Core().Configuration().Member(message.To); found {
 		r.node.send(member.Node, peer.KindConsensus, &message)
 		return
 	}
-	// Not a member as this replica knows it: a new leader that it has not
-	// heard the configuration of. Its node says who it is in its heartbeats.
+	// The addressee is not a member in the configuration that this replica knows. It may be a new
+	// leader whose configuration has not arrived yet. Heartbeats name each node's replica.
 	for _, status := range r.node.fleet.all() {
 		if status.Replica == uint64(message.To) {
 			r.node.send(status.Node, peer.KindConsensus, &message)
@@ -117,7 +119,7 @@
 
 func (r *replicaDuty) leading() bool { return r.replica.Core().Role() == consensus.Leader }
 
-// flush persists, sends and applies, and passes on what has changed.
+// flush persists, sends and applies the replica's pending work, and publishes what has changed.
 func (r *replicaDuty) flush() {
 	if r.leading() != r.wasLeader {
 		r.wasLeader = r.leading()
@@ -126,7 +128,7 @@
 	}
 	r.proposeReports()
 	if err := r.replica.Flush(); err != nil {
-		r.node.fail(fmt.Errorf("the replica can't rely on its disk: %w", err))
+		r.node.fail(fmt.Errorf("writing the replica to disk: %w", err))
 		return
 	}
 	r.publish()
@@ -146,7 +148,7 @@
 	}
 }
 
-// proposeReports turns the waiting reports of holders into one command.
+// proposeReports proposes the holders' waiting reports as one command.
 func (r *replicaDuty) proposeReports() {
 	batch, found := r.root.Batch()
 	if !found {
@@ -160,7 +162,7 @@
 	root := r.root
 	r.replica.Propose(command, func(result any, err error) {
 		if err != nil {
-			// Holders repeat what was not answered.
+			// Holders resend a report that got no response.
 			return
 		}
 		root.Applied(r.node.now(), batch, result.(machine.Result))
@@ -181,7 +183,7 @@
 	return holders
 }
 
-// publish hands catalog changes to the catalog duty.
+// publish passes catalog changes to the catalog duty.
 func (r *replicaDuty) publish() {
 	delta, changed := r.machine.Catalog().Since(r.published)
 	if !changed {
@@ -199,7 +201,8 @@
 		hasGroup:      len(core.Configuration().Members) > 0,
 	}
 	for _, voter := range core.Configuration().Voters() {
-		// A voter that is silent may be gone, whatever it once held.
+		// A voter without contact for longer than the election timeout may be gone, regardless of what
+		// its disk held.
 		if core.ConfigurationCommitted() && core.CaughtUp(voter) && core.SilentTicks(voter) <= electionTicks {
 			view.caughtUpVoters++
 		}
@@ -210,7 +213,7 @@
 	r.shared.Store(view)
 }
 
-// describe adds the replica to the node's heartbeat.
+// describe fills in the replica's fields of the node's heartbeat.
 func (r *replicaDuty) describe(status *peer.Status) {
 	view := r.shared.Load()
 	status.Replica = uint64(r.id)
@@ -221,12 +224,12 @@
 
 func (r *replicaDuty) close() error { return r.replica.Close() }
 
-// proposeQuestion asks the leader to commit an encoded command.
+// proposeQuestion requests that the leader commit an encoded command.
 type proposeQuestion struct {
 	Command []byte `msgpack:"c"`
 }
 
-// proposal is the end of a proposal.
+// proposal is the result of a proposal.
 type proposal struct {
 	result machine.Result
 	err    error
@@ -252,8 +255,9 @@
 	return ended.result, ended.err
 }
 
-// propose commits a command wherever the leader is. A command with an
-// operation id is sent again after a lost answer, which is safe.
+// propose commits a command through the leader, which may be another node. A command with an
+// operation id is resent when its outcome is unknown; that is safe, since an operation is applied
+// only once. A command without one is resent only if it was certainly not committed.
 func (n *Node) propose(ctx context.Context, command machine.Command) (machine.Result, error) {
 	encoded, err := machine.Encode(command)
 	if err != nil {
@@ -293,7 +297,7 @@
 	return callNode[machine.Result](attempt, n, leader, peer.MethodPropose, &proposeQuestion{Command: command})
 }
 
-// leader returns the leading control node as this node knows it, or "".
+// leader returns the control node that leads, as far as this node knows, or "".
 func (n *Node) leader() string {
 	if n.replica != nil {
 		if leader := n.replica.shared.Load().leader; leader != "" {
@@ -308,8 +312,8 @@
 	return errors.As(err, &reply) && reply.Code == code
 }
 
-// atLeader runs work on the replica's duty once the state holds everything
-// that was committed when it was asked.
+// atLeader runs work on the replica's duty once the state includes everything that was committed at
+// the time of the call. It fails on nodes that don't lead.
 func atLeader[T any](ctx context.Context, n *Node, work func(*machine.Machine) T) (T, error) {
 	type ended struct {
 		value T
--- a/internal/node/settle.go
+++ b/internal/node/settle.go
@@ -12,8 +12,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// settle agrees the use of this run's claim, then releases its reservation. It
-// goes on in the background: the caller need not wait for it.
+// settle writes the result and the use to this run's claim, then releases the reservation. It runs
+// in the background, so that the caller need not wait for it.
 func (r *run) settle(result claims.Result, used uint64) {
 	n := r.node
 	n.background.start(func() {
@@ -32,8 +32,8 @@
 	})
 }
 
-// mergeUntilDone waits for the key's home zone to say whether this use is the
-// one that is charged. Meanwhile only the use itself stays reserved.
+// mergeUntilDone retries until the home zone of the key decides whether this use is charged. It
+// returns nil if it is not. Meanwhile, only the use itself stays reserved.
 func (r *run) mergeUntilDone(claim *claims.Claim) (*claims.Claim, error) {
 	r.node.escrow.shrink(r.held, claim.Used)
 	for {
@@ -50,17 +50,17 @@
 	}
 }
 
-// abandon settles a claim that was perhaps written but never offered.
+// abandon settles the claim of a request that was not run. The claim may not have been written.
 func (r *run) abandon() { r.settle(claims.NotRun, 0) }
 
-// owns tells whether a claim is paid for by this run's reservation.
+// owns reports whether a claim is paid from this run's reservation.
 func (r *run) owns(claim *claims.Claim) bool {
 	return claim != nil && claim.Owner == r.held.owner && claim.Budget == r.held.reservation.Budget &&
 		claim.Sequence == r.held.reservation.Sequence
 }
 
-// changeUntilDone repeats a change while the holders can't be reached: the
-// reservation stays aside until the settlement is agreed.
+// changeUntilDone retries a change while the acceptors are unreachable. The tokens stay reserved
+// until the settlement is written.
 func (r *run) changeUntilDone(change claims.Change) (*claims.Claim, error) {
 	for {
 		outcome, err := r.node.claims.change(r.node.life, r.scope, r.of.key, change)
@@ -70,8 +70,8 @@
 	}
 }
 
-// release returns what the agreed claim says was not used. After ErrFenced the
-// reservation belongs to a life that is settled by its fence.
+// release settles the reservation with the use in the settled claim, which frees the remainder.
+// After ErrFenced it does nothing: the leader that fenced the incarnation settles its reservations.
 func (r *run) release(claim *claims.Claim, err error) {
 	if errors.Is(err, claims.ErrFenced) || r.node.life.Err() != nil {
 		return
@@ -86,7 +86,7 @@
 	r.node.escrow.settle(r.held, used)
 }
 
-// settleLater finds out what became of a request and settles it.
+// settleLater determines the outcome of a request in the background and settles it.
 func (r *run) settleLater(backend, requestID string) {
 	r.node.background.start(func() {
 		result, used := r.node.findOutcome(r.node.life, backend, requestID, r.held.reservation.Amount)
@@ -96,9 +96,9 @@
 	})
 }
 
-// findOutcome asks an engine until it says what became of a request. A back
-// end that was removed can't say: the whole reservation is charged then, since
-// it may have run to its bound.
+// findOutcome polls an engine until it reports the outcome of a request, and returns the result and
+// the tokens used; both are 0 if the context ends first. A back end that was removed can't report:
+// the whole reservation is charged then, since the request may have run to its limit.
 func (n *Node) findOutcome(ctx context.Context, backend, requestID string, reservedTokens uint64) (claims.Result, uint64) {
 	for {
 		target, found := n.backends.backend(backend)
@@ -123,8 +123,8 @@
 	}
 }
 
-// existing answers a request whose key is claimed already: it gets the same
-// answer, and is billed no second time.
+// existing answers a request whose key is already claimed: the caller gets the same response and is
+// not billed again.
 func (r *run) existing(ctx context.Context, claim *claims.Claim) *refusal {
 	n := r.node
 	if claim.Fingerprint != r.of.fingerprint {
@@ -144,15 +144,15 @@
 			return r.refuseClaim(err)
 		}
 		if outcome.Claim == nil || outcome.Claim.Result == claims.NotRun {
-			// It was not run after all: this request runs it.
+			// The claimed request was not run, so this one runs it.
 			return r.attempt(ctx)
 		}
 		claim = outcome.Claim
 	}
 }
 
-// join resumes the claimed request's stream from its start. again tells that
-// the claim should be looked at once more.
+// join resumes the stream of the claimed request from its start. again indicates that the caller
+// should read the claim again and retry.
 func (r *run) join(ctx context.Context, claim *claims.Claim) (refused *refusal, again bool) {
 	n := r.node
 	target, found := n.backends.backend(claim.Backend)
@@ -191,9 +191,9 @@
 	return cause
 }
 
-// joinUnknown handles a claimed request that its engine does not know: it was
-// done and forgotten, its owner has yet to reach the engine, or its owner died
-// before that.
+// joinUnknown handles a claimed request that its engine does not know. The engine may have finished
+// and discarded it, its owner may not have reached the engine yet, or its owner crashed before
+// that.
 func (r *run) joinUnknown(ctx context.Context, claim *claims.Claim, target routing.Backend) (*refusal, bool) {
 	n := r.node
 	if claim.State == claims.Settled {
@@ -216,8 +216,8 @@
 	return r.takeOver(ctx, claim, target)
 }
 
-// takeOver runs a dead owner's request under the same name at the same engine,
-// so that even a late offer of the old owner joins this one there.
+// takeOver runs the request of a crashed owner under the same request id at the same engine, so
+// that even a late request of the old owner joins this run there.
 func (r *run) takeOver(ctx context.Context, claim *claims.Claim, target routing.Backend) (*refusal, bool) {
 	n := r.node
 	mine := *claim
@@ -246,8 +246,8 @@
 	return refused, false
 }
 
-// settleForOwner settles a claim whose owner may be dead; if it is alive, it
-// settles the same use.
+// settleForOwner settles a claim whose owner may have crashed. An owner that is alive settles the
+// same use.
 func (r *run) settleForOwner(claim *claims.Claim, final engine.Event) {
 	if claim.State == claims.Settled {
 		return
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,22 +9,23 @@
 )
 
 const (
-	// balancerLag is how long requests still arrive after readiness went off.
+	// balancerLag is the time for which a load balancer may still send requests after the readiness
+	// probe has begun to fail.
 	balancerLag = 2 * time.Second
 	stopPoll    = 50 * time.Millisecond
 )
 
-// Stop is a planned stop: readiness goes off, requests that still arrive are
-// served, leadership moves away, every stream ends, settlements are agreed and
-// the unused grant goes back. It returns the number of streams that were still
-// open when the context ended, 0 after a clean stop.
+// Stop prepares a planned stop. The readiness probe fails, leadership moves to another voter,
+// requests that still arrive are served, all streams finish, their claims are settled, and the
+// unused grant is returned to the root. It returns the number of streams that were still open when
+// the context ended; 0 after a clean stop.
 func (n *Node) Stop(ctx context.Context) int64 {
 	n.stopping.Store(true)
 	n.log.Info().Str("event", "stopping").Int64("streams", n.streams.active.Load()).Send()
 	n.transferLeadership(ctx)
 	pause.For(ctx, balancerLag)
-	// No stream may begin between the last look and the end: the listener and
-	// connections at rest are closed first.
+	// The listener and idle connections are closed first, so that no stream can begin between the
+	// last check of the count and the end of the process.
 	if callers := n.callers.Load(); callers != nil {
 		_ = callers.Shutdown(ctx)
 	}
@@ -46,10 +47,11 @@
 	return n.streams.active.Load()
 }
 
-// ActiveStreams is the number of requests in progress.
+// ActiveStreams returns the number of requests in flight.
 func (n *Node) ActiveStreams() int64 { return n.streams.active.Load() }
 
-// transferLeadership hands the lead to a voter that holds the whole log.
+// transferLeadership moves leadership to a reachable voter that holds the whole log, if this node
+// leads.
 func (n *Node) transferLeadership(ctx context.Context) {
 	if n.replica == nil {
 		return
