--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -27,13 +27,13 @@
 	reportInterval   = 500 * time.Millisecond
 	platformInterval = 500 * time.Millisecond
 	pollTimeout      = time.Second
-	// pollLanes is the maximum number of concurrent polls.
-	pollLanes       = 32
-	defaultMaxQueue = 1000
+	// maximumConcurrentPolls is the maximum number of concurrent polls.
+	maximumConcurrentPolls = 32
+	defaultMaximumQueue    = 1000
 )
 
-// errDeadline indicates that a request reached its deadline while it was queued.
-var errDeadline = errors.New("its deadline passed while it waited")
+// errDeadlinePassed indicates that a request reached its deadline while it was queued.
+var errDeadlinePassed = errors.New("its deadline passed while it waited")
 
 // backendPauses counts the responses in which a back end requested a pause.
 var backendPauses = metrics.GetOrCreateCounter("ravenway_backend_pauses_total")
@@ -47,20 +47,21 @@
 	return fmt.Sprintf("all back ends have asked for a pause, the first ends in %d ms", e.wait.Milliseconds())
 }
 
-// placement is a request that waits in the queue of its service for a back end.
-type placement struct {
+// placementRequest is a request that waits in the queue of its service for a back end.
+type placementRequest struct {
 	requestID string
 	tenant    string
 	weight    uint32
 	class     queueing.Class
 	cost      uint64
 	route     routing.Request
-	// answer is called once, with the chosen back end or an error.
-	answer func(placed)
+	// done is called once, with the chosen back end or an error.
+	done func(placementResult)
 }
 
-// placed is the result of a placement: the chosen back end and the time spent queued, or an error.
-type placed struct {
+// placementResult is the result of a placement: the chosen back end and the time spent queued, or
+// an error.
+type placementResult struct {
 	backend routing.Backend
 	choice  routing.Choice
 	wait    time.Duration
@@ -70,23 +71,23 @@
 // backendsDuty owns the routing table of the back ends and one queue of waiting requests per
 // service.
 type backendsDuty struct {
-	node   *Node
-	duty   *duty.Duty
-	table  *routing.Table
-	queues map[string]*queueing.Queue[*placement]
-	limits map[string]int
+	node          *Node
+	duty          *duty.Duty
+	table         *routing.Table
+	queues        map[string]*queueing.Queue[*placementRequest]
+	maximumQueues map[string]int
 
-	// targets are the back ends of the active catalog and kinds the kinds of their services. mutex
-	// guards both, since pollers and requests read them from their own goroutines.
-	mutex   sync.RWMutex
-	targets []routing.Backend
-	kinds   map[string]ravenwayv1.ServiceKind
+	// catalogBackends are the back ends of the active catalog and kinds the kinds of their services.
+	// mutex guards both, since pollers and requests read them from their own goroutines.
+	mutex           sync.RWMutex
+	catalogBackends []routing.Backend
+	kinds           map[string]ravenwayv1.ServiceKind
 }
 
 func newBackendsDuty(node *Node) *backendsDuty {
 	owner := &backendsDuty{
 		node: node, duty: duty.New("backends", backendsTick), table: routing.NewTable(node.zone, nodesInZone(node.pool), newRandom()),
-		queues: map[string]*queueing.Queue[*placement]{}, limits: map[string]int{}, kinds: map[string]ravenwayv1.ServiceKind{},
+		queues: map[string]*queueing.Queue[*placementRequest]{}, maximumQueues: map[string]int{}, kinds: map[string]ravenwayv1.ServiceKind{},
 	}
 	owner.duty.Tick = owner.expire
 	owner.duty.Flush = owner.place
@@ -114,72 +115,72 @@
 	limits := map[string]int{}
 	for name, service := range view.services {
 		kinds[name] = service.GetKind()
-		limits[name] = cmp.Or(int(service.GetMaxQueue()), defaultMaxQueue)
+		limits[name] = cmp.Or(int(service.GetMaxQueue()), defaultMaximumQueue)
 	}
 	b.mutex.Lock()
-	b.targets, b.kinds = backends, kinds
+	b.catalogBackends, b.kinds = backends, kinds
 	b.mutex.Unlock()
 	_ = b.duty.Do(context.Background(), func() {
 		b.table.SetBackends(backends)
-		b.limits = limits
+		b.maximumQueues = limits
 	})
 }
 
 // acquire queues a request and waits until it has a back end. On success, the caller must call
 // release.
-func (b *backendsDuty) acquire(ctx context.Context, wanted placement) (placed, error) {
-	answers := make(chan placed, 1)
-	wanted.answer = func(given placed) { answers <- given }
+func (b *backendsDuty) acquire(ctx context.Context, request placementRequest) (placementResult, error) {
+	results := make(chan placementResult, 1)
+	request.done = func(placement placementResult) { results <- placement }
 	deadline := b.node.now() + 24*time.Hour
-	if limit, found := ctx.Deadline(); found {
-		deadline = b.node.now() + time.Until(limit)
+	if contextDeadline, found := ctx.Deadline(); found {
+		deadline = b.node.now() + time.Until(contextDeadline)
 	}
-	item := &queueing.Item[*placement]{
-		ID: wanted.requestID, Tenant: wanted.tenant, Weight: wanted.weight, Class: wanted.class, Cost: wanted.cost,
-		Arrived: b.node.now(), Deadline: deadline, Value: &wanted,
+	item := &queueing.Item[*placementRequest]{
+		ID: request.requestID, Tenant: request.tenant, Weight: request.weight, Class: request.class, Cost: request.cost,
+		Arrived: b.node.now(), Deadline: deadline, Value: &request,
 	}
 	if err := b.duty.Do(ctx, func() { b.enqueue(item) }); err != nil {
-		return placed{}, err
+		return placementResult{}, err
 	}
 	select {
-	case given := <-answers:
-		return given, given.err
+	case placement := <-results:
+		return placement, placement.err
 	case <-ctx.Done():
 	}
 	// The caller is gone, so its request leaves the queue immediately. If it was placed just before,
 	// its place at the back end is freed.
 	_ = b.duty.Do(context.Background(), func() {
-		if b.queue(wanted.route.Service).Remove(item) {
+		if b.queue(request.route.Service).Remove(item) {
 			return
 		}
 		select {
-		case given := <-answers:
-			if given.err == nil {
-				b.table.End(b.node.now(), given.backend.Name, routing.Neutral)
+		case placement := <-results:
+			if placement.err == nil {
+				b.table.End(b.node.now(), placement.backend.Name, routing.Neutral)
 			}
 		default:
 		}
 	})
-	return placed{}, context.Cause(ctx)
+	return placementResult{}, context.Cause(ctx)
 }
 
-func (b *backendsDuty) queue(service string) *queueing.Queue[*placement] {
+func (b *backendsDuty) queue(service string) *queueing.Queue[*placementRequest] {
 	queue := b.queues[service]
 	if queue == nil {
-		queue = queueing.New[*placement](cmp.Or(b.limits[service], defaultMaxQueue), queueing.DefaultAgeing)
+		queue = queueing.New[*placementRequest](cmp.Or(b.maximumQueues[service], defaultMaximumQueue), queueing.DefaultAgeing)
 		b.queues[service] = queue
 	}
 	return queue
 }
 
-func (b *backendsDuty) enqueue(item *queueing.Item[*placement]) {
+func (b *backendsDuty) enqueue(item *queueing.Item[*placementRequest]) {
 	now := b.node.now()
 	if opensAt, areAllPaused := b.table.OpensAt(now, item.Value.route.Service); areAllPaused && opensAt >= item.Deadline {
-		item.Value.answer(placed{err: &pausedError{wait: opensAt - now}})
+		item.Value.done(placementResult{err: &pausedError{wait: opensAt - now}})
 		return
 	}
 	if err := b.queue(item.Value.route.Service).Push(item); err != nil {
-		item.Value.answer(placed{err: err})
+		item.Value.done(placementResult{err: err})
 	}
 }
 
@@ -194,7 +195,7 @@
 
 // placeOne assigns the first queued request for which a back end has capacity, and reports whether
 // there was one.
-func (b *backendsDuty) placeOne(now time.Duration, queue *queueing.Queue[*placement]) bool {
+func (b *backendsDuty) placeOne(now time.Duration, queue *queueing.Queue[*placementRequest]) bool {
 	for _, item := range queue.Candidates(now) {
 		choice, found := b.table.Choose(now, item.Value.route)
 		if !found {
@@ -202,7 +203,7 @@
 		}
 		queue.Take(item)
 		b.table.Begin(now, choice.Backend.Name, item.Value.route.Blocks)
-		item.Value.answer(placed{backend: choice.Backend, choice: choice, wait: now - item.Arrived})
+		item.Value.done(placementResult{backend: choice.Backend, choice: choice, wait: now - item.Arrived})
 		return true
 	}
 	return false
@@ -212,7 +213,7 @@
 func (b *backendsDuty) expire() {
 	for _, queue := range b.queues {
 		for _, item := range queue.Expire(b.node.now()) {
-			item.Value.answer(placed{err: errDeadline})
+			item.Value.done(placementResult{err: errDeadlinePassed})
 		}
 	}
 }
@@ -222,34 +223,34 @@
 	_ = b.duty.Do(context.Background(), func() { b.table.End(b.node.now(), name, result) })
 }
 
-// takePause records the pause that a back end requests by a status 503 with a Retry-After header.
+// recordPause records the pause that a back end requests by a status 503 with a Retry-After header.
 // If that leaves all back ends of the service paused, the queued requests whose deadline comes
 // before the first pause ends are failed.
-func (b *backendsDuty) takePause(name string, status int, retryAfter []string) {
+func (b *backendsDuty) recordPause(name string, status int, retryAfter []string) {
 	if status != http.StatusServiceUnavailable || len(retryAfter) == 0 {
 		return
 	}
-	said := backoff.ReadPause(retryAfter)
-	b.node.log.Info().Str("event", "backend_pause").Str("backend", name).Int64("asked_ms", said.Pause.Milliseconds()).AnErr("error", said.Fault).Send()
+	signal := backoff.ReadPause(retryAfter)
+	b.node.log.Info().Str("event", "backend_pause").Str("backend", name).Int64("asked_ms", signal.Pause.Milliseconds()).AnErr("error", signal.Fault).Send()
 	backendPauses.Inc()
 	_ = b.duty.Do(context.Background(), func() {
 		now := b.node.now()
-		b.table.Pause(now, name, said.Pause)
+		b.table.Pause(now, name, signal.Pause)
 		known, found := b.table.Backend(name)
 		if !found {
 			return
 		}
 		if opensAt, areAllPaused := b.table.OpensAt(now, known.Service); areAllPaused {
 			for _, item := range b.queue(known.Service).Expire(opensAt) {
-				item.Value.answer(placed{err: &pausedError{wait: opensAt - now}})
+				item.Value.done(placementResult{err: &pausedError{wait: opensAt - now}})
 			}
 		}
 	})
 }
 
-// paused returns the back ends that are in a pause they requested.
-func (b *backendsDuty) paused(ctx context.Context) ([]routing.PausedBackend, error) {
-	return duty.Ask(ctx, b.duty, func(answer func([]routing.PausedBackend)) { answer(b.table.Paused(b.node.now())) })
+// pausedBackends returns the back ends that are in a pause they requested.
+func (b *backendsDuty) pausedBackends(ctx context.Context) ([]routing.PausedBackend, error) {
+	return duty.Ask(ctx, b.duty, func(reply func([]routing.PausedBackend)) { reply(b.table.Paused(b.node.now())) })
 }
 
 // markLeaving records that a back end reported in a response that it is leaving.
@@ -257,26 +258,26 @@
 	_ = b.duty.Do(context.Background(), func() { b.table.MarkLeaving(name) })
 }
 
-// stillUsable reports whether a back end can still be used at the moment of dispatch, since it may
+// checkUsable reports whether a back end can still be used at the moment of dispatch, since it may
 // have begun to leave after the request was placed. The text is the reason if it can't.
-func (b *backendsDuty) stillUsable(ctx context.Context, name string) (bool, string) {
-	type verdict struct {
+func (b *backendsDuty) checkUsable(ctx context.Context, name string) (bool, string) {
+	type usability struct {
 		usable bool
-		why    string
+		reason string
 	}
-	found, err := duty.Ask(ctx, b.duty, func(answer func(verdict)) {
-		usable, why := b.table.Usable(b.node.now(), name)
+	found, err := duty.Ask(ctx, b.duty, func(reply func(usability)) {
+		usable, reason := b.table.Usable(b.node.now(), name)
 		// "full" is no obstacle: the request itself may have taken the last place.
-		answer(verdict{usable: usable || why == "full", why: why})
+		reply(usability{usable: usable || reason == "full", reason: reason})
 	})
-	return err == nil && found.usable, found.why
+	return err == nil && found.usable, found.reason
 }
 
 // backend returns a back end of the active catalog.
 func (b *backendsDuty) backend(name string) (routing.Backend, bool) {
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
-	for _, target := range b.targets {
+	for _, target := range b.catalogBackends {
 		if target.Name == name {
 			return target, true
 		}
@@ -288,7 +289,7 @@
 	b.mutex.RLock()
 	defer b.mutex.RUnlock()
 	var engines []routing.Backend
-	for _, target := range b.targets {
+	for _, target := range b.catalogBackends {
 		if b.kinds[target.Service] == ravenwayv1.ServiceKind_SERVICE_KIND_ENGINE {
 			engines = append(engines, target)
 		}
--- a/internal/node/background.go
+++ b/internal/node/background.go
@@ -12,9 +12,9 @@
 }
 
 func newBackground() *background {
-	made := &background{}
-	made.idle = sync.NewCond(&made.mutex)
-	return made
+	counter := &background{}
+	counter.idle = sync.NewCond(&counter.mutex)
+	return counter
 }
 
 // start runs work in a new goroutine.
@@ -23,12 +23,12 @@
 	b.running++
 	b.mutex.Unlock()
 	go func() {
-		defer b.ended()
+		defer b.finish()
 		work()
 	}()
 }
 
-func (b *background) ended() {
+func (b *background) finish() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	b.running--
--- a/internal/node/background_test.go
+++ b/internal/node/background_test.go
@@ -15,14 +15,14 @@
 func TestWorkMayStartWhileTheNodeWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := newBackground()
-		var ended atomic.Int64
+		var finished atomic.Int64
 		work.start(func() {
 			time.Sleep(time.Second)
 			work.start(func() {
 				time.Sleep(time.Second)
-				ended.Add(1)
+				finished.Add(1)
 			})
-			ended.Add(1)
+			finished.Add(1)
 		})
 		waiters := make(chan struct{}, 2)
 		for range 2 {
@@ -33,6 +33,6 @@
 		}
 		<-waiters
 		<-waiters
-		assert.Equal(t, ended.Load(), int64(2))
+		assert.Equal(t, finished.Load(), int64(2))
 	})
 }
--- a/internal/node/billed.go
+++ b/internal/node/billed.go
@@ -18,28 +18,28 @@
 const (
 	// maximumAttempts is the maximum number of back ends tried for one request.
 	maximumAttempts = 4
-	// resumeAttempts is the maximum number of failures of one stream, resumePause the delay after a
-	// failed attempt to resume it.
-	resumeAttempts = 10
-	resumePause    = 200 * time.Millisecond
-	// settleRetry is the delay before a settlement is retried.
-	settleRetry = time.Second
+	// maximumResumeFailures is the maximum number of failures of one stream, resumeDelay the delay
+	// after a failed attempt to resume it.
+	maximumResumeFailures = 10
+	resumeDelay           = 200 * time.Millisecond
+	// settleRetryDelay is the delay before a settlement is retried.
+	settleRetryDelay = time.Second
 	// stallTimeout is the time without an event after which the connection of a stream is closed and
 	// the stream resumed. It is needed because a network partition does not close connections.
 	stallTimeout = 15 * time.Second
-	// joinPause is the delay before the claim of a request that another node runs is read again.
-	joinPause = 200 * time.Millisecond
+	// joinDelay is the delay before the claim of a request that another node runs is read again.
+	joinDelay = 200 * time.Millisecond
 )
 
-// run is the processing of one billed request.
-type run struct {
-	node *Node
-	of   *completion
+// billedRun is the processing of one billed request.
+type billedRun struct {
+	node       *Node
+	completion *completionRequest
 	// held is the reservation that pays for the request.
-	held  reserved
+	held  heldReservation
 	scope string
-	// answer writes the events to the caller; callerGone is canceled when the caller disconnects.
-	answer     *completionWriter
+	// writer writes the events to the caller; callerGone is canceled when the caller disconnects.
+	writer     *completionWriter
 	callerGone context.Context
 	tried      []string
 	attempts   int
@@ -49,34 +49,34 @@
 
 // runCompletion serves a completion: it reserves tokens, claims the request, dispatches it, streams
 // the response and settles the use. ctx ends at the deadline for the first byte.
-func (n *Node) runCompletion(ctx, callerGone context.Context, of *completion, answer *completionWriter) *refusal {
-	amount, refused := n.worstCase(ctx, of)
+func (n *Node) runCompletion(ctx, callerGone context.Context, completion *completionRequest, responseWriter *completionWriter) *refusal {
+	amount, refused := n.maximumTokens(ctx, completion)
 	if refused != nil {
 		return refused
 	}
-	held, refused := n.reserve(ctx, of.request, amount)
+	held, refused := n.reserve(ctx, completion.callerRequest, amount)
 	if refused != nil {
 		return refused
 	}
-	started := &run{node: n, of: of, held: held, scope: n.scope(of.request), answer: answer, callerGone: callerGone}
-	return started.attempt(ctx)
+	run := &billedRun{node: n, completion: completion, held: held, scope: n.claimScope(completion.callerRequest), writer: responseWriter, callerGone: callerGone}
+	return run.attempt(ctx)
 }
 
-// worstCase returns the maximum number of tokens that a request can use. A token has at least one
-// byte, so the bytes of the prompt bound its tokens.
-func (n *Node) worstCase(ctx context.Context, of *completion) (uint64, *refusal) {
-	bound := uint64(len(of.prompt)) + of.bound
-	if !of.budget.GetExactCount() {
+// maximumTokens returns the maximum number of tokens that a request can use. A token has at least
+// one byte, so the bytes of the prompt bound its tokens.
+func (n *Node) maximumTokens(ctx context.Context, completion *completionRequest) (uint64, *refusal) {
+	bound := uint64(len(completion.prompt)) + completion.maximumOutput
+	if !completion.budget.GetExactCount() {
 		return bound, nil
 	}
 	// The budget requires exact counts, so an engine counts the tokens of the prompt. If no engine
 	// responds, the bound in bytes applies.
 	for _, backend := range n.backends.engines() {
-		if backend.Service != of.service.GetName() {
+		if backend.Service != completion.service.GetName() {
 			continue
 		}
-		if tokens, err := n.engines.Count(ctx, backend.Address, of.prompt); err == nil {
-			return tokens + of.bound, nil
+		if tokens, err := n.engines.Count(ctx, backend.Address, completion.prompt); err == nil {
+			return tokens + completion.maximumOutput, nil
 		}
 	}
 	return bound, nil
@@ -84,58 +84,58 @@
 
 // attempt tries back ends until one runs the request, none is available, or maximumAttempts have
 // refused it. Every exit settles the reservation.
-func (r *run) attempt(ctx context.Context) *refusal {
+func (r *billedRun) attempt(ctx context.Context) *refusal {
 	for {
-		given, err := r.acquire(ctx)
+		placement, err := r.acquire(ctx)
 		if err != nil {
-			r.abandon()
-			return r.of.refusePlacement(err)
+			r.settleNotRun()
+			return r.completion.refusePlacement(err)
 		}
-		done, refused := r.dispatch(ctx, given)
+		done, refused := r.dispatch(ctx, placement)
 		if done {
 			return refused
 		}
-		r.tried = append(r.tried, given.backend.Name)
+		r.tried = append(r.tried, placement.backend.Name)
 		r.attempts++
 		if r.attempts >= maximumAttempts {
-			r.abandon()
+			r.settleNotRun()
 			return refuseNotRun(http.StatusServiceUnavailable, caller.CodeNoBackend, retrySoon, "%d back ends refused the request", r.attempts)
 		}
 	}
 }
 
-func (r *run) acquire(ctx context.Context) (placed, error) {
-	return r.node.place(ctx, r.of.request, r.held.reservation.Amount, routing.Request{
-		Blocks: engine.PrefixBlocks(r.of.prompt), PromptTokens: r.held.reservation.Amount - r.of.bound, Exclude: r.tried,
+func (r *billedRun) acquire(ctx context.Context) (placementResult, error) {
+	return r.node.place(ctx, r.completion.callerRequest, r.held.reservation.Amount, routing.Request{
+		Blocks: engine.PrefixBlocks(r.completion.prompt), PromptTokens: r.held.reservation.Amount - r.completion.maximumOutput, Exclude: r.tried,
 	})
 }
 
 // place waits for a back end for a request and records the decision.
-func (n *Node) place(ctx context.Context, of *request, cost uint64, route routing.Request) (placed, error) {
-	route.Service = of.service.GetName()
-	given, err := n.backends.acquire(ctx, placement{
-		requestID: of.id, tenant: of.tenant.GetName(), weight: of.tenant.GetWeight(), class: of.class, cost: cost, route: route,
+func (n *Node) place(ctx context.Context, request *callerRequest, cost uint64, route routing.Request) (placementResult, error) {
+	route.Service = request.service.GetName()
+	placement, err := n.backends.acquire(ctx, placementRequest{
+		requestID: request.id, tenant: request.tenant.GetName(), weight: request.tenant.GetWeight(), class: request.class, cost: cost, route: route,
 	})
-	made := decision{
-		RequestID: of.id, Tenant: of.tenant.GetName(), Service: route.Service, Kind: "dispatch",
-		Backend: given.backend.Name, Candidate: given.choice.Candidates, Wait: given.wait,
+	record := decision{
+		RequestID: request.id, Tenant: request.tenant.GetName(), Service: route.Service, Kind: "dispatch",
+		Backend: placement.backend.Name, Candidate: placement.choice.Candidates, Wait: placement.wait,
 	}
 	if err != nil {
-		made.Kind, made.Detail = "give up", err.Error()
+		record.Kind, record.Detail = "give up", err.Error()
 	}
-	n.decisions.add(made)
-	return given, err
+	n.decisions.add(record)
+	return placement, err
 }
 
 // refusePlacement returns the refusal for a request that was assigned no back end.
-func (of *request) refusePlacement(err error) *refusal {
+func (request *callerRequest) refusePlacement(err error) *refusal {
 	var paused *pausedError
 	switch {
 	case errors.As(err, &paused):
-		return refuseNotRun(http.StatusServiceUnavailable, caller.CodeNoBackend, paused.wait, "service %q: %v", of.service.GetName(), paused)
+		return refuseNotRun(http.StatusServiceUnavailable, caller.CodeNoBackend, paused.wait, "service %q: %v", request.service.GetName(), paused)
 	case errors.Is(err, queueing.ErrFull):
-		return refuseNotRun(http.StatusTooManyRequests, caller.CodeQueueFull, retrySoon, "the queue of service %q is full", of.service.GetName())
-	case errors.Is(err, errDeadline), errors.Is(err, context.DeadlineExceeded):
+		return refuseNotRun(http.StatusTooManyRequests, caller.CodeQueueFull, retrySoon, "the queue of service %q is full", request.service.GetName())
+	case errors.Is(err, errDeadlinePassed), errors.Is(err, context.DeadlineExceeded):
 		return refuseNotRun(http.StatusServiceUnavailable, caller.CodeDeadline, retryLong, "no back end was free before the deadline")
 	}
 	return refuseNotRun(http.StatusServiceUnavailable, caller.CodeNoBackend, retrySoon, "%v", err)
@@ -143,77 +143,77 @@
 
 // requestID returns the id under which an engine runs the request. It stays the same when another
 // node takes the claim over, so that an engine runs the request only once.
-func (r *run) requestID() string {
-	return fmt.Sprintf("%s-%d", r.of.key, r.attempts)
+func (r *billedRun) requestID() string {
+	return fmt.Sprintf("%s-%d", r.completion.key, r.attempts)
 }
 
 // dispatch claims the request for a back end and runs it there. done is false if another back end
 // should be tried.
-func (r *run) dispatch(ctx context.Context, given placed) (done bool, refused *refusal) {
+func (r *billedRun) dispatch(ctx context.Context, placement placementResult) (done bool, refused *refusal) {
 	n := r.node
-	mine := &claims.Claim{
-		State: claims.Dispatched, Owner: r.held.owner, Budget: r.of.budget.GetName(), Sequence: r.held.reservation.Sequence,
-		Reserved: r.held.reservation.Amount, Backend: given.backend.Name, RequestID: r.requestID(),
-		Fingerprint: r.of.fingerprint, CallerKey: r.of.callerKey, NotRepeatable: r.of.notRepeatable,
+	ownClaim := &claims.Claim{
+		State: claims.Dispatched, Owner: r.held.owner, Budget: r.completion.budget.GetName(), Sequence: r.held.reservation.Sequence,
+		Reserved: r.held.reservation.Amount, Backend: placement.backend.Name, RequestID: r.requestID(),
+		Fingerprint: r.completion.fingerprint, CallerKey: r.completion.callerKey, NotRepeatable: r.completion.notRepeatable,
 	}
-	outcome, err := r.claim(ctx, mine)
-	if errors.Is(err, claims.ErrUnreachable) && r.fallBack() {
-		outcome, err = n.claims.change(ctx, r.scope, r.of.key, r.claimChange(mine))
+	outcome, err := r.claim(ctx, ownClaim)
+	if errors.Is(err, claims.ErrUnreachable) && r.fallBackToOwnZone() {
+		outcome, err = n.claims.change(ctx, r.scope, r.completion.key, r.claimChange(ownClaim))
 	}
 	if err != nil {
-		n.backends.release(given.backend.Name, routing.Neutral)
-		r.abandon()
+		n.backends.release(placement.backend.Name, routing.Neutral)
+		r.settleNotRun()
 		return true, r.refuseClaim(err)
 	}
 	if !outcome.Changed {
-		n.backends.release(given.backend.Name, routing.Neutral)
-		return true, r.existing(ctx, outcome.Claim)
+		n.backends.release(placement.backend.Name, routing.Neutral)
+		return true, r.joinExisting(ctx, outcome.Claim)
 	}
 	// The back end may have begun to leave since the placement; it must then receive nothing new.
-	if usable, why := n.backends.stillUsable(ctx, given.backend.Name); !usable {
-		n.backends.release(given.backend.Name, routing.Neutral)
-		n.decisions.add(decision{RequestID: r.of.id, Tenant: r.of.tenant.GetName(), Service: r.of.service.GetName(),
-			Kind: "place again", Backend: given.backend.Name, Detail: why})
+	if usable, reason := n.backends.checkUsable(ctx, placement.backend.Name); !usable {
+		n.backends.release(placement.backend.Name, routing.Neutral)
+		n.decisions.add(decision{RequestID: r.completion.id, Tenant: r.completion.tenant.GetName(), Service: r.completion.service.GetName(),
+			Kind: "place again", Backend: placement.backend.Name, Detail: reason})
 		return false, nil
 	}
-	return r.generate(ctx, given, mine)
+	return r.generate(ctx, placement, ownClaim)
 }
 
 // claim writes the claim. The first claim of a generated key needs only one round of messages.
-func (r *run) claim(ctx context.Context, mine *claims.Claim) (claims.Outcome, error) {
-	if !r.of.callerKey && r.attempts == 0 {
-		return r.node.claims.changeMinted(ctx, r.of.key, r.claimChange(mine))
+func (r *billedRun) claim(ctx context.Context, ownClaim *claims.Claim) (claims.Outcome, error) {
+	if !r.completion.callerKey && r.attempts == 0 {
+		return r.node.claims.changeGenerated(ctx, r.completion.key, r.claimChange(ownClaim))
 	}
-	return r.node.claims.change(ctx, r.scope, r.of.key, r.claimChange(mine))
+	return r.node.claims.change(ctx, r.scope, r.completion.key, r.claimChange(ownClaim))
 }
 
-// fallBack moves the claim of a request whose home zone is unreachable into this zone, and reports
-// whether it did. It does not for requests that are not repeatable, nor for claims that are already
-// in this zone.
-func (r *run) fallBack() bool {
-	if r.of.notRepeatable || r.scope == r.node.zone {
+// fallBackToOwnZone moves the claim of a request whose home zone is unreachable into this zone, and
+// reports whether it did. It does not for requests that are not repeatable, nor for claims that are
+// already in this zone.
+func (r *billedRun) fallBackToOwnZone() bool {
+	if r.completion.notRepeatable || r.scope == r.node.zone {
 		return false
 	}
 	r.scope = r.node.zone
-	r.node.log.Info().Str("event", "claim_fallback").Str("request", r.of.id).Str("zone", r.scope).Send()
+	r.node.log.Info().Str("event", "claim_fallback").Str("request", r.completion.id).Str("zone", r.scope).Send()
 	return true
 }
 
 // claimChange returns the change that takes the claim if there is none, if the claimed request was
 // not run, or if the claim is this run's own from an earlier attempt.
-func (r *run) claimChange(mine *claims.Claim) claims.Change {
+func (r *billedRun) claimChange(ownClaim *claims.Claim) claims.Change {
 	return func(current *claims.Claim) *claims.Claim {
 		free := current == nil || (current.State == claims.Settled && current.Result == claims.NotRun)
-		own := current != nil && current.State == claims.Dispatched && current.Owner == mine.Owner &&
-			current.Sequence == mine.Sequence && current.Budget == mine.Budget
+		own := current != nil && current.State == claims.Dispatched && current.Owner == ownClaim.Owner &&
+			current.Sequence == ownClaim.Sequence && current.Budget == ownClaim.Budget
 		if free || own {
-			return mine
+			return ownClaim
 		}
 		return nil
 	}
 }
 
-func (r *run) refuseClaim(err error) *refusal {
+func (r *billedRun) refuseClaim(err error) *refusal {
 	if errors.Is(err, claims.ErrForgotten) {
 		return &refusal{status: http.StatusConflict, code: caller.CodeAlreadyDone, detail: "the request was done and billed long ago"}
 	}
@@ -223,74 +223,74 @@
 
 // generate sends the request to the engine and streams the response. done is false if the request
 // certainly did not run, so that another back end can be tried.
-func (r *run) generate(ctx context.Context, given placed, mine *claims.Claim) (done bool, refused *refusal) {
+func (r *billedRun) generate(ctx context.Context, placement placementResult, ownClaim *claims.Claim) (done bool, refused *refusal) {
 	n := r.node
 	// The engine's work continues after the caller's deadline, which is for the first byte only.
 	streamCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	wanted := engine.GenerateRequest{
-		RequestID: mine.RequestID, Model: r.of.body.Model, Prompt: r.of.prompt, MaxTokens: r.of.bound,
-		Priority: engine.Priority(queueing.Batch - r.of.class), Tenant: r.of.tenant.GetName(),
+	request := engine.GenerateRequest{
+		RequestID: ownClaim.RequestID, Model: r.completion.body.Model, Prompt: r.completion.prompt, MaxTokens: r.completion.maximumOutput,
+		Priority: engine.Priority(queueing.Batch - r.completion.class), Tenant: r.completion.tenant.GetName(),
 	}
 	stream, err := openStream(streamCtx, stallTimeout, func(ctx context.Context) (*engine.Stream, error) {
-		return n.engines.Generate(ctx, given.backend.Address, wanted)
+		return n.engines.Generate(ctx, placement.backend.Address, request)
 	})
 	if err != nil {
-		if r.notRun(streamCtx, given, mine, err) {
+		if r.certainlyNotRun(streamCtx, placement, ownClaim, err) {
 			return false, nil
 		}
 		stream = nil
 	}
-	return true, r.follow(streamCtx, given, mine, stream)
+	return true, r.relayAndSettle(streamCtx, placement, ownClaim, stream)
 }
 
-// notRun reports whether a request that failed at an engine certainly did not run, so that another
-// back end can be tried. If so, it releases the back end.
-func (r *run) notRun(ctx context.Context, given placed, mine *claims.Claim, err error) bool {
+// certainlyNotRun reports whether a request that failed at an engine certainly did not run, so that
+// another back end can be tried. If so, it releases the back end.
+func (r *billedRun) certainlyNotRun(ctx context.Context, placement placementResult, ownClaim *claims.Claim, err error) bool {
 	n := r.node
 	var refused *engine.RefusedError
 	if errors.As(err, &refused) {
-		n.backends.takePause(given.backend.Name, refused.Status, refused.RetryAfter)
+		n.backends.recordPause(placement.backend.Name, refused.Status, refused.RetryAfter)
 	}
 	if refused != nil && refused.Body.NotRun {
-		n.backends.release(given.backend.Name, routing.Overloaded)
+		n.backends.release(placement.backend.Name, routing.Overloaded)
 		if refused.Body.Code == "leaving" {
-			n.backends.markLeaving(given.backend.Name)
+			n.backends.markLeaving(placement.backend.Name)
 		}
 		return true
 	}
-	var lost *engine.TransportError
-	if errors.As(err, &lost) && !lost.Offered {
-		n.backends.release(given.backend.Name, routing.Failed)
+	var transportErr *engine.TransportError
+	if errors.As(err, &transportErr) && !transportErr.Offered {
+		n.backends.release(placement.backend.Name, routing.Failed)
 		return true
 	}
 	// The request may have arrived, so the engine's own status decides.
-	asking, cancel := context.WithTimeout(ctx, pollTimeout)
+	pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	if _, statusErr := n.engines.Status(asking, given.backend.Address, mine.RequestID); errors.Is(statusErr, engine.ErrUnknownRequest) {
-		n.backends.release(given.backend.Name, routing.Failed)
+	if _, statusErr := n.engines.Status(pollCtx, placement.backend.Address, ownClaim.RequestID); errors.Is(statusErr, engine.ErrUnknownRequest) {
+		n.backends.release(placement.backend.Name, routing.Failed)
 		return true
 	}
 	return false
 }
 
-// follow relays the stream to the caller until it ends, resumes it where it breaks, and settles the
-// use. A nil stream is resumed from its start.
-func (r *run) follow(ctx context.Context, given placed, mine *claims.Claim, stream *engine.Stream) *refusal {
-	r.answer.backendRequestID(mine.RequestID)
-	final, err := r.deliver(ctx, given.backend.Address, mine.RequestID, stream)
+// relayAndSettle relays the stream to the caller until it ends, resumes it where it breaks, and
+// settles the use. A nil stream is resumed from its start.
+func (r *billedRun) relayAndSettle(ctx context.Context, placement placementResult, ownClaim *claims.Claim, stream *engine.Stream) *refusal {
+	r.writer.setBackendRequestID(ownClaim.RequestID)
+	final, err := r.relayEvents(ctx, placement.backend.Address, ownClaim.RequestID, stream)
 	switch {
 	case err == nil:
-		r.node.backends.release(given.backend.Name, routing.Succeeded)
+		r.node.backends.release(placement.backend.Name, routing.Succeeded)
 		r.settle(claims.Completed, final.Usage.Total())
 		return nil
 	case errors.Is(err, errCallerGone):
-		r.node.backends.release(given.backend.Name, routing.Neutral)
-		r.leave(given, mine)
+		r.node.backends.release(placement.backend.Name, routing.Neutral)
+		r.handleCallerGone(placement, ownClaim)
 		return nil
 	}
-	r.node.backends.release(given.backend.Name, routing.Failed)
-	r.settleLater(given.backend.Name, mine.RequestID)
+	r.node.backends.release(placement.backend.Name, routing.Failed)
+	r.settleLater(placement.backend.Name, ownClaim.RequestID)
 	return &refusal{status: http.StatusBadGateway, code: caller.CodeOutcomeUnknown, retryAfter: retrySoon,
 		detail: fmt.Sprintf("the back end was lost: %v; the same %s gets the answer once it is back", err, caller.HeaderIdempotencyKey)}
 }
@@ -298,34 +298,34 @@
 // errCallerGone indicates that the caller disconnected.
 var errCallerGone = errors.New("the caller disconnected")
 
-// deliver relays events to the caller until the final one, which it returns, and resumes the stream
-// where it breaks.
-func (r *run) deliver(ctx context.Context, address, requestID string, stream *engine.Stream) (engine.Event, error) {
+// relayEvents relays events to the caller until the final one, which it returns, and resumes the
+// stream where it breaks.
+func (r *billedRun) relayEvents(ctx context.Context, address, requestID string, stream *engine.Stream) (engine.Event, error) {
 	failures := 0
 	for {
 		if stream == nil {
 			resumed, err := r.node.resume(ctx, address, requestID, r.delivered)
 			if err != nil {
-				if failures++; failures > resumeAttempts || errors.Is(err, engine.ErrUnknownRequest) {
+				if failures++; failures > maximumResumeFailures || errors.Is(err, engine.ErrUnknownRequest) {
 					return engine.Event{}, err
 				}
-				if !pause.For(r.callerGone, resumePause) {
+				if !pause.For(r.callerGone, resumeDelay) {
 					return engine.Event{}, errCallerGone
 				}
 				continue
 			}
 			stream = resumed
 		}
-		final, err := r.pump(stream)
+		final, err := r.relayStream(stream)
 		stream.Close()
 		stream = nil
 		if err == nil || errors.Is(err, errCallerGone) {
 			return final, err
 		}
-		if failures++; failures > resumeAttempts {
+		if failures++; failures > maximumResumeFailures {
 			return engine.Event{}, err
 		}
-		r.node.log.Info().Str("event", "stream_resumed").Str("request", r.of.id).Uint64("offset", r.delivered).Err(err).Send()
+		r.node.log.Info().Str("event", "stream_resumed").Str("request", r.completion.id).Uint64("offset", r.delivered).Err(err).Send()
 	}
 }
 
@@ -338,9 +338,9 @@
 
 // openStream opens a stream and fails if no response begins within the given time. It needs a
 // timeout of its own because a network partition does not close connections.
-func openStream(ctx context.Context, patience time.Duration, open func(context.Context) (*engine.Stream, error)) (*engine.Stream, error) {
+func openStream(ctx context.Context, maximumWait time.Duration, open func(context.Context) (*engine.Stream, error)) (*engine.Stream, error) {
 	ctx, cancel := context.WithCancel(ctx)
-	stalled := time.AfterFunc(patience, cancel)
+	stalled := time.AfterFunc(maximumWait, cancel)
 	stream, err := open(ctx)
 	if !stalled.Stop() && err == nil {
 		stream.Close()
@@ -354,8 +354,8 @@
 	return stream, nil
 }
 
-// pump relays the events of one stream until its final event or a failure.
-func (r *run) pump(stream *engine.Stream) (engine.Event, error) {
+// relayStream relays the events of one stream until its final event or a failure.
+func (r *billedRun) relayStream(stream *engine.Stream) (engine.Event, error) {
 	stopWatching := context.AfterFunc(r.callerGone, stream.Close)
 	defer stopWatching()
 	stalled := time.AfterFunc(stallTimeout, stream.Close)
@@ -369,7 +369,7 @@
 		if err != nil {
 			return engine.Event{}, err
 		}
-		if err := r.answer.event(event); err != nil {
+		if err := r.writer.writeEvent(event); err != nil {
 			return engine.Event{}, errCallerGone
 		}
 		r.delivered = stream.Offset()
@@ -379,18 +379,19 @@
 	}
 }
 
-// leave ends a request whose caller disconnected. A request with an idempotency key runs on, so
-// that a retry gets its response. Any other is cancelled at the engine and billed for what ran.
-func (r *run) leave(given placed, mine *claims.Claim) {
-	if r.of.callerKey {
-		r.settleLater(given.backend.Name, mine.RequestID)
+// handleCallerGone ends a request whose caller disconnected. A request with an idempotency key runs
+// on, so that a retry gets its response. Any other is cancelled at the engine and billed for what
+// ran.
+func (r *billedRun) handleCallerGone(placement placementResult, ownClaim *claims.Claim) {
+	if r.completion.callerKey {
+		r.settleLater(placement.backend.Name, ownClaim.RequestID)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	status, err := r.node.engines.Cancel(ctx, given.backend.Address, mine.RequestID)
+	status, err := r.node.engines.Cancel(ctx, placement.backend.Address, ownClaim.RequestID)
 	if err != nil {
-		r.settleLater(given.backend.Name, mine.RequestID)
+		r.settleLater(placement.backend.Name, ownClaim.RequestID)
 		return
 	}
 	r.settle(claims.Cancelled, status.Usage.Total())
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -14,8 +14,8 @@
 const (
 	// followInterval is the time between two requests to the node that this one follows.
 	followInterval = time.Second
-	// followerSilence is the time since the last request of a follower after which it is removed.
-	followerSilence = 5 * time.Second
+	// followerTimeout is the time since the last request of a follower after which it is removed.
+	followerTimeout = 5 * time.Second
 	// relaysPerZone is the number of nodes of a zone that follow control nodes. The zone's other nodes
 	// follow these relays.
 	relaysPerZone = 2
@@ -87,8 +87,9 @@
 	// sent is the revision last sent to each follower.
 	sent       map[string]uint64
 	nextFollow time.Time
-	// behindFor counts the follow requests since a heartbeat named a revision newer than this node's.
-	behindFor int
+	// behindCount counts the follow requests since a heartbeat named a revision newer than this
+	// node's.
+	behindCount int
 }
 
 func newCatalogDuty(node *Node) *catalogDuty {
@@ -101,7 +102,7 @@
 	return owner
 }
 
-func (c *catalogDuty) takeDelta(from string, delta catalog.Delta) {
+func (c *catalogDuty) handleDelta(from string, delta catalog.Delta) {
 	c.duty.Offer(func() {
 		changed, err := c.catalog.Follow(delta)
 		if err != nil {
@@ -111,18 +112,18 @@
 		if changed {
 			c.node.log.Info().Str("event", "catalog_in_force").Uint64("revision", delta.To).Str("from", from).
 				Int("changes", len(delta.Changes)).Send()
-			c.putInForce()
+			c.activate()
 		}
 	})
 }
 
-func (c *catalogDuty) putInForce() {
+func (c *catalogDuty) activate() {
 	view := newView(c.catalog)
 	c.node.view.Store(view)
 	c.node.backends.setCatalog(view)
 }
 
-func (c *catalogDuty) takeFollow(from string, follow peer.CatalogFollow) {
+func (c *catalogDuty) handleFollow(from string, follow peer.CatalogFollow) {
 	c.duty.Offer(func() {
 		c.followers[from] = time.Now()
 		c.sent[from] = follow.Revision
@@ -132,8 +133,8 @@
 // push sends each follower the changes that it lacks, and removes followers that have stopped
 // requesting.
 func (c *catalogDuty) push() {
-	for name, heard := range c.followers {
-		if time.Since(heard) > followerSilence {
+	for name, lastRequest := range c.followers {
+		if time.Since(lastRequest) > followerTimeout {
 			delete(c.followers, name)
 			delete(c.sent, name)
 			continue
@@ -162,18 +163,18 @@
 // other nodes. After more than two follow requests while a heartbeat names a newer revision than
 // this node's, it skips nodes that don't have the newest one.
 func (c *catalogDuty) chooseSource() string {
-	newest := c.newestHeard()
+	newest := c.newestRevision()
 	if newest <= c.catalog.Revision() {
-		c.behindFor = 0
+		c.behindCount = 0
 	} else {
-		c.behindFor++
+		c.behindCount++
 	}
 	for _, name := range c.sources() {
-		status, age, found := c.node.fleet.heard(name)
-		if !found || age > silentAfter {
+		status, age, found := c.node.fleet.lastStatus(name)
+		if !found || age > heartbeatTimeout {
 			continue
 		}
-		if c.behindFor > 2 && status.Revision < newest {
+		if c.behindCount > 2 && status.Revision < newest {
 			continue
 		}
 		return name
@@ -181,10 +182,10 @@
 	return ""
 }
 
-func (c *catalogDuty) newestHeard() uint64 {
+func (c *catalogDuty) newestRevision() uint64 {
 	var newest uint64
-	for _, status := range c.node.fleet.all() {
-		if time.Since(status.at) < silentAfter {
+	for _, status := range c.node.fleet.allStatuses() {
+		if time.Since(status.receivedAt) < heartbeatTimeout {
 			newest = max(newest, status.Revision)
 		}
 	}
@@ -195,21 +196,21 @@
 	zone := c.node.pool.InZone(c.node.zone)
 	relays := zone[:min(relaysPerZone, len(zone))]
 	isRelay := slices.Contains(relays, c.node.name)
-	var nearControl, nearRelays, farControl, others []string
+	var zoneControl, zoneRelays, remoteControl, zoneOthers []string
 	for _, member := range c.node.pool.Nodes() {
 		name := member.Name
 		other := c.node.peers[name]
 		switch {
 		case name == c.node.name:
 		case other.Control && other.Zone == c.node.zone:
-			nearControl = append(nearControl, name)
+			zoneControl = append(zoneControl, name)
 		case other.Control:
-			farControl = append(farControl, name)
+			remoteControl = append(remoteControl, name)
 		case !isRelay && slices.Contains(relays, name):
-			nearRelays = append(nearRelays, name)
+			zoneRelays = append(zoneRelays, name)
 		case other.Zone == c.node.zone:
-			others = append(others, name)
+			zoneOthers = append(zoneOthers, name)
 		}
 	}
-	return slices.Concat(nearControl, nearRelays, farControl, others)
+	return slices.Concat(zoneControl, zoneRelays, remoteControl, zoneOthers)
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -18,12 +18,12 @@
 	claimsTick = 10 * time.Millisecond
 	// claimTimeout is the timeout of one change of a claim.
 	claimTimeout = 2 * time.Second
-	// unreachedFor is the time for which a scope that could not be reached is skipped.
-	unreachedFor = 5 * time.Second
-	// announceNear and announceFar are the times between two announcements of watermarks: to the
-	// acceptors of this zone's keys, and to all nodes.
-	announceNear = 2 * time.Second
-	announceFar  = time.Minute
+	// skipUnreachable is the time for which a scope that could not be reached is skipped.
+	skipUnreachable = 5 * time.Second
+	// zoneAnnounceInterval and fleetAnnounceInterval are the times between two announcements of
+	// watermarks: to the acceptors of this zone's keys, and to all nodes.
+	zoneAnnounceInterval  = 2 * time.Second
+	fleetAnnounceInterval = time.Minute
 )
 
 // claimsDuty owns the node's acceptor, which stores claims and votes on them, and its proposer,
@@ -31,21 +31,21 @@
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
-	holder   *claims.Holder
+	acceptor *claims.Holder
 	proposer *claims.Proposer
 	outgoing map[string][]claims.Message
 	wasReady bool
 
-	// marks are the watermarks of this node's own settlements: claims up to a watermark are settled at
-	// the root. changedNear and changedFar are those yet to be announced to the acceptors of this
-	// zone's keys and to all nodes.
-	marks                   map[markName]uint64
-	changedNear, changedFar map[markName]struct{}
-	nextNear, nextFar       time.Duration
+	// watermarks are the watermarks of this node's own settlements: claims up to a watermark are
+	// settled at the root. changedForZone and changedForFleet are those yet to be announced to the
+	// acceptors of this zone's keys and to all nodes.
+	watermarks                                  map[watermarkName]uint64
+	changedForZone, changedForFleet             map[watermarkName]struct{}
+	nextZoneAnnouncement, nextFleetAnnouncement time.Duration
 
-	// unreached maps each scope that could not be reached to the time of the last failure.
+	// unreachable maps each scope that could not be reached to the time of the last failure.
 	scopesMutex sync.Mutex
-	unreached   map[string]time.Duration
+	unreachable map[string]time.Duration
 
 	// fenced maps a node to its highest fenced incarnation. mutex guards it, since the escrow duty
 	// reads it.
@@ -53,21 +53,21 @@
 	fenced map[string]uint64
 }
 
-// markName identifies a watermark.
-type markName struct {
+// watermarkName identifies a watermark.
+type watermarkName struct {
 	owner  accounts.HolderID
 	budget string
 }
 
 func newClaimsDuty(node *Node) *claimsDuty {
-	owner := &claimsDuty{node: node, duty: duty.New("claims", claimsTick), outgoing: map[string][]claims.Message{}, fenced: map[string]uint64{}, unreached: map[string]time.Duration{},
-		marks: map[markName]uint64{}, changedNear: map[markName]struct{}{}, changedFar: map[markName]struct{}{}}
-	owner.holder = claims.NewHolder(claims.HolderOptions{
+	owner := &claimsDuty{node: node, duty: duty.New("claims", claimsTick), outgoing: map[string][]claims.Message{}, fenced: map[string]uint64{}, unreachable: map[string]time.Duration{},
+		watermarks: map[watermarkName]uint64{}, changedForZone: map[watermarkName]struct{}{}, changedForFleet: map[watermarkName]struct{}{}}
+	owner.acceptor = claims.NewHolder(claims.HolderOptions{
 		Self: node.name, Incarnation: node.incarnation, Pool: node.pool, Fresh: len(node.pool.Nodes()) == 1,
 	})
-	owner.begin(accounts.HolderID{Node: node.name, Incarnation: node.incarnation})
+	owner.startProposer(accounts.HolderID{Node: node.name, Incarnation: node.incarnation})
 	owner.duty.Tick = func() {
-		owner.queue(owner.holder.Tick(node.now()))
+		owner.queue(owner.acceptor.Tick(node.now()))
 		owner.proposer.Tick(node.now())
 		owner.announceWatermarks()
 	}
@@ -75,16 +75,16 @@
 	return owner
 }
 
-func (c *claimsDuty) begin(id accounts.HolderID) {
+func (c *claimsDuty) startProposer(id accounts.HolderID) {
 	c.proposer = claims.NewProposer(claims.ProposerOptions{ID: id, Incarnation: c.node.incarnation, Pool: c.node.pool, Random: newRandom()})
 }
 
-// takeNewLife starts a proposer under a new incarnation after the old one was fenced.
-func (c *claimsDuty) takeNewLife(id accounts.HolderID) {
-	_ = c.duty.Do(context.Background(), func() { c.begin(id) })
+// startIncarnation starts a proposer under a new incarnation after the old one was fenced.
+func (c *claimsDuty) startIncarnation(id accounts.HolderID) {
+	_ = c.duty.Do(context.Background(), func() { c.startProposer(id) })
 }
 
-func (c *claimsDuty) take(batch claimsBatch) {
+func (c *claimsDuty) handleBatch(batch claimsBatch) {
 	c.duty.Offer(func() {
 		for _, message := range batch.Messages {
 			c.step(message)
@@ -97,13 +97,13 @@
 	case claims.MessagePromise, claims.MessageAccepted:
 		c.proposer.Step(c.node.now(), message)
 	default:
-		c.queue(c.holder.Step(c.node.now(), message))
+		c.queue(c.acceptor.Step(c.node.now(), message))
 	}
 }
 
 func (c *claimsDuty) queue(outgoing []claims.Outgoing) {
-	for _, one := range outgoing {
-		c.outgoing[one.To] = append(c.outgoing[one.To], one.Message)
+	for _, message := range outgoing {
+		c.outgoing[message.To] = append(c.outgoing[message.To], message.Message)
 	}
 }
 
@@ -122,22 +122,22 @@
 		c.node.send(to, peer.KindClaims, &claimsBatch{Messages: messages})
 	}
 	clear(c.outgoing)
-	if ready := len(c.holder.Recovering()) == 0; ready && !c.wasReady {
+	if ready := len(c.acceptor.Recovering()) == 0; ready && !c.wasReady {
 		c.wasReady = true
-		c.node.log.Info().Str("event", "claims_recovered").Int("claims", c.holder.Length()).Send()
+		c.node.log.Info().Str("event", "claims_recovered").Int("claims", c.acceptor.Length()).Send()
 	}
 }
 
 // change changes a claim and waits for the outcome.
 func (c *claimsDuty) change(ctx context.Context, scope string, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
+	outcome, err := duty.Ask(ctx, c.duty, func(reply func(claims.Outcome)) {
 		now := c.node.now()
-		c.proposer.Change(now, now+claimTimeout, scope, key, change, answer)
+		c.proposer.Change(now, now+claimTimeout, scope, key, change, reply)
 	})
 	if err != nil {
 		return claims.Outcome{}, err
 	}
-	c.noteReach(scope, outcome.Err)
+	c.recordReachability(scope, outcome.Err)
 	return outcome, outcome.Err
 }
 
@@ -146,11 +146,11 @@
 	return c.change(ctx, scope, key, func(*claims.Claim) *claims.Claim { return nil })
 }
 
-// changeMinted makes the first change of a claim whose key this node has generated.
-func (c *claimsDuty) changeMinted(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
+// changeGenerated makes the first change of a claim whose key this node has generated.
+func (c *claimsDuty) changeGenerated(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
+	outcome, err := duty.Ask(ctx, c.duty, func(reply func(claims.Outcome)) {
 		now := c.node.now()
-		c.proposer.ChangeMinted(now, now+claimTimeout, c.node.zone, key, change, answer)
+		c.proposer.ChangeMinted(now, now+claimTimeout, c.node.zone, key, change, reply)
 	})
 	if err != nil {
 		return claims.Outcome{}, err
@@ -158,36 +158,36 @@
 	return outcome, outcome.Err
 }
 
-// noteReach records whether a scope could be reached, so that not every request waits for the
-// timeout while it can't be.
-func (c *claimsDuty) noteReach(scope string, err error) {
+// recordReachability records whether a scope could be reached, so that not every request waits for
+// the timeout while it can't be.
+func (c *claimsDuty) recordReachability(scope string, err error) {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
 	if errors.Is(err, claims.ErrUnreachable) {
-		c.unreached[scope] = c.node.now()
+		c.unreachable[scope] = c.node.now()
 		return
 	}
-	delete(c.unreached, scope)
+	delete(c.unreachable, scope)
 }
 
-// reachedLately reports whether a scope should be tried: no change there has failed within
-// unreachedFor for want of reachable acceptors.
-func (c *claimsDuty) reachedLately(scope string) bool {
+// isReachable reports whether a scope should be tried: no change there has failed within
+// skipUnreachable for want of reachable acceptors.
+func (c *claimsDuty) isReachable(scope string) bool {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
-	at, failed := c.unreached[scope]
-	return !failed || c.node.now()-at > unreachedFor
+	at, failed := c.unreachable[scope]
+	return !failed || c.node.now()-at > skipUnreachable
 }
 
-// noteWatermarks records up to which settlement the root has this node's settlements, to be
+// recordWatermarks records up to which settlement the root has this node's settlements, to be
 // announced to the acceptors.
-func (c *claimsDuty) noteWatermarks(marks []claims.Watermark) {
+func (c *claimsDuty) recordWatermarks(watermarks []claims.Watermark) {
 	c.duty.Offer(func() {
-		for _, mark := range marks {
-			name := markName{owner: mark.Owner, budget: mark.Budget}
-			c.marks[name] = max(c.marks[name], mark.Sequence)
-			c.changedNear[name] = struct{}{}
-			c.changedFar[name] = struct{}{}
+		for _, watermark := range watermarks {
+			name := watermarkName{owner: watermark.Owner, budget: watermark.Budget}
+			c.watermarks[name] = max(c.watermarks[name], watermark.Sequence)
+			c.changedForZone[name] = struct{}{}
+			c.changedForFleet[name] = struct{}{}
 		}
 	})
 }
@@ -198,27 +198,27 @@
 // a minute.
 func (c *claimsDuty) announceWatermarks() {
 	now := c.node.now()
-	if now >= c.nextNear {
-		c.nextNear = now + announceNear
-		c.announce(c.changedNear, c.nearHolders())
+	if now >= c.nextZoneAnnouncement {
+		c.nextZoneAnnouncement = now + zoneAnnounceInterval
+		c.announce(c.changedForZone, c.zoneAcceptors())
 	}
-	if now >= c.nextFar {
-		c.nextFar = now + announceFar
-		var everyone []string
+	if now >= c.nextFleetAnnouncement {
+		c.nextFleetAnnouncement = now + fleetAnnounceInterval
+		var allNodes []string
 		for _, member := range c.node.pool.Nodes() {
-			everyone = append(everyone, member.Name)
+			allNodes = append(allNodes, member.Name)
 		}
-		c.announce(c.changedFar, everyone)
+		c.announce(c.changedForFleet, allNodes)
 	}
 }
 
-func (c *claimsDuty) announce(changed map[markName]struct{}, to []string) {
+func (c *claimsDuty) announce(changed map[watermarkName]struct{}, to []string) {
 	if len(changed) == 0 {
 		return
 	}
 	message := claims.Message{Kind: claims.MessageWatermark, From: c.node.name, Incarnation: c.node.incarnation}
 	for name := range changed {
-		message.Marks = append(message.Marks, claims.Watermark{Owner: name.owner, Budget: name.budget, Sequence: c.marks[name]})
+		message.Marks = append(message.Marks, claims.Watermark{Owner: name.owner, Budget: name.budget, Sequence: c.watermarks[name]})
 	}
 	clear(changed)
 	for _, name := range to {
@@ -226,35 +226,35 @@
 	}
 }
 
-// nearHolders returns the nodes that may be acceptors of this zone's keys: the zone's nodes, or all
-// nodes if the zone has too few.
-func (c *claimsDuty) nearHolders() []string {
-	near := slices.Clone(c.node.pool.InZone(c.node.zone))
-	if len(near) >= membership.HoldersPerKey {
-		return near
+// zoneAcceptors returns the nodes that may be acceptors of this zone's keys: the zone's nodes, or
+// all nodes if the zone has too few.
+func (c *claimsDuty) zoneAcceptors() []string {
+	acceptors := slices.Clone(c.node.pool.InZone(c.node.zone))
+	if len(acceptors) >= membership.HoldersPerKey {
+		return acceptors
 	}
 	for _, member := range c.node.pool.Nodes() {
-		if !slices.Contains(near, member.Name) {
-			near = append(near, member.Name)
+		if !slices.Contains(acceptors, member.Name) {
+			acceptors = append(acceptors, member.Name)
 		}
 	}
-	return near
+	return acceptors
 }
 
 // fence makes this acceptor acknowledge no further claims of an incarnation, and returns the claims
 // of it that it stores.
-func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceAnswer, error) {
-	return duty.Ask(ctx, c.duty, func(answer func(fenceAnswer)) {
-		records := c.holder.Fence(owner)
+func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceResponse, error) {
+	return duty.Ask(ctx, c.duty, func(reply func(fenceResponse)) {
+		records := c.acceptor.Fence(owner)
 		c.mutex.Lock()
 		c.fenced[owner.Node] = max(c.fenced[owner.Node], owner.Incarnation)
 		c.mutex.Unlock()
-		answer(fenceAnswer{Records: records, Recovering: len(c.holder.Recovering()) > 0})
+		reply(fenceResponse{Records: records, Recovering: len(c.acceptor.Recovering()) > 0})
 	})
 }
 
-// fencedHere reports whether an incarnation is fenced at this acceptor.
-func (c *claimsDuty) fencedHere(id accounts.HolderID) bool {
+// isFenced reports whether an incarnation is fenced at this acceptor.
+func (c *claimsDuty) isFenced(id accounts.HolderID) bool {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
 	return id.Incarnation <= c.fenced[id.Node]
@@ -263,6 +263,6 @@
 // ClaimsRecovered reports whether the node's acceptor has recovered its claims from all other nodes
 // since its start.
 func (n *Node) ClaimsRecovered() bool {
-	recovering, err := duty.Ask(n.life, n.claims.duty, func(answer func(int)) { answer(len(n.claims.holder.Recovering())) })
+	recovering, err := duty.Ask(n.runContext, n.claims.duty, func(reply func(int)) { reply(len(n.claims.acceptor.Recovering())) })
 	return err == nil && recovering == 0
 }
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -14,31 +14,31 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// completion is one request for a completion or chat completion in the OpenAI format. bound is the
-// maximum number of output tokens.
-type completion struct {
-	*request
-	body   caller.CompletionRequest
-	prompt string
-	chat   bool
-	bound  uint64
+// completionRequest is one request for a completion or chat completion in the OpenAI format.
+// maximumOutput is the maximum number of output tokens.
+type completionRequest struct {
+	*callerRequest
+	body          caller.CompletionRequest
+	prompt        string
+	chat          bool
+	maximumOutput uint64
 }
 
-func (n *Node) serveCompletion(writer http.ResponseWriter, httpRequest *http.Request, of *request, chat bool) {
-	wanted, refused := n.readCompletion(writer, httpRequest, of, chat)
+func (n *Node) serveCompletion(writer http.ResponseWriter, httpRequest *http.Request, request *callerRequest, chat bool) {
+	completion, refused := n.readCompletion(writer, httpRequest, request, chat)
 	if refused != nil {
-		n.refuse(writer, of, refused)
+		n.refuse(writer, request, refused)
 		return
 	}
-	ctx, cancel := context.WithTimeout(httpRequest.Context(), of.deadline)
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), request.deadline)
 	defer cancel()
-	answer := newCompletionWriter(writer, wanted)
-	if refused := n.runCompletion(ctx, httpRequest.Context(), wanted, answer); refused != nil {
-		answer.fail(n, refused)
+	responseWriter := newCompletionWriter(writer, completion)
+	if refused := n.runCompletion(ctx, httpRequest.Context(), completion, responseWriter); refused != nil {
+		responseWriter.fail(n, refused)
 	}
 }
 
-func (n *Node) readCompletion(writer http.ResponseWriter, httpRequest *http.Request, of *request, chat bool) (*completion, *refusal) {
+func (n *Node) readCompletion(writer http.ResponseWriter, httpRequest *http.Request, request *callerRequest, chat bool) (*completionRequest, *refusal) {
 	body, refused := n.readBody(writer, httpRequest, n.settings.Limits.MaxBodyBytes)
 	if refused != nil {
 		return nil, refused
@@ -47,90 +47,90 @@
 	if err != nil {
 		return nil, badRequest("%v", err)
 	}
-	of.service = n.view.Load().models[parsed.Model]
-	if of.service == nil {
+	request.service = n.view.Load().models[parsed.Model]
+	if request.service == nil {
 		return nil, refuseNotRun(http.StatusNotFound, caller.CodeUnknownModel, 0, "no service has model %q", parsed.Model)
 	}
-	if maximum := of.service.GetMaxBodyBytes(); maximum > 0 && uint64(len(body)) > maximum {
+	if maximum := request.service.GetMaxBodyBytes(); maximum > 0 && uint64(len(body)) > maximum {
 		return nil, refuseNotRun(http.StatusRequestEntityTooLarge, caller.CodeTooLarge, 0, "the body has more than %d bytes", maximum)
 	}
-	if refused := n.chooseBudget(httpRequest, of); refused != nil {
+	if refused := n.chooseBudget(httpRequest, request); refused != nil {
 		return nil, refused
 	}
-	wanted := &completion{request: of, body: parsed, prompt: parsed.PromptText(), chat: chat}
-	maximum := of.service.GetMaxOutputTokens()
+	completion := &completionRequest{callerRequest: request, body: parsed, prompt: parsed.PromptText(), chat: chat}
+	maximum := request.service.GetMaxOutputTokens()
 	if maximum == 0 {
-		maximum = defaultMaxOutput
+		maximum = defaultMaximumOutput
 	}
-	wanted.bound = parsed.MaxTokens
-	if wanted.bound == 0 {
-		wanted.bound = defaultOutputTokens
+	completion.maximumOutput = parsed.MaxTokens
+	if completion.maximumOutput == 0 {
+		completion.maximumOutput = defaultOutputTokens
 	}
-	if wanted.bound > uint64(maximum) {
-		return nil, badRequest("max_tokens: %d is more than the service's %d", wanted.bound, maximum)
+	if completion.maximumOutput > uint64(maximum) {
+		return nil, badRequest("max_tokens: %d is more than the service's %d", completion.maximumOutput, maximum)
 	}
-	of.fingerprint = fingerprint(parsed.Model, wanted.prompt, fmt.Sprint(wanted.bound))
-	return wanted, nil
+	request.fingerprint = fingerprint(parsed.Model, completion.prompt, fmt.Sprint(completion.maximumOutput))
+	return completion, nil
 }
 
 // completionWriter writes the response to a completion, as a stream of events or as one JSON
 // document.
 type completionWriter struct {
-	writer  http.ResponseWriter
-	flusher *http.ResponseController
-	of      *completion
-	created int64
-	text    strings.Builder
-	begun   bool
+	writer     http.ResponseWriter
+	flusher    *http.ResponseController
+	completion *completionRequest
+	created    int64
+	text       strings.Builder
+	hasStarted bool
 }
 
-func newCompletionWriter(writer http.ResponseWriter, of *completion) *completionWriter {
-	return &completionWriter{writer: writer, flusher: http.NewResponseController(writer), of: of, created: time.Now().Unix()}
+func newCompletionWriter(writer http.ResponseWriter, completion *completionRequest) *completionWriter {
+	return &completionWriter{writer: writer, flusher: http.NewResponseController(writer), completion: completion, created: time.Now().Unix()}
 }
 
-// event writes one event of the engine's stream to the caller, or collects its text for a response
-// in one document.
-func (c *completionWriter) event(event engine.Event) error {
-	if !c.of.body.Stream {
+// writeEvent writes one event of the engine's stream to the caller, or collects its text for a
+// response in one document.
+func (c *completionWriter) writeEvent(event engine.Event) error {
+	if !c.completion.body.Stream {
 		c.text.WriteString(event.Text)
 		if event.Done {
-			return c.whole(event)
+			return c.writeDocument(event)
 		}
 		return nil
 	}
-	c.begin()
+	c.startStream()
 	if event.Text != "" {
-		if err := c.chunk(c.part(event.Text, nil, nil)); err != nil {
+		if err := c.writeChunk(c.message(event.Text, nil, nil)); err != nil {
 			return err
 		}
 	}
 	if !event.Done {
 		return c.flusher.Flush()
 	}
-	if err := c.chunk(c.part("", &event.FinishReason, usageOf(event))); err != nil {
+	if err := c.writeChunk(c.message("", &event.FinishReason, usageOf(event))); err != nil {
 		return err
 	}
 	_, err := io.WriteString(c.writer, "data: [DONE]\n\n")
 	return errors.Join(err, c.flusher.Flush())
 }
 
-// backendRequestID sets the response header that names the id under which the engine runs the
+// setBackendRequestID sets the response header that names the id under which the engine runs the
 // request.
-func (c *completionWriter) backendRequestID(id string) {
+func (c *completionWriter) setBackendRequestID(id string) {
 	c.writer.Header().Set(caller.HeaderBackendRequestID, id)
 }
 
-func (c *completionWriter) begin() {
-	if c.begun {
+func (c *completionWriter) startStream() {
+	if c.hasStarted {
 		return
 	}
-	c.begun = true
+	c.hasStarted = true
 	c.writer.Header().Set("Content-Type", "text/event-stream")
 	c.writer.Header().Set("Cache-Control", "no-store")
 	c.writer.WriteHeader(http.StatusOK)
 }
 
-func (c *completionWriter) chunk(message any) error {
+func (c *completionWriter) writeChunk(message any) error {
 	encoded, err := json.Marshal(message)
 	if err != nil {
 		return err
@@ -148,38 +148,38 @@
 	}
 }
 
-func (c *completionWriter) part(text string, finish *string, usage *caller.Usage) caller.Completion {
-	answer := caller.Completion{ID: c.of.id, Object: caller.ObjectCompletion, Created: c.created, Model: c.of.body.Model, Usage: usage}
+func (c *completionWriter) message(text string, finish *string, usage *caller.Usage) caller.Completion {
+	response := caller.Completion{ID: c.completion.id, Object: caller.ObjectCompletion, Created: c.created, Model: c.completion.body.Model, Usage: usage}
 	choice := caller.Choice{Text: text, FinishReason: finish}
-	if c.of.chat {
-		answer.Object = caller.ObjectChatChunk
+	if c.completion.chat {
+		response.Object = caller.ObjectChatChunk
 		choice = caller.Choice{Delta: &caller.Message{Role: "assistant", Content: text}, FinishReason: finish}
 	}
-	answer.Choices = []caller.Choice{choice}
-	return answer
+	response.Choices = []caller.Choice{choice}
+	return response
 }
 
-// whole writes the collected response as one JSON document.
-func (c *completionWriter) whole(event engine.Event) error {
-	answer := c.part(c.text.String(), &event.FinishReason, usageOf(event))
-	if c.of.chat {
-		answer.Object = caller.ObjectChat
-		answer.Choices[0].Message, answer.Choices[0].Delta = answer.Choices[0].Delta, nil
-	}
-	c.begun = true
+// writeDocument writes the collected response as one JSON document.
+func (c *completionWriter) writeDocument(event engine.Event) error {
+	response := c.message(c.text.String(), &event.FinishReason, usageOf(event))
+	if c.completion.chat {
+		response.Object = caller.ObjectChat
+		response.Choices[0].Message, response.Choices[0].Delta = response.Choices[0].Delta, nil
+	}
+	c.hasStarted = true
 	c.writer.Header().Set("Content-Type", "application/json")
 	c.writer.WriteHeader(http.StatusOK)
-	return json.NewEncoder(c.writer).Encode(answer)
+	return json.NewEncoder(c.writer).Encode(response)
 }
 
 // fail ends the response with an error: by a status code before the first byte, by an error event
 // after it. A response is never truncated without an error.
 func (c *completionWriter) fail(n *Node, cause *refusal) {
-	if !c.begun {
-		n.refuse(c.writer, c.of.request, cause)
+	if !c.hasStarted {
+		n.refuse(c.writer, c.completion.callerRequest, cause)
 		return
 	}
-	n.log.Warn().Str("event", "stream_failed").Str("request", c.of.id).Str("code", string(cause.code)).Str("why", cause.detail).Send()
-	_ = c.chunk(caller.ErrorBody{Error: caller.ErrorDetail{Code: cause.code, Message: cause.detail, RequestID: c.of.id}})
+	n.log.Warn().Str("event", "stream_failed").Str("request", c.completion.id).Str("code", string(cause.code)).Str("why", cause.detail).Send()
+	_ = c.writeChunk(caller.ErrorBody{Error: caller.ErrorDetail{Code: cause.code, Message: cause.detail, RequestID: c.completion.id}})
 	_ = c.flusher.Flush()
 }
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// decisionsKept is the number of requests whose decisions "explain" can find.
-	decisionsKept = 20000
-	// scoresLogged is the maximum number of candidates in the log line of a decision.
-	scoresLogged = 6
+	// maximumDecisions is the number of requests whose decisions "explain" can find.
+	maximumDecisions = 20000
+	// maximumLoggedScores is the maximum number of candidates in the log line of a decision.
+	maximumLoggedScores = 6
 )
 
 // decision is one routing decision about a request.
@@ -43,20 +43,20 @@
 }
 
 // add records a decision.
-func (d *decisionLog) add(made decision) {
-	scores := formatScores(made.Candidate)
-	d.log.Info().Str("event", "decision").Str("decision", made.Kind).Str("request", made.RequestID).
-		Str("tenant", made.Tenant).Str("service", made.Service).Str("backend", made.Backend).
-		Str("candidates", scores).Dur("queue_wait_ms", made.Wait).Str("why", made.Detail).Send()
+func (d *decisionLog) add(record decision) {
+	scores := formatScores(record.Candidate)
+	d.log.Info().Str("event", "decision").Str("decision", record.Kind).Str("request", record.RequestID).
+		Str("tenant", record.Tenant).Str("service", record.Service).Str("backend", record.Backend).
+		Str("candidates", scores).Dur("queue_wait_ms", record.Wait).Str("why", record.Detail).Send()
 	line := fmt.Sprintf("decision=%s tenant=%s service=%s backend=%s candidates=%q queue_wait=%v why=%q",
-		made.Kind, made.Tenant, made.Service, made.Backend, scores, made.Wait.Round(time.Microsecond), made.Detail)
+		record.Kind, record.Tenant, record.Service, record.Backend, scores, record.Wait.Round(time.Microsecond), record.Detail)
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if _, known := d.lines[made.RequestID]; !known {
-		d.order = append(d.order, made.RequestID)
+	if _, known := d.lines[record.RequestID]; !known {
+		d.order = append(d.order, record.RequestID)
 	}
-	d.lines[made.RequestID] = append(d.lines[made.RequestID], line)
-	if len(d.order) > decisionsKept {
+	d.lines[record.RequestID] = append(d.lines[record.RequestID], line)
+	if len(d.order) > maximumDecisions {
 		delete(d.lines, d.order[0])
 		d.order = d.order[1:]
 	}
@@ -65,17 +65,17 @@
 // formatScores formats candidates as "backend:cost(cached blocks)"; "+N" stands for N more.
 func formatScores(scores []routing.Score) string {
 	var parts []string
-	for _, score := range scores[:min(scoresLogged, len(scores))] {
+	for _, score := range scores[:min(maximumLoggedScores, len(scores))] {
 		parts = append(parts, fmt.Sprintf("%s:%.1f(%d)", score.Backend, score.Cost, score.Cached))
 	}
-	if len(scores) > scoresLogged {
-		parts = append(parts, fmt.Sprintf("+%d", len(scores)-scoresLogged))
+	if len(scores) > maximumLoggedScores {
+		parts = append(parts, fmt.Sprintf("+%d", len(scores)-maximumLoggedScores))
 	}
 	return strings.Join(parts, " ")
 }
 
-// explainQuestion requests the decisions that a node made about a request.
-type explainQuestion struct {
+// explainRequest requests the decisions that a node made about a request.
+type explainRequest struct {
 	RequestID string `msgpack:"r"`
 }
 
@@ -85,52 +85,52 @@
 	return append([]string(nil), d.lines[requestID]...)
 }
 
-// answerQuestion requests the response to a settled request that a node has stored.
-type answerQuestion struct {
+// storedResponseRequest requests the response to a settled request that a node has stored.
+type storedResponseRequest struct {
 	RequestID string `msgpack:"r"`
 }
 
-// storedAnswer is the whole response of a plain service. Found is false if there is none.
-type storedAnswer struct {
+// storedResponse is the whole response of a plain service. Found is false if there is none.
+type storedResponse struct {
 	Found       bool   `msgpack:"f"`
 	Status      int    `msgpack:"s"`
 	ContentType string `msgpack:"t"`
 	Body        []byte `msgpack:"b"`
 }
 
-// answerStore keeps the newest responses of plain services to requests with an idempotency key, for
-// retries. maximum and size are in bytes of response bodies.
-type answerStore struct {
-	mutex   sync.Mutex
-	maximum int64
-	size    int64
-	answers map[string]storedAnswer
-	order   []string
+// responseStore keeps the newest responses of plain services to requests with an idempotency key,
+// for retries. maximum and size are in bytes of response bodies.
+type responseStore struct {
+	mutex     sync.Mutex
+	maximum   int64
+	size      int64
+	responses map[string]storedResponse
+	order     []string
 }
 
-func newAnswerStore(maximum int64) *answerStore {
-	return &answerStore{maximum: maximum, answers: map[string]storedAnswer{}}
+func newResponseStore(maximum int64) *responseStore {
+	return &responseStore{maximum: maximum, responses: map[string]storedResponse{}}
 }
 
-func (a *answerStore) put(requestID string, answer storedAnswer) {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	if _, known := a.answers[requestID]; known || int64(len(answer.Body)) > a.maximum {
+func (s *responseStore) put(requestID string, response storedResponse) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if _, known := s.responses[requestID]; known || int64(len(response.Body)) > s.maximum {
 		return
 	}
-	answer.Found = true
-	a.answers[requestID] = answer
-	a.order = append(a.order, requestID)
-	a.size += int64(len(answer.Body))
-	for a.size > a.maximum {
-		a.size -= int64(len(a.answers[a.order[0]].Body))
-		delete(a.answers, a.order[0])
-		a.order = a.order[1:]
+	response.Found = true
+	s.responses[requestID] = response
+	s.order = append(s.order, requestID)
+	s.size += int64(len(response.Body))
+	for s.size > s.maximum {
+		s.size -= int64(len(s.responses[s.order[0]].Body))
+		delete(s.responses, s.order[0])
+		s.order = s.order[1:]
 	}
 }
 
-func (a *answerStore) find(requestID string) storedAnswer {
-	a.mutex.Lock()
-	defer a.mutex.Unlock()
-	return a.answers[requestID]
+func (s *responseStore) find(requestID string) storedResponse {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return s.responses[requestID]
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -34,9 +34,9 @@
 	maximumKeyLength = 256
 	// defaultOutputTokens is the output limit of a request that sets none.
 	defaultOutputTokens = 256
-	// defaultMaxOutput is the largest output limit, in tokens, of a service that sets none.
-	defaultMaxOutput = 4096
-	bearerPrefix     = "Bearer "
+	// defaultMaximumOutput is the largest output limit, in tokens, of a service that sets none.
+	defaultMaximumOutput = 4096
+	bearerPrefix         = "Bearer "
 	// retrySoon and retryLong are the Retry-After values of refusals; each is whole seconds.
 	retrySoon = 1 * time.Second
 	retryLong = 5 * time.Second
@@ -63,9 +63,9 @@
 	return &refusal{status: status, code: code, notRun: true, retryAfter: retryAfter, detail: fmt.Sprintf(format, arguments...)}
 }
 
-// request is one caller's request: its attributes, the service and budget it uses, and its claim
-// key.
-type request struct {
+// callerRequest is one caller's request: its attributes, the service and budget it uses, and its
+// claim key.
+type callerRequest struct {
 	id       string
 	tenant   *ravenwayv1.Tenant
 	service  *ravenwayv1.Service
@@ -82,10 +82,10 @@
 // callerHandler returns the HTTP handler for callers.
 func (n *Node) callerHandler() http.Handler {
 	router := mux.NewRouter().SkipClean(true)
-	router.HandleFunc("/v1/chat/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *request) {
+	router.HandleFunc("/v1/chat/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *callerRequest) {
 		n.serveCompletion(w, r, q, true)
 	})).Methods(http.MethodPost)
-	router.HandleFunc("/v1/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *request) {
+	router.HandleFunc("/v1/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *callerRequest) {
 		n.serveCompletion(w, r, q, false)
 	})).Methods(http.MethodPost)
 	router.PathPrefix("/").HandlerFunc(n.admit(n.servePlain))
@@ -93,10 +93,10 @@
 }
 
 // admit wraps a handler with the checks that all requests share: capacity, tenant and headers.
-func (n *Node) admit(serve func(http.ResponseWriter, *http.Request, *request)) http.HandlerFunc {
+func (n *Node) admit(serve func(http.ResponseWriter, *http.Request, *callerRequest)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
-		accepted := &request{id: uuid.NewString()}
-		writer.Header().Set(caller.HeaderRequestID, accepted.id)
+		request := &callerRequest{id: uuid.NewString()}
+		writer.Header().Set(caller.HeaderRequestID, request.id)
 		writer.Header().Set(caller.HeaderNode, n.name)
 		if n.stopping.Load() {
 			// The request is still served, since the load balancer reacts with a delay. Only the
@@ -106,19 +106,19 @@
 		active := n.streams.active.Add(1)
 		defer n.streams.active.Add(-1)
 		if active > int64(n.settings.Limits.MaxStreams) {
-			n.refuse(writer, accepted, refuseNotRun(http.StatusServiceUnavailable, caller.CodeQueueFull, retrySoon,
+			n.refuse(writer, request, refuseNotRun(http.StatusServiceUnavailable, caller.CodeQueueFull, retrySoon,
 				"this node serves as many requests as it may"))
 			return
 		}
-		if err := n.readHeaders(httpRequest, accepted); err != nil {
-			n.refuse(writer, accepted, err)
+		if err := n.readHeaders(httpRequest, request); err != nil {
+			n.refuse(writer, request, err)
 			return
 		}
-		serve(writer, httpRequest, accepted)
+		serve(writer, httpRequest, request)
 	}
 }
 
-func (n *Node) readHeaders(httpRequest *http.Request, accepted *request) *refusal {
+func (n *Node) readHeaders(httpRequest *http.Request, request *callerRequest) *refusal {
 	if n.view.Load().revision == 0 {
 		return refuseNotRun(http.StatusServiceUnavailable, caller.CodeStarting, retrySoon, "this node has no catalog yet")
 	}
@@ -127,32 +127,32 @@
 		return refuseNotRun(http.StatusUnauthorized, caller.CodeUnauthorized, 0, "an API key is needed: Authorization: Bearer KEY")
 	}
 	digest := sha256.Sum256([]byte(key))
-	accepted.tenant = n.view.Load().tenants[hex.EncodeToString(digest[:])]
-	if accepted.tenant == nil {
+	request.tenant = n.view.Load().tenants[hex.EncodeToString(digest[:])]
+	if request.tenant == nil {
 		return refuseNotRun(http.StatusUnauthorized, caller.CodeUnauthorized, 0, "the API key is not known")
 	}
-	if err := n.readClass(httpRequest, accepted); err != nil {
+	if err := n.readClass(httpRequest, request); err != nil {
 		return err
 	}
-	accepted.deadline = n.settings.Limits.RequestDeadline
+	request.deadline = n.settings.Limits.RequestDeadline
 	if text := httpRequest.Header.Get(caller.HeaderDeadline); text != "" {
 		deadline, err := time.ParseDuration(text)
 		if err != nil || deadline <= 0 {
 			return badRequest("%s: %q is not a duration above 0 such as 30s", caller.HeaderDeadline, text)
 		}
-		accepted.deadline = deadline
+		request.deadline = deadline
 	}
 	if text := httpRequest.Header.Get(caller.HeaderNotRepeatable); text != "" {
 		notRepeatable, err := strconv.ParseBool(text)
 		if err != nil {
 			return badRequest("%s: %q is neither true nor false", caller.HeaderNotRepeatable, text)
 		}
-		accepted.notRepeatable = notRepeatable
+		request.notRepeatable = notRepeatable
 	}
-	return n.readKey(httpRequest, accepted)
+	return n.readKey(httpRequest, request)
 }
 
-func (n *Node) readClass(httpRequest *http.Request, accepted *request) *refusal {
+func (n *Node) readClass(httpRequest *http.Request, request *callerRequest) *refusal {
 	name := httpRequest.Header.Get(caller.HeaderPriority)
 	if name == "" {
 		name = catalog.PriorityNormal
@@ -161,37 +161,37 @@
 	if position < 0 {
 		return badRequest("%s: %q is none of %s", caller.HeaderPriority, name, strings.Join(catalog.Priorities, ", "))
 	}
-	accepted.class = queueing.Class(position)
-	if highest := accepted.tenant.GetMaxPriority(); highest != "" {
-		accepted.class = max(accepted.class, queueing.Class(slices.Index(catalog.Priorities, highest)))
+	request.class = queueing.Class(position)
+	if highest := request.tenant.GetMaxPriority(); highest != "" {
+		request.class = max(request.class, queueing.Class(slices.Index(catalog.Priorities, highest)))
 	}
 	return nil
 }
 
 // readKey sets the claim key: from the caller's idempotency key, or a newly generated one.
-func (n *Node) readKey(httpRequest *http.Request, accepted *request) *refusal {
+func (n *Node) readKey(httpRequest *http.Request, request *callerRequest) *refusal {
 	key := httpRequest.Header.Get(caller.HeaderIdempotencyKey)
 	if len(key) > maximumKeyLength {
 		return badRequest("%s: has %d characters; at most %d are allowed", caller.HeaderIdempotencyKey, len(key), maximumKeyLength)
 	}
-	accepted.callerKey = key != ""
-	if accepted.callerKey {
-		accepted.key = claims.NewKey(accepted.tenant.GetName(), key)
+	request.callerKey = key != ""
+	if request.callerKey {
+		request.key = claims.NewKey(request.tenant.GetName(), key)
 		return nil
 	}
-	accepted.key = n.mintKey(accepted)
+	request.key = n.generateKey(request)
 	return nil
 }
 
-// maximumMints is the maximum number of keys generated for one request.
-const maximumMints = 64
+// maximumKeyAttempts is the maximum number of keys generated for one request.
+const maximumKeyAttempts = 64
 
-// mintKey generates a key, if possible one that has this node among its acceptors: its claim then
-// needs only one other node.
-func (n *Node) mintKey(accepted *request) claims.Key {
+// generateKey generates a key, if possible one that has this node among its acceptors: its claim
+// then needs only one other node.
+func (n *Node) generateKey(request *callerRequest) claims.Key {
 	var key claims.Key
-	for attempt := range maximumMints {
-		key = claims.NewKey(accepted.tenant.GetName(), fmt.Sprintf("%s minted %d", accepted.id, attempt))
+	for attempt := range maximumKeyAttempts {
+		key = claims.NewKey(request.tenant.GetName(), fmt.Sprintf("%s minted %d", request.id, attempt))
 		if slices.Contains(n.pool.Holders(n.zone, string(key[:])), n.name) {
 			return key
 		}
@@ -199,16 +199,16 @@
 	return key
 }
 
-// scope returns where the acceptors of a request's claim are. For a repeatable request with a
+// claimScope returns where the acceptors of a request's claim are. For a repeatable request with a
 // caller's key, they are in the home zone of the key, so that retries through any zone find the
 // claim. For a generated key, or while the home zone is unreachable, they are in this zone. For a
 // non-repeatable request with a caller's key, each is in a different zone.
-func (n *Node) scope(of *request) string {
+func (n *Node) claimScope(request *callerRequest) string {
 	switch {
-	case of.notRepeatable && of.callerKey:
+	case request.notRepeatable && request.callerKey:
 		return membership.ScopeGlobal
-	case of.callerKey:
-		if home := n.homeZone(of.key); n.claims.reachedLately(home) {
+	case request.callerKey:
+		if home := n.homeZone(request.key); n.claims.isReachable(home) {
 			return home
 		}
 	}
@@ -226,12 +226,12 @@
 }
 
 // refuse sends an error response with a code.
-func (n *Node) refuse(writer http.ResponseWriter, of *request, cause *refusal) {
+func (n *Node) refuse(writer http.ResponseWriter, request *callerRequest, cause *refusal) {
 	tenant := ""
-	if of.tenant != nil {
-		tenant = of.tenant.GetName()
+	if request.tenant != nil {
+		tenant = request.tenant.GetName()
 	}
-	n.log.Info().Str("event", "refused").Str("request", of.id).Str("tenant", tenant).Str("code", string(cause.code)).
+	n.log.Info().Str("event", "refused").Str("request", request.id).Str("tenant", tenant).Str("code", string(cause.code)).
 		Bool("not_run", cause.notRun).Str("why", cause.detail).Send()
 	countRefusal(cause.code)
 	if cause.retryAfter > 0 {
@@ -241,7 +241,7 @@
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(cause.status)
 	_ = json.NewEncoder(writer).Encode(caller.ErrorBody{Error: caller.ErrorDetail{
-		Code: cause.code, Message: cause.detail, NotRun: cause.notRun, RequestID: of.id,
+		Code: cause.code, Message: cause.detail, NotRun: cause.notRun, RequestID: request.id,
 	}})
 }
 
@@ -263,38 +263,38 @@
 
 // chooseBudget sets the budget to charge: the one that the caller's header names, or the tenant's
 // default.
-func (n *Node) chooseBudget(httpRequest *http.Request, of *request) *refusal {
+func (n *Node) chooseBudget(httpRequest *http.Request, request *callerRequest) *refusal {
 	view := n.view.Load()
 	name := httpRequest.Header.Get(caller.HeaderBudget)
 	if name == "" {
-		name = of.tenant.GetDefaultBudget()
+		name = request.tenant.GetDefaultBudget()
 	}
-	of.budget = view.budgets[name]
-	if of.budget == nil || of.budget.GetTenant() != of.tenant.GetName() {
-		return refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, 0, "tenant %q has no budget %q", of.tenant.GetName(), name)
+	request.budget = view.budgets[name]
+	if request.budget == nil || request.budget.GetTenant() != request.tenant.GetName() {
+		return refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, 0, "tenant %q has no budget %q", request.tenant.GetName(), name)
 	}
 	return nil
 }
 
 // reserve reserves the maximum number of tokens that a request can use.
-func (n *Node) reserve(ctx context.Context, of *request, amount uint64) (reserved, *refusal) {
-	policy := escrow.Policy{Horizon: time.Duration(of.budget.GetGrantHorizonSeconds()) * time.Second}
-	held, err := n.escrow.reserve(ctx, of.budget.GetName(), amount, policy)
+func (n *Node) reserve(ctx context.Context, request *callerRequest, amount uint64) (heldReservation, *refusal) {
+	policy := escrow.Policy{Horizon: time.Duration(request.budget.GetGrantHorizonSeconds()) * time.Second}
+	held, err := n.escrow.reserve(ctx, request.budget.GetName(), amount, policy)
 	if errors.Is(err, escrow.ErrClosed) {
 		// The node has just started a new incarnation: reserve again under that one.
-		held, err = n.escrow.reserve(ctx, of.budget.GetName(), amount, policy)
+		held, err = n.escrow.reserve(ctx, request.budget.GetName(), amount, policy)
 	}
 	switch {
 	case err == nil:
 		return held, nil
 	case errors.Is(err, escrow.ErrExhausted):
 		return held, refuseNotRun(http.StatusPaymentRequired, caller.CodeBudgetSpent, 0,
-			"budget %q does not hold the %d tokens that the request may use", of.budget.GetName(), amount)
+			"budget %q does not hold the %d tokens that the request may use", request.budget.GetName(), amount)
 	case errors.Is(err, escrow.ErrUnknownBudget):
-		return held, refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, retrySoon, "budget %q has no account yet", of.budget.GetName())
+		return held, refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, retrySoon, "budget %q has no account yet", request.budget.GetName())
 	}
 	return held, refuseNotRun(http.StatusServiceUnavailable, caller.CodeBudgetUnreachable, retryLong,
-		"not enough of budget %q can be reached from zone %q", of.budget.GetName(), n.zone)
+		"not enough of budget %q can be reached from zone %q", request.budget.GetName(), n.zone)
 }
 
 func fingerprint(parts ...string) uint64 {
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -29,14 +29,14 @@
 
 func newEscrowDuty(node *Node) *escrowDuty {
 	owner := &escrowDuty{node: node, duty: duty.New("escrow", escrowTick)}
-	owner.begin(node.incarnation)
+	owner.startIncarnation(node.incarnation)
 	owner.duty.Tick = func() { owner.holder.Tick(node.now()) }
 	owner.duty.Flush = owner.flush
 	return owner
 }
 
-// begin starts an incarnation of the holder that has no grants.
-func (e *escrowDuty) begin(incarnation uint64) {
+// startIncarnation starts an incarnation of the holder that has no grants.
+func (e *escrowDuty) startIncarnation(incarnation uint64) {
 	id := accounts.HolderID{Node: e.node.name, Incarnation: incarnation}
 	var lenders []string
 	for _, name := range e.node.pool.InZone(e.node.zone) {
@@ -51,7 +51,7 @@
 // flush sends reports and loans, and starts a new incarnation if this one is fenced.
 func (e *escrowDuty) flush() {
 	if e.holder.Closed() {
-		e.takeNewLife()
+		e.replaceIncarnation()
 		return
 	}
 	now := e.node.now()
@@ -65,47 +65,47 @@
 	}
 }
 
-// takeNewLife starts a new incarnation after the current one was fenced. The leader that fenced it
-// settles its claims; nothing more is spent or billed under it.
-func (e *escrowDuty) takeNewLife() {
+// replaceIncarnation starts a new incarnation after the current one was fenced. The leader that
+// fenced it settles its claims; nothing more is spent or billed under it.
+func (e *escrowDuty) replaceIncarnation() {
 	incarnation := max(e.holder.ID().Incarnation+1, uint64(time.Now().UnixNano()))
 	e.node.log.Warn().Str("event", "life_fenced").Stringer("old", e.holder.ID()).Uint64("incarnation", incarnation).Send()
-	e.begin(incarnation)
-	e.node.claims.takeNewLife(accounts.HolderID{Node: e.node.name, Incarnation: incarnation})
+	e.startIncarnation(incarnation)
+	e.node.claims.startIncarnation(accounts.HolderID{Node: e.node.name, Incarnation: incarnation})
 }
 
-// reserved is the result of a reservation. owner is the incarnation that made it.
-type reserved struct {
+// heldReservation is the result of a reservation. owner is the incarnation that made it.
+type heldReservation struct {
 	reservation escrow.Reservation
 	owner       accounts.HolderID
 	err         error
 }
 
 // reserve reserves tokens of a budget. It waits for the root if the node has not enough of them.
-func (e *escrowDuty) reserve(ctx context.Context, budget string, amount uint64, policy escrow.Policy) (reserved, error) {
+func (e *escrowDuty) reserve(ctx context.Context, budget string, amount uint64, policy escrow.Policy) (heldReservation, error) {
 	deadline := e.node.now() + 24*time.Hour
-	if limit, found := ctx.Deadline(); found {
-		deadline = e.node.now() + time.Until(limit)
+	if contextDeadline, found := ctx.Deadline(); found {
+		deadline = e.node.now() + time.Until(contextDeadline)
 	}
-	ended, err := duty.Ask(ctx, e.duty, func(answer func(reserved)) {
+	held, err := duty.Ask(ctx, e.duty, func(reply func(heldReservation)) {
 		owner := e.holder.ID()
 		e.holder.Reserve(e.node.now(), deadline, budget, amount, policy, func(reservation escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
 				// The request no longer waits for the reservation.
 				e.holder.Settle(e.node.now(), reservation, 0)
 			}
-			answer(reserved{reservation: reservation, owner: owner, err: err})
+			reply(heldReservation{reservation: reservation, owner: owner, err: err})
 		})
 	})
 	if err != nil {
-		return reserved{}, err
+		return heldReservation{}, err
 	}
-	return ended, ended.err
+	return held, held.err
 }
 
 // settle ends a reservation with the tokens used. A reservation of an earlier incarnation is left
 // to the leader that fenced it.
-func (e *escrowDuty) settle(held reserved, used uint64) {
+func (e *escrowDuty) settle(held heldReservation, used uint64) {
 	_ = e.duty.Do(context.Background(), func() {
 		if e.holder.ID() == held.owner {
 			e.holder.Settle(e.node.now(), held.reservation, used)
@@ -114,7 +114,7 @@
 }
 
 // shrink lowers a reservation to the use that is known.
-func (e *escrowDuty) shrink(held reserved, used uint64) {
+func (e *escrowDuty) shrink(held heldReservation, used uint64) {
 	_ = e.duty.Do(context.Background(), func() {
 		if e.holder.ID() == held.owner {
 			e.holder.Shrink(e.node.now(), held.reservation, used)
@@ -122,46 +122,46 @@
 	})
 }
 
-func (e *escrowDuty) takeAnswer(message escrow.AnswerMessage) {
+func (e *escrowDuty) handleResponse(message escrow.AnswerMessage) {
 	e.duty.Offer(func() {
 		advanced := e.holder.Take(e.node.now(), message)
 		if len(advanced) == 0 {
 			return
 		}
-		var marks []claims.Watermark
-		for _, answer := range advanced {
-			marks = append(marks, claims.Watermark{Owner: message.Holder, Budget: answer.Budget, Sequence: answer.Watermark})
+		var watermarks []claims.Watermark
+		for _, budgetResponse := range advanced {
+			watermarks = append(watermarks, claims.Watermark{Owner: message.Holder, Budget: budgetResponse.Budget, Sequence: budgetResponse.Watermark})
 		}
-		e.node.claims.noteWatermarks(marks)
+		e.node.claims.recordWatermarks(watermarks)
 	})
 }
 
-func (e *escrowDuty) takeRecall(message escrow.RecallMessage) {
+func (e *escrowDuty) handleRecall(message escrow.RecallMessage) {
 	e.duty.Offer(func() { e.holder.Recall(message) })
 }
 
-func (e *escrowDuty) takeLend(from string, message escrow.LendMessage) {
+func (e *escrowDuty) handleLend(from string, message escrow.LendMessage) {
 	e.duty.Offer(func() {
 		switch {
 		case message.Request != nil:
 			e.node.log.Info().Str("event", "loan_asked").Str("borrower", from).Str("budget", message.Request.Budget).Uint64("need", message.Request.Need).Send()
-			if loan, given := e.holder.Lend(*message.Request, e.node.claims.fencedHere); given {
-				go e.agreeLoan(loan)
+			if loan, granted := e.holder.Lend(*message.Request, e.node.claims.isFenced); granted {
+				go e.registerLoan(loan)
 			}
 		case message.Given != nil:
-			e.holder.TakeLoan(e.node.now(), *message.Given, e.node.claims.fencedHere)
+			e.holder.TakeLoan(e.node.now(), *message.Given, e.node.claims.isFenced)
 		case message.Taken != nil:
 			e.holder.LoanTaken(*message.Taken)
 		}
 	})
 }
 
-// agreeLoan writes a loan to its claim register and then gives it to the borrower. The register
+// registerLoan writes a loan to its claim register and then gives it to the borrower. The register
 // keeps the loan known if lender and borrower crash together.
-func (e *escrowDuty) agreeLoan(loan accounts.Loan) {
+func (e *escrowDuty) registerLoan(loan accounts.Loan) {
 	name := fmt.Sprintf("loan %s %s %s", loan.Lender, loan.Borrower, loan.Budget)
 	value := &claims.Claim{State: claims.Lent, Owner: loan.Lender, Borrower: loan.Borrower, Budget: loan.Budget, Reserved: loan.Total}
-	outcome, err := e.node.claims.change(e.node.life, e.node.zone, claims.NewKey("", name), func(current *claims.Claim) *claims.Claim {
+	outcome, err := e.node.claims.change(e.node.runContext, e.node.zone, claims.NewKey("", name), func(current *claims.Claim) *claims.Claim {
 		if current != nil && current.Reserved >= loan.Total {
 			return nil
 		}
@@ -172,7 +172,7 @@
 		e.node.log.Info().Str("event", "loan_not_agreed").Str("borrower", loan.Borrower.Node).AnErr("error", err).Send()
 		return
 	}
-	_ = e.duty.Do(e.node.life, func() { e.holder.Agreed(e.node.now(), loan) })
+	_ = e.duty.Do(e.node.runContext, func() { e.holder.Agreed(e.node.now(), loan) })
 }
 
 // returnAll returns the node's unused grant to the root and waits until the root has every
@@ -182,9 +182,9 @@
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, e.duty, func(answer func(bool)) {
+		unreported, err := duty.Ask(ctx, e.duty, func(reply func(bool)) {
 			e.holder.ReportAgain()
-			answer(e.holder.Unreported())
+			reply(e.holder.Unreported())
 		})
 		if err != nil || !unreported {
 			return err
@@ -197,5 +197,5 @@
 
 // loansWith returns the loans of a fenced incarnation that this node knows.
 func (e *escrowDuty) loansWith(ctx context.Context, other accounts.HolderID) ([]accounts.Loan, error) {
-	return duty.Ask(ctx, e.duty, func(answer func([]accounts.Loan)) { answer(e.holder.LoansWith(other)) })
+	return duty.Ask(ctx, e.duty, func(reply func([]accounts.Loan)) { reply(e.holder.LoansWith(other)) })
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -11,55 +11,55 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// silentAfter is the time since the last heartbeat after which a node counts as unreachable.
-	silentAfter = 3 * time.Second
+	// heartbeatTimeout is the time since the last heartbeat after which a node counts as unreachable.
+	heartbeatTimeout = 3 * time.Second
 )
 
 // fleetView holds the last heartbeat of each other node.
 type fleetView struct {
 	node  *Node
 	mutex sync.RWMutex
-	nodes map[string]heardStatus
+	nodes map[string]receivedStatus
 }
 
-type heardStatus struct {
+type receivedStatus struct {
 	peer.Status
-	at time.Time
+	receivedAt time.Time
 }
 
 func newFleetView(node *Node) *fleetView {
-	return &fleetView{node: node, nodes: map[string]heardStatus{}}
+	return &fleetView{node: node, nodes: map[string]receivedStatus{}}
 }
 
-// take records a heartbeat. It ignores one of an earlier incarnation.
-func (f *fleetView) take(status peer.Status) {
+// record records a heartbeat. It ignores one of an earlier incarnation.
+func (f *fleetView) record(status peer.Status) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if known, found := f.nodes[status.Node]; found && known.Incarnation > status.Incarnation {
 		return
 	}
-	f.nodes[status.Node] = heardStatus{Status: status, at: time.Now()}
+	f.nodes[status.Node] = receivedStatus{Status: status, receivedAt: time.Now()}
 }
 
-// heard returns the last heartbeat of a node and the time since it arrived.
-func (f *fleetView) heard(name string) (peer.Status, time.Duration, bool) {
+// lastStatus returns the last heartbeat of a node and the time since it arrived.
+func (f *fleetView) lastStatus(name string) (peer.Status, time.Duration, bool) {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
 	known, found := f.nodes[name]
-	return known.Status, time.Since(known.at), found
+	return known.Status, time.Since(known.receivedAt), found
 }
 
-// alive reports whether a node is this one, or has sent a heartbeat within silentAfter.
-func (f *fleetView) alive(name string) bool {
-	_, age, found := f.heard(name)
-	return name == f.node.name || (found && age < silentAfter)
+// isReachable reports whether a node is this one, or has sent a heartbeat within heartbeatTimeout.
+func (f *fleetView) isReachable(name string) bool {
+	_, age, found := f.lastStatus(name)
+	return name == f.node.name || (found && age < heartbeatTimeout)
 }
 
-// all returns the last heartbeat of every known node, sorted by node name.
-func (f *fleetView) all() []heardStatus {
+// allStatuses returns the last heartbeat of every known node, sorted by node name.
+func (f *fleetView) allStatuses() []receivedStatus {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
-	statuses := make([]heardStatus, 0, len(f.nodes))
+	statuses := make([]receivedStatus, 0, len(f.nodes))
 	for _, status := range f.nodes {
 		statuses = append(statuses, status)
 	}
@@ -73,7 +73,7 @@
 	defer f.mutex.RUnlock()
 	leader, term := "", uint64(0)
 	for _, status := range f.nodes {
-		if status.Leader != "" && status.Term >= term && time.Since(status.at) < silentAfter {
+		if status.Leader != "" && status.Term >= term && time.Since(status.receivedAt) < heartbeatTimeout {
 			leader, term = status.Leader, status.Term
 		}
 	}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -43,10 +43,10 @@
 	if n.replica == nil {
 		return
 	}
-	view := n.replica.shared.Load()
+	view := n.replica.view.Load()
 	metrics.WriteGaugeFloat64(writer, "ravenway_replica_term", float64(view.term))
 	metrics.WriteGaugeFloat64(writer, "ravenway_replica_commit", float64(view.commit))
-	metrics.WriteGaugeFloat64(writer, "ravenway_replica_quorum_age_seconds", view.quorumSilence.Seconds())
+	metrics.WriteGaugeFloat64(writer, "ravenway_replica_quorum_age_seconds", view.quorumAge.Seconds())
 	leading := 0.0
 	if view.leading {
 		leading = 1
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -17,7 +17,7 @@
 // of the same node is removed.
 func (n *Node) runMembership(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
-		view := n.replica.shared.Load()
+		view := n.replica.view.Load()
 		switch {
 		case !view.hasGroup && n.settings.Control.Bootstrap:
 			n.bootstrapIfAllEmpty(ctx)
@@ -35,8 +35,8 @@
 		if !other.Control || name == n.name {
 			continue
 		}
-		status, age, found := n.fleet.heard(name)
-		if !found || age > silentAfter || status.HasGroup || status.Replica == 0 {
+		status, age, found := n.fleet.lastStatus(name)
+		if !found || age > heartbeatTimeout || status.HasGroup || status.Replica == 0 {
 			return
 		}
 	}
@@ -53,12 +53,12 @@
 		r.node.fail(err)
 		return
 	}
-	founded, err := r.open([]consensus.Member{{ID: r.id, Node: r.node.name}})
+	replica, err := r.open([]consensus.Member{{ID: r.id, Node: r.node.name}})
 	if err != nil {
 		r.node.fail(err)
 		return
 	}
-	r.replica = founded
+	r.replica = replica
 	r.node.log.Info().Str("event", "group_founded").Uint64("replica", uint64(r.id)).Send()
 }
 
@@ -69,8 +69,8 @@
 		return
 	}
 	for name, other := range r.node.peers {
-		status, age, found := r.node.fleet.heard(name)
-		if !other.Control || name == r.node.name || !found || age > silentAfter || status.Replica == 0 {
+		status, age, found := r.node.fleet.lastStatus(name)
+		if !other.Control || name == r.node.name || !found || age > heartbeatTimeout || status.Replica == 0 {
 			continue
 		}
 		if r.changeMember(core, name, consensus.ReplicaID(status.Replica)) {
@@ -88,21 +88,21 @@
 	}
 	for _, member := range core.Configuration().Members {
 		if member.Node == name && member.ID != id {
-			r.noteMember("member_removed", name, member.ID, core.RemoveMember(member.ID))
+			r.logMemberChange("member_removed", name, member.ID, core.RemoveMember(member.ID))
 			return true
 		}
 	}
 	if !isMember {
-		r.noteMember("learner_added", name, id, core.AddLearner(consensus.Member{ID: id, Node: name}))
+		r.logMemberChange("learner_added", name, id, core.AddLearner(consensus.Member{ID: id, Node: name}))
 		return true
 	}
 	if err := core.Promote(id); !errors.Is(err, consensus.ErrNotCaughtUp) {
-		r.noteMember("voter_added", name, id, err)
+		r.logMemberChange("voter_added", name, id, err)
 	}
 	return true
 }
 
-func (r *replicaDuty) noteMember(event, name string, id consensus.ReplicaID, err error) {
+func (r *replicaDuty) logMemberChange(event, name string, id consensus.ReplicaID, err error) {
 	if errors.Is(err, consensus.ErrChangePending) {
 		return
 	}
@@ -112,8 +112,8 @@
 // VotersIfLeading returns the number of reachable voters that hold every committed entry on disk.
 // Only the leader knows it: other nodes return 0.
 func (n *Node) VotersIfLeading() int {
-	if n.replica == nil || !n.replica.shared.Load().leading {
+	if n.replica == nil || !n.replica.view.Load().leading {
 		return 0
 	}
-	return n.replica.shared.Load().caughtUpVoters
+	return n.replica.view.Load().caughtUpVoters
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -80,7 +80,7 @@
 	claims    *claimsDuty
 	backends  *backendsDuty
 	decisions *decisionLog
-	answers   *answerStore
+	responses *responseStore
 
 	// view is the active catalog, indexed for requests.
 	view     atomic.Pointer[catalogView]
@@ -88,9 +88,9 @@
 	streams  streamTracker
 	// callers is the HTTP server of the callers' listener; nil without such a listener.
 	callers atomic.Pointer[http.Server]
-	// life is canceled when Run ends. Work that outlives its request runs under it.
-	life    context.Context
-	endLife context.CancelCauseFunc
+	// runContext is canceled when Run ends. Work that outlives its request runs under it.
+	runContext context.Context
+	cancelRun  context.CancelCauseFunc
 	// background counts the settlements that run after their request has ended.
 	background *background
 	failure    chan error
@@ -104,7 +104,7 @@
 		started: time.Now(), incarnation: uint64(time.Now().UnixNano()),
 		peers: map[string]settings.Peer{}, log: options.Logger, failure: make(chan error, 1), background: newBackground(),
 	}
-	node.life, node.endLife = context.WithCancelCause(context.Background())
+	node.runContext, node.cancelRun = context.WithCancelCause(context.Background())
 	node.backendHTTP = options.BackendTransport
 	if node.backendHTTP == nil {
 		node.backendHTTP = newBackendTransport()
@@ -125,7 +125,7 @@
 	node.calls = peer.NewCalls(node.send)
 	node.fleet = newFleetView(node)
 	node.decisions = newDecisionLog(node.log)
-	node.answers = newAnswerStore(node.settings.Limits.AnswerStoreBytes)
+	node.responses = newResponseStore(node.settings.Limits.AnswerStoreBytes)
 	node.catalog = newCatalogDuty(node)
 	node.escrow = newEscrowDuty(node)
 	node.claims = newClaimsDuty(node)
@@ -197,7 +197,7 @@
 		n.log.Error().Str("event", "failed").Err(failure).Send()
 	}
 	cancel(failure)
-	n.endLife(errStopped)
+	n.cancelRun(errStopped)
 	for _, server := range servers {
 		_ = server.Close()
 	}
@@ -221,13 +221,13 @@
 // serve starts the HTTP servers of the open listeners and returns them.
 func (n *Node) serve(duties *sync.WaitGroup) []*http.Server {
 	var servers []*http.Server
-	start := func(listener net.Listener, handler http.Handler, security *tls.Config) {
+	start := func(listener net.Listener, handler http.Handler, tlsConfig *tls.Config) {
 		if listener == nil {
 			return
 		}
 		server := newServer(handler)
-		if security != nil {
-			listener = tls.NewListener(listener, security)
+		if tlsConfig != nil {
+			listener = tls.NewListener(listener, tlsConfig)
 		}
 		servers = append(servers, server)
 		duties.Go(func() {
@@ -246,9 +246,9 @@
 }
 
 const (
-	headerTimeout  = 10 * time.Second
-	idleTimeout    = 2 * time.Minute
-	maxHeaderBytes = 64 << 10
+	headerTimeout      = 10 * time.Second
+	idleTimeout        = 2 * time.Minute
+	maximumHeaderBytes = 64 << 10
 )
 
 func newServer(handler http.Handler) *http.Server {
@@ -258,6 +258,6 @@
 	protocols.SetHTTP2(true)
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout,
-		MaxHeaderBytes: maxHeaderBytes, Protocols: protocols,
+		MaxHeaderBytes: maximumHeaderBytes, Protocols: protocols,
 	}
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -23,8 +23,8 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// lowerRecallPause is the time for nodes to return unused grants before a limit is lowered.
-const lowerRecallPause = time.Second
+// lowerRecallDelay is the time for nodes to return unused grants before a limit is lowered.
+const lowerRecallDelay = time.Second
 
 // operatorServer implements the operator service of the schema.
 type operatorServer struct{ node *Node }
@@ -49,10 +49,10 @@
 	return connect.NewError(connect.CodeInternal, err)
 }
 
-// operationID returns the given id, or a newly generated one if it is empty.
-func operationID(given string) string {
-	if given != "" {
-		return given
+// operationID returns the requested id, or a newly generated one if it is empty.
+func operationID(requested string) string {
+	if requested != "" {
+		return requested
 	}
 	return uuid.NewString()
 }
@@ -76,13 +76,13 @@
 	if result.Refused != "" || result.Catalog == nil {
 		return nil, connect.NewError(connect.CodeInvalidArgument, errors.New(result.Refused))
 	}
-	answer := &ravenwayv1.ApplyResponse{Revision: result.Catalog.Revision, Findings: result.Catalog.Findings}
+	response := &ravenwayv1.ApplyResponse{Revision: result.Catalog.Revision, Findings: result.Catalog.Findings}
 	if conflict := result.Catalog.Conflict; conflict != nil {
-		answer.ConflictRevision, answer.ConflictOperationId = conflict.Revision, conflict.OperationID
+		response.ConflictRevision, response.ConflictOperationId = conflict.Revision, conflict.OperationID
 	}
-	o.node.log.Info().Str("event", "catalog_change").Str("operation", command.OperationID).Uint64("revision", answer.Revision).
-		Bool("conflict", result.Catalog.Conflict != nil).Int("findings", len(answer.Findings)).Send()
-	return connect.NewResponse(answer), nil
+	o.node.log.Info().Str("event", "catalog_change").Str("operation", command.OperationID).Uint64("revision", response.Revision).
+		Bool("conflict", result.Catalog.Conflict != nil).Int("findings", len(response.Findings)).Send()
+	return connect.NewResponse(response), nil
 }
 
 // readKind names the part of the state that a read returns.
@@ -94,47 +94,47 @@
 	readOrders  readKind = "orders"
 )
 
-// readQuestion requests committed state from the leader.
-type readQuestion struct {
+// readRequest requests committed state from the leader.
+type readRequest struct {
 	Kind readKind `msgpack:"k"`
 	// Name restricts the response to one budget; empty means all.
 	Name string `msgpack:"n"`
 }
 
-// readAnswer holds an encoded message of the schema.
-type readAnswer struct {
+// readResponse holds an encoded message of the schema.
+type readResponse struct {
 	Message []byte `msgpack:"m"`
 }
 
-// readHere executes a read if this node leads. The response includes everything committed before
+// readLocally executes a read if this node leads. The response includes everything committed before
 // it.
-func (n *Node) readHere(ctx context.Context, question readQuestion) (readAnswer, error) {
-	message, err := atLeader(ctx, n, func(state *machine.Machine) proto.Message { return readState(state, question) })
+func (n *Node) readLocally(ctx context.Context, request readRequest) (readResponse, error) {
+	message, err := readCommitted(ctx, n, func(state *machine.Machine) proto.Message { return readState(state, request) })
 	if err != nil {
-		return readAnswer{}, err
+		return readResponse{}, err
 	}
 	encoded, err := proto.Marshal(message)
-	return readAnswer{Message: encoded}, err
+	return readResponse{Message: encoded}, err
 }
 
-func readState(state *machine.Machine, question readQuestion) proto.Message {
-	switch question.Kind {
+func readState(state *machine.Machine, request readRequest) proto.Message {
+	switch request.Kind {
 	case readCatalog:
 		return &ravenwayv1.GetCatalogResponse{Revision: state.Catalog().Revision(), Catalog: state.Catalog().Document()}
 	case readOrders:
-		answer := &ravenwayv1.GetOrdersResponse{}
+		response := &ravenwayv1.GetOrdersResponse{}
 		for _, order := range state.Orders() {
-			answer.Orders = append(answer.Orders, orderStatus(order))
+			response.Orders = append(response.Orders, orderStatus(order))
 		}
-		return answer
+		return response
 	}
-	answer := &ravenwayv1.GetBudgetsResponse{}
+	response := &ravenwayv1.GetBudgetsResponse{}
 	for _, name := range state.Accounts().Names() {
-		if question.Name == "" || question.Name == name {
-			answer.Budgets = append(answer.Budgets, budgetStatus(state, name))
+		if request.Name == "" || request.Name == name {
+			response.Budgets = append(response.Budgets, budgetStatus(state, name))
 		}
 	}
-	return answer
+	return response
 }
 
 func budgetStatus(state *machine.Machine, name string) *ravenwayv1.BudgetStatus {
@@ -147,53 +147,53 @@
 
 // read reads committed state from the leader, which may be another node, and decodes it. It retries
 // until proposeTimeout.
-func (n *Node) read(ctx context.Context, question readQuestion, into proto.Message) error {
+func (n *Node) read(ctx context.Context, request readRequest, into proto.Message) error {
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	last := errNoLeader
+	lastErr := errNoLeader
 	for {
-		answer, err := n.readOnce(ctx, question)
+		response, err := n.readOnce(ctx, request)
 		if err == nil {
-			return proto.Unmarshal(answer.Message, into)
+			return proto.Unmarshal(response.Message, into)
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
-		if !pause.For(ctx, retryPause) {
-			return operatorError(fmt.Errorf("reading committed state: %w", last))
+		if !pause.For(ctx, retryDelay) {
+			return operatorError(fmt.Errorf("reading committed state: %w", lastErr))
 		}
 	}
 }
 
-func (n *Node) readOnce(ctx context.Context, question readQuestion) (readAnswer, error) {
+func (n *Node) readOnce(ctx context.Context, request readRequest) (readResponse, error) {
 	leader := n.leader()
 	switch leader {
 	case "":
-		return readAnswer{}, errNoLeader
+		return readResponse{}, errNoLeader
 	case n.name:
-		return n.readHere(ctx, question)
+		return n.readLocally(ctx, request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return callNode[readAnswer](ctx, n, leader, peer.MethodRead, &question)
+	return callNode[readResponse](ctx, n, leader, peer.MethodRead, &request)
 }
 
 // GetCatalog implements the schema's GetCatalog.
 func (o *operatorServer) GetCatalog(ctx context.Context, _ *connect.Request[ravenwayv1.GetCatalogRequest]) (*connect.Response[ravenwayv1.GetCatalogResponse], error) {
-	answer := &ravenwayv1.GetCatalogResponse{}
-	if err := o.node.read(ctx, readQuestion{Kind: readCatalog}, answer); err != nil {
+	response := &ravenwayv1.GetCatalogResponse{}
+	if err := o.node.read(ctx, readRequest{Kind: readCatalog}, response); err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // GetBudgets implements the schema's GetBudgets.
 func (o *operatorServer) GetBudgets(ctx context.Context, request *connect.Request[ravenwayv1.GetBudgetsRequest]) (*connect.Response[ravenwayv1.GetBudgetsResponse], error) {
-	answer := &ravenwayv1.GetBudgetsResponse{}
-	if err := o.node.read(ctx, readQuestion{Kind: readBudgets, Name: request.Msg.GetBudget()}, answer); err != nil {
+	response := &ravenwayv1.GetBudgetsResponse{}
+	if err := o.node.read(ctx, readRequest{Kind: readBudgets, Name: request.Msg.GetBudget()}, response); err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // TopUpBudget implements the schema's TopUpBudget.
@@ -208,7 +208,7 @@
 	if err := o.node.recallBudget(ctx, command.Budget); err != nil {
 		return nil, operatorError(err)
 	}
-	pause.For(ctx, lowerRecallPause)
+	pause.For(ctx, lowerRecallDelay)
 	return o.changeBudget(ctx, request.Msg.GetOperationId(), command)
 }
 
@@ -220,44 +220,44 @@
 	if err != nil {
 		return nil, operatorError(err)
 	}
-	answer := &ravenwayv1.BudgetChangeResponse{Refused: result.Refused}
+	response := &ravenwayv1.BudgetChangeResponse{Refused: result.Refused}
 	if status := result.Budget; status != nil {
-		answer.Status = &ravenwayv1.BudgetStatus{
+		response.Status = &ravenwayv1.BudgetStatus{
 			Budget: status.Budget, Limit: status.Limit, Settled: status.Settled, Outstanding: status.Outstanding,
 		}
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // GetStatus implements the schema's GetStatus.
 func (o *operatorServer) GetStatus(context.Context, *connect.Request[ravenwayv1.GetStatusRequest]) (*connect.Response[ravenwayv1.GetStatusResponse], error) {
 	n := o.node
-	answer := &ravenwayv1.GetStatusResponse{Node: n.name, Leader: n.leader(), Revision: n.view.Load().revision}
+	response := &ravenwayv1.GetStatusResponse{Node: n.name, Leader: n.leader(), Revision: n.view.Load().revision}
 	if n.replica != nil {
-		view := n.replica.shared.Load()
-		answer.Term, answer.CommitIndex = view.term, view.commit
+		view := n.replica.view.Load()
+		response.Term, response.CommitIndex = view.term, view.commit
 		if view.leading {
-			answer.Voters = uint32(len(view.configuration.Voters()))
-			answer.CaughtUpVoters = uint32(view.caughtUpVoters)
+			response.Voters = uint32(len(view.configuration.Voters()))
+			response.CaughtUpVoters = uint32(view.caughtUpVoters)
 		}
-		answer.QuorumAgeMilliseconds = uint64(view.quorumSilence.Milliseconds())
+		response.QuorumAgeMilliseconds = uint64(view.quorumAge.Milliseconds())
 	}
 	for _, member := range n.pool.Nodes() {
-		status, age, found := n.fleet.heard(member.Name)
+		status, age, found := n.fleet.lastStatus(member.Name)
 		if member.Name == n.name {
 			status, age, found = n.status(), 0, true
 		}
 		entry := &ravenwayv1.NodeStatus{Name: member.Name, Zone: member.Zone, Control: n.peers[member.Name].Control}
-		entry.Leader = member.Name == answer.Leader
+		entry.Leader = member.Name == response.Leader
 		if found {
 			entry.Incarnation, entry.Revision, entry.Stopping = status.Incarnation, status.Revision, status.Stopping
 			entry.SilentMilliseconds = uint64(age.Milliseconds())
 		} else {
 			entry.SilentMilliseconds = uint64(n.now().Milliseconds())
 		}
-		answer.Nodes = append(answer.Nodes, entry)
+		response.Nodes = append(response.Nodes, entry)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // Explain implements the schema's Explain. It requests the decisions from every reachable node,
@@ -269,11 +269,11 @@
 		return connect.NewResponse(&ravenwayv1.ExplainResponse{Node: n.name, Decisions: own}), nil
 	}
 	for _, member := range n.pool.Nodes() {
-		if member.Name == n.name || !n.fleet.alive(member.Name) {
+		if member.Name == n.name || !n.fleet.isReachable(member.Name) {
 			continue
 		}
-		asking, cancel := context.WithTimeout(ctx, time.Second)
-		found, err := callNode[[]string](asking, n, member.Name, peer.MethodExplain, &explainQuestion{RequestID: id})
+		callCtx, cancel := context.WithTimeout(ctx, time.Second)
+		found, err := callNode[[]string](callCtx, n, member.Name, peer.MethodExplain, &explainRequest{RequestID: id})
 		cancel()
 		if err == nil && len(found) > 0 {
 			return connect.NewResponse(&ravenwayv1.ExplainResponse{Node: member.Name, Decisions: found}), nil
@@ -315,18 +315,18 @@
 
 // GetPauses implements the schema's GetPauses.
 func (o *operatorServer) GetPauses(ctx context.Context, _ *connect.Request[ravenwayv1.GetPausesRequest]) (*connect.Response[ravenwayv1.GetPausesResponse], error) {
-	paused, err := o.node.backends.paused(ctx)
+	paused, err := o.node.backends.pausedBackends(ctx)
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
-	answer := &ravenwayv1.GetPausesResponse{}
-	for _, one := range paused {
-		answer.Pauses = append(answer.Pauses, &ravenwayv1.InstancePause{
-			Instance: one.Name, Service: one.Service, Zone: one.Zone, Phase: backoff.Paused.String(),
-			LeftMilliseconds: one.Left.Milliseconds(), InFlight: uint32(one.InFlight),
+	response := &ravenwayv1.GetPausesResponse{}
+	for _, backend := range paused {
+		response.Pauses = append(response.Pauses, &ravenwayv1.InstancePause{
+			Instance: backend.Name, Service: backend.Service, Zone: backend.Zone, Phase: backoff.Paused.String(),
+			LeftMilliseconds: backend.Left.Milliseconds(), InFlight: uint32(backend.InFlight),
 		})
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // Snapshot implements the schema's Snapshot.
@@ -334,18 +334,18 @@
 	if o.node.replica == nil {
 		return nil, connect.NewError(connect.CodeFailedPrecondition, errors.New("this node holds no replica; ask a control node"))
 	}
-	type ended struct {
+	type snapshotResult struct {
 		index uint64
 		err   error
 	}
-	done, err := duty.Ask(ctx, o.node.replica.duty, func(answer func(ended)) {
+	saved, err := duty.Ask(ctx, o.node.replica.duty, func(reply func(snapshotResult)) {
 		err := o.node.replica.replica.SaveSnapshot()
-		answer(ended{index: o.node.replica.replica.SnapshotIndex(), err: err})
+		reply(snapshotResult{index: o.node.replica.replica.SnapshotIndex(), err: err})
 	})
-	if err = errors.Join(err, done.err); err != nil {
+	if err = errors.Join(err, saved.err); err != nil {
 		return nil, operatorError(err)
 	}
-	return connect.NewResponse(&ravenwayv1.SnapshotResponse{Index: done.index}), nil
+	return connect.NewResponse(&ravenwayv1.SnapshotResponse{Index: saved.index}), nil
 }
 
 // Order implements the schema's Order.
@@ -360,20 +360,20 @@
 	if err != nil {
 		return nil, operatorError(err)
 	}
-	answer := &ravenwayv1.OrderResponse{Refused: result.Refused}
+	response := &ravenwayv1.OrderResponse{Refused: result.Refused}
 	if result.Order != nil {
-		answer.Status = orderStatus(*result.Order)
+		response.Status = orderStatus(*result.Order)
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 // GetOrders implements the schema's GetOrders.
 func (o *operatorServer) GetOrders(ctx context.Context, _ *connect.Request[ravenwayv1.GetOrdersRequest]) (*connect.Response[ravenwayv1.GetOrdersResponse], error) {
-	answer := &ravenwayv1.GetOrdersResponse{}
-	if err := o.node.read(ctx, readQuestion{Kind: readOrders}, answer); err != nil {
+	response := &ravenwayv1.GetOrdersResponse{}
+	if err := o.node.read(ctx, readRequest{Kind: readOrders}, response); err != nil {
 		return nil, err
 	}
-	return connect.NewResponse(answer), nil
+	return connect.NewResponse(response), nil
 }
 
 func orderStatus(order machine.OrderRecord) *ravenwayv1.OrderStatus {
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -13,12 +13,12 @@
 
 const (
 	orderInterval = time.Second
-	// maximumLoadsAtOnce is the number of orders in progress at back ends from which on no further
+	// maximumConcurrentLoads is the number of orders in progress at back ends from which on no further
 	// order is sent.
-	maximumLoadsAtOnce = 2
-	// orderFlight is the timeout of one exchange with a back end, and so the longest time that a sent
+	maximumConcurrentLoads = 2
+	// orderTimeout is the timeout of one exchange with a back end, and so the longest time that a sent
 	// order can take to arrive.
-	orderFlight = 2 * time.Second
+	orderTimeout = 2 * time.Second
 	// orderLease is the longest time for which an earlier leader may still send orders after it has
 	// lost its quorum: the longest election timeout, after which it steps down.
 	orderLease = 2 * electionTicks * replicaTick
@@ -32,7 +32,7 @@
 	var leadingSince time.Duration
 	leading := false
 	for pause.For(ctx, orderInterval) {
-		view := n.replica.shared.Load()
+		view := n.replica.view.Load()
 		if !view.leading {
 			leading = false
 			continue
@@ -40,12 +40,12 @@
 		if !leading {
 			leading, leadingSince = true, n.now()
 		}
-		n.giveOrders(ctx, n.now()-leadingSince)
+		n.sendOrders(ctx, n.now()-leadingSince)
 	}
 }
 
-func (n *Node) giveOrders(ctx context.Context, leadingFor time.Duration) {
-	orders, err := atLeader(ctx, n, func(state *machine.Machine) []machine.OrderRecord { return state.Orders() })
+func (n *Node) sendOrders(ctx context.Context, leadingFor time.Duration) {
+	orders, err := readCommitted(ctx, n, func(state *machine.Machine) []machine.OrderRecord { return state.Orders() })
 	if err != nil {
 		return
 	}
@@ -55,16 +55,16 @@
 			continue
 		}
 		checksFence := n.checksFence(order.Order.Backend)
-		if !checksFence && leadingFor < orderLease+orderFlight {
+		if !checksFence && leadingFor < orderLease+orderTimeout {
 			continue
 		}
 		// Back ends share the bandwidth of the weight store, so more concurrent loads would only slow
 		// each of them down.
-		result, progress := n.giveOrder(ctx, order, loading < maximumLoadsAtOnce)
+		result, progress := n.sendOrder(ctx, order, loading < maximumConcurrentLoads)
 		switch progress {
 		case orderLoading:
 			loading++
-		case orderEnded:
+		case orderFinished:
 			_, _ = n.propose(ctx, machine.Command{OrderResult: &result})
 		}
 	}
@@ -78,8 +78,8 @@
 	orderWaiting orderProgress = iota
 	// orderLoading means that the back end has the order and is executing it.
 	orderLoading
-	// orderEnded means that the result of the order is known.
-	orderEnded
+	// orderFinished means that the result of the order is known.
+	orderFinished
 )
 
 func (n *Node) checksFence(backend string) bool {
@@ -91,20 +91,20 @@
 	return false
 }
 
-// giveOrder reads the state of the back end and sends the order if the back end does not have it
+// sendOrder reads the state of the back end and sends the order if the back end does not have it
 // yet. Reading first avoids sending an order twice whose response was lost. With mayStart false, it
 // only reads.
-func (n *Node) giveOrder(ctx context.Context, order machine.OrderRecord, mayStart bool) (machine.OrderResult, orderProgress) {
+func (n *Node) sendOrder(ctx context.Context, order machine.OrderRecord, mayStart bool) (machine.OrderResult, orderProgress) {
 	result := machine.OrderResult{Fence: order.Fence}
 	target, found := n.backends.backend(order.Order.Backend)
 	if !found {
 		result.State, result.Detail = machine.OrderRefused, "the back end was removed"
-		return result, orderEnded
+		return result, orderFinished
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderFlight)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	state, err := n.engines.OrderState(ctx, target.Address)
-	if err == nil && state.Fence < order.Fence && mayStart && n.replica.shared.Load().leading {
+	if err == nil && state.Fence < order.Fence && mayStart && n.replica.view.Load().leading {
 		state, err = n.engines.GiveOrder(ctx, target.Address, engine.Order{
 			Fence: order.Fence, Kind: order.Order.Kind.String(), Target: order.Order.Target, Version: order.Order.Version,
 		})
@@ -115,15 +115,15 @@
 	switch {
 	case errors.As(err, &refused) && refused.Status == http.StatusConflict:
 		result.State, result.Detail = machine.OrderSuperseded, "the back end has seen a higher fence"
-		return result, orderEnded
+		return result, orderFinished
 	case err != nil:
 		return result, orderWaiting
 	case state.Fence > order.Fence:
 		result.State, result.Detail = machine.OrderSuperseded, "the back end has a later order"
-		return result, orderEnded
+		return result, orderFinished
 	case state.Fence == order.Fence && state.Loaded:
 		result.State = machine.OrderDone
-		return result, orderEnded
+		return result, orderFinished
 	case state.Fence == order.Fence:
 		return result, orderLoading
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -61,43 +61,43 @@
 func (n *Node) dispatch(from string, envelope peer.Envelope) error {
 	switch envelope.Kind {
 	case peer.KindConsensus:
-		return peer.Dispatch(envelope, func(message consensus.Message) { n.takeConsensus(message) })
+		return peer.Dispatch(envelope, func(message consensus.Message) { n.handleConsensus(message) })
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
 		return peer.Dispatch(envelope, n.calls.Answered)
 	case peer.KindStatus:
-		return peer.Dispatch(envelope, n.fleet.take)
+		return peer.Dispatch(envelope, n.fleet.record)
 	case peer.KindClaims:
-		return peer.Dispatch(envelope, n.claims.take)
+		return peer.Dispatch(envelope, n.claims.handleBatch)
 	case peer.KindCatalog:
-		return peer.Dispatch(envelope, func(delta catalog.Delta) { n.catalog.takeDelta(from, delta) })
+		return peer.Dispatch(envelope, func(delta catalog.Delta) { n.catalog.handleDelta(from, delta) })
 	case peer.KindCatalogFollow:
-		return peer.Dispatch(envelope, func(follow peer.CatalogFollow) { n.catalog.takeFollow(from, follow) })
+		return peer.Dispatch(envelope, func(follow peer.CatalogFollow) { n.catalog.handleFollow(from, follow) })
 	case peer.KindAccounts:
-		return peer.Dispatch(envelope, func(message escrow.AccountsMessage) { n.takeAccounts(message) })
+		return peer.Dispatch(envelope, func(message escrow.AccountsMessage) { n.handleAccounts(message) })
 	case peer.KindReports:
-		return peer.Dispatch(envelope, n.backends.takeReports)
+		return peer.Dispatch(envelope, n.backends.handleReports)
 	case peer.KindLend:
-		return peer.Dispatch(envelope, func(message escrow.LendMessage) { n.escrow.takeLend(from, message) })
+		return peer.Dispatch(envelope, func(message escrow.LendMessage) { n.escrow.handleLend(from, message) })
 	}
 	return fmt.Errorf("no duty handles message kind %d", envelope.Kind)
 }
 
-func (n *Node) takeConsensus(message consensus.Message) {
+func (n *Node) handleConsensus(message consensus.Message) {
 	if n.replica != nil {
-		n.replica.take(message)
+		n.replica.handleMessage(message)
 	}
 }
 
-func (n *Node) takeAccounts(message escrow.AccountsMessage) {
+func (n *Node) handleAccounts(message escrow.AccountsMessage) {
 	switch {
 	case message.Report != nil && n.replica != nil:
-		n.replica.takeReport(*message.Report)
+		n.replica.handleReport(*message.Report)
 	case message.Answer != nil:
-		n.escrow.takeAnswer(*message.Answer)
+		n.escrow.handleResponse(*message.Answer)
 	case message.Recall != nil:
-		n.escrow.takeRecall(*message.Recall)
+		n.escrow.handleRecall(*message.Recall)
 	}
 }
 
@@ -108,8 +108,8 @@
 
 // callNode calls a method of another node and decodes the response. The error is a *peer.ReplyError
 // if the other node responded with an error.
-func callNode[T any](ctx context.Context, n *Node, to string, method peer.Method, question any) (T, error) {
-	return peer.Invoke[T](ctx, n.calls, to, method, question)
+func callNode[T any](ctx context.Context, n *Node, to string, method peer.Method, request any) (T, error) {
+	return peer.Invoke[T](ctx, n.calls, to, method, request)
 }
 
 // callTimeout is the maximum time spent on a call from another node.
@@ -119,8 +119,8 @@
 func (n *Node) serveCall(from string, call peer.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	answer, err := n.executeCall(ctx, call)
-	n.calls.Answer(from, call, answer, err, errorCode)
+	response, err := n.executeCall(ctx, call)
+	n.calls.Answer(from, call, response, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -136,17 +136,17 @@
 func (n *Node) executeCall(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peer.MethodPropose:
-		return peer.Execute(call, func(question proposeQuestion) (any, error) { return n.proposeHere(ctx, question.Command) })
+		return peer.Execute(call, func(request proposeRequest) (any, error) { return n.proposeLocally(ctx, request.Command) })
 	case peer.MethodRead:
-		return peer.Execute(call, func(question readQuestion) (any, error) { return n.readHere(ctx, question) })
+		return peer.Execute(call, func(request readRequest) (any, error) { return n.readLocally(ctx, request) })
 	case peer.MethodExplain:
-		return peer.Execute(call, func(question explainQuestion) (any, error) { return n.decisions.explain(question.RequestID), nil })
+		return peer.Execute(call, func(request explainRequest) (any, error) { return n.decisions.explain(request.RequestID), nil })
 	case peer.MethodAnswer:
-		return peer.Execute(call, func(question answerQuestion) (any, error) { return n.answers.find(question.RequestID), nil })
+		return peer.Execute(call, func(request storedResponseRequest) (any, error) { return n.responses.find(request.RequestID), nil })
 	case peer.MethodRecall:
-		return peer.Execute(call, func(question recallQuestion) (any, error) { return n.recallHere(ctx, question) })
+		return peer.Execute(call, func(request recallRequest) (any, error) { return n.recallLocally(ctx, request) })
 	case peer.MethodFence:
-		return peer.Execute(call, func(question fenceQuestion) (any, error) { return n.fenceHere(ctx, question) })
+		return peer.Execute(call, func(request fenceRequest) (any, error) { return n.fenceLocally(ctx, request) })
 	}
 	return nil, fmt.Errorf("method %q is not known here", call.Method)
 }
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -21,8 +21,8 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// maximumStoredAnswer is the size limit, in bytes, of a response that is kept for retries.
-const maximumStoredAnswer = 1 << 20
+// maximumStoredResponse is the size limit, in bytes, of a response that is kept for retries.
+const maximumStoredResponse = 1 << 20
 
 // plainHopHeaders lists headers that are not forwarded: hop-by-hop headers, and Authorization,
 // which is the caller's key for ravenway.
@@ -33,46 +33,46 @@
 
 // plainRun is the processing of one request to a plain service, which is not billed.
 type plainRun struct {
-	node  *Node
-	of    *request
-	http  *http.Request
-	body  []byte
-	scope string
-	owner accounts.HolderID
+	node        *Node
+	request     *callerRequest
+	httpRequest *http.Request
+	body        []byte
+	scope       string
+	owner       accounts.HolderID
 }
 
 // servePlain routes a request by the prefix of its path.
-func (n *Node) servePlain(writer http.ResponseWriter, httpRequest *http.Request, of *request) {
+func (n *Node) servePlain(writer http.ResponseWriter, httpRequest *http.Request, request *callerRequest) {
 	route := n.view.Load().route(httpRequest.URL.Path)
 	if route == nil {
-		n.refuse(writer, of, refuseNotRun(http.StatusNotFound, caller.CodeUnknownRoute, 0, "no route has a prefix of %q", httpRequest.URL.Path))
+		n.refuse(writer, request, refuseNotRun(http.StatusNotFound, caller.CodeUnknownRoute, 0, "no route has a prefix of %q", httpRequest.URL.Path))
 		return
 	}
-	of.service = n.view.Load().services[route.GetService()]
-	if of.service.GetKind() != ravenwayv1.ServiceKind_SERVICE_KIND_PLAIN {
-		n.refuse(writer, of, refuseNotRun(http.StatusNotFound, caller.CodeUnknownRoute, 0, "service %q is not a plain one", route.GetService()))
+	request.service = n.view.Load().services[route.GetService()]
+	if request.service.GetKind() != ravenwayv1.ServiceKind_SERVICE_KIND_PLAIN {
+		n.refuse(writer, request, refuseNotRun(http.StatusNotFound, caller.CodeUnknownRoute, 0, "service %q is not a plain one", route.GetService()))
 		return
 	}
 	if slices.Contains(route.GetNotRepeatableMethods(), httpRequest.Method) {
-		of.notRepeatable = true
+		request.notRepeatable = true
 	}
 	maximum := n.settings.Limits.MaxBodyBytes
-	if own := of.service.GetMaxBodyBytes(); own > 0 {
+	if own := request.service.GetMaxBodyBytes(); own > 0 {
 		maximum = min(maximum, int64(own))
 	}
 	// The whole body is read first, so that a request that breaks off while its body arrives has
 	// certainly not run.
 	body, refused := n.readBody(writer, httpRequest, maximum)
 	if refused != nil {
-		n.refuse(writer, of, refused)
+		n.refuse(writer, request, refused)
 		return
 	}
-	of.fingerprint = fingerprint(httpRequest.Method, httpRequest.URL.RequestURI(), string(body))
-	ctx, cancel := context.WithTimeout(httpRequest.Context(), of.deadline)
+	request.fingerprint = fingerprint(httpRequest.Method, httpRequest.URL.RequestURI(), string(body))
+	ctx, cancel := context.WithTimeout(httpRequest.Context(), request.deadline)
 	defer cancel()
-	run := &plainRun{node: n, of: of, http: httpRequest, body: body, scope: n.scope(of), owner: *n.escrow.id.Load()}
+	run := &plainRun{node: n, request: request, httpRequest: httpRequest, body: body, scope: n.claimScope(request), owner: *n.escrow.id.Load()}
 	if refused := run.serve(ctx, writer); refused != nil {
-		n.refuse(writer, of, refused)
+		n.refuse(writer, request, refused)
 	}
 }
 
@@ -81,33 +81,33 @@
 func (p *plainRun) serve(ctx context.Context, writer http.ResponseWriter) *refusal {
 	var tried []string
 	for range maximumAttempts {
-		given, err := p.acquire(ctx, tried)
+		placement, err := p.acquire(ctx, tried)
 		if err != nil {
-			return p.of.refusePlacement(err)
+			return p.request.refusePlacement(err)
 		}
-		if p.of.callerKey {
-			existing, refused := p.claim(ctx, given)
+		if p.request.callerKey {
+			existing, refused := p.claim(ctx, placement)
 			if refused != nil || existing != nil {
-				p.node.backends.release(given.backend.Name, routing.Neutral)
+				p.node.backends.release(placement.backend.Name, routing.Neutral)
 				if refused != nil {
 					return refused
 				}
 				return p.replay(ctx, writer, existing)
 			}
 		}
-		response, offered, err := p.call(ctx, given)
+		response, offered, err := p.call(ctx, placement)
 		if err == nil {
-			p.node.backends.takePause(given.backend.Name, response.StatusCode, response.Header.Values("Retry-After"))
-			return p.pass(ctx, writer, given, response)
+			p.node.backends.recordPause(placement.backend.Name, response.StatusCode, response.Header.Values("Retry-After"))
+			return p.relayResponse(ctx, writer, placement, response)
 		}
-		p.node.backends.release(given.backend.Name, routing.Failed)
-		if offered && (p.of.notRepeatable || !isRepeatable(p.http.Method, p.of.callerKey)) {
+		p.node.backends.release(placement.backend.Name, routing.Failed)
+		if offered && (p.request.notRepeatable || !isRepeatable(p.httpRequest.Method, p.request.callerKey)) {
 			return outcomeUnknown("it was lost: %v", err)
 		}
-		tried = append(tried, given.backend.Name)
+		tried = append(tried, placement.backend.Name)
 	}
 	p.settle(claims.NotRun)
-	return refuseNotRun(http.StatusBadGateway, caller.CodeNoBackend, retrySoon, "no back end of service %q could be reached", p.of.service.GetName())
+	return refuseNotRun(http.StatusBadGateway, caller.CodeNoBackend, retrySoon, "no back end of service %q could be reached", p.request.service.GetName())
 }
 
 // isRepeatable reports whether a request may be sent again. Without an idempotency key, only
@@ -116,34 +116,34 @@
 	return callerKey || slices.Contains([]string{http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions}, method)
 }
 
-func (p *plainRun) acquire(ctx context.Context, tried []string) (placed, error) {
-	given, err := p.node.place(ctx, p.of, 1, routing.Request{Exclude: tried})
+func (p *plainRun) acquire(ctx context.Context, tried []string) (placementResult, error) {
+	placement, err := p.node.place(ctx, p.request, 1, routing.Request{Exclude: tried})
 	if err != nil {
-		return given, err
+		return placement, err
 	}
-	if usable, _ := p.node.backends.stillUsable(ctx, given.backend.Name); !usable {
-		p.node.backends.release(given.backend.Name, routing.Neutral)
-		return p.acquire(ctx, append(tried, given.backend.Name))
+	if usable, _ := p.node.backends.checkUsable(ctx, placement.backend.Name); !usable {
+		p.node.backends.release(placement.backend.Name, routing.Neutral)
+		return p.acquire(ctx, append(tried, placement.backend.Name))
 	}
-	return given, nil
+	return placement, nil
 }
 
 // claim claims the request, or returns the existing claim of its key.
-func (p *plainRun) claim(ctx context.Context, given placed) (existing *claims.Claim, refused *refusal) {
-	mine := &claims.Claim{
-		State: claims.Dispatched, Owner: p.owner, Backend: given.backend.Name, RequestID: p.of.id,
-		Fingerprint: p.of.fingerprint, CallerKey: true, NotRepeatable: p.of.notRepeatable,
+func (p *plainRun) claim(ctx context.Context, placement placementResult) (existing *claims.Claim, refused *refusal) {
+	ownClaim := &claims.Claim{
+		State: claims.Dispatched, Owner: p.owner, Backend: placement.backend.Name, RequestID: p.request.id,
+		Fingerprint: p.request.fingerprint, CallerKey: true, NotRepeatable: p.request.notRepeatable,
 	}
 	change := func(current *claims.Claim) *claims.Claim {
-		if current == nil || current.Result == claims.NotRun || (current.RequestID == p.of.id && current.State == claims.Dispatched) {
-			return mine
+		if current == nil || current.Result == claims.NotRun || (current.RequestID == p.request.id && current.State == claims.Dispatched) {
+			return ownClaim
 		}
 		return nil
 	}
-	outcome, err := p.node.claims.change(ctx, p.scope, p.of.key, change)
-	if errors.Is(err, claims.ErrUnreachable) && !p.of.notRepeatable && p.scope != p.node.zone {
+	outcome, err := p.node.claims.change(ctx, p.scope, p.request.key, change)
+	if errors.Is(err, claims.ErrUnreachable) && !p.request.notRepeatable && p.scope != p.node.zone {
 		p.scope = p.node.zone
-		outcome, err = p.node.claims.change(ctx, p.scope, p.of.key, change)
+		outcome, err = p.node.claims.change(ctx, p.scope, p.request.key, change)
 	}
 	switch {
 	case err != nil:
@@ -152,30 +152,30 @@
 			"too few of the nodes that guard against a repeated call can be reached: %v", err)
 	case outcome.Changed:
 		return nil, nil
-	case outcome.Claim.Fingerprint != p.of.fingerprint:
+	case outcome.Claim.Fingerprint != p.request.fingerprint:
 		return nil, refuseNotRun(http.StatusUnprocessableEntity, caller.CodeKeyReused, 0, "%s was used for another request", caller.HeaderIdempotencyKey)
 	}
 	return outcome.Claim, nil
 }
 
 // call sends the request to a back end. offered reports whether any part of it may have arrived.
-func (p *plainRun) call(ctx context.Context, given placed) (response *http.Response, offered bool, err error) {
+func (p *plainRun) call(ctx context.Context, placement placementResult) (response *http.Response, offered bool, err error) {
 	reached := &atomic.Bool{}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { reached.Store(true) }}
-	url := "http://" + given.backend.Address + p.http.URL.RequestURI()
-	outgoing, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), p.http.Method, url, bytes.NewReader(p.body))
+	url := "http://" + placement.backend.Address + p.httpRequest.URL.RequestURI()
+	outgoing, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), p.httpRequest.Method, url, bytes.NewReader(p.body))
 	if err != nil {
 		return nil, false, err
 	}
 	outgoing.GetBody = nil
-	for name, values := range p.http.Header {
+	for name, values := range p.httpRequest.Header {
 		if !slices.Contains(plainHopHeaders, name) && !strings.HasPrefix(name, "Ravenway-") {
 			outgoing.Header[name] = values
 		}
 	}
-	outgoing.Header.Set(caller.HeaderRequestID, p.of.id)
-	outgoing.Header.Set("Ravenway-Tenant", p.of.tenant.GetName())
-	if p.of.notRepeatable {
+	outgoing.Header.Set(caller.HeaderRequestID, p.request.id)
+	outgoing.Header.Set("Ravenway-Tenant", p.request.tenant.GetName())
+	if p.request.notRepeatable {
 		// The request gets a connection of its own: on a reused one that the back end has just closed,
 		// it would be unknown whether the request arrived.
 		outgoing.Close = true
@@ -184,13 +184,14 @@
 	return response, reached.Load(), err
 }
 
-// pass relays the response to the caller, and stores it if the request has an idempotency key.
-func (p *plainRun) pass(ctx context.Context, writer http.ResponseWriter, given placed, response *http.Response) *refusal {
+// relayResponse relays the response to the caller, and stores it if the request has an idempotency
+// key.
+func (p *plainRun) relayResponse(ctx context.Context, writer http.ResponseWriter, placement placementResult, response *http.Response) *refusal {
 	defer response.Body.Close()
 	var kept bytes.Buffer
 	source := io.Reader(response.Body)
-	if p.of.callerKey {
-		source = io.TeeReader(source, &limitedBuffer{buffer: &kept, left: maximumStoredAnswer})
+	if p.request.callerKey {
+		source = io.TeeReader(source, &limitedBuffer{buffer: &kept, remaining: maximumStoredResponse})
 	}
 	for name, values := range response.Header {
 		if !slices.Contains(plainHopHeaders, name) {
@@ -200,16 +201,16 @@
 	writer.WriteHeader(response.StatusCode)
 	_, err := io.Copy(flushingWriter{writer}, source)
 	if err != nil && ctx.Err() == nil {
-		p.node.backends.release(given.backend.Name, routing.Failed)
+		p.node.backends.release(placement.backend.Name, routing.Failed)
 		p.settle(claims.OutcomeUnknown)
-		p.node.log.Warn().Str("event", "stream_failed").Str("request", p.of.id).Err(err).Send()
+		p.node.log.Warn().Str("event", "stream_failed").Str("request", p.request.id).Err(err).Send()
 		// The status code is already sent. Aborting the connection shows the caller that the response
 		// is incomplete.
 		panic(http.ErrAbortHandler)
 	}
-	p.node.backends.release(given.backend.Name, routing.Succeeded)
-	if p.of.callerKey && kept.Len() < maximumStoredAnswer {
-		p.node.answers.put(p.of.id, storedAnswer{
+	p.node.backends.release(placement.backend.Name, routing.Succeeded)
+	if p.request.callerKey && kept.Len() < maximumStoredResponse {
+		p.node.responses.put(p.request.id, storedResponse{
 			Status: response.StatusCode, ContentType: response.Header.Get("Content-Type"), Body: kept.Bytes(),
 		})
 	}
@@ -219,21 +220,21 @@
 
 // settle settles the claim of a request with an idempotency key, in the background.
 func (p *plainRun) settle(result claims.Result) {
-	if !p.of.callerKey {
+	if !p.request.callerKey {
 		return
 	}
 	n := p.node
 	n.background.start(func() {
 		change := func(current *claims.Claim) *claims.Claim {
-			if current == nil || current.RequestID != p.of.id || current.State == claims.Settled {
+			if current == nil || current.RequestID != p.request.id || current.State == claims.Settled {
 				return nil
 			}
 			current.State, current.Result = claims.Settled, result
 			return current
 		}
 		for {
-			_, err := n.claims.change(n.life, p.scope, p.of.key, change)
-			if !errors.Is(err, claims.ErrUnreachable) || !pause.For(n.life, settleRetry) {
+			_, err := n.claims.change(n.runContext, p.scope, p.request.key, change)
+			if !errors.Is(err, claims.ErrUnreachable) || !pause.For(n.runContext, settleRetryDelay) {
 				return
 			}
 		}
@@ -245,24 +246,24 @@
 func (p *plainRun) replay(ctx context.Context, writer http.ResponseWriter, claim *claims.Claim) *refusal {
 	n := p.node
 	for claim.State == claims.Dispatched {
-		if !n.fleet.alive(claim.Owner.Node) {
+		if !n.fleet.isReachable(claim.Owner.Node) {
 			return outcomeUnknown("node %s, which sent it, is gone", claim.Owner.Node)
 		}
-		if !pause.For(ctx, joinPause) {
+		if !pause.For(ctx, joinDelay) {
 			return &refusal{status: http.StatusConflict, code: caller.CodeInProgress, retryAfter: retrySoon, detail: "the request is in progress through another node"}
 		}
-		outcome, err := n.claims.read(ctx, p.scope, p.of.key)
+		outcome, err := n.claims.read(ctx, p.scope, p.request.key)
 		if err != nil || outcome.Claim == nil {
 			return outcomeUnknown("its claim can't be read now")
 		}
 		claim = outcome.Claim
 	}
-	answer := n.findAnswer(ctx, claim)
+	stored := n.findResponse(ctx, claim)
 	switch {
-	case answer.Found:
-		writer.Header().Set("Content-Type", answer.ContentType)
-		writer.WriteHeader(answer.Status)
-		_, _ = writer.Write(answer.Body)
+	case stored.Found:
+		writer.Header().Set("Content-Type", stored.ContentType)
+		writer.WriteHeader(stored.Status)
+		_, _ = writer.Write(stored.Body)
 		return nil
 	case claim.Result == claims.Completed:
 		return &refusal{status: http.StatusConflict, code: caller.CodeAlreadyDone, detail: "the request was done; its answer is no longer kept"}
@@ -272,30 +273,30 @@
 	return outcomeUnknown("and nobody can tell whether it ran")
 }
 
-// findAnswer returns the stored response from this node or from the node that ran the request.
-func (n *Node) findAnswer(ctx context.Context, claim *claims.Claim) storedAnswer {
-	if answer := n.answers.find(claim.RequestID); answer.Found || claim.Owner.Node == n.name {
-		return answer
+// findResponse returns the stored response from this node or from the node that ran the request.
+func (n *Node) findResponse(ctx context.Context, claim *claims.Claim) storedResponse {
+	if response := n.responses.find(claim.RequestID); response.Found || claim.Owner.Node == n.name {
+		return response
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, err := callNode[storedAnswer](ctx, n, claim.Owner.Node, peer.MethodAnswer, &answerQuestion{RequestID: claim.RequestID})
+	response, err := callNode[storedResponse](ctx, n, claim.Owner.Node, peer.MethodAnswer, &storedResponseRequest{RequestID: claim.RequestID})
 	if err != nil {
-		return storedAnswer{}
+		return storedResponse{}
 	}
-	return answer
+	return response
 }
 
 // limitedBuffer keeps the first bytes written to it, up to a limit, and ignores the remainder.
 type limitedBuffer struct {
-	buffer *bytes.Buffer
-	left   int
+	buffer    *bytes.Buffer
+	remaining int
 }
 
 func (l *limitedBuffer) Write(data []byte) (int, error) {
-	take := min(l.left, len(data))
-	l.left -= take
-	l.buffer.Write(data[:take])
+	kept := min(l.remaining, len(data))
+	l.remaining -= kept
+	l.buffer.Write(data[:kept])
 	return len(data), nil
 }
 
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -25,8 +25,8 @@
 // continue when one of them fails.
 const pollersPerEngine = 2
 
-// polled returns the engines that this node polls.
-func (b *backendsDuty) polled() []routing.Backend {
+// enginesToPoll returns the engines that this node polls.
+func (b *backendsDuty) enginesToPoll() []routing.Backend {
 	engines := b.engines()
 	if len(engines) <= directPollLimit {
 		return engines
@@ -48,24 +48,24 @@
 // pollReports polls the engines for load and cache events at every reportInterval.
 func (b *backendsDuty) pollReports(ctx context.Context) {
 	for pause.For(ctx, reportInterval) {
-		b.pollRound(ctx, b.polled())
+		b.pollRound(ctx, b.enginesToPoll())
 	}
 }
 
 // pollRound polls the given engines, and sends their reports to the other nodes of the zone if
 // these divide the engines among them.
 func (b *backendsDuty) pollRound(ctx context.Context, targets []routing.Backend) {
-	var questions sync.WaitGroup
-	lanes := make(chan struct{}, pollLanes)
+	var polls sync.WaitGroup
+	slots := make(chan struct{}, maximumConcurrentPolls)
 	reports := make([]peer.BackendReport, len(targets))
 	for position, target := range targets {
-		lanes <- struct{}{}
-		questions.Go(func() {
-			defer func() { <-lanes }()
+		slots <- struct{}{}
+		polls.Go(func() {
+			defer func() { <-slots }()
 			reports[position] = b.pollEngine(ctx, target)
 		})
 	}
-	questions.Wait()
+	polls.Wait()
 	reports = slices.DeleteFunc(reports, func(report peer.BackendReport) bool { return report.Backend == "" })
 	if len(b.engines()) <= directPollLimit || len(reports) == 0 {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeReports records engine reports that another node of the zone has polled.
-func (b *backendsDuty) takeReports(message peer.BackendReports) {
+// handleReports records engine reports that another node of the zone has polled.
+func (b *backendsDuty) handleReports(message peer.BackendReports) {
 	b.duty.Offer(func() {
 		for _, report := range message.Reports {
 			b.table.TakeReport(b.node.now(), report.Backend, routing.Report{
@@ -93,7 +93,7 @@
 func (b *backendsDuty) pollEngine(ctx context.Context, target routing.Backend) peer.BackendReport {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	ownInFlight, err := duty.Ask(ctx, b.duty, func(answer func(int)) { answer(b.table.InFlight(target.Name)) })
+	ownInFlight, err := duty.Ask(ctx, b.duty, func(reply func(int)) { reply(b.table.InFlight(target.Name)) })
 	if err != nil {
 		return peer.BackendReport{}
 	}
@@ -102,9 +102,9 @@
 		return peer.BackendReport{}
 	}
 	report := routing.Report{Running: load.Running, Queued: load.Queued, Leaving: load.Leaving, OwnInFlight: ownInFlight}
-	from, err := duty.Ask(ctx, b.duty, func(answer func(uint64)) {
+	from, err := duty.Ask(ctx, b.duty, func(reply func(uint64)) {
 		b.table.TakeReport(b.node.now(), target.Name, report)
-		answer(b.table.NextCacheEvent(target.Name))
+		reply(b.table.NextCacheEvent(target.Name))
 	})
 	if err == nil {
 		b.pollCacheEvents(ctx, target, from)
--- a/internal/node/reclaim.go
+++ b/internal/node/reclaim.go
@@ -15,13 +15,13 @@
 
 const reclaimInterval = time.Second
 
-// fenceQuestion requests that an acceptor acknowledge no further claims of an incarnation.
-type fenceQuestion struct {
+// fenceRequest requests that an acceptor acknowledge no further claims of an incarnation.
+type fenceRequest struct {
 	Owner accounts.HolderID `msgpack:"o"`
 }
 
-// fenceAnswer holds the claims and loans that a node knows of a fenced incarnation.
-type fenceAnswer struct {
+// fenceResponse holds the claims and loans that a node knows of a fenced incarnation.
+type fenceResponse struct {
 	// Recovering indicates that the acceptor does not have all its claims yet: the fence must be
 	// requested again.
 	Recovering bool            `msgpack:"w"`
@@ -29,26 +29,26 @@
 	Loans      []accounts.Loan `msgpack:"l"`
 }
 
-func (n *Node) fenceHere(ctx context.Context, question fenceQuestion) (fenceAnswer, error) {
-	answer, err := n.claims.fence(ctx, question.Owner)
+func (n *Node) fenceLocally(ctx context.Context, request fenceRequest) (fenceResponse, error) {
+	response, err := n.claims.fence(ctx, request.Owner)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
-	answer.Loans, err = n.escrow.loansWith(ctx, question.Owner)
-	return answer, err
+	response.Loans, err = n.escrow.loansWith(ctx, request.Owner)
+	return response, err
 }
 
 // runReclaim returns to the budgets what lost holders held. It works only while this node leads.
 func (n *Node) runReclaim(ctx context.Context) {
 	for pause.For(ctx, reclaimInterval) {
-		if !n.replica.shared.Load().leading {
+		if !n.replica.view.Load().leading {
 			continue
 		}
-		lost, err := atLeader(ctx, n, func(state *machine.Machine) []accounts.HolderID { return state.Accounts().Holders() })
+		holders, err := readCommitted(ctx, n, func(state *machine.Machine) []accounts.HolderID { return state.Accounts().Holders() })
 		if err != nil {
 			continue
 		}
-		for _, holder := range lost {
+		for _, holder := range holders {
 			if !n.isLost(holder) {
 				continue
 			}
@@ -66,8 +66,8 @@
 	if holder.Node == n.name {
 		return holder.Incarnation < n.escrow.id.Load().Incarnation
 	}
-	status, age, heard := n.fleet.heard(holder.Node)
-	if !heard {
+	status, age, found := n.fleet.lastStatus(holder.Node)
+	if !found {
 		return n.now() > n.settings.Control.DeadAfter
 	}
 	return age > n.settings.Control.DeadAfter || status.OwnerIncarnation > holder.Incarnation
@@ -99,8 +99,8 @@
 	return nil
 }
 
-// collected holds everything that the other nodes know of an incarnation.
-type collected struct {
+// collectedClaims holds everything that the other nodes know of an incarnation.
+type collectedClaims struct {
 	records map[claims.Register]claims.Record
 	// loans are those that the other party of a loan has reported, registered those read from claim
 	// registers.
@@ -111,47 +111,47 @@
 // collectClaims fences an incarnation at every other node and collects its claims. All of them must
 // respond: only then is no claim missing and none can be added. The lost node itself is included
 // only once it has a newer incarnation.
-func (n *Node) collectClaims(ctx context.Context, holder accounts.HolderID) (collected, error) {
-	found := collected{records: map[claims.Register]claims.Record{}}
+func (n *Node) collectClaims(ctx context.Context, holder accounts.HolderID) (collectedClaims, error) {
+	collected := collectedClaims{records: map[claims.Register]claims.Record{}}
 	for _, member := range n.pool.Nodes() {
-		if member.Name == holder.Node && !n.hasNewLife(holder) {
+		if member.Name == holder.Node && !n.hasNewerIncarnation(holder) {
 			continue
 		}
-		answer, err := n.askFence(ctx, member.Name, holder)
+		response, err := n.requestFence(ctx, member.Name, holder)
 		if err != nil {
-			return found, fmt.Errorf("node %s did not acknowledge the fence: %w", member.Name, err)
+			return collected, fmt.Errorf("node %s did not acknowledge the fence: %w", member.Name, err)
 		}
-		if answer.Recovering {
-			return found, fmt.Errorf("node %s is still recovering its claims", member.Name)
+		if response.Recovering {
+			return collected, fmt.Errorf("node %s is still recovering its claims", member.Name)
 		}
-		found.add(answer)
+		collected.add(response)
 	}
-	return found, nil
+	return collected, nil
 }
 
-func (n *Node) hasNewLife(holder accounts.HolderID) bool {
+func (n *Node) hasNewerIncarnation(holder accounts.HolderID) bool {
 	if holder.Node == n.name {
 		return true
 	}
-	status, age, heard := n.fleet.heard(holder.Node)
-	return heard && age < silentAfter && status.OwnerIncarnation > holder.Incarnation
+	status, age, found := n.fleet.lastStatus(holder.Node)
+	return found && age < heartbeatTimeout && status.OwnerIncarnation > holder.Incarnation
 }
 
-func (n *Node) askFence(ctx context.Context, name string, holder accounts.HolderID) (fenceAnswer, error) {
-	question := fenceQuestion{Owner: holder}
+func (n *Node) requestFence(ctx context.Context, name string, holder accounts.HolderID) (fenceResponse, error) {
+	request := fenceRequest{Owner: holder}
 	if name == n.name {
-		return n.fenceHere(ctx, question)
+		return n.fenceLocally(ctx, request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout/4)
 	defer cancel()
-	return callNode[fenceAnswer](ctx, n, name, peer.MethodFence, &question)
+	return callNode[fenceResponse](ctx, n, name, peer.MethodFence, &request)
 }
 
-func (c *collected) add(answer fenceAnswer) {
-	for _, record := range answer.Records {
+func (c *collectedClaims) add(response fenceResponse) {
+	for _, record := range response.Records {
 		c.records[claims.Register{Scope: record.Scope, Key: record.Key}] = record
 	}
-	c.loans = append(c.loans, answer.Loans...)
+	c.loans = append(c.loans, response.Loans...)
 }
 
 // claimedReservation identifies a reservation of one incarnation.
@@ -162,26 +162,26 @@
 
 // resolveClaims settles each claim whose settlement the root does not have yet, that is, each
 // beyond the root's watermark, and returns the tokens used by each.
-func (n *Node) resolveClaims(ctx context.Context, holder accounts.HolderID, found *collected) ([]accounts.FinalUse, error) {
-	watermarks, err := atLeader(ctx, n, func(state *machine.Machine) map[string]uint64 {
-		marks := map[string]uint64{}
+func (n *Node) resolveClaims(ctx context.Context, holder accounts.HolderID, collected *collectedClaims) ([]accounts.FinalUse, error) {
+	watermarks, err := readCommitted(ctx, n, func(state *machine.Machine) map[string]uint64 {
+		watermarksByBudget := map[string]uint64{}
 		for _, name := range state.Accounts().Names() {
 			if account := state.Accounts().Budget(name).Holders[holder]; account != nil {
-				marks[name] = account.Watermark
+				watermarksByBudget[name] = account.Watermark
 			}
 		}
-		return marks
+		return watermarksByBudget
 	})
 	if err != nil {
 		return nil, err
 	}
 	var uses []accounts.FinalUse
 	counted := map[claimedReservation]bool{}
-	for register, record := range found.records {
+	for register, record := range collected.records {
 		key := register.Key
 		claim := record.Claim
 		if claim.State == claims.Lent {
-			if err := n.readLoan(ctx, key, record, found); err != nil {
+			if err := n.readLoan(ctx, key, record, collected); err != nil {
 				return nil, err
 			}
 			continue
@@ -189,15 +189,15 @@
 		if claim.Budget == "" || claim.Sequence <= watermarks[claim.Budget] {
 			continue
 		}
-		ended, err := n.resolveClaim(ctx, key, record)
+		settled, err := n.resolveClaim(ctx, key, record)
 		if err != nil {
 			return nil, err
 		}
-		if ended == nil || ended.Owner != holder || ended.Used == 0 {
+		if settled == nil || settled.Owner != holder || settled.Used == 0 {
 			continue
 		}
-		if n.needsMerge(record.Scope, key, ended) {
-			charged, err := n.mergeWithHome(ctx, key, ended)
+		if n.needsMerge(record.Scope, key, settled) {
+			charged, err := n.mergeWithHome(ctx, key, settled)
 			if err != nil {
 				return nil, err
 			}
@@ -205,25 +205,25 @@
 				continue
 			}
 		}
-		if counted[claimedReservation{ended.Budget, ended.Sequence}] {
+		if counted[claimedReservation{settled.Budget, settled.Sequence}] {
 			// The same run was claimed both in its home zone and outside it.
 			continue
 		}
-		counted[claimedReservation{ended.Budget, ended.Sequence}] = true
-		uses = append(uses, accounts.FinalUse{Budget: ended.Budget, Tokens: ended.Used})
+		counted[claimedReservation{settled.Budget, settled.Sequence}] = true
+		uses = append(uses, accounts.FinalUse{Budget: settled.Budget, Tokens: settled.Used})
 	}
 	return uses, nil
 }
 
 // readLoan reads the registered state of a loan.
-func (n *Node) readLoan(ctx context.Context, key claims.Key, record claims.Record, found *collected) error {
+func (n *Node) readLoan(ctx context.Context, key claims.Key, record claims.Record, collected *collectedClaims) error {
 	outcome, err := n.claims.read(ctx, record.Scope, key)
 	if err != nil {
 		return fmt.Errorf("reading loan %s: %w", key, err)
 	}
-	if agreed := outcome.Claim; agreed != nil {
-		found.registered = append(found.registered, accounts.Loan{
-			Lender: agreed.Owner, Borrower: agreed.Borrower, Budget: agreed.Budget, Total: agreed.Reserved,
+	if registered := outcome.Claim; registered != nil {
+		collected.registered = append(collected.registered, accounts.Loan{
+			Lender: registered.Owner, Borrower: registered.Borrower, Budget: registered.Budget, Total: registered.Reserved,
 		})
 	}
 	return nil
@@ -263,22 +263,22 @@
 	case "":
 		return errNoLeader
 	case n.name:
-		_, err := n.recallHere(ctx, recallQuestion{Budget: budget})
+		_, err := n.recallLocally(ctx, recallRequest{Budget: budget})
 		return err
 	}
-	_, err := callNode[bool](ctx, n, leader, peer.MethodRecall, &recallQuestion{Budget: budget})
+	_, err := callNode[bool](ctx, n, leader, peer.MethodRecall, &recallRequest{Budget: budget})
 	return err
 }
 
-// recallQuestion requests that the leader recall a budget's unused grants.
-type recallQuestion struct {
+// recallRequest requests that the leader recall a budget's unused grants.
+type recallRequest struct {
 	Budget string `msgpack:"b"`
 }
 
-func (n *Node) recallHere(ctx context.Context, question recallQuestion) (bool, error) {
+func (n *Node) recallLocally(ctx context.Context, request recallRequest) (bool, error) {
 	if n.replica == nil {
 		return false, errNoLeader
 	}
-	err := n.replica.duty.Do(ctx, func() { n.replica.root.RecallAll(question.Budget) })
+	err := n.replica.duty.Do(ctx, func() { n.replica.root.RecallAll(request.Budget) })
 	return err == nil, err
 }
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -27,7 +27,7 @@
 	// attempt. An election takes longer than one attempt, so a dead leader costs only one attempt.
 	proposeTimeout = 10 * time.Second
 	attemptTimeout = 1500 * time.Millisecond
-	retryPause     = 100 * time.Millisecond
+	retryDelay     = 100 * time.Millisecond
 )
 
 // replicaDuty owns the node's replica of the replicated log, the state machine that the log feeds,
@@ -39,11 +39,11 @@
 	machine *machine.Machine
 	root    *escrow.Root
 	id      consensus.ReplicaID
-	// published is the catalog revision last passed to the catalog duty.
-	published uint64
-	wasLeader bool
-	// shared is the part of the state that other goroutines may read.
-	shared atomic.Pointer[replicaView]
+	// publishedRevision is the catalog revision last passed to the catalog duty.
+	publishedRevision uint64
+	wasLeader         bool
+	// view is the part of the state that other goroutines may read.
+	view atomic.Pointer[replicaView]
 }
 
 // replicaView is an immutable summary of the replica's state for other goroutines.
@@ -52,7 +52,7 @@
 	leading       bool
 	term          uint64
 	commit        uint64
-	quorumSilence time.Duration
+	quorumAge     time.Duration
 	configuration consensus.Configuration
 	hasGroup      bool
 	// caughtUpVoters is the number of reachable voters that hold every committed entry on disk, as the
@@ -76,7 +76,7 @@
 		owner.root.Tick(node.now())
 	}
 	owner.duty.Flush = owner.flush
-	owner.share()
+	owner.updateView()
 	node.log.Info().Str("event", "replica_opened").Uint64("replica", id).
 		Uint64("applied", owner.replica.Applied()).Int("records_read", owner.replica.RecoveredRecords).
 		Int("torn_bytes", owner.replica.TornBytes).Send()
@@ -98,18 +98,18 @@
 	}
 	// The addressee is not a member in the configuration that this replica knows. It may be a new
 	// leader whose configuration has not arrived yet. Heartbeats name each node's replica.
-	for _, status := range r.node.fleet.all() {
+	for _, status := range r.node.fleet.allStatuses() {
 		if status.Replica == uint64(message.To) {
 			r.node.send(status.Node, peer.KindConsensus, &message)
 		}
 	}
 }
 
-func (r *replicaDuty) take(message consensus.Message) {
+func (r *replicaDuty) handleMessage(message consensus.Message) {
 	r.duty.Offer(func() { r.replica.Step(message) })
 }
 
-func (r *replicaDuty) takeReport(message escrow.ReportMessage) {
+func (r *replicaDuty) handleReport(message escrow.ReportMessage) {
 	r.duty.Offer(func() {
 		if r.leading() {
 			r.root.Take(message)
@@ -131,8 +131,8 @@
 		r.node.fail(fmt.Errorf("writing the replica to disk: %w", err))
 		return
 	}
-	r.publish()
-	r.share()
+	r.publishCatalog()
+	r.updateView()
 }
 
 func (r *replicaDuty) rootOptions() escrow.RootOptions {
@@ -183,22 +183,22 @@
 	return holders
 }
 
-// publish passes catalog changes to the catalog duty.
-func (r *replicaDuty) publish() {
-	delta, changed := r.machine.Catalog().Since(r.published)
+// publishCatalog passes catalog changes to the catalog duty.
+func (r *replicaDuty) publishCatalog() {
+	delta, changed := r.machine.Catalog().Since(r.publishedRevision)
 	if !changed {
 		return
 	}
-	r.published = delta.To
-	r.node.catalog.takeDelta(r.node.name, delta)
+	r.publishedRevision = delta.To
+	r.node.catalog.handleDelta(r.node.name, delta)
 }
 
-func (r *replicaDuty) share() {
+func (r *replicaDuty) updateView() {
 	core := r.replica.Core()
 	view := &replicaView{
 		leading: r.leading(), term: core.Term(), commit: core.Commit(), configuration: core.Configuration(),
-		quorumSilence: time.Duration(core.QuorumSilence()) * replicaTick,
-		hasGroup:      len(core.Configuration().Members) > 0,
+		quorumAge: time.Duration(core.QuorumSilence()) * replicaTick,
+		hasGroup:  len(core.Configuration().Members) > 0,
 	}
 	for _, voter := range core.Configuration().Voters() {
 		// A voter without contact for longer than the election timeout may be gone, regardless of what
@@ -210,12 +210,12 @@
 	if member, found := core.Configuration().Member(core.Leader()); found {
 		view.leader = member.Node
 	}
-	r.shared.Store(view)
+	r.view.Store(view)
 }
 
 // describe fills in the replica's fields of the node's heartbeat.
 func (r *replicaDuty) describe(status *peer.Status) {
-	view := r.shared.Load()
+	view := r.view.Load()
 	status.Replica = uint64(r.id)
 	status.HasGroup = view.hasGroup
 	status.Leader = view.leader
@@ -224,35 +224,35 @@
 
 func (r *replicaDuty) close() error { return r.replica.Close() }
 
-// proposeQuestion requests that the leader commit an encoded command.
-type proposeQuestion struct {
+// proposeRequest requests that the leader commit an encoded command.
+type proposeRequest struct {
 	Command []byte `msgpack:"c"`
 }
 
-// proposal is the result of a proposal.
-type proposal struct {
+// proposalResult is the result of a proposal.
+type proposalResult struct {
 	result machine.Result
 	err    error
 }
 
-// proposeHere commits a command if this node leads.
-func (n *Node) proposeHere(ctx context.Context, command []byte) (machine.Result, error) {
+// proposeLocally commits a command if this node leads.
+func (n *Node) proposeLocally(ctx context.Context, command []byte) (machine.Result, error) {
 	if n.replica == nil {
 		return machine.Result{}, consensus.ErrNotLeader
 	}
-	ended, err := duty.Ask(ctx, n.replica.duty, func(answer func(proposal)) {
+	proposed, err := duty.Ask(ctx, n.replica.duty, func(reply func(proposalResult)) {
 		n.replica.replica.Propose(command, func(result any, err error) {
 			if err != nil {
-				answer(proposal{err: err})
+				reply(proposalResult{err: err})
 				return
 			}
-			answer(proposal{result: result.(machine.Result)})
+			reply(proposalResult{result: result.(machine.Result)})
 		})
 	})
 	if err != nil {
 		return machine.Result{}, err
 	}
-	return ended.result, ended.err
+	return proposed.result, proposed.err
 }
 
 // propose commits a command through the leader, which may be another node. A command with an
@@ -265,21 +265,21 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	last := errNoLeader
+	lastErr := errNoLeader
 	for {
 		result, err := n.proposeOnce(ctx, encoded)
 		if err == nil {
 			return result, nil
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
 		notDone := errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, errNoLeader) || hasCode(err, peer.CodeNotLeader)
 		if !notDone && command.OperationID == "" {
 			return machine.Result{}, err
 		}
-		if !pause.For(ctx, retryPause) {
-			return machine.Result{}, fmt.Errorf("committing a change: %w", last)
+		if !pause.For(ctx, retryDelay) {
+			return machine.Result{}, fmt.Errorf("committing a change: %w", lastErr)
 		}
 	}
 }
@@ -292,15 +292,15 @@
 	attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	if leader == n.name {
-		return n.proposeHere(attempt, command)
+		return n.proposeLocally(attempt, command)
 	}
-	return callNode[machine.Result](attempt, n, leader, peer.MethodPropose, &proposeQuestion{Command: command})
+	return callNode[machine.Result](attempt, n, leader, peer.MethodPropose, &proposeRequest{Command: command})
 }
 
 // leader returns the control node that leads, as far as this node knows, or "".
 func (n *Node) leader() string {
 	if n.replica != nil {
-		if leader := n.replica.shared.Load().leader; leader != "" {
+		if leader := n.replica.view.Load().leader; leader != "" {
 			return leader
 		}
 	}
@@ -312,28 +312,28 @@
 	return errors.As(err, &reply) && reply.Code == code
 }
 
-// atLeader runs work on the replica's duty once the state includes everything that was committed at
-// the time of the call. It fails on nodes that don't lead.
-func atLeader[T any](ctx context.Context, n *Node, work func(*machine.Machine) T) (T, error) {
-	type ended struct {
+// readCommitted runs work on the replica's duty once the state includes everything that was
+// committed at the time of the call. It fails on nodes that don't lead.
+func readCommitted[T any](ctx context.Context, n *Node, work func(*machine.Machine) T) (T, error) {
+	type readResult struct {
 		value T
 		err   error
 	}
-	var none T
+	var zero T
 	if n.replica == nil {
-		return none, consensus.ErrNotLeader
+		return zero, consensus.ErrNotLeader
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	result, err := duty.Ask(ctx, n.replica.duty, func(reply func(readResult)) {
 		n.replica.replica.Read(func(err error) {
 			if err != nil {
-				answer(ended{err: err})
+				reply(readResult{err: err})
 				return
 			}
-			answer(ended{value: work(n.replica.machine)})
+			reply(readResult{value: work(n.replica.machine)})
 		})
 	})
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	return answer.value, answer.err
+	return result.value, result.err
 }
--- a/internal/node/settle.go
+++ b/internal/node/settle.go
@@ -14,7 +14,7 @@
 
 // settle writes the result and the use to this run's claim, then releases the reservation. It runs
 // in the background, so that the caller need not wait for it.
-func (r *run) settle(result claims.Result, used uint64) {
+func (r *billedRun) settle(result claims.Result, used uint64) {
 	n := r.node
 	n.background.start(func() {
 		change := func(current *claims.Claim) *claims.Claim {
@@ -25,7 +25,7 @@
 			return current
 		}
 		claim, err := r.changeUntilDone(change)
-		if err == nil && r.owns(claim) && n.needsMerge(r.scope, r.of.key, claim) {
+		if err == nil && r.owns(claim) && n.needsMerge(r.scope, r.completion.key, claim) {
 			claim, err = r.mergeUntilDone(claim)
 		}
 		r.release(claim, err)
@@ -34,37 +34,38 @@
 
 // mergeUntilDone retries until the home zone of the key decides whether this use is charged. It
 // returns nil if it is not. Meanwhile, only the use itself stays reserved.
-func (r *run) mergeUntilDone(claim *claims.Claim) (*claims.Claim, error) {
+func (r *billedRun) mergeUntilDone(claim *claims.Claim) (*claims.Claim, error) {
 	r.node.escrow.shrink(r.held, claim.Used)
 	for {
-		charged, err := r.node.mergeWithHome(r.node.life, r.of.key, claim)
+		charged, err := r.node.mergeWithHome(r.node.runContext, r.completion.key, claim)
 		switch {
 		case err == nil && charged:
 			return claim, nil
 		case err == nil:
 			return nil, nil
 		}
-		if !pause.For(r.node.life, settleRetry) {
+		if !pause.For(r.node.runContext, settleRetryDelay) {
 			return nil, err
 		}
 	}
 }
 
-// abandon settles the claim of a request that was not run. The claim may not have been written.
-func (r *run) abandon() { r.settle(claims.NotRun, 0) }
+// settleNotRun settles the claim of a request that was not run. The claim may not have been
+// written.
+func (r *billedRun) settleNotRun() { r.settle(claims.NotRun, 0) }
 
 // owns reports whether a claim is paid from this run's reservation.
-func (r *run) owns(claim *claims.Claim) bool {
+func (r *billedRun) owns(claim *claims.Claim) bool {
 	return claim != nil && claim.Owner == r.held.owner && claim.Budget == r.held.reservation.Budget &&
 		claim.Sequence == r.held.reservation.Sequence
 }
 
 // changeUntilDone retries a change while the acceptors are unreachable. The tokens stay reserved
 // until the settlement is written.
-func (r *run) changeUntilDone(change claims.Change) (*claims.Claim, error) {
+func (r *billedRun) changeUntilDone(change claims.Change) (*claims.Claim, error) {
 	for {
-		outcome, err := r.node.claims.change(r.node.life, r.scope, r.of.key, change)
-		if !errors.Is(err, claims.ErrUnreachable) || !pause.For(r.node.life, settleRetry) {
+		outcome, err := r.node.claims.change(r.node.runContext, r.scope, r.completion.key, change)
+		if !errors.Is(err, claims.ErrUnreachable) || !pause.For(r.node.runContext, settleRetryDelay) {
 			return outcome.Claim, err
 		}
 	}
@@ -72,24 +73,24 @@
 
 // release settles the reservation with the use in the settled claim, which frees the remainder.
 // After ErrFenced it does nothing: the leader that fenced the incarnation settles its reservations.
-func (r *run) release(claim *claims.Claim, err error) {
-	if errors.Is(err, claims.ErrFenced) || r.node.life.Err() != nil {
+func (r *billedRun) release(claim *claims.Claim, err error) {
+	if errors.Is(err, claims.ErrFenced) || r.node.runContext.Err() != nil {
 		return
 	}
 	var used uint64
 	if r.owns(claim) {
 		used = claim.Used
 	}
-	r.node.log.Info().Str("event", "settled").Str("request", r.of.id).Stringer("key", r.of.key).Str("tenant", r.of.tenant.GetName()).
+	r.node.log.Info().Str("event", "settled").Str("request", r.completion.id).Stringer("key", r.completion.key).Str("tenant", r.completion.tenant.GetName()).
 		Str("budget", r.held.reservation.Budget).Uint64("tokens", used).AnErr("error", err).Send()
-	countSettled(r.of.tenant.GetName(), used)
+	countSettled(r.completion.tenant.GetName(), used)
 	r.node.escrow.settle(r.held, used)
 }
 
 // settleLater determines the outcome of a request in the background and settles it.
-func (r *run) settleLater(backend, requestID string) {
+func (r *billedRun) settleLater(backend, requestID string) {
 	r.node.background.start(func() {
-		result, used := r.node.findOutcome(r.node.life, backend, requestID, r.held.reservation.Amount)
+		result, used := r.node.findOutcome(r.node.runContext, backend, requestID, r.held.reservation.Amount)
 		if result != 0 {
 			r.settle(result, used)
 		}
@@ -106,8 +107,8 @@
 			n.log.Warn().Str("event", "outcome_unknown").Str("backend", backend).Str("engine_request", requestID).Send()
 			return claims.OutcomeUnknown, reservedTokens
 		}
-		asking, cancel := context.WithTimeout(ctx, pollTimeout)
-		status, err := n.engines.Status(asking, target.Address, requestID)
+		pollCtx, cancel := context.WithTimeout(ctx, pollTimeout)
+		status, err := n.engines.Status(pollCtx, target.Address, requestID)
 		cancel()
 		switch {
 		case errors.Is(err, engine.ErrUnknownRequest):
@@ -117,28 +118,28 @@
 		case err == nil && status.State == engine.StateCancelled:
 			return claims.Cancelled, status.Usage.Total()
 		}
-		if !pause.For(ctx, settleRetry) {
+		if !pause.For(ctx, settleRetryDelay) {
 			return 0, 0
 		}
 	}
 }
 
-// existing answers a request whose key is already claimed: the caller gets the same response and is
-// not billed again.
-func (r *run) existing(ctx context.Context, claim *claims.Claim) *refusal {
+// joinExisting answers a request whose key is already claimed: the caller gets the same response
+// and is not billed again.
+func (r *billedRun) joinExisting(ctx context.Context, claim *claims.Claim) *refusal {
 	n := r.node
-	if claim.Fingerprint != r.of.fingerprint {
+	if claim.Fingerprint != r.completion.fingerprint {
 		r.node.escrow.settle(r.held, 0)
 		return refuseNotRun(http.StatusUnprocessableEntity, caller.CodeKeyReused, 0, "%s was used for another request", caller.HeaderIdempotencyKey)
 	}
-	n.decisions.add(decision{RequestID: r.of.id, Tenant: r.of.tenant.GetName(), Service: r.of.service.GetName(), Kind: "join",
+	n.decisions.add(decision{RequestID: r.completion.id, Tenant: r.completion.tenant.GetName(), Service: r.completion.service.GetName(), Kind: "join",
 		Backend: claim.Backend, Detail: "claimed by " + claim.Owner.String() + ", " + claim.State.String()})
 	for {
-		refused, again := r.join(ctx, claim)
-		if !again {
+		refused, retry := r.join(ctx, claim)
+		if !retry {
 			return refused
 		}
-		outcome, err := n.claims.read(ctx, r.scope, r.of.key)
+		outcome, err := n.claims.read(ctx, r.scope, r.completion.key)
 		if err != nil {
 			n.escrow.settle(r.held, 0)
 			return r.refuseClaim(err)
@@ -153,7 +154,7 @@
 
 // join resumes the stream of the claimed request from its start. again indicates that the caller
 // should read the claim again and retry.
-func (r *run) join(ctx context.Context, claim *claims.Claim) (refused *refusal, again bool) {
+func (r *billedRun) join(ctx context.Context, claim *claims.Claim) (refused *refusal, retry bool) {
 	n := r.node
 	target, found := n.backends.backend(claim.Backend)
 	if !found {
@@ -166,15 +167,15 @@
 		return r.joinUnknown(ctx, claim, target)
 	}
 	if err != nil {
-		if ctx.Err() != nil || !pause.For(ctx, joinPause) {
+		if ctx.Err() != nil || !pause.For(ctx, joinDelay) {
 			n.escrow.settle(r.held, 0)
 			return outcomeUnknown("its back end %q does not answer", claim.Backend), false
 		}
 		return nil, true
 	}
 	n.escrow.settle(r.held, 0)
-	r.answer.backendRequestID(claim.RequestID)
-	final, err := r.deliver(streamCtx, target.Address, claim.RequestID, stream)
+	r.writer.setBackendRequestID(claim.RequestID)
+	final, err := r.relayEvents(streamCtx, target.Address, claim.RequestID, stream)
 	switch {
 	case errors.Is(err, errCallerGone):
 		return nil, false
@@ -194,16 +195,16 @@
 // joinUnknown handles a claimed request that its engine does not know. The engine may have finished
 // and discarded it, its owner may not have reached the engine yet, or its owner crashed before
 // that.
-func (r *run) joinUnknown(ctx context.Context, claim *claims.Claim, target routing.Backend) (*refusal, bool) {
+func (r *billedRun) joinUnknown(ctx context.Context, claim *claims.Claim, target routing.Backend) (*refusal, bool) {
 	n := r.node
 	if claim.State == claims.Settled {
 		n.escrow.settle(r.held, 0)
 		return &refusal{status: http.StatusConflict, code: caller.CodeAlreadyDone, detail: "the request was done and billed; its answer is no longer kept"}, false
 	}
-	status, age, heard := n.fleet.heard(claim.Owner.Node)
-	alive := claim.Owner.Node == n.name || (heard && age < silentAfter && status.OwnerIncarnation <= claim.Owner.Incarnation)
+	status, age, found := n.fleet.lastStatus(claim.Owner.Node)
+	alive := claim.Owner.Node == n.name || (found && age < heartbeatTimeout && status.OwnerIncarnation <= claim.Owner.Incarnation)
 	if alive {
-		if !pause.For(ctx, joinPause) {
+		if !pause.For(ctx, joinDelay) {
 			n.escrow.settle(r.held, 0)
 			return &refusal{status: http.StatusConflict, code: caller.CodeInProgress, retryAfter: retrySoon, detail: "the request is in progress through another node"}, false
 		}
@@ -218,27 +219,27 @@
 
 // takeOver runs the request of a crashed owner under the same request id at the same engine, so
 // that even a late request of the old owner joins this run there.
-func (r *run) takeOver(ctx context.Context, claim *claims.Claim, target routing.Backend) (*refusal, bool) {
+func (r *billedRun) takeOver(ctx context.Context, claim *claims.Claim, target routing.Backend) (*refusal, bool) {
 	n := r.node
-	mine := *claim
-	mine.Owner, mine.Sequence, mine.Reserved = r.held.owner, r.held.reservation.Sequence, r.held.reservation.Amount
-	mine.Budget = r.held.reservation.Budget
-	outcome, err := n.claims.change(ctx, r.scope, r.of.key, func(current *claims.Claim) *claims.Claim {
+	ownClaim := *claim
+	ownClaim.Owner, ownClaim.Sequence, ownClaim.Reserved = r.held.owner, r.held.reservation.Sequence, r.held.reservation.Amount
+	ownClaim.Budget = r.held.reservation.Budget
+	outcome, err := n.claims.change(ctx, r.scope, r.completion.key, func(current *claims.Claim) *claims.Claim {
 		if current == nil || *current != *claim {
 			return nil
 		}
-		return &mine
+		return &ownClaim
 	})
 	if err != nil {
-		r.abandon()
+		r.settleNotRun()
 		return r.refuseClaim(err), false
 	}
 	if !outcome.Changed {
 		return nil, true
 	}
-	n.decisions.add(decision{RequestID: r.of.id, Tenant: r.of.tenant.GetName(), Service: r.of.service.GetName(), Kind: "take over",
+	n.decisions.add(decision{RequestID: r.completion.id, Tenant: r.completion.tenant.GetName(), Service: r.completion.service.GetName(), Kind: "take over",
 		Backend: claim.Backend, Detail: "owner " + claim.Owner.String() + " is gone and the engine does not know the request"})
-	done, refused := r.generate(ctx, placed{backend: target}, &mine)
+	done, refused := r.generate(ctx, placementResult{backend: target}, &ownClaim)
 	if !done {
 		r.tried = append(r.tried, target.Name)
 		return r.attempt(ctx), false
@@ -248,7 +249,7 @@
 
 // settleForOwner settles a claim whose owner may have crashed. An owner that is alive settles the
 // same use.
-func (r *run) settleForOwner(claim *claims.Claim, final engine.Event) {
+func (r *billedRun) settleForOwner(claim *claims.Claim, final engine.Event) {
 	if claim.State == claims.Settled {
 		return
 	}
@@ -261,8 +262,8 @@
 			current.State, current.Result, current.Used = claims.Settled, claims.Completed, final.Usage.Total()
 			return current
 		}
-		if _, err := n.claims.change(n.life, r.scope, r.of.key, change); err != nil {
-			n.log.Info().Str("event", "settle_left_to_owner").Str("request", r.of.id).Err(err).Send()
+		if _, err := n.claims.change(n.runContext, r.scope, r.completion.key, change); err != nil {
+			n.log.Info().Str("event", "settle_left_to_owner").Str("request", r.completion.id).Err(err).Send()
 		}
 	})
 }
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// balancerLag is the time for which a load balancer may still send requests after the readiness
+	// balancerDelay is the time for which a load balancer may still send requests after the readiness
 	// probe has begun to fail.
-	balancerLag = 2 * time.Second
-	stopPoll    = 50 * time.Millisecond
+	balancerDelay    = 2 * time.Second
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // Stop prepares a planned stop. The readiness probe fails, leadership moves to another voter,
@@ -23,13 +23,13 @@
 	n.stopping.Store(true)
 	n.log.Info().Str("event", "stopping").Int64("streams", n.streams.active.Load()).Send()
 	n.transferLeadership(ctx)
-	pause.For(ctx, balancerLag)
+	pause.For(ctx, balancerDelay)
 	// The listener and idle connections are closed first, so that no stream can begin between the
 	// last check of the count and the end of the process.
 	if callers := n.callers.Load(); callers != nil {
 		_ = callers.Shutdown(ctx)
 	}
-	for n.streams.active.Load() > 0 && pause.For(ctx, stopPoll) {
+	for n.streams.active.Load() > 0 && pause.For(ctx, stopPollInterval) {
 	}
 	settled := make(chan struct{})
 	go func() {
@@ -60,7 +60,7 @@
 		core := n.replica.replica.Core()
 		for _, voter := range core.Configuration().Voters() {
 			member, _ := core.Configuration().Member(voter)
-			if core.Role() == consensus.Leader && voter != core.ID() && core.CaughtUp(voter) && n.fleet.alive(member.Node) {
+			if core.Role() == consensus.Leader && voter != core.ID() && core.CaughtUp(voter) && n.fleet.isReachable(member.Node) {
 				_ = core.TransferLeadership(voter)
 				return
 			}
