--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -336,7 +336,7 @@
 		}
 	}
 	for _, name := range f.Order {
-		if machine := f.machines[name]; machine.Control && machine.node.VotersIfLeading() == controls {
+		if machine := f.machines[name]; machine.Control && machine.node.CaughtUpVoters() == controls {
 			return true
 		}
 	}
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -109,9 +109,9 @@
 	r.node.log.Info().Str("event", event).Str("node", name).Uint64("replica", uint64(id)).AnErr("error", err).Send()
 }
 
-// VotersIfLeading returns the number of reachable voters that hold every committed entry on disk.
+// CaughtUpVoters returns the number of reachable voters that hold every committed entry on disk.
 // Only the leader knows it: other nodes return 0.
-func (n *Node) VotersIfLeading() int {
+func (n *Node) CaughtUpVoters() int {
 	if n.replica == nil || !n.replica.view.Load().leading {
 		return 0
 	}
