--- a/internal/node/background_test.go
+++ b/internal/node/background_test.go
@@ -9,19 +9,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// Requests that end while the node stops still start settlements. A
-// sync.WaitGroup panicked there ("reused before previous Wait has returned").
+// Guards against a panic at a stop: requests that end while the node waits for its background work
+// still start settlements, and a sync.WaitGroup panics on that ("reused before previous Wait has
+// returned").
 func TestWorkMayStartWhileTheNodeWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := newBackground()
-		var ended atomic.Int64
+		var finished atomic.Int64
 		work.start(func() {
 			time.Sleep(time.Second)
 			work.start(func() {
 				time.Sleep(time.Second)
-				ended.Add(1)
+				finished.Add(1)
 			})
-			ended.Add(1)
+			finished.Add(1)
 		})
 		waiters := make(chan struct{}, 2)
 		for range 2 {
@@ -32,6 +33,6 @@
 		}
 		<-waiters
 		<-waiters
-		assert.Equal(t, ended.Load(), int64(2))
+		assert.Equal(t, finished.Load(), int64(2))
 	})
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -16,55 +16,58 @@
 
 const (
 	claimsTick = 10 * time.Millisecond
-	// claimTimeout bounds one change of a claim.
+	// claimTimeout is the timeout of one change of a claim.
 	claimTimeout = 2 * time.Second
-	// unreachedFor is how long a scope that could not be reached is passed over.
-	unreachedFor = 5 * time.Second
-	// announceNear and announceFar are the times between announcements of what
-	// may be forgotten.
-	announceNear = 2 * time.Second
-	announceFar  = time.Minute
+	// skipUnreachable is the time for which a scope that could not be reached is skipped.
+	skipUnreachable = 5 * time.Second
+	// zoneAnnounceInterval and fleetAnnounceInterval are the times between two announcements of
+	// watermarks: to the acceptors of this zone's keys, and to all nodes.
+	zoneAnnounceInterval  = 2 * time.Second
+	fleetAnnounceInterval = time.Minute
 )
 
-// claimsDuty owns the node's holder of claims and its proposer.
+// claimsDuty owns the node's acceptor, which stores claims and votes on them, and its proposer,
+// which changes them. A claim records which run of a request may be billed.
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
-	holder   *claims.Acceptor
+	acceptor *claims.Acceptor
 	proposer *claims.Proposer
 	outgoing map[string][]claims.Message
 	wasReady bool
 
-	// marks are the watermarks of this node's own settlements; the changed ones
-	// are yet to be announced near and far.
-	marks                   map[markName]uint64
-	changedNear, changedFar map[markName]struct{}
-	nextNear, nextFar       time.Duration
+	// watermarks are the watermarks of this node's own settlements: claims up to a watermark are
+	// settled at the root. changedForZone and changedForFleet are those yet to be announced to the
+	// acceptors of this zone's keys and to all nodes.
+	watermarks                                  map[watermarkName]uint64
+	changedForZone, changedForFleet             map[watermarkName]struct{}
+	nextZoneAnnouncement, nextFleetAnnouncement time.Duration
 
-	// unreached are the scopes that could not be reached lately, with the time.
+	// unreachable maps each scope that could not be reached to the time of the last failure.
 	scopesMutex sync.Mutex
-	unreached   map[string]time.Duration
+	unreachable map[string]time.Duration
 
-	// fenced is the holder's fences, readable from the escrow duty.
+	// fenced maps a node to its highest fenced incarnation. mutex guards it, since the escrow duty
+	// reads it.
 	mutex  sync.RWMutex
 	fenced map[string]uint64
 }
 
-// markName names a watermark.
-type markName struct {
+// watermarkName identifies a watermark.
+type watermarkName struct {
 	owner  accounts.HolderID
 	budget string
 }
 
 func newClaimsDuty(node *Node) *claimsDuty {
-	owner := &claimsDuty{node: node, duty: duty.New("claims", claimsTick), outgoing: map[string][]claims.Message{}, fenced: map[string]uint64{}, unreached: map[string]time.Duration{},
-		marks: map[markName]uint64{}, changedNear: map[markName]struct{}{}, changedFar: map[markName]struct{}{}}
-	owner.holder = claims.NewAcceptor(claims.AcceptorOptions{
+	owner := &claimsDuty{node: node, duty: duty.New("claims", claimsTick), outgoing: map[string][]claims.Message{}, fenced: map[string]uint64{}, unreachable: map[string]time.Duration{},
+		watermarks: map[watermarkName]uint64{}, changedForZone: map[watermarkName]struct{}{}, changedForFleet: map[watermarkName]struct{}{}}
+	owner.acceptor = claims.NewAcceptor(claims.AcceptorOptions{
 		Self: node.name, Incarnation: node.incarnation, Pool: node.pool, Fresh: len(node.pool.Nodes()) == 1,
 	})
-	owner.begin(accounts.HolderID{Node: node.name, Incarnation: node.incarnation})
+	owner.startProposer(accounts.HolderID{Node: node.name, Incarnation: node.incarnation})
 	owner.duty.Tick = func() {
-		owner.queue(owner.holder.Tick(node.now()))
+		owner.queue(owner.acceptor.Tick(node.now()))
 		owner.proposer.Tick(node.now())
 		owner.announceWatermarks()
 	}
@@ -72,16 +75,16 @@
 	return owner
 }
 
-func (c *claimsDuty) begin(id accounts.HolderID) {
+func (c *claimsDuty) startProposer(id accounts.HolderID) {
 	c.proposer = claims.NewProposer(claims.ProposerOptions{ID: id, Incarnation: c.node.incarnation, Pool: c.node.pool, Random: newRandom()})
 }
 
-// takeNewLife starts proposing under a new life after the old one was fenced.
-func (c *claimsDuty) takeNewLife(id accounts.HolderID) {
-	_ = c.duty.Do(context.Background(), func() { c.begin(id) })
+// startIncarnation starts a proposer under a new incarnation after the old one was fenced.
+func (c *claimsDuty) startIncarnation(id accounts.HolderID) {
+	_ = c.duty.Do(context.Background(), func() { c.startProposer(id) })
 }
 
-func (c *claimsDuty) take(batch claimsBatch) {
+func (c *claimsDuty) handleBatch(batch claimsBatch) {
 	c.duty.Offer(func() {
 		for _, message := range batch.Messages {
 			c.step(message)
@@ -94,18 +97,17 @@
 	case claims.MessagePromise, claims.MessageAccepted:
 		c.proposer.Step(c.node.now(), message)
 	default:
-		c.queue(c.holder.Step(c.node.now(), message))
+		c.queue(c.acceptor.Step(c.node.now(), message))
 	}
 }
 
 func (c *claimsDuty) queue(outgoing []claims.Outgoing) {
-	for _, one := range outgoing {
-		c.outgoing[one.To] = append(c.outgoing[one.To], one.Message)
+	for _, message := range outgoing {
+		c.outgoing[message.To] = append(c.outgoing[message.To], message.Message)
 	}
 }
 
-// flush sends one batch to each node. Messages to this node itself are stepped
-// at once.
+// flush sends one batch of messages to each node. Messages to this node are processed directly.
 func (c *claimsDuty) flush() {
 	c.queue(c.proposer.Outgoing())
 	for len(c.outgoing[c.node.name]) > 0 {
@@ -120,35 +122,35 @@
 		c.node.send(to, peer.KindClaims, &claimsBatch{Messages: messages})
 	}
 	clear(c.outgoing)
-	if ready := len(c.holder.Recovering()) == 0; ready && !c.wasReady {
+	if ready := len(c.acceptor.Recovering()) == 0; ready && !c.wasReady {
 		c.wasReady = true
-		c.node.log.Info().Str("event", "claims_recovered").Int("claims", c.holder.Length()).Send()
+		c.node.log.Info().Str("event", "claims_recovered").Int("claims", c.acceptor.Length()).Send()
 	}
 }
 
-// change changes a claim and waits for the end.
+// change changes a claim and waits for the outcome.
 func (c *claimsDuty) change(ctx context.Context, scope string, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
+	outcome, err := duty.Ask(ctx, c.duty, func(reply func(claims.Outcome)) {
 		now := c.node.now()
-		c.proposer.Change(now, now+claimTimeout, scope, key, change, answer)
+		c.proposer.Change(now, now+claimTimeout, scope, key, change, reply)
 	})
 	if err != nil {
 		return claims.Outcome{}, err
 	}
-	c.noteReach(scope, outcome.Err)
+	c.recordReachability(scope, outcome.Err)
 	return outcome, outcome.Err
 }
 
-// read returns a claim as a majority of its holders has it.
+// read returns a claim as a majority of its acceptors has it.
 func (c *claimsDuty) read(ctx context.Context, scope string, key claims.Key) (claims.Outcome, error) {
 	return c.change(ctx, scope, key, func(*claims.Claim) *claims.Claim { return nil })
 }
 
-// changeMinted makes the first change of a key that this node made up.
-func (c *claimsDuty) changeMinted(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
+// changeGenerated makes the first change of a claim whose key this node has generated.
+func (c *claimsDuty) changeGenerated(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
+	outcome, err := duty.Ask(ctx, c.duty, func(reply func(claims.Outcome)) {
 		now := c.node.now()
-		c.proposer.ChangeNewKey(now, now+claimTimeout, c.node.zone, key, change, answer)
+		c.proposer.ChangeNewKey(now, now+claimTimeout, c.node.zone, key, change, reply)
 	})
 	if err != nil {
 		return claims.Outcome{}, err
@@ -156,64 +158,67 @@
 	return outcome, outcome.Err
 }
 
-// noteReach remembers for a while that a scope could not be reached, so that
-// not every request waits to find out.
-func (c *claimsDuty) noteReach(scope string, err error) {
+// recordReachability records whether a scope could be reached, so that not every request waits for
+// the timeout while it can't be.
+func (c *claimsDuty) recordReachability(scope string, err error) {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
 	if errors.Is(err, claims.ErrUnreachable) {
-		c.unreached[scope] = c.node.now()
+		c.unreachable[scope] = c.node.now()
 		return
 	}
-	delete(c.unreached, scope)
+	delete(c.unreachable, scope)
 }
 
-// reachedLately tells whether a scope is worth trying.
-func (c *claimsDuty) reachedLately(scope string) bool {
+// isReachable reports whether a scope should be tried: no change there has failed within
+// skipUnreachable for want of reachable acceptors.
+func (c *claimsDuty) isReachable(scope string) bool {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
-	at, failed := c.unreached[scope]
-	return !failed || c.node.now()-at > unreachedFor
+	at, failed := c.unreachable[scope]
+	return !failed || c.node.now()-at > skipUnreachable
 }
 
-// noteWatermarks keeps the settlements that the root has, to be announced.
-func (c *claimsDuty) noteWatermarks(marks []claims.Watermark) {
+// recordWatermarks records up to which settlement the root has this node's settlements, to be
+// announced to the acceptors.
+func (c *claimsDuty) recordWatermarks(watermarks []claims.Watermark) {
 	c.duty.Offer(func() {
-		for _, mark := range marks {
-			name := markName{owner: mark.Owner, budget: mark.Budget}
-			c.marks[name] = max(c.marks[name], mark.Sequence)
-			c.changedNear[name] = struct{}{}
-			c.changedFar[name] = struct{}{}
+		for _, watermark := range watermarks {
+			name := watermarkName{owner: watermark.Owner, budget: watermark.Budget}
+			c.watermarks[name] = max(c.watermarks[name], watermark.Sequence)
+			c.changedForZone[name] = struct{}{}
+			c.changedForFleet[name] = struct{}{}
 		}
 	})
 }
 
-// announceWatermarks tells the holders which claims may be forgotten: those of
-// minted keys, which lie near, every few seconds; those of callers' keys, which
-// may lie in any zone and are kept for long anyway, once a minute.
+// announceWatermarks tells the acceptors which claims they may discard. Claims of generated keys
+// are stored at the acceptors of this zone's keys, which are told every few seconds. Claims of
+// callers' keys may be stored in any zone and are kept for long anyway, so all nodes are told once
+// a minute.
 func (c *claimsDuty) announceWatermarks() {
 	now := c.node.now()
-	if now >= c.nextNear {
-		c.nextNear = now + announceNear
-		c.announce(c.changedNear, c.nearHolders())
+	if now >= c.nextZoneAnnouncement {
+		c.nextZoneAnnouncement = now + zoneAnnounceInterval
+		c.announce(c.changedForZone, c.zoneAcceptors())
 	}
-	if now >= c.nextFar {
-		c.nextFar = now + announceFar
-		var everyone []string
+	if now >= c.nextFleetAnnouncement {
+		c.nextFleetAnnouncement = now + fleetAnnounceInterval
+		var allNodes []string
 		for _, member := range c.node.pool.Nodes() {
-			everyone = append(everyone, member.Name)
+			allNodes = append(allNodes, member.Name)
 		}
-		c.announce(c.changedFar, everyone)
+		c.announce(c.changedForFleet, allNodes)
 	}
 }
 
-func (c *claimsDuty) announce(changed map[markName]struct{}, to []string) {
+func (c *claimsDuty) announce(changed map[watermarkName]struct{}, to []string) {
 	if len(changed) == 0 {
 		return
 	}
 	message := claims.Message{Kind: claims.MessageWatermark, From: c.node.name, Incarnation: c.node.incarnation}
 	for name := range changed {
-		message.Watermarks = append(message.Watermarks, claims.Watermark{Owner: name.owner, Budget: name.budget, Sequence: c.marks[name]})
+		message.Watermarks = append(message.Watermarks, claims.Watermark{Owner: name.owner, Budget: name.budget, Sequence: c.watermarks[name]})
 	}
 	clear(changed)
 	for _, name := range to {
@@ -221,41 +226,43 @@
 	}
 }
 
-// nearHolders are the nodes that may hold this zone's keys.
-func (c *claimsDuty) nearHolders() []string {
-	near := slices.Clone(c.node.pool.InZone(c.node.zone))
-	if len(near) >= membership.AcceptorsPerKey {
-		return near
+// zoneAcceptors returns the nodes that may be acceptors of this zone's keys: the zone's nodes, or
+// all nodes if the zone has too few.
+func (c *claimsDuty) zoneAcceptors() []string {
+	acceptors := slices.Clone(c.node.pool.InZone(c.node.zone))
+	if len(acceptors) >= membership.AcceptorsPerKey {
+		return acceptors
 	}
 	for _, member := range c.node.pool.Nodes() {
-		if !slices.Contains(near, member.Name) {
-			near = append(near, member.Name)
+		if !slices.Contains(acceptors, member.Name) {
+			acceptors = append(acceptors, member.Name)
 		}
 	}
-	return near
+	return acceptors
 }
 
-// fence makes this holder acknowledge nothing more of a life.
-func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceAnswer, error) {
-	return duty.Ask(ctx, c.duty, func(answer func(fenceAnswer)) {
-		records := c.holder.Fence(owner)
+// fence makes this acceptor acknowledge no further claims of an incarnation, and returns the claims
+// of it that it stores.
+func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceResponse, error) {
+	return duty.Ask(ctx, c.duty, func(reply func(fenceResponse)) {
+		records := c.acceptor.Fence(owner)
 		c.mutex.Lock()
 		c.fenced[owner.Node] = max(c.fenced[owner.Node], owner.Incarnation)
 		c.mutex.Unlock()
-		answer(fenceAnswer{Records: records, Recovering: len(c.holder.Recovering()) > 0})
+		reply(fenceResponse{Records: records, Recovering: len(c.acceptor.Recovering()) > 0})
 	})
 }
 
-// fencedHere tells whether a life is fenced at this holder.
-func (c *claimsDuty) fencedHere(id accounts.HolderID) bool {
+// isFenced reports whether an incarnation is fenced at this acceptor.
+func (c *claimsDuty) isFenced(id accounts.HolderID) bool {
 	c.mutex.RLock()
 	defer c.mutex.RUnlock()
 	return id.Incarnation <= c.fenced[id.Node]
 }
 
-// ClaimsRecovered tells whether the node's holder of claims has heard from all
-// others since its start.
+// ClaimsRecovered reports whether the node's acceptor has recovered its claims from all other nodes
+// since its start.
 func (n *Node) ClaimsRecovered() bool {
-	recovering, err := duty.Ask(n.life, n.claims.duty, func(answer func(int)) { answer(len(n.claims.holder.Recovering())) })
+	recovering, err := duty.Ask(n.runContext, n.claims.duty, func(reply func(int)) { reply(len(n.claims.acceptor.Recovering())) })
 	return err == nil && recovering == 0
 }
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -30,22 +30,23 @@
 )
 
 const (
-	// maximumKeyLength bounds a caller's idempotency key.
+	// maximumKeyLength is the maximum length of a caller's idempotency key, in bytes.
 	maximumKeyLength = 256
-	// defaultOutputTokens is the bound of a request that names none.
+	// defaultOutputTokens is the output limit of a request that sets none.
 	defaultOutputTokens = 256
-	// defaultMaxOutput is the largest output of a service that names none.
-	defaultMaxOutput = 4096
-	bearerPrefix     = "Bearer "
-	// Retry-After of refusals by their cause, in whole seconds.
+	// defaultMaximumOutput is the largest output limit, in tokens, of a service that sets none.
+	defaultMaximumOutput = 4096
+	bearerPrefix         = "Bearer "
+	// retrySoon and retryLong are the Retry-After values of refusals; each is whole seconds.
 	retrySoon = 1 * time.Second
 	retryLong = 5 * time.Second
 )
 
-// streamTracker counts the requests in progress.
+// streamTracker counts the requests in flight.
 type streamTracker struct{ active atomic.Int64 }
 
-// refusal is an answer that ends a request.
+// refusal is an error response that ends a request. notRun indicates that the request certainly did
+// not run.
 type refusal struct {
 	status     int
 	code       caller.Code
@@ -57,19 +58,20 @@
 // Error implements error.
 func (r *refusal) Error() string { return fmt.Sprintf("%s: %s", r.code, r.detail) }
 
-// refuseNotRun is a refusal of a request that no back end was offered.
+// refuseNotRun returns a refusal of a request that certainly did not run.
 func refuseNotRun(status int, code caller.Code, retryAfter time.Duration, format string, arguments ...any) *refusal {
 	return &refusal{status: status, code: code, notRun: true, retryAfter: retryAfter, detail: fmt.Sprintf(format, arguments...)}
 }
 
-// request is one caller's request as the flow needs it.
-type request struct {
+// callerRequest is one caller's request: its attributes, the service and budget it uses, and its
+// claim key.
+type callerRequest struct {
 	id       string
 	tenant   *ravenwayv1.Tenant
 	service  *ravenwayv1.Service
 	class    queueing.Class
 	deadline time.Duration
-	// key is the claim's, minted or from the caller.
+	// key is the key of the claim: derived from the caller's idempotency key, or generated.
 	key           claims.Key
 	callerKey     bool
 	notRepeatable bool
@@ -77,45 +79,46 @@
 	budget        *ravenwayv1.Budget
 }
 
-// callerHandler serves tenants.
+// callerHandler returns the HTTP handler for callers.
 func (n *Node) callerHandler() http.Handler {
 	router := mux.NewRouter().SkipClean(true)
-	router.HandleFunc("/v1/chat/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *request) {
+	router.HandleFunc("/v1/chat/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *callerRequest) {
 		n.serveCompletion(w, r, q, true)
 	})).Methods(http.MethodPost)
-	router.HandleFunc("/v1/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *request) {
+	router.HandleFunc("/v1/completions", n.admit(func(w http.ResponseWriter, r *http.Request, q *callerRequest) {
 		n.serveCompletion(w, r, q, false)
 	})).Methods(http.MethodPost)
 	router.PathPrefix("/").HandlerFunc(n.admit(n.servePlain))
 	return router
 }
 
-// admit checks what all requests have in common: room, the tenant, headers.
-func (n *Node) admit(serve func(http.ResponseWriter, *http.Request, *request)) http.HandlerFunc {
+// admit wraps a handler with the checks that all requests share: capacity, tenant and headers.
+func (n *Node) admit(serve func(http.ResponseWriter, *http.Request, *callerRequest)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, httpRequest *http.Request) {
-		accepted := &request{id: uuid.NewString()}
-		writer.Header().Set(caller.HeaderRequestID, accepted.id)
+		request := &callerRequest{id: uuid.NewString()}
+		writer.Header().Set(caller.HeaderRequestID, request.id)
 		writer.Header().Set(caller.HeaderNode, n.name)
 		if n.stopping.Load() {
-			// Served all the same: the balancer lags. Only the connection ends.
+			// The request is still served, since the load balancer reacts with a delay. Only the
+			// connection is closed.
 			writer.Header().Set("Connection", "close")
 		}
 		active := n.streams.active.Add(1)
 		defer n.streams.active.Add(-1)
 		if active > int64(n.settings.Limits.MaxStreams) {
-			n.refuse(writer, accepted, refuseNotRun(http.StatusServiceUnavailable, caller.CodeQueueFull, retrySoon,
+			n.refuse(writer, request, refuseNotRun(http.StatusServiceUnavailable, caller.CodeQueueFull, retrySoon,
 				"this node serves as many requests as it may"))
 			return
 		}
-		if err := n.readHeaders(httpRequest, accepted); err != nil {
-			n.refuse(writer, accepted, err)
+		if err := n.readHeaders(httpRequest, request); err != nil {
+			n.refuse(writer, request, err)
 			return
 		}
-		serve(writer, httpRequest, accepted)
+		serve(writer, httpRequest, request)
 	}
 }
 
-func (n *Node) readHeaders(httpRequest *http.Request, accepted *request) *refusal {
+func (n *Node) readHeaders(httpRequest *http.Request, request *callerRequest) *refusal {
 	if n.view.Load().revision == 0 {
 		return refuseNotRun(http.StatusServiceUnavailable, caller.CodeStarting, retrySoon, "this node has no catalog yet")
 	}
@@ -124,32 +127,32 @@
 		return refuseNotRun(http.StatusUnauthorized, caller.CodeUnauthorized, 0, "an API key is needed: Authorization: Bearer KEY")
 	}
 	digest := sha256.Sum256([]byte(key))
-	accepted.tenant = n.view.Load().tenants[hex.EncodeToString(digest[:])]
-	if accepted.tenant == nil {
+	request.tenant = n.view.Load().tenants[hex.EncodeToString(digest[:])]
+	if request.tenant == nil {
 		return refuseNotRun(http.StatusUnauthorized, caller.CodeUnauthorized, 0, "the API key is not known")
 	}
-	if err := n.readClass(httpRequest, accepted); err != nil {
+	if err := n.readClass(httpRequest, request); err != nil {
 		return err
 	}
-	accepted.deadline = n.settings.Limits.RequestDeadline
+	request.deadline = n.settings.Limits.RequestDeadline
 	if text := httpRequest.Header.Get(caller.HeaderDeadline); text != "" {
 		deadline, err := time.ParseDuration(text)
 		if err != nil || deadline <= 0 {
 			return badRequest("%s: %q is not a duration above 0 such as 30s", caller.HeaderDeadline, text)
 		}
-		accepted.deadline = deadline
+		request.deadline = deadline
 	}
 	if text := httpRequest.Header.Get(caller.HeaderNotRepeatable); text != "" {
 		notRepeatable, err := strconv.ParseBool(text)
 		if err != nil {
 			return badRequest("%s: %q is neither true nor false", caller.HeaderNotRepeatable, text)
 		}
-		accepted.notRepeatable = notRepeatable
+		request.notRepeatable = notRepeatable
 	}
-	return n.readKey(httpRequest, accepted)
+	return n.readKey(httpRequest, request)
 }
 
-func (n *Node) readClass(httpRequest *http.Request, accepted *request) *refusal {
+func (n *Node) readClass(httpRequest *http.Request, request *callerRequest) *refusal {
 	name := httpRequest.Header.Get(caller.HeaderPriority)
 	if name == "" {
 		name = catalog.PriorityNormal
@@ -158,37 +161,37 @@
 	if position < 0 {
 		return badRequest("%s: %q is none of %s", caller.HeaderPriority, name, strings.Join(catalog.Priorities, ", "))
 	}
-	accepted.class = queueing.Class(position)
-	if highest := accepted.tenant.GetMaxPriority(); highest != "" {
-		accepted.class = max(accepted.class, queueing.Class(slices.Index(catalog.Priorities, highest)))
+	request.class = queueing.Class(position)
+	if highest := request.tenant.GetMaxPriority(); highest != "" {
+		request.class = max(request.class, queueing.Class(slices.Index(catalog.Priorities, highest)))
 	}
 	return nil
 }
 
-// readKey takes the caller's key, or mints one.
-func (n *Node) readKey(httpRequest *http.Request, accepted *request) *refusal {
+// readKey sets the claim key: from the caller's idempotency key, or a newly generated one.
+func (n *Node) readKey(httpRequest *http.Request, request *callerRequest) *refusal {
 	key := httpRequest.Header.Get(caller.HeaderIdempotencyKey)
 	if len(key) > maximumKeyLength {
 		return badRequest("%s: has %d characters; at most %d are allowed", caller.HeaderIdempotencyKey, len(key), maximumKeyLength)
 	}
-	accepted.callerKey = key != ""
-	if accepted.callerKey {
-		accepted.key = claims.NewKey(accepted.tenant.GetName(), key)
+	request.callerKey = key != ""
+	if request.callerKey {
+		request.key = claims.NewKey(request.tenant.GetName(), key)
 		return nil
 	}
-	accepted.key = n.mintKey(accepted)
+	request.key = n.generateKey(request)
 	return nil
 }
 
-// maximumMints bounds the keys tried for one request.
-const maximumMints = 64
+// maximumKeyAttempts is the maximum number of keys generated for one request.
+const maximumKeyAttempts = 64
 
-// mintKey makes up a key, if possible one that this node holds itself: its
-// claim then needs one other node only.
-func (n *Node) mintKey(accepted *request) claims.Key {
+// generateKey generates a key, if possible one that has this node among its acceptors: its claim
+// then needs only one other node.
+func (n *Node) generateKey(request *callerRequest) claims.Key {
 	var key claims.Key
-	for attempt := range maximumMints {
-		key = claims.NewKey(accepted.tenant.GetName(), fmt.Sprintf("%s minted %d", accepted.id, attempt))
+	for attempt := range maximumKeyAttempts {
+		key = claims.NewKey(request.tenant.GetName(), fmt.Sprintf("%s minted %d", request.id, attempt))
 		if slices.Contains(n.pool.Acceptors(n.zone, string(key[:])), n.name) {
 			return key
 		}
@@ -196,22 +199,24 @@
 	return key
 }
 
-// scope is where the claim's holders lie. A repeatable request's are in its
-// key's home zone, so that retries through any zone find it; a minted key's
-// are in this zone; a non-repeatable request's lie one to a zone.
-func (n *Node) scope(of *request) string {
+// claimScope returns where the acceptors of a request's claim are. For a repeatable request with a
+// caller's key, they are in the home zone of the key, so that retries through any zone find the
+// claim. For a generated key, or while the home zone is unreachable, they are in this zone. For a
+// non-repeatable request with a caller's key, each is in a different zone.
+func (n *Node) claimScope(request *callerRequest) string {
 	switch {
-	case of.notRepeatable && of.callerKey:
+	case request.notRepeatable && request.callerKey:
 		return membership.ScopeGlobal
-	case of.callerKey:
-		if home := n.homeZone(of.key); n.claims.reachedLately(home) {
+	case request.callerKey:
+		if home := n.homeZone(request.key); n.claims.isReachable(home) {
 			return home
 		}
 	}
 	return n.zone
 }
 
-// homeZone is where a caller's key is claimed while that zone can be reached.
+// homeZone returns the zone whose acceptors store the claim of a caller's key while that zone is
+// reachable.
 func (n *Node) homeZone(key claims.Key) string {
 	return n.pool.ZonesFor(string(key[:]))[0]
 }
@@ -220,13 +225,13 @@
 	return refuseNotRun(http.StatusBadRequest, caller.CodeBadRequest, 0, format, arguments...)
 }
 
-// refuse answers with a typed error, at once.
-func (n *Node) refuse(writer http.ResponseWriter, of *request, cause *refusal) {
+// refuse sends an error response with a code.
+func (n *Node) refuse(writer http.ResponseWriter, request *callerRequest, cause *refusal) {
 	tenant := ""
-	if of.tenant != nil {
-		tenant = of.tenant.GetName()
+	if request.tenant != nil {
+		tenant = request.tenant.GetName()
 	}
-	n.log.Info().Str("event", "refused").Str("request", of.id).Str("tenant", tenant).Str("code", string(cause.code)).
+	n.log.Info().Str("event", "refused").Str("request", request.id).Str("tenant", tenant).Str("code", string(cause.code)).
 		Bool("not_run", cause.notRun).Str("why", cause.detail).Send()
 	countRefusal(cause.code)
 	if cause.retryAfter > 0 {
@@ -236,11 +241,11 @@
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(cause.status)
 	_ = json.NewEncoder(writer).Encode(caller.ErrorBody{Error: caller.ErrorDetail{
-		Code: cause.code, Message: cause.detail, NotRun: cause.notRun, RequestID: of.id,
+		Code: cause.code, Message: cause.detail, NotRun: cause.notRun, RequestID: request.id,
 	}})
 }
 
-// readBody reads a whole body within bounds of size and time.
+// readBody reads a whole body within the limits of size and time.
 func (n *Node) readBody(writer http.ResponseWriter, httpRequest *http.Request, maximum int64) ([]byte, *refusal) {
 	controller := http.NewResponseController(writer)
 	_ = controller.SetReadDeadline(time.Now().Add(n.settings.Limits.BodyTimeout))
@@ -256,39 +261,40 @@
 	return body, nil
 }
 
-// chooseBudget finds the budget to charge.
-func (n *Node) chooseBudget(httpRequest *http.Request, of *request) *refusal {
+// chooseBudget sets the budget to charge: the one that the caller's header names, or the tenant's
+// default.
+func (n *Node) chooseBudget(httpRequest *http.Request, request *callerRequest) *refusal {
 	view := n.view.Load()
 	name := httpRequest.Header.Get(caller.HeaderBudget)
 	if name == "" {
-		name = of.tenant.GetDefaultBudget()
+		name = request.tenant.GetDefaultBudget()
 	}
-	of.budget = view.budgets[name]
-	if of.budget == nil || of.budget.GetTenant() != of.tenant.GetName() {
-		return refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, 0, "tenant %q has no budget %q", of.tenant.GetName(), name)
+	request.budget = view.budgets[name]
+	if request.budget == nil || request.budget.GetTenant() != request.tenant.GetName() {
+		return refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, 0, "tenant %q has no budget %q", request.tenant.GetName(), name)
 	}
 	return nil
 }
 
-// reserve sets the worst case of a request aside.
-func (n *Node) reserve(ctx context.Context, of *request, amount uint64) (reserved, *refusal) {
-	policy := escrow.Policy{Horizon: time.Duration(of.budget.GetGrantHorizonSeconds()) * time.Second}
-	held, err := n.escrow.reserve(ctx, of.budget.GetName(), amount, policy)
+// reserve reserves the maximum number of tokens that a request can use.
+func (n *Node) reserve(ctx context.Context, request *callerRequest, amount uint64) (heldReservation, *refusal) {
+	policy := escrow.Policy{Horizon: time.Duration(request.budget.GetGrantHorizonSeconds()) * time.Second}
+	held, err := n.escrow.reserve(ctx, request.budget.GetName(), amount, policy)
 	if errors.Is(err, escrow.ErrClosed) {
-		// The node has just taken a new life: once more under that.
-		held, err = n.escrow.reserve(ctx, of.budget.GetName(), amount, policy)
+		// The node has just started a new incarnation: reserve again under that one.
+		held, err = n.escrow.reserve(ctx, request.budget.GetName(), amount, policy)
 	}
 	switch {
 	case err == nil:
 		return held, nil
 	case errors.Is(err, escrow.ErrExhausted):
 		return held, refuseNotRun(http.StatusPaymentRequired, caller.CodeBudgetSpent, 0,
-			"budget %q does not hold the %d tokens that the request may use", of.budget.GetName(), amount)
+			"budget %q does not hold the %d tokens that the request may use", request.budget.GetName(), amount)
 	case errors.Is(err, escrow.ErrUnknownBudget):
-		return held, refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, retrySoon, "budget %q has no account yet", of.budget.GetName())
+		return held, refuseNotRun(http.StatusForbidden, caller.CodeUnknownBudget, retrySoon, "budget %q has no account yet", request.budget.GetName())
 	}
 	return held, refuseNotRun(http.StatusServiceUnavailable, caller.CodeBudgetUnreachable, retryLong,
-		"not enough of budget %q can be reached from zone %q", of.budget.GetName(), n.zone)
+		"not enough of budget %q can be reached from zone %q", request.budget.GetName(), n.zone)
 }
 
 func fingerprint(parts ...string) uint64 {
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -16,26 +16,27 @@
 
 const escrowTick = 50 * time.Millisecond
 
-// escrowDuty owns the node's part of the budgets.
+// escrowDuty owns the node's part of the budgets: the holder, which keeps the tokens granted to
+// this node by the root (the leader's side of the escrow).
 type escrowDuty struct {
 	node   *Node
 	duty   *duty.Duty
 	holder *escrow.Holder
-	// id is the life that the holder stands for; it changes when the node
-	// finds itself fenced.
+	// id names the node and the holder's incarnation. The incarnation changes when the node learns
+	// that it is fenced.
 	id atomic.Pointer[accounts.HolderID]
 }
 
 func newEscrowDuty(node *Node) *escrowDuty {
 	owner := &escrowDuty{node: node, duty: duty.New("escrow", escrowTick)}
-	owner.begin(node.incarnation)
+	owner.startIncarnation(node.incarnation)
 	owner.duty.Tick = func() { owner.holder.Tick(node.now()) }
 	owner.duty.Flush = owner.flush
 	return owner
 }
 
-// begin starts a life with nothing granted.
-func (e *escrowDuty) begin(incarnation uint64) {
+// startIncarnation starts an incarnation of the holder that has no grants.
+func (e *escrowDuty) startIncarnation(incarnation uint64) {
 	id := accounts.HolderID{Node: e.node.name, Incarnation: incarnation}
 	var lenders []string
 	for _, name := range e.node.pool.InZone(e.node.zone) {
@@ -47,10 +48,10 @@
 	e.id.Store(&id)
 }
 
-// flush sends reports and loans, and takes a new life if this one is fenced.
+// flush sends reports and loans, and starts a new incarnation if this one is fenced.
 func (e *escrowDuty) flush() {
 	if e.holder.Closed() {
-		e.takeNewLife()
+		e.replaceIncarnation()
 		return
 	}
 	now := e.node.now()
@@ -64,46 +65,47 @@
 	}
 }
 
-// takeNewLife goes on after this life was fenced: its claims are settled by
-// those who fenced it, and nothing more is spent or billed under it.
-func (e *escrowDuty) takeNewLife() {
+// replaceIncarnation starts a new incarnation after the current one was fenced. The leader that
+// fenced it settles its claims; nothing more is spent or billed under it.
+func (e *escrowDuty) replaceIncarnation() {
 	incarnation := max(e.holder.ID().Incarnation+1, uint64(time.Now().UnixNano()))
 	e.node.log.Warn().Str("event", "life_fenced").Stringer("old", e.holder.ID()).Uint64("incarnation", incarnation).Send()
-	e.begin(incarnation)
-	e.node.claims.takeNewLife(accounts.HolderID{Node: e.node.name, Incarnation: incarnation})
+	e.startIncarnation(incarnation)
+	e.node.claims.startIncarnation(accounts.HolderID{Node: e.node.name, Incarnation: incarnation})
 }
 
-// reserved is the end of a reservation.
-type reserved struct {
+// heldReservation is the result of a reservation. owner is the incarnation that made it.
+type heldReservation struct {
 	reservation escrow.Reservation
 	owner       accounts.HolderID
 	err         error
 }
 
-// reserve sets tokens aside; it waits for the root if needed.
-func (e *escrowDuty) reserve(ctx context.Context, budget string, amount uint64, policy escrow.Policy) (reserved, error) {
+// reserve reserves tokens of a budget. It waits for the root if the node has not enough of them.
+func (e *escrowDuty) reserve(ctx context.Context, budget string, amount uint64, policy escrow.Policy) (heldReservation, error) {
 	deadline := e.node.now() + 24*time.Hour
-	if limit, found := ctx.Deadline(); found {
-		deadline = e.node.now() + time.Until(limit)
+	if contextDeadline, found := ctx.Deadline(); found {
+		deadline = e.node.now() + time.Until(contextDeadline)
 	}
-	ended, err := duty.Ask(ctx, e.duty, func(answer func(reserved)) {
+	held, err := duty.Ask(ctx, e.duty, func(reply func(heldReservation)) {
 		owner := e.holder.ID()
 		e.holder.Reserve(e.node.now(), deadline, budget, amount, policy, func(reservation escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
-				// Nobody waits for it any more.
+				// The request no longer waits for the reservation.
 				e.holder.Settle(e.node.now(), reservation, 0)
 			}
-			answer(reserved{reservation: reservation, owner: owner, err: err})
+			reply(heldReservation{reservation: reservation, owner: owner, err: err})
 		})
 	})
 	if err != nil {
-		return reserved{}, err
+		return heldReservation{}, err
 	}
-	return ended, ended.err
+	return held, held.err
 }
 
-// settle ends a reservation. One of an earlier life is settled by its fence.
-func (e *escrowDuty) settle(held reserved, used uint64) {
+// settle ends a reservation with the tokens used. A reservation of an earlier incarnation is left
+// to the leader that fenced it.
+func (e *escrowDuty) settle(held heldReservation, used uint64) {
 	_ = e.duty.Do(context.Background(), func() {
 		if e.holder.ID() == held.owner {
 			e.holder.Settle(e.node.now(), held.reservation, used)
@@ -111,8 +113,8 @@
 	})
 }
 
-// shrink lowers a reservation to its known use.
-func (e *escrowDuty) shrink(held reserved, used uint64) {
+// shrink lowers a reservation to the use that is known.
+func (e *escrowDuty) shrink(held heldReservation, used uint64) {
 	_ = e.duty.Do(context.Background(), func() {
 		if e.holder.ID() == held.owner {
 			e.holder.Shrink(e.node.now(), held.reservation, used)
@@ -120,69 +122,69 @@
 	})
 }
 
-func (e *escrowDuty) takeAnswer(message escrow.ResponseMessage) {
+func (e *escrowDuty) handleResponse(message escrow.ResponseMessage) {
 	e.duty.Offer(func() {
 		advanced := e.holder.TakeResponse(e.node.now(), message)
 		if len(advanced) == 0 {
 			return
 		}
-		var marks []claims.Watermark
-		for _, answer := range advanced {
-			marks = append(marks, claims.Watermark{Owner: message.Holder, Budget: answer.Budget, Sequence: answer.Watermark})
+		var watermarks []claims.Watermark
+		for _, budgetResponse := range advanced {
+			watermarks = append(watermarks, claims.Watermark{Owner: message.Holder, Budget: budgetResponse.Budget, Sequence: budgetResponse.Watermark})
 		}
-		e.node.claims.noteWatermarks(marks)
+		e.node.claims.recordWatermarks(watermarks)
 	})
 }
 
-func (e *escrowDuty) takeRecall(message escrow.RecallMessage) {
+func (e *escrowDuty) handleRecall(message escrow.RecallMessage) {
 	e.duty.Offer(func() { e.holder.Recall(message) })
 }
 
-func (e *escrowDuty) takeLend(from string, message escrow.LoanMessage) {
+func (e *escrowDuty) handleLend(from string, message escrow.LoanMessage) {
 	e.duty.Offer(func() {
 		switch {
 		case message.Request != nil:
 			e.node.log.Info().Str("event", "loan_asked").Str("borrower", from).Str("budget", message.Request.Budget).Uint64("need", message.Request.Required).Send()
-			if loan, given := e.holder.Lend(*message.Request, e.node.claims.fencedHere); given {
-				go e.agreeLoan(loan)
+			if loan, granted := e.holder.Lend(*message.Request, e.node.claims.isFenced); granted {
+				go e.registerLoan(loan)
 			}
 		case message.Loan != nil:
-			e.holder.TakeLoan(e.node.now(), *message.Loan, e.node.claims.fencedHere)
+			e.holder.TakeLoan(e.node.now(), *message.Loan, e.node.claims.isFenced)
 		case message.Confirmed != nil:
 			e.holder.LoanConfirmed(*message.Confirmed)
 		}
 	})
 }
 
-// agreeLoan puts a loan into its claim register, so that it is still known
-// when both sides are lost together, and then tells the borrower.
-func (e *escrowDuty) agreeLoan(loan accounts.Loan) {
+// registerLoan writes a loan to its claim register and then gives it to the borrower. The register
+// keeps the loan known if lender and borrower crash together.
+func (e *escrowDuty) registerLoan(loan accounts.Loan) {
 	name := fmt.Sprintf("loan %s %s %s", loan.Lender, loan.Borrower, loan.Budget)
 	value := &claims.Claim{State: claims.Lent, Owner: loan.Lender, Borrower: loan.Borrower, Budget: loan.Budget, Reserved: loan.Total}
-	outcome, err := e.node.claims.change(e.node.life, e.node.zone, claims.NewKey("", name), func(current *claims.Claim) *claims.Claim {
+	outcome, err := e.node.claims.change(e.node.runContext, e.node.zone, claims.NewKey("", name), func(current *claims.Claim) *claims.Claim {
 		if current != nil && current.Reserved >= loan.Total {
 			return nil
 		}
 		return value
 	})
 	if err != nil || outcome.Claim == nil {
-		// Not told, so not spent. The next request of the borrower tries again.
+		// The borrower has not received the loan and can't spend it. Its next request retries.
 		e.node.log.Info().Str("event", "loan_not_agreed").Str("borrower", loan.Borrower.Node).AnErr("error", err).Send()
 		return
 	}
-	_ = e.duty.Do(e.node.life, func() { e.holder.LoanAgreed(e.node.now(), loan) })
+	_ = e.duty.Do(e.node.runContext, func() { e.holder.LoanAgreed(e.node.now(), loan) })
 }
 
-// returnAll gives back the node's unused grant and waits until the root has
-// every settlement, for a planned stop.
+// returnAll returns the node's unused grant to the root and waits until the root has every
+// settlement, for a planned stop.
 func (e *escrowDuty) returnAll(ctx context.Context) error {
 	if err := e.duty.Do(ctx, func() { e.holder.ReturnAll() }); err != nil {
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, e.duty, func(answer func(bool)) {
+		unreported, err := duty.Ask(ctx, e.duty, func(reply func(bool)) {
 			e.holder.ReportAgain()
-			answer(e.holder.Unreported())
+			reply(e.holder.Unreported())
 		})
 		if err != nil || !unreported {
 			return err
@@ -193,7 +195,7 @@
 	}
 }
 
-// loansWith returns what is known here of a fenced life's loans.
+// loansWith returns the loans of a fenced incarnation that this node knows.
 func (e *escrowDuty) loansWith(ctx context.Context, other accounts.HolderID) ([]accounts.Loan, error) {
-	return duty.Ask(ctx, e.duty, func(answer func([]accounts.Loan)) { answer(e.holder.LoansWith(other)) })
+	return duty.Ask(ctx, e.duty, func(reply func([]accounts.Loan)) { reply(e.holder.LoansWith(other)) })
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -11,55 +11,55 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	// silentAfter is the silence after which a node is not relied on.
-	silentAfter = 3 * time.Second
+	// heartbeatTimeout is the time since the last heartbeat after which a node counts as unreachable.
+	heartbeatTimeout = 3 * time.Second
 )
 
-// fleetView is what this node has heard of the others.
+// fleetView holds the last heartbeat of each other node.
 type fleetView struct {
 	node  *Node
 	mutex sync.RWMutex
-	nodes map[string]heardStatus
+	nodes map[string]receivedStatus
 }
 
-type heardStatus struct {
+type receivedStatus struct {
 	peer.Status
-	at time.Time
+	receivedAt time.Time
 }
 
 func newFleetView(node *Node) *fleetView {
-	return &fleetView{node: node, nodes: map[string]heardStatus{}}
+	return &fleetView{node: node, nodes: map[string]receivedStatus{}}
 }
 
-// take notes a heartbeat. One of an earlier life is ignored.
-func (f *fleetView) take(status peer.Status) {
+// record records a heartbeat. It ignores one of an earlier incarnation.
+func (f *fleetView) record(status peer.Status) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if known, found := f.nodes[status.Node]; found && known.Incarnation > status.Incarnation {
 		return
 	}
-	f.nodes[status.Node] = heardStatus{Status: status, at: time.Now()}
+	f.nodes[status.Node] = receivedStatus{Status: status, receivedAt: time.Now()}
 }
 
-// heard returns a node's last heartbeat and its age.
-func (f *fleetView) heard(name string) (peer.Status, time.Duration, bool) {
+// lastStatus returns the last heartbeat of a node and the time since it arrived.
+func (f *fleetView) lastStatus(name string) (peer.Status, time.Duration, bool) {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
 	known, found := f.nodes[name]
-	return known.Status, time.Since(known.at), found
+	return known.Status, time.Since(known.receivedAt), found
 }
 
-// alive tells whether a node was heard from lately.
-func (f *fleetView) alive(name string) bool {
-	_, age, found := f.heard(name)
-	return name == f.node.name || (found && age < silentAfter)
+// isReachable reports whether a node is this one, or has sent a heartbeat within heartbeatTimeout.
+func (f *fleetView) isReachable(name string) bool {
+	_, age, found := f.lastStatus(name)
+	return name == f.node.name || (found && age < heartbeatTimeout)
 }
 
-// all returns the last heartbeats by name.
-func (f *fleetView) all() []heardStatus {
+// allStatuses returns the last heartbeat of every known node, sorted by node name.
+func (f *fleetView) allStatuses() []receivedStatus {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
-	statuses := make([]heardStatus, 0, len(f.nodes))
+	statuses := make([]receivedStatus, 0, len(f.nodes))
 	for _, status := range f.nodes {
 		statuses = append(statuses, status)
 	}
@@ -67,20 +67,20 @@
 	return statuses
 }
 
-// leader returns the control node that the newest term says leads, or "".
+// leader returns the leader of the highest term in recent heartbeats, or "" if none names a leader.
 func (f *fleetView) leader() string {
 	f.mutex.RLock()
 	defer f.mutex.RUnlock()
 	leader, term := "", uint64(0)
 	for _, status := range f.nodes {
-		if status.Leader != "" && status.Term >= term && time.Since(status.at) < silentAfter {
+		if status.Leader != "" && status.Term >= term && time.Since(status.receivedAt) < heartbeatTimeout {
 			leader, term = status.Leader, status.Term
 		}
 	}
 	return leader
 }
 
-// status is this node's own heartbeat.
+// status returns this node's own heartbeat.
 func (n *Node) status() peer.Status {
 	status := peer.Status{
 		Node: n.name, Zone: n.zone, Incarnation: n.incarnation,
@@ -93,14 +93,14 @@
 	return status
 }
 
-// runHeartbeats tells the control nodes and the zone that this node is alive.
+// runHeartbeats sends heartbeats to the control nodes and to the nodes of the same zone.
 func (n *Node) runHeartbeats(ctx context.Context) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
 	for {
 		status := n.status()
 		for name, other := range n.peers {
-			// Control nodes tell everyone, so that all know the leader.
+			// Control nodes send to all nodes, so that every node knows the leader.
 			if name == n.name || other.Control || other.Zone == n.zone || n.replica != nil {
 				n.send(name, peer.KindStatus, &status)
 			}
--- a/internal/node/health.go
+++ b/internal/node/health.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// healthHandler serves /healthz (the process works), /readyz (it should get
-// requests) and /metrics.
+// healthHandler serves /healthz (the process is alive), /readyz (the node should receive requests)
+// and /metrics.
 func (n *Node) healthHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc("/healthz", func(writer http.ResponseWriter, _ *http.Request) {
@@ -36,17 +36,17 @@
 	}
 }
 
-// writeGauges writes what is a state and not a count.
+// writeGauges writes the gauges, which are computed at each scrape.
 func (n *Node) writeGauges(writer http.ResponseWriter) {
 	metrics.WriteGaugeFloat64(writer, "ravenway_streams", float64(n.streams.active.Load()))
 	metrics.WriteGaugeFloat64(writer, "ravenway_catalog_revision", float64(n.view.Load().revision))
 	if n.replica == nil {
 		return
 	}
-	view := n.replica.shared.Load()
+	view := n.replica.view.Load()
 	metrics.WriteGaugeFloat64(writer, "ravenway_replica_term", float64(view.term))
 	metrics.WriteGaugeFloat64(writer, "ravenway_replica_commit", float64(view.commit))
-	metrics.WriteGaugeFloat64(writer, "ravenway_replica_quorum_age_seconds", view.quorumSilence.Seconds())
+	metrics.WriteGaugeFloat64(writer, "ravenway_replica_quorum_age_seconds", view.quorumAge.Seconds())
 	leading := 0.0
 	if view.leading {
 		leading = 1
--- a/internal/node/members.go
+++ b/internal/node/members.go
@@ -11,12 +11,13 @@
 
 const membershipInterval = 500 * time.Millisecond
 
-// runMembership founds the group once, and on the leader keeps its members in
-// step with the control nodes: a new identity becomes a learner, gets its vote
-// once its disk holds the log, and the old identity of the same node goes.
+// runMembership bootstraps the control group at its first start. On the leader, it keeps the
+// members of the group in line with the control nodes: a new replica id is added as a learner (a
+// member without a vote) and promoted to voter once its disk holds the log, and the old replica id
+// of the same node is removed.
 func (n *Node) runMembership(ctx context.Context) {
 	for pause.For(ctx, membershipInterval) {
-		view := n.replica.shared.Load()
+		view := n.replica.view.Load()
 		switch {
 		case !view.hasGroup && n.settings.Control.Bootstrap:
 			n.bootstrapIfAllEmpty(ctx)
@@ -26,23 +27,24 @@
 	}
 }
 
-// bootstrapIfAllEmpty founds the group if every control node is heard from and
-// none has one. A node that lost its disk finds the others' group instead and
-// joins it.
+// bootstrapIfAllEmpty bootstraps the control group if every other control node is reachable and
+// none belongs to a group. A node that has lost its disk finds that the others have a group, and
+// the leader adds it to that one.
 func (n *Node) bootstrapIfAllEmpty(ctx context.Context) {
 	for name, other := range n.peers {
 		if !other.Control || name == n.name {
 			continue
 		}
-		status, age, found := n.fleet.heard(name)
-		if !found || age > silentAfter || status.HasGroup || status.Replica == 0 {
+		status, age, found := n.fleet.lastStatus(name)
+		if !found || age > heartbeatTimeout || status.HasGroup || status.Replica == 0 {
 			return
 		}
 	}
 	_ = n.replica.duty.Do(ctx, n.replica.bootstrap)
 }
 
-// bootstrap makes this replica the first voter of a new group.
+// bootstrap makes this replica the only voter of a new group. It does nothing if the replica
+// already belongs to one.
 func (r *replicaDuty) bootstrap() {
 	if len(r.replica.Core().Configuration().Members) > 0 {
 		return
@@ -51,24 +53,24 @@
 		r.node.fail(err)
 		return
 	}
-	founded, err := r.open([]consensus.Member{{ID: r.id, Node: r.node.name}})
+	replica, err := r.open([]consensus.Member{{ID: r.id, Node: r.node.name}})
 	if err != nil {
 		r.node.fail(err)
 		return
 	}
-	r.replica = founded
+	r.replica = replica
 	r.node.log.Info().Str("event", "group_founded").Uint64("replica", uint64(r.id)).Send()
 }
 
-// manageMembers makes at most one change; the next interval makes the next.
+// manageMembers makes at most one membership change. Further changes follow in later intervals.
 func (r *replicaDuty) manageMembers() {
 	core := r.replica.Core()
 	if !r.leading() {
 		return
 	}
 	for name, other := range r.node.peers {
-		status, age, found := r.node.fleet.heard(name)
-		if !other.Control || name == r.node.name || !found || age > silentAfter || status.Replica == 0 {
+		status, age, found := r.node.fleet.lastStatus(name)
+		if !other.Control || name == r.node.name || !found || age > heartbeatTimeout || status.Replica == 0 {
 			continue
 		}
 		if r.changeMember(core, name, consensus.ReplicaID(status.Replica)) {
@@ -77,7 +79,8 @@
 	}
 }
 
-// changeMember makes the next change that one control node needs.
+// changeMember makes the next membership change required for one control node, and reports whether
+// one was required: remove the node's old replica id, add the new one as a learner, promote it.
 func (r *replicaDuty) changeMember(core *consensus.Core, name string, id consensus.ReplicaID) bool {
 	current, isMember := core.Configuration().Member(id)
 	if isMember && !current.Learner {
@@ -85,32 +88,32 @@
 	}
 	for _, member := range core.Configuration().Members {
 		if member.Node == name && member.ID != id {
-			r.noteMember("member_removed", name, member.ID, core.RemoveMember(member.ID))
+			r.logMemberChange("member_removed", name, member.ID, core.RemoveMember(member.ID))
 			return true
 		}
 	}
 	if !isMember {
-		r.noteMember("learner_added", name, id, core.AddLearner(consensus.Member{ID: id, Node: name}))
+		r.logMemberChange("learner_added", name, id, core.AddLearner(consensus.Member{ID: id, Node: name}))
 		return true
 	}
 	if err := core.Promote(id); !errors.Is(err, consensus.ErrNotCaughtUp) {
-		r.noteMember("voter_added", name, id, err)
+		r.logMemberChange("voter_added", name, id, err)
 	}
 	return true
 }
 
-func (r *replicaDuty) noteMember(event, name string, id consensus.ReplicaID, err error) {
+func (r *replicaDuty) logMemberChange(event, name string, id consensus.ReplicaID, err error) {
 	if errors.Is(err, consensus.ErrChangePending) {
 		return
 	}
 	r.node.log.Info().Str("event", event).Str("node", name).Uint64("replica", uint64(id)).AnErr("error", err).Send()
 }
 
-// VotersIfLeading returns the number of voters that hold every committed entry
-// on disk, as the leader knows it; 0 on other nodes.
-func (n *Node) VotersIfLeading() int {
-	if n.replica == nil || !n.replica.shared.Load().leading {
+// CaughtUpVoters returns the number of reachable voters that hold every committed entry on disk.
+// Only the leader knows it: other nodes return 0.
+func (n *Node) CaughtUpVoters() int {
+	if n.replica == nil || !n.replica.view.Load().leading {
 		return 0
 	}
-	return n.replica.shared.Load().caughtUpVoters
+	return n.replica.view.Load().caughtUpVoters
 }
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -13,24 +13,26 @@
 
 const (
 	orderInterval = time.Second
-	// maximumLoadsAtOnce bounds the orders that back ends work on at once.
-	maximumLoadsAtOnce = 2
-	// orderFlight is the longest that an order can be under way.
-	orderFlight = 2 * time.Second
-	// orderLease is how long an earlier leader may have gone on giving orders:
-	// the longest election timeout, after which it knows that it lost its quorum.
+	// maximumConcurrentLoads is the number of orders in progress at back ends from which on no further
+	// order is sent.
+	maximumConcurrentLoads = 2
+	// orderTimeout is the timeout of one exchange with a back end, and so the longest time that a sent
+	// order can take to arrive.
+	orderTimeout = 2 * time.Second
+	// orderLease is the longest time for which an earlier leader may still send orders after it has
+	// lost its quorum: the longest election timeout, after which it steps down.
 	orderLease = 2 * electionTicks * replicaTick
 )
 
-// runOrders gives back ends the orders whose intent is committed. Only the
-// leader does. The fence number lets back ends that check it refuse an old
-// leader's order; for those that don't, a new leader first waits until an old
-// one has stopped and its last order has arrived.
+// runOrders sends committed orders to their back ends while this node leads. An order carries a
+// fence, the index of its entry in the replicated log: back ends that check it refuse the late
+// order of an earlier leader. For back ends that don't check it, a new leader first waits until an
+// earlier one has stopped and its last order has arrived.
 func (n *Node) runOrders(ctx context.Context) {
 	var leadingSince time.Duration
 	leading := false
 	for pause.For(ctx, orderInterval) {
-		view := n.replica.shared.Load()
+		view := n.replica.view.Load()
 		if !view.leading {
 			leading = false
 			continue
@@ -38,12 +40,12 @@
 		if !leading {
 			leading, leadingSince = true, n.now()
 		}
-		n.giveOrders(ctx, n.now()-leadingSince)
+		n.sendOrders(ctx, n.now()-leadingSince)
 	}
 }
 
-func (n *Node) giveOrders(ctx context.Context, leadingFor time.Duration) {
-	orders, err := atLeader(ctx, n, func(state *machine.Machine) []machine.OrderRecord { return state.Orders() })
+func (n *Node) sendOrders(ctx context.Context, leadingFor time.Duration) {
+	orders, err := readCommitted(ctx, n, func(state *machine.Machine) []machine.OrderRecord { return state.Orders() })
 	if err != nil {
 		return
 	}
@@ -53,31 +55,31 @@
 			continue
 		}
 		checksFence := n.checksFence(order.Order.Backend)
-		if !checksFence && leadingFor < orderLease+orderFlight {
+		if !checksFence && leadingFor < orderLease+orderTimeout {
 			continue
 		}
-		// The weight store's rate is shared: more loads at once would only make
-		// each of them slower.
-		result, progress := n.giveOrder(ctx, order, loading < maximumLoadsAtOnce)
+		// Back ends share the bandwidth of the weight store, so more concurrent loads would only slow
+		// each of them down.
+		result, progress := n.sendOrder(ctx, order, loading < maximumConcurrentLoads)
 		switch progress {
 		case orderLoading:
 			loading++
-		case orderEnded:
+		case orderFinished:
 			_, _ = n.propose(ctx, machine.Command{OrderResult: &result})
 		}
 	}
 }
 
-// orderProgress is how far an order has come at its back end.
+// orderProgress is the progress of an order at its back end.
 type orderProgress int
 
 const (
-	// orderWaiting: not given, or the back end does not answer.
+	// orderWaiting means that the order was not sent, or that the back end does not respond.
 	orderWaiting orderProgress = iota
-	// orderLoading: given, and the back end is at it.
+	// orderLoading means that the back end has the order and is executing it.
 	orderLoading
-	// orderEnded: the result is known.
-	orderEnded
+	// orderFinished means that the result of the order is known.
+	orderFinished
 )
 
 func (n *Node) checksFence(backend string) bool {
@@ -89,19 +91,20 @@
 	return false
 }
 
-// giveOrder observes the back end first: an order whose answer was lost may
-// have arrived, and is not given twice. It is given only if it may start now.
-func (n *Node) giveOrder(ctx context.Context, order machine.OrderRecord, mayStart bool) (machine.OrderResult, orderProgress) {
+// sendOrder reads the state of the back end and sends the order if the back end does not have it
+// yet. Reading first avoids sending an order twice whose response was lost. With mayStart false, it
+// only reads.
+func (n *Node) sendOrder(ctx context.Context, order machine.OrderRecord, mayStart bool) (machine.OrderResult, orderProgress) {
 	result := machine.OrderResult{Fence: order.Fence}
 	target, found := n.backends.backend(order.Order.Backend)
 	if !found {
 		result.State, result.Detail = machine.OrderRefused, "the back end was removed"
-		return result, orderEnded
+		return result, orderFinished
 	}
-	ctx, cancel := context.WithTimeout(ctx, orderFlight)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	state, err := n.engines.OrderState(ctx, target.Address)
-	if err == nil && state.Fence < order.Fence && mayStart && n.replica.shared.Load().leading {
+	if err == nil && state.Fence < order.Fence && mayStart && n.replica.view.Load().leading {
 		state, err = n.engines.SendOrder(ctx, target.Address, engine.Order{
 			Fence: order.Fence, Kind: order.Order.Kind.String(), Target: order.Order.Target, Version: order.Order.Version,
 		})
@@ -112,15 +115,15 @@
 	switch {
 	case errors.As(err, &refused) && refused.Status == http.StatusConflict:
 		result.State, result.Detail = machine.OrderSuperseded, "the back end has seen a higher fence"
-		return result, orderEnded
+		return result, orderFinished
 	case err != nil:
 		return result, orderWaiting
 	case state.Fence > order.Fence:
 		result.State, result.Detail = machine.OrderSuperseded, "the back end has a later order"
-		return result, orderEnded
+		return result, orderFinished
 	case state.Fence == order.Fence && state.Loaded:
 		result.State = machine.OrderDone
-		return result, orderEnded
+		return result, orderFinished
 	case state.Fence == order.Fence:
 		return result, orderLoading
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -16,10 +16,10 @@
 	"github.com/ravenway/ravenway/internal/transport"
 )
 
-// errNoLeader says that no leader of the control group is known.
+// errNoLeader indicates that this node knows no leader of the control group.
 var errNoLeader = errors.New("no leader of the control group is known")
 
-// send encodes and sends a message to another node, or handles it here.
+// send encodes a message and sends it to another node. A message to this node is handled directly.
 func (n *Node) send(to string, kind peer.Kind, body any) {
 	frame, err := peer.Encode(kind, body)
 	if err != nil {
@@ -35,7 +35,8 @@
 	n.mesh.Send(to, frame)
 }
 
-// SentFrames and SentBytes count what this process sends to peers, by kind.
+// SentFrames and SentBytes count the frames and bytes that this process sends to peers, by message
+// kind.
 var SentFrames, SentBytes = countersByKind("frames"), countersByKind("bytes")
 
 func countersByKind(unit string) map[peer.Kind]*metrics.Counter {
@@ -46,7 +47,7 @@
 	return counters
 }
 
-// handleFrame hands a frame to the duty that it is for.
+// handleFrame decodes a frame and passes it to the duty that handles its kind.
 func (n *Node) handleFrame(from string, frame []byte) {
 	envelope, err := peer.Decode(frame)
 	if err == nil {
@@ -60,66 +61,66 @@
 func (n *Node) dispatch(from string, envelope peer.Envelope) error {
 	switch envelope.Kind {
 	case peer.KindConsensus:
-		return peer.Dispatch(envelope, func(message consensus.Message) { n.takeConsensus(message) })
+		return peer.Dispatch(envelope, func(message consensus.Message) { n.handleConsensus(message) })
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
 		return peer.Dispatch(envelope, n.calls.Answered)
 	case peer.KindStatus:
-		return peer.Dispatch(envelope, n.fleet.take)
+		return peer.Dispatch(envelope, n.fleet.record)
 	case peer.KindClaims:
-		return peer.Dispatch(envelope, n.claims.take)
+		return peer.Dispatch(envelope, n.claims.handleBatch)
 	case peer.KindCatalog:
-		return peer.Dispatch(envelope, func(delta catalog.Delta) { n.catalog.takeDelta(from, delta) })
+		return peer.Dispatch(envelope, func(delta catalog.Delta) { n.catalog.handleDelta(from, delta) })
 	case peer.KindCatalogFollow:
-		return peer.Dispatch(envelope, func(follow peer.CatalogFollow) { n.catalog.takeFollow(from, follow) })
+		return peer.Dispatch(envelope, func(follow peer.CatalogFollow) { n.catalog.handleFollow(from, follow) })
 	case peer.KindAccounts:
-		return peer.Dispatch(envelope, func(message escrow.AccountsMessage) { n.takeAccounts(message) })
+		return peer.Dispatch(envelope, func(message escrow.AccountsMessage) { n.handleAccounts(message) })
 	case peer.KindReports:
-		return peer.Dispatch(envelope, n.backends.takeReports)
+		return peer.Dispatch(envelope, n.backends.handleReports)
 	case peer.KindLend:
-		return peer.Dispatch(envelope, func(message escrow.LoanMessage) { n.escrow.takeLend(from, message) })
+		return peer.Dispatch(envelope, func(message escrow.LoanMessage) { n.escrow.handleLend(from, message) })
 	}
-	return fmt.Errorf("kind %d has no duty", envelope.Kind)
+	return fmt.Errorf("no duty handles message kind %d", envelope.Kind)
 }
 
-func (n *Node) takeConsensus(message consensus.Message) {
+func (n *Node) handleConsensus(message consensus.Message) {
 	if n.replica != nil {
-		n.replica.take(message)
+		n.replica.handleMessage(message)
 	}
 }
 
-func (n *Node) takeAccounts(message escrow.AccountsMessage) {
+func (n *Node) handleAccounts(message escrow.AccountsMessage) {
 	switch {
 	case message.Report != nil && n.replica != nil:
-		n.replica.takeReport(*message.Report)
+		n.replica.handleReport(*message.Report)
 	case message.Response != nil:
-		n.escrow.takeAnswer(*message.Response)
+		n.escrow.handleResponse(*message.Response)
 	case message.Recall != nil:
-		n.escrow.takeRecall(*message.Recall)
+		n.escrow.handleRecall(*message.Recall)
 	}
 }
 
-// claimsBatch is all claim messages to one node of one flush.
+// claimsBatch holds all claim messages that one flush sends to one node.
 type claimsBatch struct {
 	Messages []claims.Message `msgpack:"m"`
 }
 
-// callNode asks another node and decodes its answer. An error is a
-// *peer.ReplyError if the other node answered.
-func callNode[T any](ctx context.Context, n *Node, to string, method peer.Method, question any) (T, error) {
-	return peer.Invoke[T](ctx, n.calls, to, method, question)
+// callNode calls a method of another node and decodes the response. The error is a *peer.ReplyError
+// if the other node responded with an error.
+func callNode[T any](ctx context.Context, n *Node, to string, method peer.Method, request any) (T, error) {
+	return peer.Invoke[T](ctx, n.calls, to, method, request)
 }
 
-// callTimeout bounds the work on another node's call.
+// callTimeout is the maximum time spent on a call from another node.
 const callTimeout = 10 * time.Second
 
-// serveCall answers another node's call.
+// serveCall executes a call from another node and sends the response.
 func (n *Node) serveCall(from string, call peer.Call) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
-	answer, err := n.executeCall(ctx, call)
-	n.calls.Answer(from, call, answer, err, errorCode)
+	response, err := n.executeCall(ctx, call)
+	n.calls.Answer(from, call, response, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -135,17 +136,17 @@
 func (n *Node) executeCall(ctx context.Context, call peer.Call) (any, error) {
 	switch call.Method {
 	case peer.MethodPropose:
-		return peer.Execute(call, func(question proposeQuestion) (any, error) { return n.proposeHere(ctx, question.Command) })
+		return peer.Execute(call, func(request proposeRequest) (any, error) { return n.proposeLocally(ctx, request.Command) })
 	case peer.MethodRead:
-		return peer.Execute(call, func(question readQuestion) (any, error) { return n.readHere(ctx, question) })
+		return peer.Execute(call, func(request readRequest) (any, error) { return n.readLocally(ctx, request) })
 	case peer.MethodExplain:
-		return peer.Execute(call, func(question explainQuestion) (any, error) { return n.decisions.explain(question.RequestID), nil })
+		return peer.Execute(call, func(request explainRequest) (any, error) { return n.decisions.explain(request.RequestID), nil })
 	case peer.MethodAnswer:
-		return peer.Execute(call, func(question answerQuestion) (any, error) { return n.answers.find(question.RequestID), nil })
+		return peer.Execute(call, func(request storedResponseRequest) (any, error) { return n.responses.find(request.RequestID), nil })
 	case peer.MethodRecall:
-		return peer.Execute(call, func(question recallQuestion) (any, error) { return n.recallHere(ctx, question) })
+		return peer.Execute(call, func(request recallRequest) (any, error) { return n.recallLocally(ctx, request) })
 	case peer.MethodFence:
-		return peer.Execute(call, func(question fenceQuestion) (any, error) { return n.fenceHere(ctx, question) })
+		return peer.Execute(call, func(request fenceRequest) (any, error) { return n.fenceLocally(ctx, request) })
 	}
 	return nil, fmt.Errorf("method %q is not known here", call.Method)
 }
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -16,17 +16,17 @@
 	"github.com/ravenway/ravenway/internal/protocol/platform"
 )
 
-// directPollLimit is the number of engines up to which a node asks each itself.
-// Beyond that the nodes of a zone share its engines and pass the reports on,
-// and engines of other zones are known by this node's own work there only.
+// directPollLimit is the number of engines up to which every node polls all of them. Beyond it, the
+// nodes of a zone divide the zone's engines among them and exchange the reports. Of an engine in
+// another zone, a node then knows only its own requests there.
 const directPollLimit = 64
 
-// pollersPerEngine are the nodes of a zone that ask one engine, so that its
-// reports go on when one of them is lost.
+// pollersPerEngine is the number of nodes of a zone that poll one engine, so that its reports
+// continue when one of them fails.
 const pollersPerEngine = 2
 
-// polled lists the engines that this node asks itself.
-func (b *backendsDuty) polled() []routing.Backend {
+// enginesToPoll returns the engines that this node polls.
+func (b *backendsDuty) enginesToPoll() []routing.Backend {
 	engines := b.engines()
 	if len(engines) <= directPollLimit {
 		return engines
@@ -45,27 +45,27 @@
 	return share
 }
 
-// pollReports asks engines for their load and cache events, round by round.
+// pollReports polls the engines for load and cache events at every reportInterval.
 func (b *backendsDuty) pollReports(ctx context.Context) {
 	for pause.For(ctx, reportInterval) {
-		b.pollRound(ctx, b.polled())
+		b.pollRound(ctx, b.enginesToPoll())
 	}
 }
 
-// pollRound asks a share of the engines, and passes their reports on if the
-// zone shares the asking.
+// pollRound polls the given engines, and sends their reports to the other nodes of the zone if
+// these divide the engines among them.
 func (b *backendsDuty) pollRound(ctx context.Context, targets []routing.Backend) {
-	var questions sync.WaitGroup
-	lanes := make(chan struct{}, pollLanes)
+	var polls sync.WaitGroup
+	slots := make(chan struct{}, maximumConcurrentPolls)
 	reports := make([]peer.BackendReport, len(targets))
 	for position, target := range targets {
-		lanes <- struct{}{}
-		questions.Go(func() {
-			defer func() { <-lanes }()
+		slots <- struct{}{}
+		polls.Go(func() {
+			defer func() { <-slots }()
 			reports[position] = b.pollEngine(ctx, target)
 		})
 	}
-	questions.Wait()
+	polls.Wait()
 	reports = slices.DeleteFunc(reports, func(report peer.BackendReport) bool { return report.Backend == "" })
 	if len(b.engines()) <= directPollLimit || len(reports) == 0 {
 		return
@@ -77,8 +77,8 @@
 	}
 }
 
-// takeReports takes over what another node of the zone has asked.
-func (b *backendsDuty) takeReports(message peer.BackendReports) {
+// handleReports records engine reports that another node of the zone has polled.
+func (b *backendsDuty) handleReports(message peer.BackendReports) {
 	b.duty.Offer(func() {
 		for _, report := range message.Reports {
 			b.table.SetReport(b.node.now(), report.Backend, routing.Report{
@@ -89,11 +89,11 @@
 	})
 }
 
-// pollEngine asks one engine; the report is empty if it did not answer.
+// pollEngine polls one engine. The report is empty if the engine did not respond.
 func (b *backendsDuty) pollEngine(ctx context.Context, target routing.Backend) peer.BackendReport {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	ownInFlight, err := duty.Ask(ctx, b.duty, func(answer func(int)) { answer(b.table.InFlight(target.Name)) })
+	ownInFlight, err := duty.Ask(ctx, b.duty, func(reply func(int)) { reply(b.table.InFlight(target.Name)) })
 	if err != nil {
 		return peer.BackendReport{}
 	}
@@ -102,9 +102,9 @@
 		return peer.BackendReport{}
 	}
 	report := routing.Report{Running: load.Running, Queued: load.Queued, Leaving: load.Leaving, OwnInFlight: ownInFlight}
-	from, err := duty.Ask(ctx, b.duty, func(answer func(uint64)) {
+	from, err := duty.Ask(ctx, b.duty, func(reply func(uint64)) {
 		b.table.SetReport(b.node.now(), target.Name, report)
-		answer(b.table.NextCacheEvent(target.Name))
+		reply(b.table.NextCacheEvent(target.Name))
 	})
 	if err == nil {
 		b.pollCacheEvents(ctx, target, from)
@@ -128,7 +128,8 @@
 	return events
 }
 
-// pollPlatform reads the platform's list of live and leaving machines.
+// pollPlatform reads the platform's list of machines and marks the back ends on those that are
+// leaving.
 func (b *backendsDuty) pollPlatform(ctx context.Context) {
 	url := b.node.settings.Platform.MachinesURL
 	if url == "" {
--- a/internal/node/reclaim.go
+++ b/internal/node/reclaim.go
@@ -15,39 +15,40 @@
 
 const reclaimInterval = time.Second
 
-// fenceQuestion asks a claim holder to acknowledge nothing more of a life.
-type fenceQuestion struct {
+// fenceRequest requests that an acceptor acknowledge no further claims of an incarnation.
+type fenceRequest struct {
 	Owner accounts.HolderID `msgpack:"o"`
 }
 
-// fenceAnswer is what the holder knows of that life.
-type fenceAnswer struct {
-	// Recovering holders don't know all their claims yet: ask again.
+// fenceResponse holds the claims and loans that a node knows of a fenced incarnation.
+type fenceResponse struct {
+	// Recovering indicates that the acceptor does not have all its claims yet: the fence must be
+	// requested again.
 	Recovering bool            `msgpack:"w"`
 	Records    []claims.Record `msgpack:"r"`
 	Loans      []accounts.Loan `msgpack:"l"`
 }
 
-func (n *Node) fenceHere(ctx context.Context, question fenceQuestion) (fenceAnswer, error) {
-	answer, err := n.claims.fence(ctx, question.Owner)
+func (n *Node) fenceLocally(ctx context.Context, request fenceRequest) (fenceResponse, error) {
+	response, err := n.claims.fence(ctx, request.Owner)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
-	answer.Loans, err = n.escrow.loansWith(ctx, question.Owner)
-	return answer, err
+	response.Loans, err = n.escrow.loansWith(ctx, request.Owner)
+	return response, err
 }
 
-// runReclaim runs on the leader: it brings back what lost nodes held.
+// runReclaim returns to the budgets what lost holders held. It works only while this node leads.
 func (n *Node) runReclaim(ctx context.Context) {
 	for pause.For(ctx, reclaimInterval) {
-		if !n.replica.shared.Load().leading {
+		if !n.replica.view.Load().leading {
 			continue
 		}
-		lost, err := atLeader(ctx, n, func(state *machine.Machine) []accounts.HolderID { return state.Accounts().Holders() })
+		holders, err := readCommitted(ctx, n, func(state *machine.Machine) []accounts.HolderID { return state.Accounts().Holders() })
 		if err != nil {
 			continue
 		}
-		for _, holder := range lost {
+		for _, holder := range holders {
 			if !n.isLost(holder) {
 				continue
 			}
@@ -58,22 +59,22 @@
 	}
 }
 
-// isLost tells whether a life is over, or silent for so long that its grant
-// should be used elsewhere. A wrong guess is safe: a fenced node that is alive
-// takes a new life.
+// isLost reports whether an incarnation has ended, or has been unreachable for so long (DeadAfter)
+// that its grant should be used elsewhere. A wrong result is safe: a fenced node that is alive
+// starts a new incarnation.
 func (n *Node) isLost(holder accounts.HolderID) bool {
 	if holder.Node == n.name {
 		return holder.Incarnation < n.escrow.id.Load().Incarnation
 	}
-	status, age, heard := n.fleet.heard(holder.Node)
-	if !heard {
+	status, age, found := n.fleet.lastStatus(holder.Node)
+	if !found {
 		return n.now() > n.settings.Control.DeadAfter
 	}
 	return age > n.settings.Control.DeadAfter || status.OwnerIncarnation > holder.Incarnation
 }
 
-// reclaim fences a life everywhere, settles what it left open, and closes its
-// accounts. It may be begun again at any point, by any leader.
+// reclaim fences an incarnation at all other nodes, settles its open claims and closes its
+// accounts. Any leader can start it again after an interruption at any point.
 func (n *Node) reclaim(ctx context.Context, holder accounts.HolderID) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -98,88 +99,89 @@
 	return nil
 }
 
-// collected is everything that the other nodes know of a life.
-type collected struct {
+// collectedClaims holds everything that the other nodes know of an incarnation.
+type collectedClaims struct {
 	records map[claims.Register]claims.Record
-	// loans are the other sides' own words, registered what the claims say.
+	// loans are those that the other party of a loan has reported, registered those read from claim
+	// registers.
 	loans      []accounts.Loan
 	registered []accounts.Loan
 }
 
-// collectClaims fences a life at every other node. Only when all have answered
-// is it certain that no claim of it is missing and none can be added. The
-// lost node's own machine counts only once it has a new life.
-func (n *Node) collectClaims(ctx context.Context, holder accounts.HolderID) (collected, error) {
-	found := collected{records: map[claims.Register]claims.Record{}}
+// collectClaims fences an incarnation at every other node and collects its claims. All of them must
+// respond: only then is no claim missing and none can be added. The lost node itself is included
+// only once it has a newer incarnation.
+func (n *Node) collectClaims(ctx context.Context, holder accounts.HolderID) (collectedClaims, error) {
+	collected := collectedClaims{records: map[claims.Register]claims.Record{}}
 	for _, member := range n.pool.Nodes() {
-		if member.Name == holder.Node && !n.hasNewLife(holder) {
+		if member.Name == holder.Node && !n.hasNewerIncarnation(holder) {
 			continue
 		}
-		answer, err := n.askFence(ctx, member.Name, holder)
+		response, err := n.requestFence(ctx, member.Name, holder)
 		if err != nil {
-			return found, fmt.Errorf("node %s has not fenced it: %w", member.Name, err)
+			return collected, fmt.Errorf("node %s did not acknowledge the fence: %w", member.Name, err)
 		}
-		if answer.Recovering {
-			return found, fmt.Errorf("node %s is still recovering its claims", member.Name)
+		if response.Recovering {
+			return collected, fmt.Errorf("node %s is still recovering its claims", member.Name)
 		}
-		found.add(answer)
+		collected.add(response)
 	}
-	return found, nil
+	return collected, nil
 }
 
-func (n *Node) hasNewLife(holder accounts.HolderID) bool {
+func (n *Node) hasNewerIncarnation(holder accounts.HolderID) bool {
 	if holder.Node == n.name {
 		return true
 	}
-	status, age, heard := n.fleet.heard(holder.Node)
-	return heard && age < silentAfter && status.OwnerIncarnation > holder.Incarnation
+	status, age, found := n.fleet.lastStatus(holder.Node)
+	return found && age < heartbeatTimeout && status.OwnerIncarnation > holder.Incarnation
 }
 
-func (n *Node) askFence(ctx context.Context, name string, holder accounts.HolderID) (fenceAnswer, error) {
-	question := fenceQuestion{Owner: holder}
+func (n *Node) requestFence(ctx context.Context, name string, holder accounts.HolderID) (fenceResponse, error) {
+	request := fenceRequest{Owner: holder}
 	if name == n.name {
-		return n.fenceHere(ctx, question)
+		return n.fenceLocally(ctx, request)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout/4)
 	defer cancel()
-	return callNode[fenceAnswer](ctx, n, name, peer.MethodFence, &question)
+	return callNode[fenceResponse](ctx, n, name, peer.MethodFence, &request)
 }
 
-func (c *collected) add(answer fenceAnswer) {
-	for _, record := range answer.Records {
+func (c *collectedClaims) add(response fenceResponse) {
+	for _, record := range response.Records {
 		c.records[claims.Register{Scope: record.Scope, Key: record.Key}] = record
 	}
-	c.loans = append(c.loans, answer.Loans...)
+	c.loans = append(c.loans, response.Loans...)
 }
 
-// claimedReservation names a reservation of one life.
+// claimedReservation identifies a reservation of one incarnation.
 type claimedReservation struct {
 	budget   string
 	sequence uint64
 }
 
-// resolveClaims agrees an end for each claim behind the root's watermark, and
-// sums up the use.
-func (n *Node) resolveClaims(ctx context.Context, holder accounts.HolderID, found *collected) ([]accounts.FinalUse, error) {
-	watermarks, err := atLeader(ctx, n, func(state *machine.Machine) map[string]uint64 {
-		marks := map[string]uint64{}
+// resolveClaims settles each claim whose settlement the root does not have yet, that is, each
+// beyond the root's watermark, and returns the tokens used by each.
+func (n *Node) resolveClaims(ctx context.Context, holder accounts.HolderID, collected *collectedClaims) ([]accounts.FinalUse, error) {
+	watermarks, err := readCommitted(ctx, n, func(state *machine.Machine) map[string]uint64 {
+		watermarksByBudget := map[string]uint64{}
 		for _, name := range state.Accounts().Names() {
 			if account := state.Accounts().Budget(name).Holders[holder]; account != nil {
-				marks[name] = account.Watermark
+				watermarksByBudget[name] = account.Watermark
 			}
 		}
-		return marks
+		return watermarksByBudget
 	})
 	if err != nil {
 		return nil, err
 	}
 	var uses []accounts.FinalUse
 	counted := map[claimedReservation]bool{}
-	for register, record := range found.records {
+	for register, record := range collected.records {
 		key := register.Key
 		claim := record.Claim
 		if claim.State == claims.Lent {
-			if err := n.readLoan(ctx, key, record, found); err != nil {
+			if err := n.readLoan(ctx, key, record, collected); err != nil {
 				return nil, err
 			}
 			continue
@@ -187,15 +189,15 @@
 		if claim.Budget == "" || claim.Sequence <= watermarks[claim.Budget] {
 			continue
 		}
-		ended, err := n.resolveClaim(ctx, key, record)
+		settled, err := n.resolveClaim(ctx, key, record)
 		if err != nil {
 			return nil, err
 		}
-		if ended == nil || ended.Owner != holder || ended.Used == 0 {
+		if settled == nil || settled.Owner != holder || settled.Used == 0 {
 			continue
 		}
-		if n.needsMerge(record.Scope, key, ended) {
-			charged, err := n.mergeWithHome(ctx, key, ended)
+		if n.needsMerge(record.Scope, key, settled) {
+			charged, err := n.mergeWithHome(ctx, key, settled)
 			if err != nil {
 				return nil, err
 			}
@@ -203,31 +205,31 @@
 				continue
 			}
 		}
-		if counted[claimedReservation{ended.Budget, ended.Sequence}] {
-			// The same run, claimed in its home zone and outside it.
+		if counted[claimedReservation{settled.Budget, settled.Sequence}] {
+			// The same run was claimed both in its home zone and outside it.
 			continue
 		}
-		counted[claimedReservation{ended.Budget, ended.Sequence}] = true
-		uses = append(uses, accounts.FinalUse{Budget: ended.Budget, Tokens: ended.Used})
+		counted[claimedReservation{settled.Budget, settled.Sequence}] = true
+		uses = append(uses, accounts.FinalUse{Budget: settled.Budget, Tokens: settled.Used})
 	}
 	return uses, nil
 }
 
-// readLoan reads what was agreed of a loan.
-func (n *Node) readLoan(ctx context.Context, key claims.Key, record claims.Record, found *collected) error {
+// readLoan reads the registered state of a loan.
+func (n *Node) readLoan(ctx context.Context, key claims.Key, record claims.Record, collected *collectedClaims) error {
 	outcome, err := n.claims.read(ctx, record.Scope, key)
 	if err != nil {
 		return fmt.Errorf("reading loan %s: %w", key, err)
 	}
-	if agreed := outcome.Claim; agreed != nil {
-		found.registered = append(found.registered, accounts.Loan{
-			Lender: agreed.Owner, Borrower: agreed.Borrower, Budget: agreed.Budget, Total: agreed.Reserved,
+	if registered := outcome.Claim; registered != nil {
+		collected.registered = append(collected.registered, accounts.Loan{
+			Lender: registered.Owner, Borrower: registered.Borrower, Budget: registered.Budget, Total: registered.Reserved,
 		})
 	}
 	return nil
 }
 
-// resolveClaim settles an open claim with what its back end says.
+// resolveClaim settles an open claim with the outcome that its back end reports.
 func (n *Node) resolveClaim(ctx context.Context, key claims.Key, record claims.Record) (*claims.Claim, error) {
 	outcome, err := n.claims.read(ctx, record.Scope, key)
 	if err != nil {
@@ -239,7 +241,7 @@
 	}
 	result, used := n.findOutcome(ctx, open.Backend, open.RequestID, open.Reserved)
 	if result == 0 {
-		return nil, fmt.Errorf("back end %s does not say what became of %s", open.Backend, open.RequestID)
+		return nil, fmt.Errorf("back end %s did not report the outcome of request %s", open.Backend, open.RequestID)
 	}
 	outcome, err = n.claims.change(ctx, record.Scope, key, func(current *claims.Claim) *claims.Claim {
 		if current == nil || *current != *open {
@@ -254,29 +256,29 @@
 	return outcome.Claim, nil
 }
 
-// recallBudget has the leader recall a budget's unused grants.
+// recallBudget requests that the leader recall a budget's unused grants from their holders.
 func (n *Node) recallBudget(ctx context.Context, budget string) error {
 	leader := n.leader()
 	switch leader {
 	case "":
 		return errNoLeader
 	case n.name:
-		_, err := n.recallHere(ctx, recallQuestion{Budget: budget})
+		_, err := n.recallLocally(ctx, recallRequest{Budget: budget})
 		return err
 	}
-	_, err := callNode[bool](ctx, n, leader, peer.MethodRecall, &recallQuestion{Budget: budget})
+	_, err := callNode[bool](ctx, n, leader, peer.MethodRecall, &recallRequest{Budget: budget})
 	return err
 }
 
-// recallQuestion asks the leader to recall a budget's unused grants.
-type recallQuestion struct {
+// recallRequest requests that the leader recall a budget's unused grants.
+type recallRequest struct {
 	Budget string `msgpack:"b"`
 }
 
-func (n *Node) recallHere(ctx context.Context, question recallQuestion) (bool, error) {
+func (n *Node) recallLocally(ctx context.Context, request recallRequest) (bool, error) {
 	if n.replica == nil {
 		return false, errNoLeader
 	}
-	err := n.replica.duty.Do(ctx, func() { n.replica.root.RecallAll(question.Budget) })
+	err := n.replica.duty.Do(ctx, func() { n.replica.root.RecallAll(request.Budget) })
 	return err == nil, err
 }
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -19,18 +19,19 @@
 
 const (
 	replicaTick = 50 * time.Millisecond
-	// electionTicks make an election timeout of 1 to 2 seconds.
+	// electionTicks is the minimum election timeout in ticks; the timeout is 1 to 2 seconds.
 	electionTicks = 20
-	// heartbeatTicks make a heartbeat of 200 milliseconds.
+	// heartbeatTicks is the interval of the leader's heartbeats in ticks: 200 milliseconds.
 	heartbeatTicks = 4
-	// proposeTimeout bounds a proposal with all its tries, attemptTimeout one
-	// try: an election takes longer than that, so a dead leader costs one try.
+	// proposeTimeout is the timeout of a proposal with all its attempts, attemptTimeout that of one
+	// attempt. An election takes longer than one attempt, so a dead leader costs only one attempt.
 	proposeTimeout = 10 * time.Second
 	attemptTimeout = 1500 * time.Millisecond
-	retryPause     = 100 * time.Millisecond
+	retryDelay     = 100 * time.Millisecond
 )
 
-// replicaDuty owns the node's replica of the durable state.
+// replicaDuty owns the node's replica of the replicated log, the state machine that the log feeds,
+// and the root of the budgets (the leader's side of the escrow).
 type replicaDuty struct {
 	node    *Node
 	duty    *duty.Duty
@@ -38,23 +39,24 @@
 	machine *machine.Machine
 	root    *escrow.Root
 	id      consensus.ReplicaID
-	// published is the catalog revision last handed to the catalog duty.
-	published uint64
-	wasLeader bool
-	// shared is what other goroutines may read.
-	shared atomic.Pointer[replicaView]
+	// publishedRevision is the catalog revision last passed to the catalog duty.
+	publishedRevision uint64
+	wasLeader         bool
+	// view is the part of the state that other goroutines may read.
+	view atomic.Pointer[replicaView]
 }
 
-// replicaView is the replica's state as others may read it.
+// replicaView is an immutable summary of the replica's state for other goroutines.
 type replicaView struct {
 	leader        string
 	leading       bool
 	term          uint64
 	commit        uint64
-	quorumSilence time.Duration
+	quorumAge     time.Duration
 	configuration consensus.Configuration
 	hasGroup      bool
-	// caughtUpVoters hold every committed entry on disk, as the leader knows.
+	// caughtUpVoters is the number of reachable voters that hold every committed entry on disk, as the
+	// leader knows it.
 	caughtUpVoters int
 }
 
@@ -74,7 +76,7 @@
 		owner.root.Tick(node.now())
 	}
 	owner.duty.Flush = owner.flush
-	owner.share()
+	owner.updateView()
 	node.log.Info().Str("event", "replica_opened").Uint64("replica", id).
 		Uint64("applied", owner.replica.Applied()).Int("records_read", owner.replica.RecoveredRecords).
 		Int("torn_bytes", owner.replica.TornBytes).Send()
@@ -88,26 +90,26 @@
 	})
 }
 
-// send finds the node that holds a replica.
+// send sends a message to the node of the replica that it is addressed to.
 func (r *replicaDuty) send(message consensus.Message) {
 	if member, found := r.replica.Core().Configuration().Member(message.To); found {
 		r.node.send(member.Node, peer.KindConsensus, &message)
 		return
 	}
-	// Not a member as this replica knows it: a new leader that it has not
-	// heard the configuration of. Its node says who it is in its heartbeats.
-	for _, status := range r.node.fleet.all() {
+	// The addressee is not a member in the configuration that this replica knows. It may be a new
+	// leader whose configuration has not arrived yet. Heartbeats name each node's replica.
+	for _, status := range r.node.fleet.allStatuses() {
 		if status.Replica == uint64(message.To) {
 			r.node.send(status.Node, peer.KindConsensus, &message)
 		}
 	}
 }
 
-func (r *replicaDuty) take(message consensus.Message) {
+func (r *replicaDuty) handleMessage(message consensus.Message) {
 	r.duty.Offer(func() { r.replica.Step(message) })
 }
 
-func (r *replicaDuty) takeReport(message escrow.ReportMessage) {
+func (r *replicaDuty) handleReport(message escrow.ReportMessage) {
 	r.duty.Offer(func() {
 		if r.leading() {
 			r.root.TakeReport(message)
@@ -117,7 +119,7 @@
 
 func (r *replicaDuty) leading() bool { return r.replica.Core().Role() == consensus.Leader }
 
-// flush persists, sends and applies, and passes on what has changed.
+// flush persists, sends and applies the replica's pending work, and publishes what has changed.
 func (r *replicaDuty) flush() {
 	if r.leading() != r.wasLeader {
 		r.wasLeader = r.leading()
@@ -126,11 +128,11 @@
 	}
 	r.proposeReports()
 	if err := r.replica.Flush(); err != nil {
-		r.node.fail(fmt.Errorf("the replica can't rely on its disk: %w", err))
+		r.node.fail(fmt.Errorf("writing the replica to disk: %w", err))
 		return
 	}
-	r.publish()
-	r.share()
+	r.publishCatalog()
+	r.updateView()
 }
 
 func (r *replicaDuty) rootOptions() escrow.RootOptions {
@@ -146,7 +148,7 @@
 	}
 }
 
-// proposeReports turns the waiting reports of holders into one command.
+// proposeReports proposes the holders' waiting reports as one command.
 func (r *replicaDuty) proposeReports() {
 	batch, found := r.root.Batch()
 	if !found {
@@ -160,7 +162,7 @@
 	root := r.root
 	r.replica.Propose(command, func(result any, err error) {
 		if err != nil {
-			// Holders repeat what was not answered.
+			// Holders resend a report that got no response.
 			return
 		}
 		root.Applied(r.node.now(), batch, result.(machine.Result))
@@ -181,25 +183,26 @@
 	return holders
 }
 
-// publish hands catalog changes to the catalog duty.
-func (r *replicaDuty) publish() {
-	delta, changed := r.machine.Catalog().Since(r.published)
+// publishCatalog passes catalog changes to the catalog duty.
+func (r *replicaDuty) publishCatalog() {
+	delta, changed := r.machine.Catalog().Since(r.publishedRevision)
 	if !changed {
 		return
 	}
-	r.published = delta.To
-	r.node.catalog.takeDelta(r.node.name, delta)
+	r.publishedRevision = delta.To
+	r.node.catalog.handleDelta(r.node.name, delta)
 }
 
-func (r *replicaDuty) share() {
+func (r *replicaDuty) updateView() {
 	core := r.replica.Core()
 	view := &replicaView{
 		leading: r.leading(), term: core.Term(), commit: core.Commit(), configuration: core.Configuration(),
-		quorumSilence: time.Duration(core.TicksSinceQuorum()) * replicaTick,
-		hasGroup:      len(core.Configuration().Members) > 0,
+		quorumAge: time.Duration(core.TicksSinceQuorum()) * replicaTick,
+		hasGroup:  len(core.Configuration().Members) > 0,
 	}
 	for _, voter := range core.Configuration().Voters() {
-		// A voter that is silent may be gone, whatever it once held.
+		// A voter without contact for longer than the election timeout may be gone, regardless of what
+		// its disk held.
 		if core.ConfigurationCommitted() && core.CaughtUp(voter) && core.TicksSinceContact(voter) <= electionTicks {
 			view.caughtUpVoters++
 		}
@@ -207,12 +210,12 @@
 	if member, found := core.Configuration().Member(core.Leader()); found {
 		view.leader = member.Node
 	}
-	r.shared.Store(view)
+	r.view.Store(view)
 }
 
-// describe adds the replica to the node's heartbeat.
+// describe fills in the replica's fields of the node's heartbeat.
 func (r *replicaDuty) describe(status *peer.Status) {
-	view := r.shared.Load()
+	view := r.view.Load()
 	status.Replica = uint64(r.id)
 	status.HasGroup = view.hasGroup
 	status.Leader = view.leader
@@ -221,39 +224,40 @@
 
 func (r *replicaDuty) close() error { return r.replica.Close() }
 
-// proposeQuestion asks the leader to commit an encoded command.
-type proposeQuestion struct {
+// proposeRequest requests that the leader commit an encoded command.
+type proposeRequest struct {
 	Command []byte `msgpack:"c"`
 }
 
-// proposal is the end of a proposal.
-type proposal struct {
+// proposalResult is the result of a proposal.
+type proposalResult struct {
 	result machine.Result
 	err    error
 }
 
-// proposeHere commits a command if this node leads.
-func (n *Node) proposeHere(ctx context.Context, command []byte) (machine.Result, error) {
+// proposeLocally commits a command if this node leads.
+func (n *Node) proposeLocally(ctx context.Context, command []byte) (machine.Result, error) {
 	if n.replica == nil {
 		return machine.Result{}, consensus.ErrNotLeader
 	}
-	ended, err := duty.Ask(ctx, n.replica.duty, func(answer func(proposal)) {
+	proposed, err := duty.Ask(ctx, n.replica.duty, func(reply func(proposalResult)) {
 		n.replica.replica.Propose(command, func(result any, err error) {
 			if err != nil {
-				answer(proposal{err: err})
+				reply(proposalResult{err: err})
 				return
 			}
-			answer(proposal{result: result.(machine.Result)})
+			reply(proposalResult{result: result.(machine.Result)})
 		})
 	})
 	if err != nil {
 		return machine.Result{}, err
 	}
-	return ended.result, ended.err
+	return proposed.result, proposed.err
 }
 
-// propose commits a command wherever the leader is. A command with an
-// operation id is sent again after a lost answer, which is safe.
+// propose commits a command through the leader, which may be another node. A command with an
+// operation id is resent when its outcome is unknown; that is safe, since an operation is applied
+// only once. A command without one is resent only if it was certainly not committed.
 func (n *Node) propose(ctx context.Context, command machine.Command) (machine.Result, error) {
 	encoded, err := machine.Encode(command)
 	if err != nil {
@@ -261,21 +265,21 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
 	defer cancel()
-	last := errNoLeader
+	lastErr := errNoLeader
 	for {
 		result, err := n.proposeOnce(ctx, encoded)
 		if err == nil {
 			return result, nil
 		}
 		if ctx.Err() == nil {
-			last = err
+			lastErr = err
 		}
 		notDone := errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, errNoLeader) || hasCode(err, peer.CodeNotLeader)
 		if !notDone && command.OperationID == "" {
 			return machine.Result{}, err
 		}
-		if !pause.For(ctx, retryPause) {
-			return machine.Result{}, fmt.Errorf("committing a change: %w", last)
+		if !pause.For(ctx, retryDelay) {
+			return machine.Result{}, fmt.Errorf("committing a change: %w", lastErr)
 		}
 	}
 }
@@ -288,15 +292,15 @@
 	attempt, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	if leader == n.name {
-		return n.proposeHere(attempt, command)
+		return n.proposeLocally(attempt, command)
 	}
-	return callNode[machine.Result](attempt, n, leader, peer.MethodPropose, &proposeQuestion{Command: command})
+	return callNode[machine.Result](attempt, n, leader, peer.MethodPropose, &proposeRequest{Command: command})
 }
 
-// leader returns the leading control node as this node knows it, or "".
+// leader returns the control node that leads, as far as this node knows, or "".
 func (n *Node) leader() string {
 	if n.replica != nil {
-		if leader := n.replica.shared.Load().leader; leader != "" {
+		if leader := n.replica.view.Load().leader; leader != "" {
 			return leader
 		}
 	}
@@ -308,28 +312,28 @@
 	return errors.As(err, &reply) && reply.Code == code
 }
 
-// atLeader runs work on the replica's duty once the state holds everything
-// that was committed when it was asked.
-func atLeader[T any](ctx context.Context, n *Node, work func(*machine.Machine) T) (T, error) {
-	type ended struct {
+// readCommitted runs work on the replica's duty once the state includes everything that was
+// committed at the time of the call. It fails on nodes that don't lead.
+func readCommitted[T any](ctx context.Context, n *Node, work func(*machine.Machine) T) (T, error) {
+	type readResult struct {
 		value T
 		err   error
 	}
-	var none T
+	var zero T
 	if n.replica == nil {
-		return none, consensus.ErrNotLeader
+		return zero, consensus.ErrNotLeader
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	result, err := duty.Ask(ctx, n.replica.duty, func(reply func(readResult)) {
 		n.replica.replica.Read(func(err error) {
 			if err != nil {
-				answer(ended{err: err})
+				reply(readResult{err: err})
 				return
 			}
-			answer(ended{value: work(n.replica.machine)})
+			reply(readResult{value: work(n.replica.machine)})
 		})
 	})
 	if err != nil {
-		return none, err
+		return zero, err
 	}
-	return answer.value, answer.err
+	return result.value, result.err
 }
