--- a/internal/state/accounts/accounts.go
+++ b/internal/state/accounts/accounts.go
@@ -1,11 +1,11 @@
 // Package accounts holds the root accounts of the prepaid budgets.
 //
-// A budget's limit is granted out to holders (entry nodes) in parts. A holder
+// Holders (entry nodes) receive parts of a budget's limit as grants. A holder
 // spends only what it was granted, so no partition can overspend. Everything a
-// holder reports is cumulative: a lost, late or doubled report changes nothing.
+// holder reports is cumulative: lost, late or duplicate reports do no harm.
 //
-// The invariant, checked at every change: granted - returned <= limit. What
-// was settled is inside granted, so settled + outstanding <= limit follows.
+// Every change keeps the invariant granted - returned <= limit. Settled tokens
+// are part of the granted ones, so settled + outstanding <= limit follows.
 package accounts
 
 import (
@@ -15,12 +15,12 @@
 )
 
 const (
-	// DefaultGrantSharePercent is the largest part of what is left that one
-	// grant takes beyond what is needed at once.
+	// DefaultGrantSharePercent bounds the part of a grant that exceeds the immediately
+	// required amount, in percent of the tokens that can still be granted.
 	DefaultGrantSharePercent = 25
 )
 
-// HolderID names one life of a node: after a restart it is another holder.
+// HolderID identifies one incarnation of a node: after a restart the node is another holder.
 type HolderID struct {
 	Node        string `msgpack:"n"`
 	Incarnation uint64 `msgpack:"i"`
@@ -32,33 +32,34 @@
 // Less orders holders by node, then by incarnation.
 func (h HolderID) Less(other HolderID) bool { return h.Compare(other) < 0 }
 
-// Compare is the order of Less, for sorting.
+// Compare orders holders as Less does and returns a negative number, 0 or a positive number.
 func (h HolderID) Compare(other HolderID) int {
 	return cmp.Or(cmp.Compare(h.Node, other.Node), cmp.Compare(h.Incarnation, other.Incarnation))
 }
 
-// Holder is what the root knows of one holder's part of one budget, in tokens.
+// Holder is the root's record of one holder's part of one budget, in tokens.
 type Holder struct {
 	ID HolderID `msgpack:"id"`
 	// Granted and Returned are cumulative.
 	Granted  uint64 `msgpack:"g"`
 	Returned uint64 `msgpack:"r"`
-	// Settled is the use reported so far.
+	// Settled is the usage reported so far.
 	Settled uint64 `msgpack:"s"`
-	// Watermark is the reservation up to which all are settled, and
-	// WatermarkSettled their use. A fence adds the claims behind it.
+	// Watermark is the number of the reservation up to which all reservations are
+	// settled, and WatermarkSettled their usage. Closing a fenced account adds the
+	// claims after the watermark.
 	Watermark        uint64 `msgpack:"w"`
 	WatermarkSettled uint64 `msgpack:"ws"`
-	// LastRequest is the newest grant request that was decided.
+	// LastRequest is the number of the newest grant request that was decided.
 	LastRequest uint64 `msgpack:"q"`
-	// Wish is what the holder would hold ahead of demand if the budget were
-	// not short, as it last said.
+	// Wish is the amount that the holder would hold ahead of demand if the budget were
+	// not short, from its last report.
 	Wish uint64 `msgpack:"wi,omitempty"`
-	// Allowance is the newest one that the holder has asked for.
+	// Allowance is the newest allowance that the holder has requested.
 	Allowance Allowance `msgpack:"cl"`
 }
 
-// Outstanding is what the holder may still spend.
+// Outstanding returns the tokens that the holder may still spend.
 func (h *Holder) Outstanding() uint64 {
 	return SaturatingSubtract(h.Granted, h.Returned+h.Settled)
 }
@@ -70,44 +71,46 @@
 	// Granted and Returned are the sums over all holders, closed ones included.
 	Granted  uint64 `msgpack:"g"`
 	Returned uint64 `msgpack:"r"`
-	// ClosedSettled is the use of holders that were closed.
+	// ClosedSettled is the usage charged to closed holders.
 	ClosedSettled uint64 `msgpack:"c"`
-	// Forfeited is the part of ClosedSettled that was charged without being
-	// known to be spent. It is below 0 while holders that spent borrowed tokens
-	// are closed and their lenders are not.
+	// Forfeited is the part of ClosedSettled that was charged without proof that it
+	// was spent. It is negative while holders that spent borrowed tokens are closed and
+	// their lenders are still open.
 	Forfeited int64 `msgpack:"f"`
-	// Ended tells why Forfeited was charged, for lives with allowances.
+	// Ended breaks down the charges of crashed incarnations by reason.
 	Ended EndedCharges `msgpack:"ec"`
-	// Target is the limit that was asked for when more than that is granted
-	// out; the limit follows it down as grants return. It is at most Limit.
+	// Target is the requested limit. It is below Limit while more than Target is
+	// granted; Limit is lowered towards it as grants are returned.
 	Target  uint64               `msgpack:"tg"`
 	Holders map[HolderID]*Holder `msgpack:"-"`
-	// Transfers are the loans in which one side's account is closed and the
-	// other's is still open.
+	// Transfers are the loans of which one side's account is closed and the
+	// other side's is still open.
 	Transfers map[LoanPair]uint64 `msgpack:"-"`
 }
 
-// EndedCharges are the tokens that lives which ended without a word were charged
-// beyond the use that they had reported, by the reason. What such a life had lent is
-// among them, and its borrowers' use of it is in their own accounts: so the sum is
-// Forfeited once both sides of each loan have ended.
+// EndedCharges are the tokens that were charged to incarnations that crashed without a
+// final report, beyond their reported usage, by reason. They include the tokens that
+// such an incarnation lent, while the borrowers' usage of these is in the borrowers' own
+// accounts. So the sum equals Forfeited only once both sides of each loan have ended.
 type EndedCharges struct {
-	// Allowed were covered by the life's allowance: reserved for requests in
-	// progress, lent, or allowed ahead.
+	// Allowed were covered by the incarnation's allowance: reserved for requests in
+	// flight, lent, or allowed ahead of use.
 	Allowed int64 `msgpack:"a"`
-	// Paced are what its pace allowed in the time that it may have been without the root.
+	// Paced are the tokens that its pace allowed while it may have been without contact to
+	// the root.
 	Paced int64 `msgpack:"p"`
-	// Whole are the rest of grants of lives of which no such time is known.
+	// Whole are the remainders of grants of incarnations whose time without contact to the
+	// root is unknown.
 	Whole int64 `msgpack:"w"`
 }
 
-// LoanPair is one direction between two holders.
+// LoanPair identifies the loans from one holder to another.
 type LoanPair struct {
 	Lender   HolderID `msgpack:"l"`
 	Borrower HolderID `msgpack:"b"`
 }
 
-// Loan is what one holder has lent another in all, in tokens.
+// Loan is the total that one holder has lent another from one budget, in tokens.
 type Loan struct {
 	Lender   HolderID `msgpack:"l"`
 	Borrower HolderID `msgpack:"h"`
@@ -115,10 +118,11 @@
 	Total    uint64   `msgpack:"t"`
 }
 
-// Pair returns the loan's direction.
+// Pair returns the loan's lender and borrower.
 func (l Loan) Pair() LoanPair { return LoanPair{Lender: l.Lender, Borrower: l.Borrower} }
 
-// Settled is the use reported by all holders.
+// Settled returns the usage of all holders, in tokens: what open ones reported and closed ones
+// were charged.
 func (b *Budget) Settled() uint64 {
 	settled := b.ClosedSettled
 	for _, holder := range b.Holders {
@@ -127,21 +131,21 @@
 	return settled
 }
 
-// Spent is the use that is known for sure.
+// Spent returns the usage that is certain: settled tokens without the forfeited ones.
 func (b *Budget) Spent() uint64 { return uint64(max(0, int64(b.Settled())-b.Forfeited)) }
 
-// Committed is what the limit must cover: everything granted and not returned.
+// Committed returns the tokens that the limit must cover: those granted and not returned.
 func (b *Budget) Committed() uint64 { return b.Granted - b.Returned }
 
-// Left is what can still be granted.
+// Left returns the tokens that can still be granted.
 func (b *Budget) Left() uint64 { return SaturatingSubtract(b.Limit, b.Committed()) }
 
-// Outstanding is what holders may still spend.
+// Outstanding returns the tokens that are granted and neither returned nor settled.
 func (b *Budget) Outstanding() uint64 { return SaturatingSubtract(b.Committed(), b.Settled()) }
 
-// outstanding is what holders may still spend, and how many of them there are. What
-// one of them lent is in its own part until its life ends, also after the borrower has
-// used it: so together they may spend no more than the budget has outstanding.
+// outstanding returns the tokens that holders may still spend, and the number of holders that
+// have any. Lent tokens count as the lender's until its incarnation ends, even after the borrower
+// has used them. So the sum is capped at the budget's outstanding tokens.
 func (b *Budget) outstanding() (tokens uint64, holders int) {
 	for _, holder := range b.Holders {
 		if left := holder.Outstanding(); left > 0 {
@@ -152,7 +156,7 @@
 	return min(tokens, b.Outstanding()), holders
 }
 
-// Wished is what all holders wish to hold ahead of demand.
+// Wished returns the total that all holders would hold ahead of demand.
 func (b *Budget) Wished() uint64 {
 	var wished uint64
 	for _, holder := range b.Holders {
@@ -161,70 +165,70 @@
 	return wished
 }
 
-// Report is what a holder says of one budget, with an optional grant request.
+// Report is a holder's report on one budget, with an optional grant request.
 type Report struct {
 	Budget           string `msgpack:"b"`
 	Settled          uint64 `msgpack:"s"`
 	Returned         uint64 `msgpack:"r"`
 	Watermark        uint64 `msgpack:"w"`
 	WatermarkSettled uint64 `msgpack:"ws"`
-	// Request numbers the holder's grant requests; 0 means none. Need is what
-	// the requests at hand lack, Want what expected demand would use.
+	// Request numbers the holder's grant requests; 0 means none. Need is the amount that
+	// requests already waiting lack, Want the amount that the expected demand would use.
 	Request uint64 `msgpack:"q,omitempty"`
 	Need    uint64 `msgpack:"nd,omitempty"`
 	Want    uint64 `msgpack:"wt,omitempty"`
-	// Wish is what the holder would hold ahead of demand if the budget were not
+	// Wish is the amount that the holder would hold ahead of demand if the budget were not
 	// short.
 	Wish uint64 `msgpack:"wi,omitempty"`
-	// Allowance is what the holder asks to be allowed.
+	// Allowance is the allowance that the holder requests.
 	Allowance Allowance `msgpack:"cl"`
 }
 
-// Answer is what the root says of one report.
+// Answer is the root's response to one report.
 type Answer struct {
 	Budget string `msgpack:"b"`
 	// Granted is the holder's cumulative grant.
 	Granted uint64 `msgpack:"g"`
-	// Settled, Returned and Watermark are what the root now has in its log.
+	// Settled, Returned and Watermark are the values that the root now has in its log.
 	Settled   uint64 `msgpack:"s"`
 	Returned  uint64 `msgpack:"r"`
 	Watermark uint64 `msgpack:"w"`
 	Request   uint64 `msgpack:"q,omitempty"`
-	// Short is set when the request's need could not be met now.
+	// Short reports whether the request's required amount could not be granted now.
 	Short bool `msgpack:"sh,omitempty"`
-	// Left is what could still be granted after this answer.
+	// Left is the amount that can still be granted after this response.
 	Left uint64 `msgpack:"l"`
-	// Limit and Spent are the budget's limit and its use that is known for sure.
+	// Limit and Spent are the budget's limit and the usage of it that is certain.
 	Limit uint64 `msgpack:"li"`
 	Spent uint64 `msgpack:"sp"`
-	// Outstanding is what all holders together may still spend, Holders how
-	// many hold something.
+	// Outstanding is the amount that all holders together may still spend, Holders the
+	// number of holders that have any of it.
 	Outstanding uint64 `msgpack:"o"`
 	Holders     int    `msgpack:"hs"`
-	// Wished is the sum of what all holders wish to hold ahead of demand.
+	// Wished is the total that all holders would hold ahead of demand.
 	Wished uint64 `msgpack:"wd,omitempty"`
-	// Unknown says that there is no such budget; Closed that this holder's
-	// account was closed by a fence and must not be spent from.
+	// Unknown reports whether there is no such budget, Closed whether this holder's
+	// account is fenced and must not be spent from.
 	Unknown bool `msgpack:"u,omitempty"`
 	Closed  bool `msgpack:"c,omitempty"`
 	// Allowance is the holder's newest allowance in the log.
 	Allowance Allowance `msgpack:"cl"`
 }
 
-// Accounts are all root accounts.
+// Accounts holds all root accounts.
 type Accounts struct {
 	budgets map[string]*Budget
 	// fenced and closed hold, for each node, the newest incarnation whose
-	// accounts take no more reports, and the newest whose accounts are closed.
-	// Incarnations of a node only grow, so older ones are covered.
+	// accounts accept no more reports, and the newest whose accounts are closed.
+	// A node's incarnation numbers only increase, so older ones are covered.
 	fenced map[string]uint64
 	closed map[string]uint64
-	// contacts holds for each open holder with allowances the newest contact with
-	// the root that it is known to have heard of.
+	// contacts holds, for each open holder with allowances, the newest contact with
+	// the root that the holder is known to have received.
 	contacts map[HolderID]Contact
 }
 
-// New makes an empty set of accounts.
+// New returns an empty set of accounts.
 func New() *Accounts {
 	return &Accounts{budgets: map[string]*Budget{}, fenced: map[string]uint64{}, closed: map[string]uint64{}, contacts: map[HolderID]Contact{}}
 }
@@ -242,7 +246,7 @@
 	return names
 }
 
-// Ensure makes an account with limit 0 if there is none.
+// Ensure returns the account of a name and creates it with limit 0 if there is none.
 func (a *Accounts) Ensure(name string) *Budget {
 	budget := a.budgets[name]
 	if budget == nil {
@@ -252,7 +256,7 @@
 	return budget
 }
 
-// TopUp raises a limit.
+// TopUp raises a limit by a number of tokens.
 func (a *Accounts) TopUp(name string, tokens uint64) error {
 	budget := a.budgets[name]
 	if budget == nil {
@@ -266,18 +270,18 @@
 	return nil
 }
 
-// SetLimit sets a limit to what a configuration says, and makes the account if
-// needed. What is granted out stays covered: a lower limit takes effect as the
-// grants return.
+// SetLimit sets a limit to a configured value and creates the account if needed.
+// Granted tokens stay covered: a lower limit takes effect as the grants are
+// returned.
 func (a *Accounts) SetLimit(name string, tokens uint64) {
 	budget := a.Ensure(name)
 	budget.Target = tokens
 	budget.Limit = max(tokens, budget.Committed())
 }
 
-// Lower takes tokens off a limit. It is refused when less would be left than
-// is granted out: an accepted limit is never exceeded. Recalling unused grants
-// first makes room.
+// Lower reduces a limit by a number of tokens. It refuses a limit below the granted
+// tokens, since an accepted limit must never be exceeded. Recalling unused grants
+// first allows a lower limit.
 func (a *Accounts) Lower(name string, tokens uint64) error {
 	budget := a.budgets[name]
 	if budget == nil {
@@ -293,7 +297,7 @@
 }
 
 // Take applies one holder's report and decides its grant request.
-// sharePercent is the budget's policy; 0 means the default.
+// sharePercent is the budget's grant share; 0 means DefaultGrantSharePercent.
 func (a *Accounts) Take(id HolderID, report Report, sharePercent uint32) Answer {
 	answer := Answer{Budget: report.Budget, Request: report.Request}
 	budget := a.budgets[report.Budget]
@@ -322,7 +326,7 @@
 		budget.Granted += granted
 		answer.Short = granted < report.Need
 		if !answer.Short {
-			// A request that fell short may be asked again after a recall.
+			// A request that was not granted in full may be repeated after a recall.
 			holder.LastRequest = report.Request
 		}
 	}
@@ -335,30 +339,31 @@
 	return answer
 }
 
-// Fence makes the accounts of one life of a node take no more reports.
+// Fence stops the accounts of one incarnation of a node, and of its earlier ones, from accepting
+// reports.
 func (a *Accounts) Fence(id HolderID) {
 	a.fenced[id.Node] = max(a.fenced[id.Node], id.Incarnation)
 }
 
-// Fenced tells whether a holder's accounts take no more reports.
+// Fenced reports whether a holder's accounts accept no more reports.
 func (a *Accounts) Fenced(id HolderID) bool {
 	return id.Incarnation <= a.fenced[id.Node]
 }
 
-// Closed tells whether a holder's accounts are closed.
+// Closed reports whether a holder's accounts are closed.
 func (a *Accounts) Closed(id HolderID) bool {
 	return id.Incarnation <= a.closed[id.Node]
 }
 
-// FinalUse is the use of a fenced holder's claims behind the root's watermark.
+// FinalUse is the usage of a fenced holder's claims after the root's watermark, in tokens.
 type FinalUse struct {
 	Budget string `msgpack:"b"`
 	Tokens uint64 `msgpack:"u"`
 }
 
-// Close ends a fenced holder's accounts: what it did not use becomes grantable
-// again. loans are the loans from and to it. forfeit charges everything it held
-// instead, for when its claims can't be known.
+// Close closes a fenced holder's accounts: what the holder did not use can be granted
+// again. loans are the loans from and to it. With forfeit, everything that it held is
+// charged instead, for the case that its claims can't be determined.
 func (a *Accounts) Close(id HolderID, uses []FinalUse, loans []Loan, forfeit bool) error {
 	if !a.Fenced(id) {
 		return fmt.Errorf("holder %s is not fenced", id)
@@ -381,8 +386,8 @@
 	return nil
 }
 
-// recordTransfer keeps a loan for the account of its other side. One that was
-// recorded when the first side was closed stands: that side's word was final.
+// recordTransfer stores a loan for closing the account of its other side. A loan that was
+// recorded when the first side was closed is kept: that side's report was final.
 func (a *Accounts) recordTransfer(loan Loan) {
 	budget := a.budgets[loan.Budget]
 	if budget == nil {
@@ -411,15 +416,15 @@
 	delete(b.Holders, id)
 }
 
-// lowerToTarget lets a limit that was lowered below what is granted out follow
-// the grants that come back.
+// lowerToTarget lowers the limit towards its target as far as the grants that are not
+// yet returned allow.
 func (b *Budget) lowerToTarget() {
 	if b.Target < b.Limit {
 		b.Limit = max(b.Target, b.Committed())
 	}
 }
 
-// transferred sums up the recorded loans to and from a holder.
+// transferred returns the sums of the recorded loans to and from a holder.
 func (b *Budget) transferred(id HolderID) (borrowed, lent uint64) {
 	for pair, total := range b.Transfers {
 		if pair.Borrower == id {
@@ -440,7 +445,7 @@
 	}
 }
 
-// OpenHolders returns the open holders of a budget in order.
+// OpenHolders returns the holders with an open account in the budget, sorted by ID.
 func (b *Budget) OpenHolders() []*Holder {
 	holders := make([]*Holder, 0, len(b.Holders))
 	for _, holder := range b.Holders {
@@ -450,7 +455,7 @@
 	return holders
 }
 
-// Holders returns the holders with an open account in any budget, in order.
+// Holders returns the holders with an open account in any budget, sorted.
 func (a *Accounts) Holders() []HolderID {
 	seen := map[HolderID]struct{}{}
 	for _, budget := range a.budgets {
@@ -466,7 +471,7 @@
 	return holders
 }
 
-// Check returns an error if the account's invariant is broken.
+// Check returns an error if the account's invariant is violated.
 func (b *Budget) Check() error {
 	if b.Returned > b.Granted {
 		return fmt.Errorf("budget %q: returned %d of %d granted", b.Name, b.Returned, b.Granted)
@@ -495,7 +500,8 @@
 	b.lowerToTarget()
 }
 
-// grantAmount keeps the invariant: never more than what is left.
+// grantAmount decides how many tokens to grant. It keeps the invariant: never more than can still
+// be granted.
 func (b *Budget) grantAmount(need, want uint64, sharePercent uint32) uint64 {
 	if sharePercent == 0 {
 		sharePercent = DefaultGrantSharePercent
@@ -512,7 +518,7 @@
 	return amount
 }
 
-// SaturatingSubtract is the difference, or 0 where it would be below.
+// SaturatingSubtract returns value - subtrahend, or 0 where that would be negative.
 func SaturatingSubtract(value, subtrahend uint64) uint64 {
 	if subtrahend > value {
 		return 0
--- a/internal/state/accounts/accounts_test.go
+++ b/internal/state/accounts/accounts_test.go
@@ -6,10 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// The finding of the grown zhf trouble-1: a tenant with a limit of 10 million
-// tokens had 8.9 million of them forfeited and 5.5 million spent. Whoever spent
-// borrowed tokens reported more than it was granted, and its lender's account
-// counted the same tokens as not known to be spent.
+// Guards against counting lent tokens twice when both sides are closed: the borrower
+// reported more usage than it was granted, and its lender's account forfeited the same
+// tokens. In a test of the enlarged zhf site (trouble-1), a tenant with a limit of 10
+// million tokens had 8.9 million forfeited and 5.5 million spent.
 func TestBorrowedTokensAreNotForfeitedTwice(t *testing.T) {
 	lender, borrower := HolderID{Node: "l", Incarnation: 1}, HolderID{Node: "b", Incarnation: 1}
 	for _, order := range [][]HolderID{{lender, borrower}, {borrower, lender}} {
@@ -17,7 +17,7 @@
 		all.SetLimit("t", 1000)
 		all.Take(lender, Report{Budget: "t", Request: 1, Need: 200}, 0)
 		all.Take(borrower, Report{Budget: "t", Request: 1, Need: 50}, 0)
-		// 100 of the lender's tokens are lent; all but 10 of its own are spent.
+		// The lender lent 100 tokens and spent all but 10 of the remaining 100.
 		all.Take(lender, Report{Budget: "t", Settled: 90}, 0)
 		all.Take(borrower, Report{Budget: "t", Settled: 150}, 0)
 		for _, one := range order {
--- a/internal/state/accounts/allowance_test.go
+++ b/internal/state/accounts/allowance_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// granted makes accounts in which one life holds 1,000 tokens of a limit of
-// 2,000, allowances 200, settled 150 and may go on with 100 a second.
+// granted returns accounts in which one incarnation holds 1,000 tokens of a limit of
+// 2,000 under the given allowance, of which it has settled 150.
 func granted(allowance Allowance) (*Accounts, HolderID) {
 	all := New()
 	all.SetLimit("b", 2000)
@@ -25,10 +25,10 @@
 		silence   time.Duration
 		charged   uint64
 	}{
-		{name: "in touch to its end", allowance: allowance, silence: SilentAfter, charged: 200},
-		{name: "two seconds in silence", allowance: allowance, silence: SilentAfter + 2*time.Second, charged: 400},
-		{name: "longer than the grant lasts", allowance: allowance, silence: time.Hour, charged: 1000},
-		{name: "for nobody knows how long", allowance: allowance, silence: UnknownSilence, charged: 1000},
+		{name: "in contact until its end", allowance: allowance, silence: SilentAfter, charged: 200},
+		{name: "two seconds beyond the contact timeout", allowance: allowance, silence: SilentAfter + 2*time.Second, charged: 400},
+		{name: "longer than the grant lasts at its pace", allowance: allowance, silence: time.Hour, charged: 1000},
+		{name: "unknown time since the last contact", allowance: allowance, silence: UnknownSilence, charged: 1000},
 		{name: "without allowances", allowance: Allowance{}, silence: 0, charged: 1000},
 	} {
 		t.Run(one.name, func(t *testing.T) {
@@ -39,7 +39,7 @@
 			assert.Equal(t, budget.Spent(), uint64(150))
 			assert.NilError(t, budget.Check())
 			answer := all.Take(id, Report{Budget: "b", Request: 2, Need: 1}, 0)
-			assert.Assert(t, answer.Closed, "a late report of it changes nothing")
+			assert.Assert(t, answer.Closed, "a late report must be refused as closed")
 		})
 	}
 }
@@ -55,7 +55,7 @@
 	all.Hear(id, Contact{}, Contact{Index: 3, Clock: 7, SteadyMS: 5, WallMS: 900})
 	all.Hear(id, Contact{Index: 9, Clock: 7, SteadyMS: 80}, Contact{Index: 10})
 	all.Hear(id, Contact{Index: 4, Clock: 7, SteadyMS: 20}, Contact{Index: 11})
-	// A contact without a time of day keeps the one before.
+	// A contact without a wall clock time keeps that of the previous one.
 	heard := Contact{Index: 9, Clock: 7, SteadyMS: 80, WallMS: 900}
 	assert.DeepEqual(t, all.LastContact(id), heard)
 	data, err := all.Encode()
--- a/internal/state/accounts/outstanding_test.go
+++ b/internal/state/accounts/outstanding_test.go
@@ -6,14 +6,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// The finding of the shifted site's trouble-3: a budget with nothing left seemed to have
-// 76,000 tokens outstanding for ten seconds, and its callers were invited to return.
+// Guards against reporting lent tokens that the borrower has used as outstanding. In a test
+// (trouble-3 of the shifted site), an exhausted budget seemed to have 76,000 tokens
+// outstanding for ten seconds, and its callers were told to retry.
 func TestLentTokensThatTheBorrowerUsedAreNotOutstanding(t *testing.T) {
 	root := New()
 	root.SetLimit("b", 100)
 	lender, borrower := HolderID{Node: "lender", Incarnation: 1}, HolderID{Node: "borrower", Incarnation: 1}
 	assert.Equal(t, root.Take(lender, Report{Budget: "b", Request: 1, Need: 100, Want: 100}, 100).Granted, uint64(100))
-	// The lender uses 60 and lends 40, which only the two of them know of.
+	// The lender uses 60 and lends 40; the root does not know of the loan.
 	root.Take(lender, Report{Budget: "b", Settled: 60}, 0)
 	assert.Equal(t, root.Take(borrower, Report{Budget: "b", Settled: 25}, 0).Outstanding, uint64(15))
 	assert.Equal(t, root.Take(borrower, Report{Budget: "b", Settled: 40}, 0).Outstanding, uint64(0))
--- a/internal/state/accounts/snapshot.go
+++ b/internal/state/accounts/snapshot.go
@@ -7,24 +7,24 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// storedBudget is a budget as a snapshot holds it, in a fixed order.
+// storedBudget is the snapshot form of a budget, with its holders and loans in a fixed order.
 type storedBudget struct {
 	Budget  Budget   `msgpack:"b"`
 	Holders []Holder `msgpack:"h"`
 	Loans   []Loan   `msgpack:"l"`
 }
 
-// storedAccounts is the whole of a snapshot.
+// storedAccounts is the snapshot form of all accounts.
 type storedAccounts struct {
 	Budgets []storedBudget      `msgpack:"b"`
 	Fenced  []storedIncarnation `msgpack:"f"`
 	Closed  []storedIncarnation `msgpack:"c"`
-	// Contacts is empty in snapshots of earlier versions: of such a holder
-	// nothing is known, and its whole grant is charged.
+	// Contacts is empty in snapshots of earlier versions: without a known contact, a
+	// holder's whole grant is charged.
 	Contacts []storedContact `msgpack:"k"`
 }
 
-// storedContact is the newest contact that one holder has heard of.
+// storedContact is the newest contact that one holder has received.
 type storedContact struct {
 	ID      HolderID `msgpack:"h"`
 	Contact Contact  `msgpack:"c"`
@@ -36,7 +36,7 @@
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// Encode returns all accounts in an order that depends on their content only.
+// Encode returns the encoded accounts. The bytes depend on the accounts' content only.
 func (a *Accounts) Encode() ([]byte, error) {
 	stored := make([]storedBudget, 0, len(a.budgets))
 	for _, name := range a.Names() {
@@ -60,7 +60,7 @@
 	return data, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode restores accounts from the bytes that Encode returned.
 func Decode(data []byte) (*Accounts, error) {
 	var stored storedAccounts
 	if err := msgpack.Unmarshal(data, &stored); err != nil {
