--- a/internal/state/accounts/accounts.go
+++ b/internal/state/accounts/accounts.go
@@ -143,10 +143,10 @@
 // Outstanding returns the tokens that are granted and neither returned nor settled.
 func (b *Budget) Outstanding() uint64 { return SaturatingSubtract(b.Committed(), b.Settled()) }
 
-// outstanding returns the tokens that holders may still spend, and the number of holders that
-// have any. Lent tokens count as the lender's until its incarnation ends, even after the borrower
+// outstandingByHolders returns the tokens that holders may still spend, and the number of holders
+// that have any. Lent tokens count as the lender's until its incarnation ends, even after the borrower
 // has used them. So the sum is capped at the budget's outstanding tokens.
-func (b *Budget) outstanding() (tokens uint64, holders int) {
+func (b *Budget) outstandingByHolders() (tokens uint64, holders int) {
 	for _, holder := range b.Holders {
 		if left := holder.Outstanding(); left > 0 {
 			tokens += left
@@ -158,11 +158,11 @@
 
 // Wished returns the total that all holders would hold ahead of demand.
 func (b *Budget) Wished() uint64 {
-	var wished uint64
+	var desired uint64
 	for _, holder := range b.Holders {
-		wished += holder.Wish
+		desired += holder.Wish
 	}
-	return wished
+	return desired
 }
 
 // Report is a holder's report on one budget, with an optional grant request.
@@ -218,11 +218,11 @@
 // Accounts holds all root accounts.
 type Accounts struct {
 	budgets map[string]*Budget
-	// fenced and closed hold, for each node, the newest incarnation whose
+	// fencedIncarnations and closedIncarnations hold, for each node, the newest incarnation whose
 	// accounts accept no more reports, and the newest whose accounts are closed.
 	// A node's incarnation numbers only increase, so older ones are covered.
-	fenced map[string]uint64
-	closed map[string]uint64
+	fencedIncarnations map[string]uint64
+	closedIncarnations map[string]uint64
 	// contacts holds, for each open holder with allowances, the newest contact with
 	// the root that the holder is known to have received.
 	contacts map[HolderID]Contact
@@ -230,7 +230,7 @@
 
 // New returns an empty set of accounts.
 func New() *Accounts {
-	return &Accounts{budgets: map[string]*Budget{}, fenced: map[string]uint64{}, closed: map[string]uint64{}, contacts: map[HolderID]Contact{}}
+	return &Accounts{budgets: map[string]*Budget{}, fencedIncarnations: map[string]uint64{}, closedIncarnations: map[string]uint64{}, contacts: map[HolderID]Contact{}}
 }
 
 // Budget returns one account, or nil.
@@ -299,18 +299,18 @@
 // Take applies one holder's report and decides its grant request.
 // sharePercent is the budget's grant share; 0 means DefaultGrantSharePercent.
 func (a *Accounts) Take(id HolderID, report Report, sharePercent uint32) Answer {
-	answer := Answer{Budget: report.Budget, Request: report.Request}
+	response := Answer{Budget: report.Budget, Request: report.Request}
 	budget := a.budgets[report.Budget]
 	if budget == nil {
-		answer.Unknown = true
-		return answer
+		response.Unknown = true
+		return response
 	}
 	if a.Fenced(id) {
-		answer.Closed = true
-		return answer
+		response.Closed = true
+		return response
 	}
 	holder := budget.holder(id)
-	budget.takeReturn(holder, report.Returned)
+	budget.applyReturn(holder, report.Returned)
 	holder.Settled = max(holder.Settled, report.Settled)
 	holder.Wish = report.Wish
 	if report.Allowance.Sequence > holder.Allowance.Sequence {
@@ -324,35 +324,35 @@
 		granted := budget.grantAmount(report.Need, report.Want, sharePercent)
 		holder.Granted += granted
 		budget.Granted += granted
-		answer.Short = granted < report.Need
-		if !answer.Short {
+		response.Short = granted < report.Need
+		if !response.Short {
 			// A request that was not granted in full may be repeated after a recall.
 			holder.LastRequest = report.Request
 		}
 	}
-	answer.Granted, answer.Allowance = holder.Granted, holder.Allowance
-	answer.Settled, answer.Returned, answer.Watermark = holder.Settled, holder.Returned, holder.Watermark
-	answer.Left = budget.Left()
-	answer.Limit, answer.Spent = budget.Limit, budget.Spent()
-	answer.Outstanding, answer.Holders = budget.outstanding()
-	answer.Wished = budget.Wished()
-	return answer
+	response.Granted, response.Allowance = holder.Granted, holder.Allowance
+	response.Settled, response.Returned, response.Watermark = holder.Settled, holder.Returned, holder.Watermark
+	response.Left = budget.Left()
+	response.Limit, response.Spent = budget.Limit, budget.Spent()
+	response.Outstanding, response.Holders = budget.outstandingByHolders()
+	response.Wished = budget.Wished()
+	return response
 }
 
 // Fence stops the accounts of one incarnation of a node, and of its earlier ones, from accepting
 // reports.
 func (a *Accounts) Fence(id HolderID) {
-	a.fenced[id.Node] = max(a.fenced[id.Node], id.Incarnation)
+	a.fencedIncarnations[id.Node] = max(a.fencedIncarnations[id.Node], id.Incarnation)
 }
 
 // Fenced reports whether a holder's accounts accept no more reports.
 func (a *Accounts) Fenced(id HolderID) bool {
-	return id.Incarnation <= a.fenced[id.Node]
+	return id.Incarnation <= a.fencedIncarnations[id.Node]
 }
 
 // Closed reports whether a holder's accounts are closed.
 func (a *Accounts) Closed(id HolderID) bool {
-	return id.Incarnation <= a.closed[id.Node]
+	return id.Incarnation <= a.closedIncarnations[id.Node]
 }
 
 // FinalUse is the usage of a fenced holder's claims after the root's watermark, in tokens.
@@ -374,14 +374,14 @@
 	for _, loan := range loans {
 		a.recordTransfer(loan)
 	}
-	behind := map[string]uint64{}
+	usageAfterWatermark := map[string]uint64{}
 	for _, use := range uses {
-		behind[use.Budget] += use.Tokens
+		usageAfterWatermark[use.Budget] += use.Tokens
 	}
-	a.closed[id.Node] = max(a.closed[id.Node], id.Incarnation)
+	a.closedIncarnations[id.Node] = max(a.closedIncarnations[id.Node], id.Incarnation)
 	for name, budget := range a.budgets {
-		budget.close(id, behind[name], forfeit)
-		budget.forgetTransfers(a.Closed)
+		budget.close(id, usageAfterWatermark[name], forfeit)
+		budget.removeClosedTransfers(a.Closed)
 	}
 	return nil
 }
@@ -398,14 +398,14 @@
 	}
 }
 
-func (b *Budget) close(id HolderID, behindWatermark uint64, forfeit bool) {
+func (b *Budget) close(id HolderID, afterWatermark uint64, forfeit bool) {
 	borrowed, lent := b.transferred(id)
 	if b.Holders[id] == nil && borrowed == 0 {
 		return
 	}
 	holder := b.holder(id)
 	held := SaturatingSubtract(holder.Granted+borrowed, holder.Returned+lent)
-	settled := min(held, holder.WatermarkSettled+behindWatermark)
+	settled := min(held, holder.WatermarkSettled+afterWatermark)
 	if forfeit {
 		b.Forfeited += int64(held) - int64(holder.Settled)
 		settled = held
@@ -437,7 +437,7 @@
 	return borrowed, lent
 }
 
-func (b *Budget) forgetTransfers(closed func(HolderID) bool) {
+func (b *Budget) removeClosedTransfers(closed func(HolderID) bool) {
 	for pair := range b.Transfers {
 		if closed(pair.Lender) && closed(pair.Borrower) {
 			delete(b.Transfers, pair)
@@ -491,7 +491,7 @@
 	return holder
 }
 
-func (b *Budget) takeReturn(holder *Holder, returned uint64) {
+func (b *Budget) applyReturn(holder *Holder, returned uint64) {
 	if returned <= holder.Returned {
 		return
 	}
@@ -502,15 +502,15 @@
 
 // grantAmount decides how many tokens to grant. It keeps the invariant: never more than can still
 // be granted.
-func (b *Budget) grantAmount(need, want uint64, sharePercent uint32) uint64 {
+func (b *Budget) grantAmount(required, expected uint64, sharePercent uint32) uint64 {
 	if sharePercent == 0 {
 		sharePercent = DefaultGrantSharePercent
 	}
 	left := b.Left()
 	share := left / 100 * uint64(sharePercent)
-	amount := max(need, min(want, share))
+	amount := max(required, min(expected, share))
 	if amount > left {
-		if need > left {
+		if required > left {
 			return 0
 		}
 		return left
--- a/internal/state/accounts/accounts_test.go
+++ b/internal/state/accounts/accounts_test.go
@@ -13,18 +13,18 @@
 func TestBorrowedTokensAreNotForfeitedTwice(t *testing.T) {
 	lender, borrower := HolderID{Node: "l", Incarnation: 1}, HolderID{Node: "b", Incarnation: 1}
 	for _, order := range [][]HolderID{{lender, borrower}, {borrower, lender}} {
-		all := New()
-		all.SetLimit("t", 1000)
-		all.Take(lender, Report{Budget: "t", Request: 1, Need: 200}, 0)
-		all.Take(borrower, Report{Budget: "t", Request: 1, Need: 50}, 0)
+		root := New()
+		root.SetLimit("t", 1000)
+		root.Take(lender, Report{Budget: "t", Request: 1, Need: 200}, 0)
+		root.Take(borrower, Report{Budget: "t", Request: 1, Need: 50}, 0)
 		// The lender lent 100 tokens and spent all but 10 of the remaining 100.
-		all.Take(lender, Report{Budget: "t", Settled: 90}, 0)
-		all.Take(borrower, Report{Budget: "t", Settled: 150}, 0)
+		root.Take(lender, Report{Budget: "t", Settled: 90}, 0)
+		root.Take(borrower, Report{Budget: "t", Settled: 150}, 0)
 		for _, one := range order {
-			all.Fence(one)
-			assert.NilError(t, all.Close(one, nil, nil, true))
+			root.Fence(one)
+			assert.NilError(t, root.Close(one, nil, nil, true))
 		}
-		budget := all.Budget("t")
+		budget := root.Budget("t")
 		assert.Equal(t, budget.Committed(), uint64(250))
 		assert.Equal(t, budget.Spent(), uint64(240))
 		assert.Equal(t, budget.Forfeited, int64(10))
--- a/internal/state/accounts/allowance.go
+++ b/internal/state/accounts/allowance.go
@@ -29,16 +29,16 @@
 
 // MostUsed returns the maximum that a holder may have used under the allowance after a
 // time without contact to the root, in tokens.
-func (a Allowance) MostUsed(silence time.Duration) uint64 {
-	if silence <= SilentAfter {
+func (a Allowance) MostUsed(sinceContact time.Duration) uint64 {
+	if sinceContact <= SilentAfter {
 		return a.Tokens
 	}
-	return a.Tokens + a.paced(silence)
+	return a.Tokens + a.paced(sinceContact)
 }
 
 // paced returns the tokens that the pace allows in a time without contact to the root.
-func (a Allowance) paced(silence time.Duration) uint64 {
-	return uint64(float64(a.Pace) * (silence - SilentAfter).Seconds())
+func (a Allowance) paced(sinceContact time.Duration) uint64 {
+	return uint64(float64(a.Pace) * (sinceContact - SilentAfter).Seconds())
 }
 
 // Contact is the time at which the root decided on a holder's report, read from the
@@ -60,18 +60,18 @@
 // Hear records the newest contact that a holder has received. If none is recorded for the
 // holder, now is recorded: the holder has received no contact from before the entry with
 // its first report.
-func (a *Accounts) Hear(id HolderID, heard, now Contact) {
+func (a *Accounts) Hear(id HolderID, received, now Contact) {
 	if a.Fenced(id) {
 		return
 	}
 	known, found := a.contacts[id]
 	switch {
-	case heard.Index > known.Index:
-		if heard.WallMS == 0 {
+	case received.Index > known.Index:
+		if received.WallMS == 0 {
 			// An earlier wall clock time only makes the time since the contact longer.
-			heard.WallMS = known.WallMS
+			received.WallMS = known.WallMS
 		}
-		a.contacts[id] = heard
+		a.contacts[id] = received
 	case !found:
 		a.contacts[id] = now
 	}
@@ -82,29 +82,29 @@
 func (a *Accounts) LastContact(id HolderID) Contact { return a.contacts[id] }
 
 // End closes the accounts of an incarnation that has ended without a final report of its
-// usage. silence is an upper bound on its time without contact to the root; what it can't
+// usage. sinceContact is an upper bound on its time without contact to the root; what it can't
 // have spent can be granted again.
-func (a *Accounts) End(id HolderID, silence time.Duration) {
+func (a *Accounts) End(id HolderID, sinceContact time.Duration) {
 	a.Fence(id)
 	if a.Closed(id) {
 		return
 	}
-	a.closed[id.Node] = max(a.closed[id.Node], id.Incarnation)
+	a.closedIncarnations[id.Node] = max(a.closedIncarnations[id.Node], id.Incarnation)
 	for _, budget := range a.budgets {
-		budget.end(id, silence)
+		budget.closeCrashed(id, sinceContact)
 	}
 	delete(a.contacts, id)
 }
 
-func (b *Budget) end(id HolderID, silence time.Duration) {
+func (b *Budget) closeCrashed(id HolderID, sinceContact time.Duration) {
 	holder := b.Holders[id]
 	if holder == nil {
 		return
 	}
 	held := SaturatingSubtract(holder.Granted, holder.Returned)
 	charged := held
-	if holder.Allowance.Sequence > 0 && silence != UnknownSilence {
-		charged = min(held, holder.Allowance.MostUsed(silence))
+	if holder.Allowance.Sequence > 0 && sinceContact != UnknownSilence {
+		charged = min(held, holder.Allowance.MostUsed(sinceContact))
 		allowed := min(held, holder.Allowance.Tokens)
 		b.Ended.Allowed += int64(allowed) - int64(holder.Settled)
 		b.Ended.Paced += int64(charged - allowed)
--- a/internal/state/accounts/allowance_test.go
+++ b/internal/state/accounts/allowance_test.go
@@ -7,62 +7,62 @@
 	"gotest.tools/v3/assert"
 )
 
-// granted returns accounts in which one incarnation holds 1,000 tokens of a limit of
+// accountsWithGrant returns accounts in which one incarnation holds 1,000 tokens of a limit of
 // 2,000 under the given allowance, of which it has settled 150.
-func granted(allowance Allowance) (*Accounts, HolderID) {
-	all := New()
-	all.SetLimit("b", 2000)
+func accountsWithGrant(allowance Allowance) (*Accounts, HolderID) {
+	root := New()
+	root.SetLimit("b", 2000)
 	id := HolderID{Node: "n#1", Incarnation: 1}
-	all.Take(id, Report{Budget: "b", Request: 1, Need: 1000, Want: 1000, Settled: 150, Allowance: allowance}, 0)
-	return all, id
+	root.Take(id, Report{Budget: "b", Request: 1, Need: 1000, Want: 1000, Settled: 150, Allowance: allowance}, 0)
+	return root, id
 }
 
-func TestLifeThatIsOverIsChargedItsAllowancesAndItsPace(t *testing.T) {
+func TestCrashedIncarnationIsChargedItsAllowanceAndPace(t *testing.T) {
 	allowance := Allowance{Sequence: 1, Tokens: 200, Pace: 100}
 	for _, one := range []struct {
-		name      string
-		allowance Allowance
-		silence   time.Duration
-		charged   uint64
+		name         string
+		allowance    Allowance
+		sinceContact time.Duration
+		charged      uint64
 	}{
-		{name: "in contact until its end", allowance: allowance, silence: SilentAfter, charged: 200},
-		{name: "two seconds beyond the contact timeout", allowance: allowance, silence: SilentAfter + 2*time.Second, charged: 400},
-		{name: "longer than the grant lasts at its pace", allowance: allowance, silence: time.Hour, charged: 1000},
-		{name: "unknown time since the last contact", allowance: allowance, silence: UnknownSilence, charged: 1000},
-		{name: "without allowances", allowance: Allowance{}, silence: 0, charged: 1000},
+		{name: "in contact until its end", allowance: allowance, sinceContact: SilentAfter, charged: 200},
+		{name: "two seconds beyond the contact timeout", allowance: allowance, sinceContact: SilentAfter + 2*time.Second, charged: 400},
+		{name: "longer than the grant lasts at its pace", allowance: allowance, sinceContact: time.Hour, charged: 1000},
+		{name: "unknown time since the last contact", allowance: allowance, sinceContact: UnknownSilence, charged: 1000},
+		{name: "without allowances", allowance: Allowance{}, sinceContact: 0, charged: 1000},
 	} {
 		t.Run(one.name, func(t *testing.T) {
-			all, id := granted(one.allowance)
-			all.End(id, one.silence)
-			budget := all.Budget("b")
+			root, id := accountsWithGrant(one.allowance)
+			root.End(id, one.sinceContact)
+			budget := root.Budget("b")
 			assert.Equal(t, budget.Left(), 2000-one.charged)
 			assert.Equal(t, budget.Spent(), uint64(150))
 			assert.NilError(t, budget.Check())
-			answer := all.Take(id, Report{Budget: "b", Request: 2, Need: 1}, 0)
-			assert.Assert(t, answer.Closed, "a late report must be refused as closed")
+			response := root.Take(id, Report{Budget: "b", Request: 2, Need: 1}, 0)
+			assert.Assert(t, response.Closed, "a late report must be refused as closed")
 		})
 	}
 }
 
 func TestOlderAllowanceDoesNotReplaceANewerOne(t *testing.T) {
-	all, id := granted(Allowance{Sequence: 2, Tokens: 200})
-	answer := all.Take(id, Report{Budget: "b", Allowance: Allowance{Sequence: 1, Tokens: 100}}, 0)
-	assert.DeepEqual(t, answer.Allowance, Allowance{Sequence: 2, Tokens: 200})
+	root, id := accountsWithGrant(Allowance{Sequence: 2, Tokens: 200})
+	response := root.Take(id, Report{Budget: "b", Allowance: Allowance{Sequence: 1, Tokens: 100}}, 0)
+	assert.DeepEqual(t, response.Allowance, Allowance{Sequence: 2, Tokens: 200})
 }
 
-func TestContactsAndAllowancesLastThroughASnapshot(t *testing.T) {
-	all, id := granted(Allowance{Sequence: 1, Tokens: 200, Pace: 100})
-	all.Hear(id, Contact{}, Contact{Index: 3, Clock: 7, SteadyMS: 5, WallMS: 900})
-	all.Hear(id, Contact{Index: 9, Clock: 7, SteadyMS: 80}, Contact{Index: 10})
-	all.Hear(id, Contact{Index: 4, Clock: 7, SteadyMS: 20}, Contact{Index: 11})
+func TestContactsAndAllowancesAreKeptInSnapshots(t *testing.T) {
+	root, id := accountsWithGrant(Allowance{Sequence: 1, Tokens: 200, Pace: 100})
+	root.Hear(id, Contact{}, Contact{Index: 3, Clock: 7, SteadyMS: 5, WallMS: 900})
+	root.Hear(id, Contact{Index: 9, Clock: 7, SteadyMS: 80}, Contact{Index: 10})
+	root.Hear(id, Contact{Index: 4, Clock: 7, SteadyMS: 20}, Contact{Index: 11})
 	// A contact without a wall clock time keeps that of the previous one.
-	heard := Contact{Index: 9, Clock: 7, SteadyMS: 80, WallMS: 900}
-	assert.DeepEqual(t, all.LastContact(id), heard)
-	data, err := all.Encode()
+	received := Contact{Index: 9, Clock: 7, SteadyMS: 80, WallMS: 900}
+	assert.DeepEqual(t, root.LastContact(id), received)
+	data, err := root.Encode()
 	assert.NilError(t, err)
 	restored, err := Decode(data)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, restored.LastContact(id), heard)
+	assert.DeepEqual(t, restored.LastContact(id), received)
 	restored.End(id, SilentAfter)
 	assert.Equal(t, restored.Budget("b").Left(), uint64(1800))
 }
--- a/internal/state/accounts/snapshot.go
+++ b/internal/state/accounts/snapshot.go
@@ -52,7 +52,7 @@
 		stored = append(stored, entry)
 	}
 	data, err := msgpack.Marshal(&storedAccounts{
-		Budgets: stored, Fenced: sortedIncarnations(a.fenced), Closed: sortedIncarnations(a.closed), Contacts: a.sortedContacts(),
+		Budgets: stored, Fenced: sortedIncarnations(a.fencedIncarnations), Closed: sortedIncarnations(a.closedIncarnations), Contacts: a.sortedContacts(),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encoding accounts: %w", err)
@@ -80,10 +80,10 @@
 		}
 	}
 	for _, entry := range stored.Fenced {
-		accounts.fenced[entry.Node] = entry.Incarnation
+		accounts.fencedIncarnations[entry.Node] = entry.Incarnation
 	}
 	for _, entry := range stored.Closed {
-		accounts.closed[entry.Node] = entry.Incarnation
+		accounts.closedIncarnations[entry.Node] = entry.Incarnation
 	}
 	for _, entry := range stored.Contacts {
 		accounts.contacts[entry.ID] = entry.Contact
