--- a/internal/state/machine/document.go
+++ b/internal/state/machine/document.go
@@ -8,45 +8,45 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// DocumentCommand replaces the whole configuration by one with a higher version.
+// DocumentCommand replaces the whole configuration with one of a higher version.
 type DocumentCommand struct {
 	Version uint64 `msgpack:"v"`
-	// Raw is the document as the operator sent it, packed, for reading it back.
+	// Raw is the document as the operator sent it, compressed, for reading it back.
 	Raw []byte `msgpack:"r"`
-	// Encoded is the document as document.Decode reads it.
+	// Encoded is the document in the encoding that document.Decode reads.
 	Encoded []byte `msgpack:"e"`
 }
 
-// DocumentOutcome is the answer to a DocumentCommand.
+// DocumentOutcome is the result of a DocumentCommand.
 type DocumentOutcome struct {
-	// Held is the version held afterwards.
+	// Held is the version that is active after the command.
 	Held uint64 `msgpack:"h"`
-	// Taken tells that this command put its version in force. It is false for
-	// a version at or below the one held, which changes nothing.
+	// Taken reports whether the command made its version the active one. It is false for
+	// a version at or below the active one, which changes nothing.
 	Taken bool `msgpack:"t"`
 }
 
-// HeldDocument is the configuration document in force. Its content must not
-// be changed.
+// HeldDocument is the active configuration document. Its content must not be
+// changed.
 type HeldDocument struct {
 	Version uint64 `msgpack:"v"`
 	Raw     []byte `msgpack:"r"`
 	Encoded []byte `msgpack:"e"`
 }
 
-// CloseLivesCommand ends lives of nodes that are known to be over. What they may
-// have spent is charged.
+// CloseLivesCommand closes the accounts of node incarnations that are known to have ended
+// and charges the tokens that they may have spent.
 type CloseLivesCommand struct {
 	Lives []accounts.HolderID `msgpack:"l"`
-	// Silences are bounds on the lives' time without the root, one for each; a
-	// life without one may have spent all that it held.
+	// Silences are upper bounds on the incarnations' time without contact to the root, in
+	// the order of Lives. An incarnation without one may have spent all that it held.
 	Silences []time.Duration `msgpack:"s"`
 }
 
-// Document returns the document in force; its version is 0 before the first.
+// Document returns the active document; its version is 0 before the first document.
 func (m *Machine) Document() HeldDocument { return m.document }
 
-// applyDocument keeps the highest version: what was accepted never reverts.
+// applyDocument keeps the highest version: an accepted document is never reverted to an older one.
 func (m *Machine) applyDocument(command *DocumentCommand) Result {
 	if command.Version <= m.document.Version {
 		return Result{Document: &DocumentOutcome{Held: m.document.Version}}
--- a/internal/state/machine/document_test.go
+++ b/internal/state/machine/document_test.go
@@ -79,8 +79,9 @@
 	assert.Equal(t, budget.Left(), uint64(400))
 }
 
-// The reports of 76 nodes were a quarter of all bytes between zones on the grown
-// drukwacht site: each replica is sent each command.
+// Guards the size of encoded reports: each command is sent to each replica. In a test of
+// the enlarged drukwacht site, the reports of 76 nodes were a quarter of all bytes between
+// zones.
 func TestReportsTakeFewBytesInTheLog(t *testing.T) {
 	report := accounts.Report{
 		Budget: "tenant1", Settled: 123_456, Returned: 23_456, Watermark: 120, WatermarkSettled: 120_456, Request: 17, Wish: 30_000,
@@ -95,7 +96,7 @@
 	asMaps, err := msgpack.Marshal(&Command{Reports: []HolderReports{holder}})
 	assert.NilError(t, err)
 	assert.Assert(t, len(encoded) < len(asMaps)/2, "%d of %d bytes", len(encoded), len(asMaps))
-	// Both are read alike.
+	// Both encodings decode to the same command.
 	var fromArrays, fromMaps Command
 	assert.NilError(t, msgpack.Unmarshal(encoded, &fromArrays))
 	assert.NilError(t, msgpack.Unmarshal(asMaps, &fromMaps))
--- a/internal/state/machine/golden_test.go
+++ b/internal/state/machine/golden_test.go
@@ -13,7 +13,8 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// goldenCommands are commands of each kind that open fleets commit.
+// goldenCommands returns a command of each kind that fleets with open membership commit, by the
+// name of its line in the golden files.
 func goldenCommands() map[string]Command {
 	holder := accounts.HolderID{Node: "10.1.0.40:7340#0123456789abcdef", Incarnation: 1}
 	contact := accounts.Contact{Index: 12, Clock: 3, SteadyMS: 1234, WallMS: 1700000000000}
@@ -28,8 +29,8 @@
 	}
 }
 
-// The log is read by replicas of two builds while a fleet is upgraded: what this build
-// writes is what those write that hold the log beside it, byte by byte.
+// Replicas of two builds share one log during an upgrade of a fleet. So this build must
+// encode commands byte by byte as the earlier builds do.
 func TestCommandsAreWrittenAsEarlierBuildsWriteThem(t *testing.T) {
 	for _, build := range []string{"2b8f16a", "619b733"} {
 		file, err := os.Open("testdata/commands-" + build + ".txt")
--- a/internal/state/machine/machine.go
+++ b/internal/state/machine/machine.go
@@ -1,12 +1,13 @@
-// Package machine is the state machine behind the replicated log: the catalog,
-// the budget accounts, the nodes' incarnations, the orders to back ends, and
-// the answers already given to operators.
+// Package machine is the state machine of the replicated log. Its state is the
+// catalog, the budget accounts, the nodes' incarnations, the orders to back ends,
+// the configuration document, the evacuated zones, the rollouts, and the results
+// of recent operations.
 //
 // It is deterministic: it reads no clock and draws no random numbers, so every
-// replica that applied the same commands holds the same state. A command that
-// carries an operation id already known changes nothing and gets the first
-// answer again; the answers are part of the state, so this holds across a
-// change of leader and a snapshot.
+// replica that applied the same commands has the same state. A command with a
+// known operation id changes nothing and returns the result of the first one.
+// The results are part of the state, so this also holds after a change of leader
+// and after restoring a snapshot.
 package machine
 
 import (
@@ -25,17 +26,17 @@
 )
 
 const (
-	// operationsKept bounds the remembered answers: two and a half days at the
-	// 20,000 changes a day of the aimed size.
+	// operationsKept bounds the stored results of operations. It covers two and a half
+	// days at the 20,000 changes a day that the system is designed for.
 	operationsKept = 50000
-	// finishedOrdersKept bounds the remembered finished orders.
+	// finishedOrdersKept bounds the stored orders; beyond it, finished ones are removed, oldest first.
 	finishedOrdersKept = 1000
 )
 
 // Command is one entry of the log: exactly one of the pointers is set.
 type Command struct {
-	// OperationID makes the command safe to send again; empty for commands
-	// that are safe by themselves.
+	// OperationID makes the command safe to repeat; empty for commands that are
+	// idempotent by themselves.
 	OperationID string          `msgpack:"o,omitempty"`
 	Catalog     *CatalogCommand `msgpack:"c,omitempty"`
 	Budget      *BudgetCommand  `msgpack:"b,omitempty"`
@@ -45,13 +46,13 @@
 	Node        *NodeRecord     `msgpack:"n,omitempty"`
 	Order       *OrderCommand   `msgpack:"d,omitempty"`
 	OrderResult *OrderResult    `msgpack:"e,omitempty"`
-	// Document and CloseLives serve fleets whose configuration is one document.
+	// Document and CloseLives are for fleets that are configured by one document.
 	Document   *DocumentCommand   `msgpack:"m,omitempty"`
 	CloseLives *CloseLivesCommand `msgpack:"z,omitempty"`
-	// Contact is what the proposer's clocks show, for Reports; its index is that
-	// of the entry.
+	// Contact is the time on the proposer's clocks, for Reports. Its index is set to that
+	// of the log entry when the entry is applied.
 	Contact accounts.Contact `msgpack:"k"`
-	// Zone, Rollout and Version are encoded by themselves, see namedEntry.
+	// Zone, Rollout and Version are encoded separately, see namedEntry.
 	Zone    *ZoneCommand    `msgpack:"-"`
 	Rollout *RolloutCommand `msgpack:"-"`
 	Version *VersionCommand `msgpack:"-"`
@@ -77,35 +78,35 @@
 type HolderReports struct {
 	Holder  accounts.HolderID `msgpack:"h"`
 	Reports []accounts.Report `msgpack:"r"`
-	// Heard is the newest contact that the holder has heard of; one with an
-	// index of 0 if the holder keeps to no allowances.
+	// Heard is the newest contact that the holder has received; its index is 0 if the
+	// holder uses no allowances.
 	Heard accounts.Contact `msgpack:"k"`
-	// Allowances tells that the holder keeps to allowances.
+	// Allowances reports whether the holder keeps to allowances.
 	Allowances bool `msgpack:"c"`
 }
 
-// FenceCommand makes a holder's accounts take no more reports.
+// FenceCommand stops a holder's accounts from accepting reports.
 type FenceCommand struct {
 	Holder accounts.HolderID `msgpack:"h"`
 }
 
-// CloseCommand ends a fenced holder's accounts.
+// CloseCommand closes a fenced holder's accounts.
 type CloseCommand struct {
 	Holder accounts.HolderID   `msgpack:"h"`
 	Uses   []accounts.FinalUse `msgpack:"u"`
 	Loans  []accounts.Loan     `msgpack:"l"`
-	// Forfeit charges all that the holder held.
+	// Forfeit charges all tokens that the holder held.
 	Forfeit bool `msgpack:"f"`
 }
 
-// NodeRecord is the newest known life of a node.
+// NodeRecord is the newest known incarnation of a node.
 type NodeRecord struct {
 	Name        string `msgpack:"n"`
 	Zone        string `msgpack:"z"`
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// OrderCommand records the intent to give a back end an order.
+// OrderCommand records the intent to send an order to a back end.
 type OrderCommand struct {
 	Backend string               `msgpack:"b"`
 	Kind    ravenwayv1.OrderKind `msgpack:"k"`
@@ -113,7 +114,7 @@
 	Version string               `msgpack:"v"`
 }
 
-// OrderState is what became of an order.
+// OrderState is the state of an order.
 type OrderState string
 
 // States of an order.
@@ -124,15 +125,15 @@
 	OrderSuperseded OrderState = "superseded"
 )
 
-// OrderResult records what became of an order.
+// OrderResult records the outcome of an order.
 type OrderResult struct {
 	Fence  uint64     `msgpack:"f"`
 	State  OrderState `msgpack:"s"`
 	Detail string     `msgpack:"d"`
 }
 
-// OrderRecord is one order. Fence is the index of the log entry that recorded
-// its intent, so it only grows.
+// OrderRecord is one order. Fence is the index of the log entry that recorded the
+// intent, so later orders have higher numbers.
 type OrderRecord struct {
 	Fence  uint64       `msgpack:"f"`
 	Order  OrderCommand `msgpack:"o"`
@@ -140,7 +141,7 @@
 	Detail string       `msgpack:"d"`
 }
 
-// BudgetStatus is one account as an answer shows it, in tokens.
+// BudgetStatus is the summary of one account in a result, in tokens.
 type BudgetStatus struct {
 	Budget      string `msgpack:"b"`
 	Limit       uint64 `msgpack:"l"`
@@ -148,30 +149,30 @@
 	Outstanding uint64 `msgpack:"o"`
 }
 
-// Result is the answer to a command.
+// Result is the result of a command.
 type Result struct {
-	// Refused says why the command was refused; empty if it was not.
+	// Refused is the reason why the command was refused; empty if it was not.
 	Refused string           `msgpack:"r,omitempty"`
 	Catalog *catalog.Outcome `msgpack:"c,omitempty"`
 	Budget  *BudgetStatus    `msgpack:"b,omitempty"`
-	// Answers match the command's Reports one by one.
+	// Answers are the responses to the command's Reports, in the same order.
 	Answers [][]accounts.Answer `msgpack:"a,omitempty"`
-	// Contact is the command's, with the entry's index.
+	// Contact is the command's contact with the index of the log entry.
 	Contact accounts.Contact `msgpack:"k"`
 	Order   *OrderRecord     `msgpack:"o,omitempty"`
-	// Document answers a DocumentCommand.
+	// Document is the result of a DocumentCommand.
 	Document *DocumentOutcome `msgpack:"d,omitempty"`
-	// Zones answers a ZoneCommand, Rollout a RolloutCommand.
+	// Zones is the result of a ZoneCommand, Rollout that of a RolloutCommand.
 	Zones   *evacuation.Zones `msgpack:"z,omitempty"`
 	Rollout *RolloutOutcome   `msgpack:"l,omitempty"`
 }
 
-// Machine is the state. It is not safe for concurrent use.
+// Machine is the state machine. It is not safe for concurrent use.
 type Machine struct {
 	catalog    *catalog.Catalog
 	accounts   *accounts.Accounts
 	operations map[string]Result
-	// operationOrder are the operation ids, oldest first.
+	// operationOrder holds the operation ids, oldest first.
 	operationOrder []string
 	nodes          map[string]NodeRecord
 	orders         map[uint64]*OrderRecord
@@ -181,7 +182,7 @@
 	logVersion     LogVersion
 }
 
-// New makes an empty state.
+// New returns a state machine with an empty state.
 func New() *Machine {
 	return &Machine{
 		catalog: catalog.New(), accounts: accounts.New(), operations: map[string]Result{},
@@ -189,19 +190,19 @@
 	}
 }
 
-// Catalog gives read access to the catalog.
+// Catalog returns the catalog, for reading only.
 func (m *Machine) Catalog() *catalog.Catalog { return m.catalog }
 
-// Accounts gives read access to the accounts.
+// Accounts returns the accounts, for reading only.
 func (m *Machine) Accounts() *accounts.Accounts { return m.accounts }
 
-// Node returns the newest known life of a node.
+// Node returns the newest known incarnation of a node and reports whether there is one.
 func (m *Machine) Node(name string) (NodeRecord, bool) {
 	record, found := m.nodes[name]
 	return record, found
 }
 
-// Orders returns all remembered orders by fence number.
+// Orders returns all stored orders, sorted by fence number.
 func (m *Machine) Orders() []OrderRecord {
 	orders := make([]OrderRecord, 0, len(m.orders))
 	for _, order := range m.orders {
@@ -211,10 +212,10 @@
 	return orders
 }
 
-// Encode returns the bytes of a command as the log holds it: structs as arrays
-// and short integers, since every replica is sent all of it. Entries of earlier
-// versions with field names are read as well, those as arrays only while no
-// struct in them has got or lost a field.
+// Encode returns a command as bytes for the log. Structs are encoded as arrays and
+// integers in their shortest form, since each replica receives the whole log. Entries
+// of earlier versions with field names can be decoded too. Entries with arrays can be
+// decoded only as long as no struct in them has gained or lost a field.
 func Encode(command Command) ([]byte, error) {
 	if command.isNamed() {
 		return encodeNamed(command)
@@ -229,7 +230,7 @@
 	return buffer.Bytes(), nil
 }
 
-// decode reads what Encode wrote.
+// decode returns the command of the bytes that Encode returned.
 func decode(data []byte) (Command, error) {
 	if named, found := decodeNamed(data); found {
 		return named, nil
@@ -239,11 +240,11 @@
 	return command, err
 }
 
-// Apply implements consensus.StateMachine; its result is a Result.
+// Apply implements consensus.StateMachine; it returns a Result.
 func (m *Machine) Apply(index uint64, data []byte) any {
 	command, err := decode(data)
 	if err != nil {
-		// Every replica refuses it alike.
+		// All replicas refuse it in the same way, so their states stay equal.
 		return Result{Refused: fmt.Sprintf("entry %d is not a command: %v", index, err)}
 	}
 	if command.OperationID == "" {
@@ -336,7 +337,7 @@
 	return result
 }
 
-// BudgetStatus returns an account as an answer shows it, or nil.
+// BudgetStatus returns the summary of a budget's account, or nil if there is none.
 func (m *Machine) BudgetStatus(name string) *BudgetStatus {
 	budget := m.accounts.Budget(name)
 	if budget == nil {
--- a/internal/state/machine/named.go
+++ b/internal/state/machine/named.go
@@ -10,62 +10,63 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// ZoneCommand evacuates a zone or restores it. The log gives the orders of several
-// operators one order.
+// ZoneCommand evacuates a zone or restores it. The log puts concurrent commands of
+// several operators into one sequence.
 type ZoneCommand struct {
 	Zone      string `msgpack:"z"`
 	Evacuated bool   `msgpack:"e"`
 }
 
-// RolloutCommand begins a rollout or moves one on: one field is set.
+// RolloutCommand starts a rollout or advances one: exactly one field is set.
 type RolloutCommand struct {
 	Order *rollout.Order `msgpack:"o,omitempty"`
 	Step  *rollout.Step  `msgpack:"s,omitempty"`
 }
 
-// RolloutOutcome is the answer to a RolloutCommand.
+// RolloutOutcome is the result of a RolloutCommand.
 type RolloutOutcome struct {
-	// Answer is that to an order; 0 for a step.
+	// Answer is the response to an order; 0 for a step.
 	Answer rollout.Answer `msgpack:"a"`
-	// Rollout is the service's newest one.
+	// Rollout is the service's newest rollout.
 	Rollout rollout.Rollout `msgpack:"r"`
 }
 
-// namedEntry is a command as the log holds it with field names: a struct that is encoded
-// as an array, as Command is, can't get another field. One field is set.
+// namedEntry is a command that the log holds with field names. Command is encoded as an
+// array, so no field can be added to it without breaking older builds. Exactly one field
+// is set.
 type namedEntry struct {
 	Zone    *ZoneCommand    `msgpack:"zone_command,omitempty"`
 	Rollout *RolloutCommand `msgpack:"rollout_command,omitempty"`
 	Version *VersionCommand `msgpack:"version_command,omitempty"`
 }
 
-// isNamed tells whether the log holds a command with field names.
+// isNamed reports whether the command is encoded with field names.
 func (c *Command) isNamed() bool { return c.Zone != nil || c.Rollout != nil || c.Version != nil }
 
 func encodeNamed(command Command) ([]byte, error) {
 	data, err := msgpack.Marshal(&namedEntry{Zone: command.Zone, Rollout: command.Rollout, Version: command.Version})
 	if err != nil {
-		return nil, fmt.Errorf("encoding an order: %w", err)
+		return nil, fmt.Errorf("encoding a command with field names: %w", err)
 	}
 	return data, nil
 }
 
-// decodeNamed returns the command of an entry with field names, and whether it holds one.
+// decodeNamed returns the command of an entry with field names and reports whether data is one.
 func decodeNamed(data []byte) (Command, bool) {
 	if len(data) == 0 || !msgpcode.IsFixedMap(data[0]) {
-		// Nearly all commands are arrays.
+		// Nearly all commands are encoded as arrays.
 		return Command{}, false
 	}
 	var entry namedEntry
 	if err := msgpack.Unmarshal(data, &entry); err != nil {
-		// It is refused as a command, with the reason.
+		// decode then reads it as a Command and reports the error.
 		return Command{}, false
 	}
 	command := Command{Zone: entry.Zone, Rollout: entry.Rollout, Version: entry.Version}
 	return command, command.isNamed()
 }
 
-// Evacuated returns the evacuated zones.
+// Evacuated returns the zones that are evacuated.
 func (m *Machine) Evacuated() evacuation.Zones { return m.evacuated }
 
 func (m *Machine) applyZone(index uint64, command *ZoneCommand) Result {
@@ -74,7 +75,7 @@
 	return Result{Zones: &held}
 }
 
-// Rollouts returns the newest rollout of each service.
+// Rollouts returns the set of each service's newest rollout.
 func (m *Machine) Rollouts() rollout.Set { return m.rollouts }
 
 func (m *Machine) applyRollout(index uint64, command *RolloutCommand) Result {
--- a/internal/state/machine/snapshot.go
+++ b/internal/state/machine/snapshot.go
@@ -12,13 +12,13 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// storedOperation is one remembered answer.
+// storedOperation is the snapshot form of one operation's result.
 type storedOperation struct {
 	ID     string `msgpack:"i"`
 	Result Result `msgpack:"r"`
 }
 
-// storedMachine is the whole of a snapshot.
+// storedMachine is the snapshot form of the whole state.
 type storedMachine struct {
 	Catalog    []byte            `msgpack:"c"`
 	Accounts   []byte            `msgpack:"a"`
@@ -31,8 +31,8 @@
 	LogVersion LogVersion        `msgpack:"v,omitempty"`
 }
 
-// Snapshot implements consensus.StateMachine. Its bytes depend on the state
-// only, so replicas can be compared by them.
+// Snapshot implements consensus.StateMachine. The bytes depend on the state only,
+// so that the states of replicas can be compared by them.
 func (m *Machine) Snapshot() ([]byte, error) {
 	var stored storedMachine
 	var err error
--- a/internal/state/machine/version_test.go
+++ b/internal/state/machine/version_test.go
@@ -22,14 +22,16 @@
 	assert.Equal(t, restored.LogVersion(), VersionRollouts)
 }
 
-// A replica of this build must see that it reads a log of a later one.
+// Guards against a replica of this build not noticing that its log has a newer version, so that its
+// own state no longer matches that of the group.
 func TestLogOfALaterVersionIsKnownAsSuch(t *testing.T) {
 	m := New()
 	apply(t, m, 1, Command{Version: &VersionCommand{Version: OwnLogVersion + 3}})
 	assert.Assert(t, m.LogVersion() > OwnLogVersion)
 }
 
-// The snapshot of a log that was never raised is the one that earlier builds write.
+// Guards the compatibility with earlier builds: as long as the log's version was never raised, the
+// snapshot must have no field for it, as theirs has none.
 func TestSnapshotWithoutALogVersionHasNoFieldForIt(t *testing.T) {
 	m := New()
 	apply(t, m, 1, Command{Rollout: &RolloutCommand{Order: &rollout.Order{Service: "s", Version: "v2", Duration: time.Second}}})
--- a/internal/state/machine/zones_test.go
+++ b/internal/state/machine/zones_test.go
@@ -25,7 +25,7 @@
 	assert.DeepEqual(t, restored.Evacuated(), evacuation.Zones{Revision: 9, Names: []string{}})
 }
 
-// A log that was written before zones could be evacuated is read as it is.
+// Logs from before the evacuation of zones was added must still be decoded.
 func TestCommandsOfEarlierVersionsAreStillRead(t *testing.T) {
 	earlier, err := Encode(documentCommand(t, 7, 100, "first"))
 	assert.NilError(t, err)
