--- a/internal/state/machine/document.go
+++ b/internal/state/machine/document.go
@@ -65,12 +65,12 @@
 }
 
 func (m *Machine) applyCloseLives(command *CloseLivesCommand) Result {
-	for position, life := range command.Lives {
-		silence := accounts.UnknownSilence
+	for position, incarnation := range command.Lives {
+		sinceContact := accounts.UnknownSilence
 		if position < len(command.Silences) {
-			silence = command.Silences[position]
+			sinceContact = command.Silences[position]
 		}
-		m.accounts.End(life, silence)
+		m.accounts.End(incarnation, sinceContact)
 	}
 	return Result{}
 }
--- a/internal/state/machine/document_test.go
+++ b/internal/state/machine/document_test.go
@@ -31,7 +31,7 @@
 	return machine.Apply(index, data).(Result)
 }
 
-func TestHighestVersionHoldsAndTheFirstContentOfAVersionStays(t *testing.T) {
+func TestHighestVersionWinsAndAVersionKeepsItsFirstContent(t *testing.T) {
 	machine := New()
 	assert.DeepEqual(t, *apply(t, machine, 1, documentCommand(t, 7, 100, "first")).Document, DocumentOutcome{Held: 7, Taken: true})
 	assert.DeepEqual(t, *apply(t, machine, 2, documentCommand(t, 7, 900, "other")).Document, DocumentOutcome{Held: 7})
@@ -50,20 +50,20 @@
 	machine := New()
 	apply(t, machine, 1, documentCommand(t, 1, 1000, ""))
 	holder := accounts.HolderID{Node: "front", Incarnation: 1}
-	take := func(index uint64, report accounts.Report) accounts.Answer {
+	applyReport := func(index uint64, report accounts.Report) accounts.Answer {
 		report.Budget = "one"
 		return apply(t, machine, index, Command{Reports: []HolderReports{{Holder: holder, Reports: []accounts.Report{report}}}}).Answers[0][0]
 	}
-	assert.Equal(t, take(2, accounts.Report{Request: 1, Need: 600, Want: 600}).Granted, uint64(600))
+	assert.Equal(t, applyReport(2, accounts.Report{Request: 1, Need: 600, Want: 600}).Granted, uint64(600))
 	apply(t, machine, 3, documentCommand(t, 2, 300, ""))
 	assert.NilError(t, machine.Accounts().Budget("one").Check())
-	assert.Assert(t, take(4, accounts.Report{Request: 2, Need: 1}).Short)
-	take(5, accounts.Report{Returned: 400})
+	assert.Assert(t, applyReport(4, accounts.Report{Request: 2, Need: 1}).Short)
+	applyReport(5, accounts.Report{Returned: 400})
 	assert.Equal(t, machine.Accounts().Budget("one").Limit, uint64(300))
 	assert.Equal(t, machine.Accounts().Budget("one").Left(), uint64(100))
 }
 
-func TestLostLifeIsChargedInFullButNotSaidToBeSpent(t *testing.T) {
+func TestCrashedIncarnationIsChargedInFullButNotReportedAsSpent(t *testing.T) {
 	machine := New()
 	apply(t, machine, 1, documentCommand(t, 1, 1000, ""))
 	holder := accounts.HolderID{Node: "front", Incarnation: 1}
--- a/internal/state/machine/machine.go
+++ b/internal/state/machine/machine.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	// operationsKept bounds the stored results of operations. It covers two and a half
+	// maximumOperations bounds the stored results of operations. It covers two and a half
 	// days at the 20,000 changes a day that the system is designed for.
-	operationsKept = 50000
-	// finishedOrdersKept bounds the stored orders; beyond it, finished ones are removed, oldest first.
-	finishedOrdersKept = 1000
+	maximumOperations = 50000
+	// maximumOrders bounds the stored orders; beyond it, finished ones are removed, oldest first.
+	maximumOrders = 1000
 )
 
 // Command is one entry of the log: exactly one of the pointers is set.
@@ -254,7 +254,7 @@
 		return known
 	}
 	result := m.execute(index, command)
-	m.rememberOperation(command.OperationID, result)
+	m.storeOperation(command.OperationID, result)
 	return result
 }
 
@@ -299,10 +299,10 @@
 	return Result{}
 }
 
-func (m *Machine) rememberOperation(id string, result Result) {
+func (m *Machine) storeOperation(id string, result Result) {
 	m.operations[id] = result
 	m.operationOrder = append(m.operationOrder, id)
-	if len(m.operationOrder) > operationsKept {
+	if len(m.operationOrder) > maximumOperations {
 		delete(m.operations, m.operationOrder[0])
 		m.operationOrder = m.operationOrder[1:]
 	}
@@ -353,12 +353,12 @@
 		if holder.Allowances {
 			m.accounts.Hear(holder.Holder, holder.Heard, result.Contact)
 		}
-		answers := make([]accounts.Answer, 0, len(holder.Reports))
+		responses := make([]accounts.Answer, 0, len(holder.Reports))
 		for _, report := range holder.Reports {
 			share := m.catalog.Budget(report.Budget).GetGrantSharePercent()
-			answers = append(answers, m.accounts.Take(holder.Holder, report, share))
+			responses = append(responses, m.accounts.Take(holder.Holder, report, share))
 		}
-		result.Answers = append(result.Answers, answers)
+		result.Answers = append(result.Answers, responses)
 	}
 	return result
 }
@@ -382,7 +382,7 @@
 	}
 	record := &OrderRecord{Fence: index, Order: command, State: OrderPending}
 	m.orders[index] = record
-	m.forgetOldOrders()
+	m.removeOldestFinishedOrder()
 	copied := *record
 	return Result{Order: &copied}
 }
@@ -399,8 +399,8 @@
 	return Result{Order: &copied}
 }
 
-func (m *Machine) forgetOldOrders() {
-	if len(m.orders) <= finishedOrdersKept {
+func (m *Machine) removeOldestFinishedOrder() {
+	if len(m.orders) <= maximumOrders {
 		return
 	}
 	for _, order := range m.Orders() {
--- a/internal/state/machine/named.go
+++ b/internal/state/machine/named.go
@@ -71,8 +71,8 @@
 
 func (m *Machine) applyZone(index uint64, command *ZoneCommand) Result {
 	m.evacuated = m.evacuated.Set(index, command.Zone, command.Evacuated)
-	held := m.evacuated
-	return Result{Zones: &held}
+	evacuated := m.evacuated
+	return Result{Zones: &evacuated}
 }
 
 // Rollouts returns the set of each service's newest rollout.
--- a/internal/state/machine/snapshot.go
+++ b/internal/state/machine/snapshot.go
@@ -74,7 +74,7 @@
 		return err
 	}
 	for _, operation := range stored.Operations {
-		restored.rememberOperation(operation.ID, operation.Result)
+		restored.storeOperation(operation.ID, operation.Result)
 	}
 	for _, record := range stored.Nodes {
 		restored.nodes[record.Name] = record
--- a/internal/state/machine/version_test.go
+++ b/internal/state/machine/version_test.go
@@ -24,7 +24,7 @@
 
 // Guards against a replica of this build not noticing that its log has a newer version, so that its
 // own state no longer matches that of the group.
-func TestLogOfALaterVersionIsKnownAsSuch(t *testing.T) {
+func TestLogOfANewerVersionIsDetected(t *testing.T) {
 	m := New()
 	apply(t, m, 1, Command{Version: &VersionCommand{Version: OwnLogVersion + 3}})
 	assert.Assert(t, m.LogVersion() > OwnLogVersion)
--- a/internal/state/machine/zones_test.go
+++ b/internal/state/machine/zones_test.go
@@ -11,16 +11,16 @@
 
 func TestEvacuationsAreInTheStateAndItsSnapshots(t *testing.T) {
 	machine := New()
-	held := apply(t, machine, 3, Command{Zone: &ZoneCommand{Zone: "a", Evacuated: true}}).Zones
-	assert.DeepEqual(t, *held, evacuation.Zones{Revision: 3, Names: []string{"a"}})
+	zones := apply(t, machine, 3, Command{Zone: &ZoneCommand{Zone: "a", Evacuated: true}}).Zones
+	assert.DeepEqual(t, *zones, evacuation.Zones{Revision: 3, Names: []string{"a"}})
 	again := apply(t, machine, 4, Command{Zone: &ZoneCommand{Zone: "a", Evacuated: true}}).Zones
-	assert.DeepEqual(t, *again, *held)
+	assert.DeepEqual(t, *again, *zones)
 
 	snapshot, err := machine.Snapshot()
 	assert.NilError(t, err)
 	restored := New()
 	assert.NilError(t, restored.Restore(snapshot))
-	assert.DeepEqual(t, restored.Evacuated(), *held)
+	assert.DeepEqual(t, restored.Evacuated(), *zones)
 	apply(t, restored, 9, Command{Zone: &ZoneCommand{Zone: "a"}})
 	assert.DeepEqual(t, restored.Evacuated(), evacuation.Zones{Revision: 9, Names: []string{}})
 }
