--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -1,10 +1,10 @@
-// Package catalog holds what operators configure: tenants, budgets, services,
-// routes and back ends, each with the revision that last changed it.
+// Package catalog holds the objects that operators configure: tenants, budgets,
+// services, routes and back ends, each with the revision that last changed it.
 //
-// A change names the revision it was made from. It is refused as a conflict if
-// an object it touches was changed since, so of two equal revisions racing
-// exactly one wins. Revisions only grow, and a follower never applies a lower
-// one.
+// A change names its base revision. It is refused as a conflict if an object that
+// it changes was changed after the base, so exactly one of two concurrent changes
+// of an object with the same base succeeds. Revisions only increase, and a follower
+// never applies a lower one.
 package catalog
 
 import (
@@ -25,11 +25,11 @@
 	KindBackend = "backend"
 )
 
-// changesKept bounds the recent changes kept for followers and for naming the
-// winner of a race; one that is further behind gets everything.
+// changesKept bounds the recent changes that are kept for followers. A follower
+// that lacks more than these receives the whole catalog.
 const changesKept = 4096
 
-// Key names one object.
+// Key identifies one object.
 type Key struct {
 	Kind string `msgpack:"k"`
 	Name string `msgpack:"n"`
@@ -38,7 +38,7 @@
 // String returns "kind/name".
 func (k Key) String() string { return k.Kind + "/" + k.Name }
 
-// Change is one object as of a revision. Data is its encoded
+// Change is one object at a revision. Data is its encoded
 // ravenwayv1.CatalogObject, empty if the object was deleted.
 type Change struct {
 	Key      Key    `msgpack:"k"`
@@ -46,21 +46,21 @@
 	Data     []byte `msgpack:"d"`
 }
 
-// Delta brings a follower from revision From to revision To.
+// Delta holds the changes that bring a follower from revision From to revision To.
 type Delta struct {
 	From    uint64   `msgpack:"f"`
 	To      uint64   `msgpack:"t"`
 	Changes []Change `msgpack:"c"`
 }
 
-// Conflict says which change won a race.
+// Conflict describes the earlier change that a refused proposal conflicts with.
 type Conflict struct {
 	Key         Key
 	Revision    uint64
 	OperationID string
 }
 
-// entry is one object, or the memory of a deleted one.
+// entry is the newest change of one object, including a deletion.
 type entry struct {
 	change      Change
 	object      *ravenwayv1.CatalogObject
@@ -71,16 +71,16 @@
 type Catalog struct {
 	revision uint64
 	entries  map[Key]*entry
-	// recent are the newest changes in order of revision.
+	// recent holds the newest changes in the order of their revisions.
 	recent []Change
 	// recentFrom is the revision before the oldest of recent.
 	recentFrom uint64
 }
 
-// New makes an empty catalog at revision 0.
+// New returns an empty catalog at revision 0.
 func New() *Catalog { return &Catalog{entries: map[Key]*entry{}} }
 
-// Revision returns the revision in force.
+// Revision returns the current revision.
 func (c *Catalog) Revision() uint64 { return c.revision }
 
 // Object returns one object, or nil.
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// Budget returns the description of a budget, or nil.
+// Budget returns the configuration of a budget, or nil.
 func (c *Catalog) Budget(name string) *ravenwayv1.Budget {
 	return c.Object(Key{Kind: KindBudget, Name: name}).GetBudget()
 }
@@ -101,7 +101,7 @@
 	return c.Object(Key{Kind: KindBackend, Name: name}).GetBackend()
 }
 
-// Proposal is a change as an operator asks for it.
+// Proposal is a change that an operator requests.
 type Proposal struct {
 	OperationID  string
 	BaseRevision uint64
@@ -110,7 +110,7 @@
 	Delete       []Key
 }
 
-// Outcome is what became of a Proposal: exactly one of Conflict, Findings or a
+// Outcome is the result of a Proposal: exactly one of a conflict, findings or a
 // new revision.
 type Outcome struct {
 	Revision uint64
@@ -118,7 +118,7 @@
 	Findings []*ravenwayv1.Finding
 }
 
-// Apply makes a change, or says why not. It is all or nothing.
+// Apply applies a whole proposal, or nothing of it and returns the reasons.
 func (c *Catalog) Apply(proposal Proposal) Outcome {
 	objects, findings := Objects(proposal.Put)
 	findings = append(findings, c.checkDeletes(proposal.Delete)...)
@@ -181,8 +181,8 @@
 	}
 }
 
-// Since returns what a follower at a revision lacks, or nothing if it lacks
-// nothing. A follower too far behind gets every object.
+// Since returns the changes that a follower at a revision lacks and reports whether there
+// are any. A follower that is too far behind receives every object.
 func (c *Catalog) Since(revision uint64) (Delta, bool) {
 	if revision >= c.revision {
 		return Delta{}, false
@@ -198,7 +198,7 @@
 	return delta, true
 }
 
-// all returns every object and every deletion, oldest change first.
+// all returns the newest change of each object, deletions included, oldest change first.
 func (c *Catalog) all() []Change {
 	changes := make([]Change, 0, len(c.entries))
 	for _, known := range c.entries {
@@ -213,15 +213,15 @@
 	return changes
 }
 
-// Follow applies a delta from another node and tells whether anything changed.
+// Follow applies a delta from another node and reports whether anything changed.
 // A delta that starts after this catalog's revision would leave a gap and is
-// refused; one that ends before it is ignored, so the revision never reverts.
+// refused. One that ends at or before it is ignored, so the revision never decreases.
 func (c *Catalog) Follow(delta Delta) (bool, error) {
 	if delta.To <= c.revision {
 		return false, nil
 	}
 	if delta.From > c.revision {
-		return false, fmt.Errorf("a delta from revision %d does not fit revision %d", delta.From, c.revision)
+		return false, fmt.Errorf("a delta that starts at revision %d can't be applied to revision %d", delta.From, c.revision)
 	}
 	decoded := make([]*ravenwayv1.CatalogObject, len(delta.Changes))
 	for position, change := range delta.Changes {
@@ -245,7 +245,7 @@
 	return true, nil
 }
 
-// Document returns all objects, sorted by name.
+// Document returns all objects, those of each kind sorted by name.
 func (c *Catalog) Document() *ravenwayv1.CatalogDocument {
 	document := &ravenwayv1.CatalogDocument{}
 	for _, key := range c.sortedKeys() {
--- a/internal/state/catalog/objects.go
+++ b/internal/state/catalog/objects.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maximumNameLength bounds object names.
+	// maximumNameLength bounds the length of object names, in bytes.
 	maximumNameLength = 128
 	// apiKeyHashLength is the length of a SHA-256 hash in hex.
 	apiKeyHashLength = 64
@@ -27,14 +27,14 @@
 // Priorities lists the classes, most urgent first.
 var Priorities = []string{PriorityUrgent, PriorityNormal, PriorityBatch}
 
-// NamedObject is one object with its key and its place in the document.
+// NamedObject is one object with its key and its position in the document, such as "routes[0]".
 type NamedObject struct {
 	Key    Key
 	Place  string
 	Object *ravenwayv1.CatalogObject
 }
 
-// Objects lists a document's objects and what is wrong with each by itself.
+// Objects returns a document's objects and the findings about each object by itself.
 func Objects(document *ravenwayv1.CatalogDocument) ([]NamedObject, []*ravenwayv1.Finding) {
 	collector := objectCollector{seen: map[Key]string{}}
 	for position, tenant := range document.GetTenants() {
@@ -69,7 +69,7 @@
 	return collector.objects, collector.findings
 }
 
-// objectCollector gathers objects and findings.
+// objectCollector collects objects and findings.
 type objectCollector struct {
 	objects  []NamedObject
 	findings []*ravenwayv1.Finding
@@ -131,7 +131,7 @@
 	}
 }
 
-// checkDeletes finds references to objects that do not exist.
+// checkDeletes returns a finding for each key of which no object exists.
 func (c *Catalog) checkDeletes(keys []Key) []*ravenwayv1.Finding {
 	var findings []*ravenwayv1.Finding
 	for position, key := range keys {
@@ -144,7 +144,7 @@
 	return findings
 }
 
-// checkResult finds references that would point nowhere after a change.
+// checkResult returns a finding for each reference that would be dangling after a change.
 func (c *Catalog) checkResult(put []NamedObject, deleted []Key) []*ravenwayv1.Finding {
 	after := resultView{catalog: c, put: map[Key]*ravenwayv1.CatalogObject{}, deleted: deleted}
 	for _, object := range put {
@@ -163,7 +163,7 @@
 	return after.findings
 }
 
-// resultView is the catalog as it would be after a change.
+// resultView is a view of the catalog as it would be after a change.
 type resultView struct {
 	catalog  *Catalog
 	put      map[Key]*ravenwayv1.CatalogObject
--- a/internal/state/catalog/snapshot.go
+++ b/internal/state/catalog/snapshot.go
@@ -9,20 +9,20 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// storedEntry is one object as a snapshot holds it.
+// storedEntry is the snapshot form of one object.
 type storedEntry struct {
 	Change      Change `msgpack:"c"`
 	OperationID string `msgpack:"o"`
 }
 
-// storedCatalog is the whole of a snapshot. Recent changes are not part of it:
-// after a restore, a follower gets everything once.
+// storedCatalog is the snapshot form of the catalog. It leaves out the recent changes:
+// after a restore, each follower that is behind receives the whole catalog once.
 type storedCatalog struct {
 	Revision uint64        `msgpack:"r"`
 	Entries  []storedEntry `msgpack:"e"`
 }
 
-// Encode returns the catalog in an order that depends on its content only.
+// Encode returns the encoded catalog. The bytes depend on the catalog's content only.
 func (c *Catalog) Encode() ([]byte, error) {
 	stored := storedCatalog{Revision: c.revision}
 	for _, key := range c.sortedKeys() {
@@ -36,7 +36,7 @@
 	return data, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode restores a catalog from the bytes that Encode returned.
 func Decode(data []byte) (*Catalog, error) {
 	var stored storedCatalog
 	if err := msgpack.Unmarshal(data, &stored); err != nil {
