--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -25,9 +25,9 @@
 	KindBackend = "backend"
 )
 
-// changesKept bounds the recent changes that are kept for followers. A follower
+// maximumRecentChanges bounds the recent changes that are kept for followers. A follower
 // that lacks more than these receives the whole catalog.
-const changesKept = 4096
+const maximumRecentChanges = 4096
 
 // Key identifies one object.
 type Key struct {
@@ -73,8 +73,8 @@
 	entries  map[Key]*entry
 	// recent holds the newest changes in the order of their revisions.
 	recent []Change
-	// recentFrom is the revision before the oldest of recent.
-	recentFrom uint64
+	// recentBase is the revision before the oldest of recent.
+	recentBase uint64
 }
 
 // New returns an empty catalog at revision 0.
@@ -170,13 +170,13 @@
 	}
 	change := Change{Key: key, Revision: revision, Data: data}
 	c.entries[key] = &entry{change: change, object: object, operationID: operationID}
-	c.remember(change)
+	c.appendRecent(change)
 }
 
-func (c *Catalog) remember(change Change) {
+func (c *Catalog) appendRecent(change Change) {
 	c.recent = append(c.recent, change)
-	if excess := len(c.recent) - changesKept; excess > 0 {
-		c.recentFrom = c.recent[excess-1].Revision
+	if excess := len(c.recent) - maximumRecentChanges; excess > 0 {
+		c.recentBase = c.recent[excess-1].Revision
 		c.recent = append([]Change(nil), c.recent[excess:]...)
 	}
 }
@@ -188,7 +188,7 @@
 		return Delta{}, false
 	}
 	delta := Delta{From: revision, To: c.revision}
-	if revision < c.recentFrom || revision == 0 {
+	if revision < c.recentBase || revision == 0 {
 		delta.From = 0
 		delta.Changes = c.all()
 		return delta, true
@@ -239,7 +239,7 @@
 			continue
 		}
 		c.entries[change.Key] = &entry{change: change, object: decoded[position]}
-		c.remember(change)
+		c.appendRecent(change)
 	}
 	c.revision = delta.To
 	return true, nil
--- a/internal/state/catalog/objects.go
+++ b/internal/state/catalog/objects.go
@@ -46,7 +46,7 @@
 		place := collector.add(KindBudget, budget.GetName(), "budgets", position,
 			&ravenwayv1.CatalogObject{Object: &ravenwayv1.CatalogObject_Budget{Budget: budget}})
 		if budget.GetGrantSharePercent() > 100 {
-			collector.find(place+".grant_share_percent", "%d is more than 100", budget.GetGrantSharePercent())
+			collector.addFinding(place+".grant_share_percent", "%d is more than 100", budget.GetGrantSharePercent())
 		}
 	}
 	for position, service := range document.GetServices() {
@@ -58,7 +58,7 @@
 		place := collector.add(KindRoute, route.GetName(), "routes", position,
 			&ravenwayv1.CatalogObject{Object: &ravenwayv1.CatalogObject_Route{Route: route}})
 		if !strings.HasPrefix(route.GetPathPrefix(), "/") {
-			collector.find(place+".path_prefix", "%q does not begin with /", route.GetPathPrefix())
+			collector.addFinding(place+".path_prefix", "%q does not begin with /", route.GetPathPrefix())
 		}
 	}
 	for position, backend := range document.GetBackends() {
@@ -76,7 +76,7 @@
 	seen     map[Key]string
 }
 
-func (o *objectCollector) find(place, format string, arguments ...any) {
+func (o *objectCollector) addFinding(place, format string, arguments ...any) {
 	o.findings = append(o.findings, &ravenwayv1.Finding{Place: place, Problem: fmt.Sprintf(format, arguments...)})
 }
 
@@ -85,11 +85,11 @@
 	key := Key{Kind: kind, Name: name}
 	switch {
 	case name == "":
-		o.find(place+".name", "is missing")
+		o.addFinding(place+".name", "is missing")
 	case len(name) > maximumNameLength || strings.ContainsAny(name, " \t\r\n/\""):
-		o.find(place+".name", "%q must have at most %d characters and no spaces, slashes or quotes", name, maximumNameLength)
+		o.addFinding(place+".name", "%q must have at most %d characters and no spaces, slashes or quotes", name, maximumNameLength)
 	case o.seen[key] != "":
-		o.find(place+".name", "%q stands at %s already", name, o.seen[key])
+		o.addFinding(place+".name", "%q stands at %s already", name, o.seen[key])
 	}
 	o.seen[key] = place
 	o.objects = append(o.objects, NamedObject{Key: key, Place: place, Object: object})
@@ -99,11 +99,11 @@
 func (o *objectCollector) checkTenant(place string, tenant *ravenwayv1.Tenant) {
 	for position, hash := range tenant.GetApiKeyHashes() {
 		if _, err := hex.DecodeString(hash); err != nil || len(hash) != apiKeyHashLength {
-			o.find(fmt.Sprintf("%s.api_key_hashes[%d]", place, position), "is not a SHA-256 hash in hex (see 'ravenway tenant key')")
+			o.addFinding(fmt.Sprintf("%s.api_key_hashes[%d]", place, position), "is not a SHA-256 hash in hex (see 'ravenway tenant key')")
 		}
 	}
 	if priority := tenant.GetMaxPriority(); priority != "" && !slices.Contains(Priorities, priority) {
-		o.find(place+".max_priority", "%q is none of %s", priority, strings.Join(Priorities, ", "))
+		o.addFinding(place+".max_priority", "%q is none of %s", priority, strings.Join(Priorities, ", "))
 	}
 }
 
@@ -111,23 +111,23 @@
 	switch service.GetKind() {
 	case ravenwayv1.ServiceKind_SERVICE_KIND_ENGINE:
 		if len(service.GetModels()) == 0 {
-			o.find(place+".models", "an engine service needs at least one model")
+			o.addFinding(place+".models", "an engine service needs at least one model")
 		}
 	case ravenwayv1.ServiceKind_SERVICE_KIND_PLAIN:
 		if len(service.GetModels()) > 0 {
-			o.find(place+".models", "a plain service has no models")
+			o.addFinding(place+".models", "a plain service has no models")
 		}
 	default:
-		o.find(place+".kind", "must be SERVICE_KIND_ENGINE or SERVICE_KIND_PLAIN")
+		o.addFinding(place+".kind", "must be SERVICE_KIND_ENGINE or SERVICE_KIND_PLAIN")
 	}
 }
 
 func (o *objectCollector) checkBackend(place string, backend *ravenwayv1.Backend) {
 	if backend.GetZone() == "" {
-		o.find(place+".zone", "is missing")
+		o.addFinding(place+".zone", "is missing")
 	}
 	if _, err := netip.ParseAddrPort(backend.GetAddress()); err != nil {
-		o.find(place+".address", "%q is not an IP number and a port", backend.GetAddress())
+		o.addFinding(place+".address", "%q is not an IP number and a port", backend.GetAddress())
 	}
 }
 
--- a/internal/state/catalog/snapshot.go
+++ b/internal/state/catalog/snapshot.go
@@ -44,7 +44,7 @@
 	}
 	catalog := New()
 	catalog.revision = stored.Revision
-	catalog.recentFrom = stored.Revision
+	catalog.recentBase = stored.Revision
 	for _, known := range stored.Entries {
 		restored := &entry{change: known.Change, operationID: known.OperationID}
 		if len(known.Change.Data) > 0 {
