--- a/internal/state/document/document.go
+++ b/internal/state/document/document.go
@@ -1,9 +1,9 @@
-// Package document holds a whole configuration that came from outside at one
-// version: routes, services, limits on callers, and tenants.
+// Package document holds a whole configuration at one version, as an operator
+// submitted it: routes, services, limits on callers, and tenants.
 //
-// A document is replaced as a whole. The highest version holds; a version at
-// or below the one held changes nothing. The bytes it came in are kept, so
-// that it is read back exactly as it was sent.
+// A document is replaced as a whole. The highest version is active; a version at
+// or below the active one changes nothing. The submitted bytes are kept, so that
+// the document can be read back exactly as it was sent.
 package document
 
 import (
@@ -14,16 +14,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// RouteKind tells what may be done with a route's requests.
+// RouteKind determines whether a route's requests may be retried and how they are answered.
 type RouteKind uint8
 
 const (
 	// Repeatable requests may run more than once.
 	Repeatable RouteKind = iota
-	// NotRepeatable requests run at most once for each request of a caller.
+	// NotRepeatable requests run at most once for each request of a caller, so they are not retried.
 	NotRepeatable
-	// Stream answers are series of events; they run at most once unless the
-	// route says that they may be resumed.
+	// Stream requests are answered with a stream of events. They run at most once unless
+	// the route is Resumable.
 	Stream
 )
 
@@ -43,34 +43,34 @@
 	// Prefix begins and ends with a slash.
 	Prefix string    `msgpack:"p"`
 	Kind   RouteKind `msgpack:"k"`
-	// Targets are the services with their weights.
+	// Targets are the services that serve the route, with their weights.
 	Targets []Target `msgpack:"t"`
-	// Timeout is the longest time that a request is held.
+	// Timeout is the time from the arrival of a request to its deadline.
 	Timeout time.Duration `msgpack:"o"`
-	// Objective is the time to the answer, or to a stream's first event.
+	// Objective is the target for the time to the response, or to a stream's first event.
 	Objective time.Duration `msgpack:"a"`
-	// EventGap is the longest pause between events that meets the objective.
+	// EventGap is the maximum time between two events of a stream that meets the objective.
 	EventGap time.Duration `msgpack:"g"`
-	// Priority ranks the route; 0 is the most urgent.
+	// Priority is the route's priority; 0 is the most urgent.
 	Priority int `msgpack:"u"`
-	// MaxAttempts is the largest number of engines that one request is sent to.
+	// MaxAttempts is the maximum number of engines that one request is sent to.
 	MaxAttempts int `msgpack:"m"`
 	// Public routes need no key.
 	Public bool `msgpack:"b"`
-	// Sticky routes' requests name shared prompt parts.
+	// Sticky routes have requests that name the parts of the prompt that they share with others.
 	Sticky bool `msgpack:"y"`
-	// Resumable streams may go on at another engine.
+	// Resumable streams may be continued by another engine.
 	Resumable bool `msgpack:"e"`
-	// Regions are the only ones in which requests may be served; empty means any.
+	// Regions are the regions in which requests may be served; empty means any.
 	Regions []string `msgpack:"ar,omitempty"`
 }
 
-// Idempotent tells whether a request may run more than once.
+// Idempotent reports whether a request may run more than once.
 func (r *Route) Idempotent() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Target is one service of a route.
+// Target is one service of a route with its share of the requests.
 type Target struct {
 	Service string `msgpack:"s"`
 	Weight  int    `msgpack:"w"`
@@ -79,23 +79,25 @@
 // Service is a set of engines that do the same work.
 type Service struct {
 	Name string `msgpack:"n"`
-	// MaxConnections is what one engine takes from all callers together.
+	// MaxConnections is the maximum number of connections that one engine accepts from all
+	// callers together.
 	MaxConnections int `msgpack:"c"`
 	// EventTokens is the number of tokens in an event of a stream; 0 means one.
 	EventTokens int `msgpack:"e"`
-	// Slots is the number of requests that a model engine works on at once; 0
+	// Slots is the number of requests that a model engine processes concurrently; 0
 	// for a plain service.
 	Slots int `msgpack:"l"`
-	// CacheTokens is a model engine's memory in tokens.
+	// CacheTokens is the size of a model engine's cache, in tokens.
 	CacheTokens uint64 `msgpack:"k"`
-	// ColdRate is the requests a second that a cold instance bears from all nodes
-	// together, 0 if being cold makes no difference; ColdTime how long it is cold
-	// after its start.
+	// ColdRate is the number of requests a second that a cold instance can handle from all
+	// nodes together, 0 if cold instances need no limit. ColdTime is how long an instance
+	// is cold after its start.
 	ColdRate float64       `msgpack:"cr"`
 	ColdTime time.Duration `msgpack:"ct"`
 }
 
-// Limits bound what a caller may send, and how long it may take or rest.
+// Limits bound the size of a caller's requests, the time for their headers and the time that a
+// connection may be idle.
 type Limits struct {
 	MaxHeaderBytes int           `msgpack:"h"`
 	MaxBodyBytes   int64         `msgpack:"b"`
@@ -103,32 +105,32 @@
 	IdleTimeout    time.Duration `msgpack:"i"`
 }
 
-// Tenant is a payer with its keys.
+// Tenant is a customer with its API keys.
 type Tenant struct {
 	Name string   `msgpack:"n"`
 	Keys []string `msgpack:"k"`
-	// Priority goes before the route's if HasPriority is set.
+	// Priority overrides the route's priority if HasPriority is set.
 	Priority    int  `msgpack:"u"`
 	HasPriority bool `msgpack:"q"`
 	// Prepaid is the number of tokens that the tenant may use if HasPrepaid is
 	// set.
 	Prepaid    uint64 `msgpack:"p"`
 	HasPrepaid bool   `msgpack:"r"`
-	// Regions are the only ones in which the tenant's requests may be served; empty
+	// Regions are the regions in which the tenant's requests may be served; empty
 	// means any.
 	Regions []string `msgpack:"ar,omitempty"`
 }
 
-// Finding is one thing wrong with a document, with its place.
+// Finding is one problem of a document with its position, such as "routes[0]".
 type Finding struct {
 	Place   string
 	Problem string
 }
 
-// Findings are all that is wrong with a document.
+// Findings are all problems of a document.
 type Findings []Finding
 
-// Error implements error: one line a finding.
+// Error implements error; each finding is one line.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for position, finding := range f {
@@ -137,7 +139,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// Check returns everything that makes a document invalid.
+// Check returns all problems that make the document invalid; it is valid if there are none.
 func (d *Document) Check() Findings {
 	checker := &checker{services: map[string]bool{}, places: map[string]string{}, keys: map[string]string{}}
 	for position, service := range d.Services {
@@ -211,7 +213,8 @@
 	c.regions(place, route.Regions)
 }
 
-// regions looks for names that are none: a list with one would bind requests to nowhere.
+// regions reports empty names of regions: with one in the list, requests could be restricted to a
+// region that does not exist.
 func (c *checker) regions(place string, names []string) {
 	for position, name := range names {
 		if name == "" {
@@ -233,7 +236,7 @@
 	}
 }
 
-// Encode returns the document's bytes for the log and for peers.
+// Encode returns the encoded and compressed document for the log and for peers.
 func (d *Document) Encode() ([]byte, error) {
 	data, err := msgpack.Marshal(d)
 	if err != nil {
@@ -242,7 +245,7 @@
 	return Pack(data)
 }
 
-// Decode reads what Encode wrote.
+// Decode returns the document of the bytes that Encode returned.
 func Decode(data []byte) (*Document, error) {
 	decoded := &Document{}
 	data, err := Unpack(data)
--- a/internal/state/document/document_test.go
+++ b/internal/state/document/document_test.go
@@ -74,7 +74,7 @@
 	packed, err := Pack(long)
 	assert.NilError(t, err)
 	assert.Assert(t, len(packed) < len(long)/10, "%d of %d bytes", len(packed), len(long))
-	// What an earlier version wrote was not packed.
+	// Earlier versions wrote uncompressed bytes.
 	unpacked, err := Unpack([]byte(`{"version":1}`))
 	assert.NilError(t, err)
 	assert.Equal(t, string(unpacked), `{"version":1}`)
--- a/internal/state/document/index.go
+++ b/internal/state/document/index.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Index answers the questions that a request asks of a document.
+// Index finds the routes, services and tenants of a document that a request needs.
 type Index struct {
 	Document *Document
 	routes   map[string][]*Route
@@ -26,7 +26,7 @@
 		index.routes[host] = append(index.routes[host], route)
 	}
 	for _, routes := range index.routes {
-		// The longest prefix comes first.
+		// The longest prefix comes first, so that the first match is the longest.
 		sort.SliceStable(routes, func(i, j int) bool { return len(routes[i].Prefix) > len(routes[j].Prefix) })
 	}
 	for position := range document.Services {
@@ -42,8 +42,8 @@
 	return index
 }
 
-// Route returns the route with the longest prefix of a path, or nil. The host
-// may carry a port.
+// Route returns the route of the host with the longest prefix that matches the path, or
+// nil. The host may include a port.
 func (i *Index) Route(host, path string) *Route {
 	for _, route := range i.routes[hostName(host)] {
 		if strings.HasPrefix(path, route.Prefix) {
@@ -60,10 +60,10 @@
 	return strings.ToLower(host)
 }
 
-// Service returns a service, or nil.
+// Service returns a service by its name, or nil.
 func (i *Index) Service(name string) *Service { return i.services[name] }
 
-// TenantOfKey returns the tenant that holds a key, or nil.
+// TenantOfKey returns the tenant with an API key, or nil.
 func (i *Index) TenantOfKey(key string) *Tenant { return i.keys[key] }
 
 // Tenant returns a tenant by its name, or nil.
--- a/internal/state/document/pack.go
+++ b/internal/state/document/pack.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	// packMark begins packed bytes. Neither an encoded document nor one as an
-	// operator sends it begins with it, so bytes of earlier versions, which were
-	// not packed, are known.
+	// packMark is the first byte of compressed data. Neither an encoded document nor
+	// one that an operator sends begins with it. So uncompressed data of earlier
+	// versions can be told apart.
 	packMark = 0x01
-	// maximumUnpacked bounds what packed bytes may become, in bytes.
+	// maximumUnpacked bounds the size of decompressed data, in bytes.
 	maximumUnpacked = 64 << 20
 )
 
-// Pack makes bytes smaller for the log and for other nodes: a document is mostly
-// the same few words, and every node is sent each version.
+// Pack compresses data for the log and for other nodes. Documents are repetitive, so they
+// compress well, and each version is sent to every node.
 func Pack(data []byte) ([]byte, error) {
 	packed := bytes.NewBuffer([]byte{packMark})
 	writer, err := flate.NewWriter(packed, flate.BestSpeed)
@@ -28,13 +28,13 @@
 		err = writer.Close()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("packing a configuration document: %w", err)
+		return nil, fmt.Errorf("compressing a configuration document: %w", err)
 	}
 	return packed.Bytes(), nil
 }
 
-// Unpack is the other direction of Pack. Bytes that were not packed are
-// returned as they are.
+// Unpack decompresses data that Pack returned. Data that is not compressed is
+// returned unchanged.
 func Unpack(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != packMark {
 		return data, nil
