--- a/internal/state/document/pack.go
+++ b/internal/state/document/compress.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// packMark is the first byte of compressed data. Neither an encoded document nor
+	// compressionMarker is the first byte of compressed data. Neither an encoded document nor
 	// one that an operator sends begins with it. So uncompressed data of earlier
 	// versions can be told apart.
-	packMark = 0x01
-	// maximumUnpacked bounds the size of decompressed data, in bytes.
-	maximumUnpacked = 64 << 20
+	compressionMarker = 0x01
+	// maximumDecompressedBytes bounds the size of decompressed data, in bytes.
+	maximumDecompressedBytes = 64 << 20
 )
 
 // Pack compresses data for the log and for other nodes. Documents are repetitive, so they
 // compress well, and each version is sent to every node.
 func Pack(data []byte) ([]byte, error) {
-	packed := bytes.NewBuffer([]byte{packMark})
-	writer, err := flate.NewWriter(packed, flate.BestSpeed)
+	compressed := bytes.NewBuffer([]byte{compressionMarker})
+	writer, err := flate.NewWriter(compressed, flate.BestSpeed)
 	if err == nil {
 		_, err = writer.Write(data)
 	}
@@ -30,21 +30,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("compressing a configuration document: %w", err)
 	}
-	return packed.Bytes(), nil
+	return compressed.Bytes(), nil
 }
 
 // Unpack decompresses data that Pack returned. Data that is not compressed is
 // returned unchanged.
 func Unpack(data []byte) ([]byte, error) {
-	if len(data) == 0 || data[0] != packMark {
+	if len(data) == 0 || data[0] != compressionMarker {
 		return data, nil
 	}
-	unpacked, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data[1:])), maximumUnpacked+1))
+	decompressed, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data[1:])), maximumDecompressedBytes+1))
 	if err != nil {
 		return nil, fmt.Errorf("unpacking a configuration document: %w", err)
 	}
-	if len(unpacked) > maximumUnpacked {
-		return nil, fmt.Errorf("unpacking a configuration document: it has over %d bytes", maximumUnpacked)
+	if len(decompressed) > maximumDecompressedBytes {
+		return nil, fmt.Errorf("unpacking a configuration document: it has over %d bytes", maximumDecompressedBytes)
 	}
-	return unpacked, nil
+	return decompressed, nil
 }
--- a/internal/state/document/document.go
+++ b/internal/state/document/document.go
@@ -145,28 +145,28 @@
 	for position, service := range d.Services {
 		place := fmt.Sprintf("services[%d]", position)
 		if service.Name == "" {
-			checker.find(place, "has no name")
+			checker.addFinding(place, "has no name")
 		}
 		if checker.services[service.Name] {
-			checker.find(place, "the service %q stands twice", service.Name)
+			checker.addFinding(place, "the service %q stands twice", service.Name)
 		}
 		checker.services[service.Name] = true
 		if service.ColdRate < 0 || service.ColdTime < 0 {
-			checker.find(place, "a cold instance's rate and time can't be below 0")
+			checker.addFinding(place, "a cold instance's rate and time can't be below 0")
 		}
 	}
 	for position := range d.Routes {
-		checker.route(fmt.Sprintf("routes[%d]", position), &d.Routes[position])
+		checker.checkRoute(fmt.Sprintf("routes[%d]", position), &d.Routes[position])
 	}
 	tenants := map[string]bool{}
 	for position, tenant := range d.Tenants {
 		place := fmt.Sprintf("tenants[%d]", position)
 		if tenant.Name == "" || tenants[tenant.Name] {
-			checker.find(place, "the name %q is empty or stands twice", tenant.Name)
+			checker.addFinding(place, "the name %q is empty or stands twice", tenant.Name)
 		}
 		tenants[tenant.Name] = true
-		checker.tenantKeys(place, tenant)
-		checker.regions(place, tenant.Regions)
+		checker.checkTenantKeys(place, tenant)
+		checker.checkRegions(place, tenant.Regions)
 	}
 	return checker.findings
 }
@@ -178,59 +178,59 @@
 	findings Findings
 }
 
-func (c *checker) find(place, format string, arguments ...any) {
+func (c *checker) addFinding(place, format string, arguments ...any) {
 	c.findings = append(c.findings, Finding{Place: place, Problem: fmt.Sprintf(format, arguments...)})
 }
 
-func (c *checker) route(place string, route *Route) {
+func (c *checker) checkRoute(place string, route *Route) {
 	if route.Host == "" {
-		c.find(place, "has no host")
+		c.addFinding(place, "has no host")
 	}
 	if !strings.HasPrefix(route.Prefix, "/") || !strings.HasSuffix(route.Prefix, "/") {
-		c.find(place, "the prefix %q does not begin and end with a slash", route.Prefix)
+		c.addFinding(place, "the prefix %q does not begin and end with a slash", route.Prefix)
 	}
 	key := strings.ToLower(route.Host) + " " + route.Prefix
-	if other, doubled := c.places[key]; doubled {
-		c.find(place, "host %q and prefix %q stand at %s already", route.Host, route.Prefix, other)
+	if other, duplicate := c.places[key]; duplicate {
+		c.addFinding(place, "host %q and prefix %q stand at %s already", route.Host, route.Prefix, other)
 	}
 	c.places[key] = place
 	if route.Timeout <= 0 {
-		c.find(place, "the timeout must be above 0")
+		c.addFinding(place, "the timeout must be above 0")
 	}
 	total := 0
 	for _, target := range route.Targets {
 		if !c.services[target.Service] {
-			c.find(place, "the service %q is not known", target.Service)
+			c.addFinding(place, "the service %q is not known", target.Service)
 		}
 		if target.Weight < 0 {
-			c.find(place, "the weight of service %q is below 0", target.Service)
+			c.addFinding(place, "the weight of service %q is below 0", target.Service)
 		}
 		total += target.Weight
 	}
 	if total <= 0 {
-		c.find(place, "the weights add up to 0")
+		c.addFinding(place, "the weights add up to 0")
 	}
-	c.regions(place, route.Regions)
+	c.checkRegions(place, route.Regions)
 }
 
-// regions reports empty names of regions: with one in the list, requests could be restricted to a
-// region that does not exist.
-func (c *checker) regions(place string, names []string) {
+// checkRegions reports empty names of regions: with one in the list, requests could be restricted
+// to a region that does not exist.
+func (c *checker) checkRegions(place string, names []string) {
 	for position, name := range names {
 		if name == "" {
-			c.find(fmt.Sprintf("%s.regions[%d]", place, position), "the region has no name")
+			c.addFinding(fmt.Sprintf("%s.regions[%d]", place, position), "the region has no name")
 		}
 	}
 }
 
-func (c *checker) tenantKeys(place string, tenant Tenant) {
+func (c *checker) checkTenantKeys(place string, tenant Tenant) {
 	for _, key := range tenant.Keys {
 		if key == "" {
-			c.find(place, "a key is empty")
+			c.addFinding(place, "a key is empty")
 			continue
 		}
-		if other, doubled := c.keys[key]; doubled && other != tenant.Name {
-			c.find(place, "one of its keys is also of tenant %q", other)
+		if other, duplicate := c.keys[key]; duplicate && other != tenant.Name {
+			c.addFinding(place, "one of its keys is also of tenant %q", other)
 		}
 		c.keys[key] = tenant.Name
 	}
--- a/internal/state/document/document_test.go
+++ b/internal/state/document/document_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func valid() *Document {
+func validDocument() *Document {
 	return &Document{
 		Version:  7,
 		Services: []Service{{Name: "llm"}, {Name: "app"}},
@@ -22,7 +22,7 @@
 }
 
 func TestValidDocumentHasNoFindings(t *testing.T) {
-	assert.Equal(t, len(valid().Check()), 0)
+	assert.Equal(t, len(validDocument().Check()), 0)
 }
 
 func TestEachMistakeIsAFindingWithItsPlace(t *testing.T) {
@@ -38,14 +38,14 @@
 		"routes[0]: the weight of service \"llm\" is below": func(d *Document) { d.Routes[0].Targets[0].Weight = -1 },
 	}
 	for want, change := range mistakes {
-		wrong := valid()
+		wrong := validDocument()
 		change(wrong)
 		assert.Assert(t, strings.Contains(wrong.Check().Error(), want), "want %q in:\n%s", want, wrong.Check().Error())
 	}
 }
 
 func TestLongestPrefixOfTheHostWins(t *testing.T) {
-	index := NewIndex(valid())
+	index := NewIndex(validDocument())
 	assert.Equal(t, index.Route("example:80", "/a/b/c").Name, "long")
 	assert.Equal(t, index.Route("EXAMPLE", "/a/x").Name, "short")
 	assert.Assert(t, index.Route("example", "/b/") == nil)
@@ -54,30 +54,30 @@
 	assert.Assert(t, index.TenantOfKey("") == nil)
 }
 
-func TestDocumentSurvivesItsEncoding(t *testing.T) {
-	data, err := valid().Encode()
+func TestDocumentIsEqualAfterEncodingAndDecoding(t *testing.T) {
+	data, err := validDocument().Encode()
 	assert.NilError(t, err)
 	decoded, err := Decode(data)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, decoded, valid())
+	assert.DeepEqual(t, decoded, validDocument())
 }
 
-func TestPackedBytesAreReadAsTheyWere(t *testing.T) {
+func TestCompressedDataIsReadUnchanged(t *testing.T) {
 	long := bytes.Repeat([]byte(`{"name":"r-6yhvz3p","host":"ficu95.example","path_prefix":"/x/"},`), 400)
-	for _, data := range [][]byte{nil, {}, []byte("{}"), long, {packMark, 2, 3}} {
-		packed, err := Pack(data)
+	for _, data := range [][]byte{nil, {}, []byte("{}"), long, {compressionMarker, 2, 3}} {
+		compressed, err := Pack(data)
 		assert.NilError(t, err)
-		unpacked, err := Unpack(packed)
+		decompressed, err := Unpack(compressed)
 		assert.NilError(t, err)
-		assert.Assert(t, bytes.Equal(unpacked, data), "%q", data)
+		assert.Assert(t, bytes.Equal(decompressed, data), "%q", data)
 	}
-	packed, err := Pack(long)
+	compressed, err := Pack(long)
 	assert.NilError(t, err)
-	assert.Assert(t, len(packed) < len(long)/10, "%d of %d bytes", len(packed), len(long))
+	assert.Assert(t, len(compressed) < len(long)/10, "%d of %d bytes", len(compressed), len(long))
 	// Earlier versions wrote uncompressed bytes.
-	unpacked, err := Unpack([]byte(`{"version":1}`))
+	decompressed, err := Unpack([]byte(`{"version":1}`))
 	assert.NilError(t, err)
-	assert.Equal(t, string(unpacked), `{"version":1}`)
-	_, err = Unpack([]byte{packMark, 0xff, 0xff, 0xff})
+	assert.Equal(t, string(decompressed), `{"version":1}`)
+	_, err = Unpack([]byte{compressionMarker, 0xff, 0xff, 0xff})
 	assert.ErrorContains(t, err, "unpacking")
 }
