--- a/internal/state/rollout/rollout.go
+++ b/internal/state/rollout/rollout.go
@@ -1,5 +1,5 @@
-// Package rollout holds the orders to move the work of a service to instances of
-// another version, and how far each has come.
+// Package rollout holds the orders to move the requests of a service to instances of
+// another version, and the progress of each.
 package rollout
 
 import (
@@ -9,21 +9,21 @@
 	"time"
 )
 
-// Stage is how far a rollout has come.
+// Stage is the progress of a rollout.
 type Stage uint8
 
 const (
-	// Canary: a small part of the service's requests goes to the new version.
+	// Canary: a small part of the service's requests is sent to the new version.
 	Canary Stage = iota + 1
-	// Moving: all new requests go to the new version, the old one finishes what it has.
+	// Moving: all new requests are sent to the new version, the old one finishes those in flight.
 	Moving
-	// Done: the new version has all work. The old one may end.
+	// Done: the new version serves all requests. The old one may be stopped.
 	Done
-	// RolledBack: the new version gets nothing any more.
+	// RolledBack: the new version receives no more requests.
 	RolledBack
 )
 
-// String names the stage.
+// String returns the stage's name.
 func (s Stage) String() string {
 	names := [...]string{"none", "canary", "moving", "done", "rolled_back"}
 	if int(s) < len(names) {
@@ -32,43 +32,43 @@
 	return fmt.Sprintf("stage %d", uint8(s))
 }
 
-// IsRunning tells whether the rollout may still end either way.
+// IsRunning reports whether the rollout is still in progress, so that it may be done or rolled back.
 func (s Stage) IsRunning() bool { return s == Canary || s == Moving }
 
-// Order asks that a service's work moves to instances of a version.
+// Order requests that a service's requests are moved to instances of a version.
 type Order struct {
 	Service string `msgpack:"s"`
 	Version string `msgpack:"v"`
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration `msgpack:"d"`
-	// OrderedMS is the time of day at the control node that took the order, in
+	// OrderedMS is the wall clock time of the control node that accepted the order, in
 	// milliseconds since 1970.
 	OrderedMS int64 `msgpack:"t"`
 }
 
-// Rollout is an order and what has become of it.
+// Rollout is an order and its progress.
 type Rollout struct {
 	Order
 	// Revision is the log entry of the order.
 	Revision uint64 `msgpack:"r"`
 	Stage    Stage  `msgpack:"g"`
-	// Reason tells what the last step rests on.
+	// Reason is the reason for the last step.
 	Reason string `msgpack:"w,omitempty"`
 }
 
-// Set is the newest rollout of each service at one revision. A value never changes; the
-// one with the highest revision holds everywhere.
+// Set is the newest rollout of each service at one revision. A value is immutable; the
+// one with the highest revision is active on all nodes.
 type Set struct {
-	// Revision is the log entry that changed it last, 0 before the first.
+	// Revision is the index of the log entry that changed the set last, 0 before the first.
 	Revision uint64 `msgpack:"r"`
-	// Rollouts are in the order of their services.
+	// Rollouts are sorted by service.
 	Rollouts []Rollout `msgpack:"o"`
 }
 
-// Supersedes tells whether this set is newer than another one.
+// Supersedes reports whether this set is newer than another one.
 func (s Set) Supersedes(other Set) bool { return s.Revision > other.Revision }
 
-// Find returns a service's newest rollout.
+// Find returns a service's newest rollout and reports whether there is one.
 func (s Set) Find(service string) (Rollout, bool) {
 	position, found := s.position(service)
 	if !found {
@@ -81,24 +81,25 @@
 	return slices.BinarySearchFunc(s.Rollouts, service, func(one Rollout, wanted string) int { return cmp.Compare(one.Service, wanted) })
 }
 
-// Answer is what an order has come to.
+// Answer is the response to an order.
 type Answer uint8
 
 const (
-	// Begun: the order is new and its rollout has begun.
+	// Begun: the order is new and its rollout has started.
 	Begun Answer = iota + 1
-	// UnderWay: the same order was taken before.
+	// UnderWay: the same order was accepted before.
 	UnderWay
-	// OtherUnderWay: a rollout of the service to another version is running.
+	// OtherUnderWay: a rollout of the service to another version is in progress.
 	OtherUnderWay
 )
 
-// repeatedWithin is how long after an order the same one is taken to be sent again,
-// whatever has become of it meanwhile: operators whose acknowledgement was lost repeat
-// for some seconds, and a bad version is rolled back sooner than that.
+// repeatedWithin is the time after an order in which an equal order counts as a repetition
+// of it, regardless of the rollout's stage: operators that lost the acknowledgement repeat an
+// order for some seconds, and a bad version is rolled back sooner than that.
 const repeatedWithin = 15 * time.Second
 
-// Take returns the set after the log entry of an index with an order.
+// Take applies an order from the log entry at an index and returns the resulting set and the
+// response to the order.
 func (s Set) Take(index uint64, order Order) (Set, Answer) {
 	position, found := s.position(order.Service)
 	if found {
@@ -125,14 +126,14 @@
 // Step moves a rollout to a later stage.
 type Step struct {
 	Service string `msgpack:"s"`
-	// Rollout is the revision of the rollout that is meant.
+	// Rollout is the revision of the rollout that the step applies to.
 	Rollout uint64 `msgpack:"r"`
 	Stage   Stage  `msgpack:"g"`
 	Reason  string `msgpack:"w"`
 }
 
-// Advance returns the set after the log entry of an index with a step. One that comes late
-// changes nothing: a rollout that has ended stays as it is.
+// Advance applies a step from the log entry at an index and returns the resulting set. A late
+// step changes nothing: a rollout that has ended keeps its stage.
 func (s Set) Advance(index uint64, step Step) Set {
 	position, found := s.position(step.Service)
 	if !found || s.Rollouts[position].Revision != step.Rollout {
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -23,11 +23,11 @@
 	assert.Equal(t, answer, Begun)
 	assert.Equal(t, other.Rollouts[0].Service, "app")
 	assert.Equal(t, other.Rollouts[1].Service, "llm")
-	assert.Equal(t, len(set.Rollouts), 1, "a value never changes")
+	assert.Equal(t, len(set.Rollouts), 1, "Take must not change the set that it is called on")
 }
 
-// The acknowledgement was lost, and the version was rolled back before the operator sent
-// its order again: that must not bring the version back.
+// Guards against a repeated order restarting the rollout of a bad version: the operator lost
+// the acknowledgement, and the version was rolled back before the order was repeated.
 func TestRepeatedOrderDoesNotBringABadVersionBack(t *testing.T) {
 	set, _ := Set{}.Take(7, order("llm", "v2", 0))
 	set = set.Advance(8, Step{Service: "llm", Rollout: 7, Stage: RolledBack, Reason: "it fails"})
