--- a/internal/state/evacuation/evacuation.go
+++ b/internal/state/evacuation/evacuation.go
@@ -1,29 +1,29 @@
-// Package evacuation holds which zones an operator has taken out of use: their
-// instances get no new requests until the zone is restored.
+// Package evacuation holds the zones that operators have taken out of use: their
+// instances receive no new requests until the zone is restored.
 package evacuation
 
 import "slices"
 
-// Zones are the evacuated zones at one revision. A value never changes; the one
-// with the highest revision holds everywhere.
+// Zones are the evacuated zones at one revision. A value is immutable; the one
+// with the highest revision is active on all nodes.
 type Zones struct {
-	// Revision is the log entry that changed them last, 0 before the first.
+	// Revision is the index of the log entry that changed the zones last, 0 before the first.
 	Revision uint64 `msgpack:"r"`
-	// Names are the zones in order.
+	// Names are the names of the evacuated zones, sorted.
 	Names []string `msgpack:"n"`
 }
 
-// Contains tells whether a zone is evacuated.
+// Contains reports whether a zone is evacuated.
 func (z Zones) Contains(zone string) bool {
 	_, found := slices.BinarySearch(z.Names, zone)
 	return found
 }
 
-// Supersedes tells whether these zones are newer than others.
+// Supersedes reports whether these zones are newer than others.
 func (z Zones) Supersedes(other Zones) bool { return z.Revision > other.Revision }
 
-// Set returns the zones after the log entry of an index has evacuated or restored
-// one of them. An order for what is so already changes nothing.
+// Set evacuates or restores a zone as of the log entry at an index and returns the
+// resulting zones. If the zone is in that state already, nothing changes.
 func (z Zones) Set(index uint64, zone string, evacuated bool) Zones {
 	position, found := slices.BinarySearch(z.Names, zone)
 	if found == evacuated {
