--- a/internal/state/rollout/rollout.go
+++ b/internal/state/rollout/rollout.go
@@ -78,7 +78,7 @@
 }
 
 func (s Set) position(service string) (int, bool) {
-	return slices.BinarySearchFunc(s.Rollouts, service, func(one Rollout, wanted string) int { return cmp.Compare(one.Service, wanted) })
+	return slices.BinarySearchFunc(s.Rollouts, service, func(known Rollout, wanted string) int { return cmp.Compare(known.Service, wanted) })
 }
 
 // Answer is the response to an order.
@@ -93,10 +93,10 @@
 	OtherUnderWay
 )
 
-// repeatedWithin is the time after an order in which an equal order counts as a repetition
+// repetitionWindow is the time after an order in which an equal order counts as a repetition
 // of it, regardless of the rollout's stage: operators that lost the acknowledgement repeat an
 // order for some seconds, and a bad version is rolled back sooner than that.
-const repeatedWithin = 15 * time.Second
+const repetitionWindow = 15 * time.Second
 
 // Take applies an order from the log entry at an index and returns the resulting set and the
 // response to the order.
@@ -107,18 +107,18 @@
 		since := time.Duration(order.OrderedMS-known.OrderedMS) * time.Millisecond
 		isSame := known.Version == order.Version
 		switch {
-		case isSame && (known.Stage.IsRunning() || known.Duration == order.Duration && since.Abs() < repeatedWithin):
+		case isSame && (known.Stage.IsRunning() || known.Duration == order.Duration && since.Abs() < repetitionWindow):
 			return s, UnderWay
 		case known.Stage.IsRunning():
 			return s, OtherUnderWay
 		}
 	}
-	begun := Rollout{Order: order, Revision: index, Stage: Canary, Reason: "ordered"}
+	started := Rollout{Order: order, Revision: index, Stage: Canary, Reason: "ordered"}
 	rollouts := slices.Clone(s.Rollouts)
 	if found {
-		rollouts[position] = begun
+		rollouts[position] = started
 	} else {
-		rollouts = slices.Insert(rollouts, position, begun)
+		rollouts = slices.Insert(rollouts, position, started)
 	}
 	return Set{Revision: index, Rollouts: rollouts}, Begun
 }
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -11,16 +11,16 @@
 	return Order{Service: service, Version: version, Duration: 12 * time.Second, OrderedMS: atSecond * 1000}
 }
 
-func TestOrderIsTakenOnce(t *testing.T) {
-	set, answer := Set{}.Take(7, order("llm", "v2", 0))
-	assert.Equal(t, answer, Begun)
-	again, answer := set.Take(8, order("llm", "v2", 3))
-	assert.Equal(t, answer, UnderWay)
+func TestOrderStartsARolloutOnlyOnce(t *testing.T) {
+	set, response := Set{}.Take(7, order("llm", "v2", 0))
+	assert.Equal(t, response, Begun)
+	again, response := set.Take(8, order("llm", "v2", 3))
+	assert.Equal(t, response, UnderWay)
 	assert.Equal(t, again.Revision, uint64(7))
-	_, answer = set.Take(9, order("llm", "v3", 3))
-	assert.Equal(t, answer, OtherUnderWay)
-	other, answer := set.Take(10, order("app", "v3", 3))
-	assert.Equal(t, answer, Begun)
+	_, response = set.Take(9, order("llm", "v3", 3))
+	assert.Equal(t, response, OtherUnderWay)
+	other, response := set.Take(10, order("app", "v3", 3))
+	assert.Equal(t, response, Begun)
 	assert.Equal(t, other.Rollouts[0].Service, "app")
 	assert.Equal(t, other.Rollouts[1].Service, "llm")
 	assert.Equal(t, len(set.Rollouts), 1, "Take must not change the set that it is called on")
@@ -28,20 +28,20 @@
 
 // Guards against a repeated order restarting the rollout of a bad version: the operator lost
 // the acknowledgement, and the version was rolled back before the order was repeated.
-func TestRepeatedOrderDoesNotBringABadVersionBack(t *testing.T) {
+func TestRepeatedOrderDoesNotRestartARolledBackVersion(t *testing.T) {
 	set, _ := Set{}.Take(7, order("llm", "v2", 0))
 	set = set.Advance(8, Step{Service: "llm", Rollout: 7, Stage: RolledBack, Reason: "it fails"})
-	_, answer := set.Take(9, order("llm", "v2", 4))
-	assert.Equal(t, answer, UnderWay)
-	later, answer := set.Take(10, order("llm", "v2", 60))
-	assert.Equal(t, answer, Begun)
-	begun, _ := later.Find("llm")
-	assert.Equal(t, begun.Stage, Canary)
-	_, answer = set.Take(11, order("llm", "v3", 4))
-	assert.Equal(t, answer, Begun)
+	_, response := set.Take(9, order("llm", "v2", 4))
+	assert.Equal(t, response, UnderWay)
+	later, response := set.Take(10, order("llm", "v2", 60))
+	assert.Equal(t, response, Begun)
+	started, _ := later.Find("llm")
+	assert.Equal(t, started.Stage, Canary)
+	_, response = set.Take(11, order("llm", "v3", 4))
+	assert.Equal(t, response, Begun)
 }
 
-func TestRolloutMovesOnlyForward(t *testing.T) {
+func TestStagesOfARolloutOnlyAdvance(t *testing.T) {
 	set, _ := Set{}.Take(7, order("llm", "v2", 0))
 	for index, step := range []struct {
 		rollout uint64
