--- a/internal/state/journal/identity.go
+++ b/internal/state/journal/identity.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// identityFile holds the identity of a data folder.
+	// identityFile is the name of the file with the identity of a data folder.
 	identityFile  = "identity"
 	identityBytes = 8
 )
 
-// LoadIdentity reads the data folder's identity, or gives an empty folder a
-// new one: a replica whose disk came back empty must not vote as before.
+// LoadIdentity reads the data folder's identity, or generates a new one for an
+// empty folder: a replica that lost its data must not vote under its old identity.
 func LoadIdentity(fileSystem disk.FileSystem) (uint64, error) {
 	content, err := fileSystem.ReadFile(identityFile)
 	if errors.Is(err, disk.ErrNotExist) {
@@ -41,12 +41,12 @@
 	}
 	for _, name := range names {
 		if !strings.HasSuffix(name, ".tmp") {
-			return 0, fmt.Errorf("the data folder holds %q but no identity: it is not one of ravenway's, or damaged", name)
+			return 0, fmt.Errorf("the data folder holds %q but no identity: it belongs to another program or is damaged", name)
 		}
 	}
 	identity := make([]byte, identityBytes)
 	_, _ = rand.Read(identity)
-	// 53 bits, so that JSON tools show it exactly; never 0.
+	// The identity has 53 bits, so that JSON numbers hold it exactly, and is never 0.
 	identity[0], identity[1] = 0, identity[1]&0x1f|0x10
 	content := []byte(hex.EncodeToString(identity) + "\n")
 	if err := disk.WriteFileSynced(fileSystem, identityFile, content); err != nil {
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -1,13 +1,15 @@
-// Package journal keeps a replica's log, hard state and snapshots in files.
+// Package journal stores a replica's log, hard state and snapshots in files.
 //
-// Records are appended to segment files with a length and a checksum each. A
-// record counts as written only after Sync, which syncs the file; a new
-// segment's name is synced before anything in it counts. A snapshot is written
-// aside, synced and renamed; segments that it covers are then removed.
+// Records are appended to segment files, each with its length and checksum. A
+// record is durable only after Sync, which syncs the file; the directory entry of
+// a new segment is synced before records in it become durable. A snapshot is
+// written to a temporary file, synced and renamed; segments that it covers are then
+// removed.
 //
-// On Open, a tail that was torn by a crash is cut. Damage anywhere else is a
-// refusal to open that names the file and the byte: records behind it may have
-// been acknowledged to other replicas, so going on would break a promise.
+// Open truncates a tail that was torn by a crash. On damage anywhere else it returns
+// an error with the file and the byte: records after the damage may have been
+// acknowledged to other replicas, so continuing without them could lose committed
+// entries.
 package journal
 
 import (
@@ -26,13 +28,13 @@
 	segmentSuffix  = ".log"
 	snapshotPrefix = "snapshot-"
 	snapshotSuffix = ".snap"
-	// DefaultSegmentBytes is the size at which a new segment is begun.
+	// DefaultSegmentBytes is the size at which a new segment is started, in bytes.
 	DefaultSegmentBytes = 4 << 20
-	// snapshotsKept are how many snapshots are kept, the newest included.
+	// snapshotsKept is the number of snapshots that are kept, including the newest.
 	snapshotsKept = 2
 )
 
-// CorruptionError is damage that a crash cannot explain.
+// CorruptionError reports damage that a crash can't have caused.
 type CorruptionError struct {
 	File   string
 	Offset int
@@ -42,36 +44,36 @@
 // Error implements error.
 func (e *CorruptionError) Error() string {
 	return fmt.Sprintf("journal file %s is damaged at byte %d (%s): this replica's copy of the log can't be trusted; "+
-		"move the data folder aside and start with an empty one, so that it joins again as a learner", e.File, e.Offset, e.Detail)
+		"move the data folder away and start with an empty one, so that the replica rejoins as a learner", e.File, e.Offset, e.Detail)
 }
 
-// Recovered is what Open found.
+// Recovered is the state that Open read from the files.
 type Recovered struct {
 	HardState HardState
-	// Snapshot is nil if none was written yet.
+	// Snapshot is the newest snapshot, nil before the first.
 	Snapshot *Snapshot
-	// Entries follow the snapshot without a gap.
+	// Entries are the log entries after the snapshot, without a gap.
 	Entries []Entry
-	// TornBytes were cut from the end of the newest segment.
+	// TornBytes is the number of bytes that were truncated from the newest segment.
 	TornBytes int
-	// RecordsRead counts the records decoded, for bounding start-up cost.
+	// RecordsRead is the number of decoded records, for checking the cost of a start.
 	RecordsRead int
 
 	replacedSequence uint64
 }
 
-// storedSnapshot is a snapshot as its file holds it.
+// storedSnapshot is the content of a snapshot file.
 type storedSnapshot struct {
 	Snapshot
-	// ReplacedSequence is the newest segment whose entries this snapshot
-	// replaces whatever their index: a snapshot received from a leader may
-	// contradict the log behind it. Being part of the renamed file, it takes
-	// effect together with the snapshot.
+	// ReplacedSequence is the sequence number of the newest segment whose entries this
+	// snapshot replaces regardless of their index: the local log after a snapshot that
+	// was received from a leader may conflict with the leader's. As part of the renamed
+	// file, it takes effect together with the snapshot.
 	ReplacedSequence uint64 `msgpack:"r"`
 }
 
-// Journal is open for appending. It is not safe for concurrent use: the
-// replica's duty owns it.
+// Journal is a journal that is open for appending. It is not safe for concurrent use:
+// the replica's duty, one goroutine with a mailbox, owns it.
 type Journal struct {
 	fileSystem   disk.FileSystem
 	segmentBytes int
@@ -79,21 +81,22 @@
 	currentName  string
 	currentSize  int
 	buffer       []byte
-	// segments are the names and first indexes of all segments, oldest first.
+	// segments are all segments, oldest first.
 	segments []segment
 	hard     HardState
 	last     uint64
 }
 
-// segment is one file. Its first index is the lowest that it may hold.
+// segment is one segment file. Its first index is the lowest that the file may hold.
 type segment struct {
 	name  string
 	first uint64
-	// sequence orders segments that begin at the same index.
+	// sequence orders segments that start at the same index.
 	sequence uint64
 }
 
-// Open reads the journal and makes it ready for appending.
+// Open reads the journal and opens it for appending. segmentBytes is the size at which a new
+// segment is started; 0 or less means DefaultSegmentBytes.
 func Open(fileSystem disk.FileSystem, segmentBytes int) (*Journal, *Recovered, error) {
 	if segmentBytes <= 0 {
 		segmentBytes = DefaultSegmentBytes
@@ -137,8 +140,8 @@
 }
 
 // Append buffers a hard state (nil if unchanged) and entries. An entry whose
-// index is at most the last one replaces it and all behind it. Nothing counts
-// before Sync.
+// index is already in the journal replaces that entry and all later ones. Nothing
+// is durable before Sync.
 func (j *Journal) Append(hard *HardState, entries []Entry) error {
 	var err error
 	for position := range entries {
@@ -155,7 +158,7 @@
 	return err
 }
 
-// Sync writes and syncs everything appended: many entries, one sync.
+// Sync writes all appended records and makes them durable with a single sync.
 func (j *Journal) Sync() error {
 	if len(j.buffer) == 0 {
 		return nil
@@ -174,9 +177,9 @@
 	return nil
 }
 
-// SaveSnapshot makes a snapshot last, then removes the segments and older
-// snapshots that it replaces. resetLog tells that the log's entries up to and
-// beyond the snapshot were dropped (a snapshot received from the leader).
+// SaveSnapshot makes a snapshot durable, then removes the segments and older
+// snapshots that it replaces. resetLog indicates that the whole log was dropped,
+// including entries after the snapshot (for a snapshot received from the leader).
 func (j *Journal) SaveSnapshot(snapshot Snapshot, resetLog bool) error {
 	if err := j.Sync(); err != nil {
 		return err
@@ -211,8 +214,8 @@
 	return errors.Join(j.Sync(), j.current.Close())
 }
 
-// beginSegment syncs a new file's name into the folder and repeats the hard
-// state in it, so that older segments can go.
+// beginSegment creates a segment file and syncs its directory entry. It repeats the hard
+// state in the file, so that older segments can be removed.
 func (j *Journal) beginSegment(first uint64) error {
 	if j.current != nil {
 		if err := j.current.Close(); err != nil {
@@ -246,8 +249,8 @@
 	return nil
 }
 
-// removeCovered removes segments whose entries all lie at or below index or
-// that were replaced whole, and snapshots beyond those kept.
+// removeCovered removes the segments whose entries all have indexes up to index, those
+// that were replaced as a whole, and snapshots beyond the number that is kept.
 func (j *Journal) removeCovered(index, replacedSequence uint64) error {
 	for len(j.segments) > 1 && (j.segments[1].first <= index+1 || j.segments[0].sequence <= replacedSequence) {
 		if err := j.fileSystem.Remove(j.segments[0].name); err != nil {
@@ -293,18 +296,18 @@
 			continue
 		}
 		if position < len(j.segments)-1 || anyFrameAfter(data[good:]) {
-			return &CorruptionError{File: file.name, Offset: good, Detail: "a record's checksum does not match, and records follow it"}
+			return &CorruptionError{File: file.name, Offset: good, Detail: "a record has a wrong checksum, and valid records follow it"}
 		}
 		if err := j.fileSystem.Truncate(file.name, int64(good)); err != nil {
-			return fmt.Errorf("cutting the torn tail of journal file %s: %w", file.name, err)
+			return fmt.Errorf("truncating the torn tail of journal file %s: %w", file.name, err)
 		}
 		recovered.TornBytes = len(data) - good
 	}
 	return nil
 }
 
-// syncSegment makes what was read from a segment last: the process that wrote
-// it may have been killed before it synced, and what is read here is relied on.
+// syncSegment makes the records that were read from a segment durable: the process that wrote
+// them may have been killed before it synced, and this replica will act on them.
 func (j *Journal) syncSegment(name string) error {
 	file, err := j.fileSystem.Append(name)
 	if err != nil {
@@ -316,7 +319,8 @@
 	return file.Close()
 }
 
-// takeHardState reads a segment whose entries a snapshot has replaced.
+// takeHardState adds a record of a segment whose entries were replaced by a snapshot: only its hard
+// state counts.
 func (r *Recovered) takeHardState(value record) error {
 	value.Entry = nil
 	if value.HardState == nil {
@@ -326,7 +330,7 @@
 	return r.take(value)
 }
 
-// take adds one record read from a segment.
+// take adds one record that was read from a segment.
 func (r *Recovered) take(value record) error {
 	r.RecordsRead++
 	if value.HardState != nil {
@@ -338,7 +342,8 @@
 	}
 	entry := *value.Entry
 	if r.Snapshot != nil && entry.Index <= r.Snapshot.Index {
-		// A leader may have replaced entries that the snapshot now covers.
+		// The snapshot covers this entry. An entry replaces all later ones: a leader has
+		// overwritten the log from here on.
 		r.Entries = nil
 		return nil
 	}
@@ -363,7 +368,7 @@
 		sequence, sequenceErr := strconv.ParseUint(sequenceText, 10, 64)
 		first, firstErr := strconv.ParseUint(firstText, 10, 64)
 		if !found || sequenceErr != nil || firstErr != nil {
-			return nil, &CorruptionError{File: name, Detail: "its name is not one that the journal gives"}
+			return nil, &CorruptionError{File: name, Detail: "the name of the segment file is not valid"}
 		}
 		segments = append(segments, segment{name: name, first: first, sequence: sequence})
 	}
@@ -380,8 +385,8 @@
 	return snapshots
 }
 
-// newestSnapshot reads the newest snapshot. Snapshots are renamed into place
-// only after they were synced, so a damaged one is never a torn write.
+// newestSnapshot reads the newest snapshot. Snapshot files are renamed into place
+// only after they were synced, so damage in one is never a torn write.
 func newestSnapshot(fileSystem disk.FileSystem, names []string) (*storedSnapshot, error) {
 	snapshots := snapshotNames(names)
 	if len(snapshots) == 0 {
@@ -394,7 +399,7 @@
 	}
 	payload, valid := FrameAt(data)
 	if !valid {
-		return nil, &CorruptionError{File: name, Detail: "its checksum does not match"}
+		return nil, &CorruptionError{File: name, Detail: "the checksum of the snapshot is wrong"}
 	}
 	var snapshot storedSnapshot
 	if err := msgpack.Unmarshal(payload, &snapshot); err != nil {
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -37,7 +37,7 @@
 	assert.NilError(t, opened.Append(&HardState{Term: 3, Vote: 7}, entriesFrom(1, 5, 3)))
 	assert.NilError(t, opened.Sync())
 	assert.NilError(t, opened.Append(nil, entriesFrom(6, 1, 3)))
-	// Written, not synced: the crash may keep part of it.
+	// Write without syncing: the crash may keep a part of it.
 	_, err := opened.current.Write(opened.buffer)
 	assert.NilError(t, err)
 	fileSystem.Crash()
@@ -46,8 +46,8 @@
 	assert.Equal(t, recovered.HardState, HardState{Term: 3, Vote: 7})
 }
 
-// A process is killed between a write and its sync; the next one reads what is
-// there, and then the power goes. What the second process was told must last.
+// Guards against losing records that a restarted process has read: the first process is killed
+// between a write and its sync, the second one reads the records, then the power fails.
 func TestWhatARestartedProcessReadSurvivesAPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		fileSystem := disk.NewSimulated(rand.New(rand.NewPCG(seed, 2)))
@@ -94,8 +94,8 @@
 	assert.Assert(t, errors.As(err, &corruption), "got %v", err)
 }
 
-// A snapshot from a new leader replaces a log that contradicts it. A crash
-// right after the snapshot's rename must not bring the old entries back.
+// Guards against old entries reappearing: a snapshot from a new leader replaces a
+// conflicting log, and the process crashes right after the snapshot file was renamed.
 func TestReceivedSnapshotReplacesContradictingLog(t *testing.T) {
 	fileSystem := newDisk()
 	opened, _ := mustOpen(t, fileSystem)
@@ -112,7 +112,7 @@
 	assert.DeepEqual(t, recovered.Entries, entriesFrom(41, 2, 2))
 }
 
-// The cost of a start is bounded by the entries since the newest snapshot.
+// The cost of a start must depend on the entries since the newest snapshot, not on all changes.
 func TestStartUpCostIsBoundedByTheTailNotTheHistory(t *testing.T) {
 	const snapshotEvery = 500
 	for _, changes := range []uint64{1000, 10000} {
@@ -144,8 +144,8 @@
 	assert.Equal(t, fileSystem.Syncs-before, 1)
 }
 
-// Under any order of appends, overwrites, snapshots, syncs and crashes, what
-// was synced is read back.
+// After any sequence of appends, overwrites, snapshots, syncs and crashes, all synced
+// records must be read back.
 func TestSyncedStateIsReadBackAfterAnyHistory(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		fileSystem := disk.NewSimulated(rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 0)))
@@ -199,8 +199,8 @@
 	})
 }
 
-// FuzzDecodeRecords feeds damaged segments to the decoder: it must neither
-// panic nor accept a record whose checksum does not match.
+// FuzzDecodeRecords passes damaged segments to the decoder, which must neither
+// panic nor accept a record with a wrong checksum.
 func FuzzDecodeRecords(f *testing.F) {
 	valid, err := appendRecord(nil, record{HardState: &HardState{Term: 1}})
 	assert.NilError(f, err)
--- a/internal/state/journal/record.go
+++ b/internal/state/journal/record.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// recordHeaderBytes is the length (4 bytes) and the checksum (4 bytes).
+	// recordHeaderBytes is the size of a record's header: length (4 bytes) and checksum (4 bytes).
 	recordHeaderBytes = 8
-	// MaximumRecordBytes bounds one record; a longer length is corruption.
+	// MaximumRecordBytes bounds the size of one record; a longer length in a header is corruption.
 	MaximumRecordBytes = 64 << 20
 )
 
-// checksumTable is CRC-32C, which processors compute in hardware.
+// checksumTable is the table of CRC-32C, which processors compute in hardware.
 var checksumTable = crc32.MakeTable(crc32.Castagnoli)
 
-// EntryKind tells what a log entry carries.
+// EntryKind is the kind of a log entry's data.
 type EntryKind uint8
 
 const (
-	// EntryCommand carries a command of the state machine.
+	// EntryCommand entries hold a command of the state machine.
 	EntryCommand EntryKind = iota
-	// EntryConfiguration carries the group's membership.
+	// EntryConfiguration entries hold the group's membership.
 	EntryConfiguration
-	// EntryEmpty is appended by a new leader to commit its predecessors' entries.
+	// EntryEmpty entries are appended by a new leader to commit its predecessors' entries.
 	EntryEmpty
 )
 
@@ -38,14 +38,14 @@
 	Data  []byte    `msgpack:"d"`
 }
 
-// HardState is what a replica must remember across restarts besides its log.
+// HardState is the state besides the log that a replica must keep across restarts.
 type HardState struct {
 	Term   uint64 `msgpack:"t"`
 	Vote   uint64 `msgpack:"v"`
 	Commit uint64 `msgpack:"c"`
 }
 
-// Snapshot is the state up to and including Index, in place of the log.
+// Snapshot is the state up to and including Index. It replaces the log up to there.
 type Snapshot struct {
 	Index uint64 `msgpack:"i"`
 	Term  uint64 `msgpack:"t"`
@@ -54,13 +54,13 @@
 	Data          []byte `msgpack:"d"`
 }
 
-// record is what a segment file holds: exactly one field is set.
+// record is one record of a segment file: exactly one field is set.
 type record struct {
 	Entry     *Entry     `msgpack:"e,omitempty"`
 	HardState *HardState `msgpack:"h,omitempty"`
 }
 
-// appendRecord frames one record onto buffer.
+// appendRecord encodes a record and appends its frame to buffer.
 func appendRecord(buffer []byte, value record) ([]byte, error) {
 	payload, err := msgpack.Marshal(&value)
 	if err != nil {
@@ -69,8 +69,8 @@
 	return AppendFrame(buffer, payload)
 }
 
-// AppendFrame frames a payload with its length and checksum. A record that
-// reading would refuse as too long is refused here, before it is written.
+// AppendFrame appends a payload with its length and checksum to buffer. It refuses a
+// payload that could not be read back because it is too long.
 func AppendFrame(buffer, payload []byte) ([]byte, error) {
 	if len(payload) > MaximumRecordBytes {
 		return nil, fmt.Errorf("a journal record has %d bytes; at most %d are allowed",
@@ -81,8 +81,8 @@
 	return append(buffer, payload...), nil
 }
 
-// FrameAt returns the payload framed at the start of data, or false if there
-// is no whole and undamaged frame.
+// FrameAt returns the payload of the frame at the start of data and reports whether
+// there is a complete frame with a correct checksum.
 func FrameAt(data []byte) (payload []byte, valid bool) {
 	if len(data) < recordHeaderBytes {
 		return nil, false
@@ -98,8 +98,8 @@
 	return payload, true
 }
 
-// decodeRecords reads frames until the end or the first bad one. good is the
-// offset up to which everything is undamaged.
+// decodeRecords calls visit with each record until the end or the first damaged frame. good
+// is the offset up to which everything is undamaged.
 func decodeRecords(data []byte, visit func(record) error) (good int, err error) {
 	for good < len(data) {
 		payload, valid := FrameAt(data[good:])
@@ -118,8 +118,9 @@
 	return good, nil
 }
 
-// anyFrameAfter tells whether a whole undamaged frame starts anywhere in data
-// behind its first byte. It tells a torn tail (none) from damage in the middle.
+// anyFrameAfter reports whether a complete undamaged frame starts anywhere in data
+// after its first byte. There is none after a torn tail, but there are some after damage in
+// the middle of a file.
 func anyFrameAfter(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes < len(data); offset++ {
 		if _, valid := FrameAt(data[offset:]); valid {
