--- a/internal/state/disk/disk.go
+++ b/internal/state/disk/disk.go
@@ -1,9 +1,9 @@
-// Package disk is the narrow view that durable state has of a file system.
+// Package disk is the small file system interface that durable state is built on.
 //
-// Two implementations stand behind it: OS, a folder of the machine, and
-// Simulated, which forgets everything that was not synced when it crashes.
-// Durable code is written against FileSystem only, so that the same code runs
-// in the daemon and under simulated power loss.
+// It has two implementations: OS, a folder of the machine's file system, and
+// Simulated, an in-memory disk that may lose everything unsynced in a crash.
+// Durable code uses only FileSystem, so that the same code runs in the daemon
+// and under simulated power loss.
 package disk
 
 import (
@@ -11,13 +11,13 @@
 	"io/fs"
 )
 
-// ErrNotExist is returned for a file that is not there.
+// ErrNotExist is returned for a file that does not exist.
 var ErrNotExist = fs.ErrNotExist
 
-// ErrCrashed is returned by a simulated disk after its crash.
+// ErrCrashed is returned by files of a simulated disk that were opened before its last crash.
 var ErrCrashed = errors.New("disk: crashed")
 
-// ErrFull is returned by a simulated disk that takes no more bytes.
+// ErrFull is returned by writes to a simulated disk that is full.
 var ErrFull = errors.New("disk: full")
 
 // FileSystem is a flat folder of files. Names have no directory part.
@@ -27,15 +27,16 @@
 	Append(name string) (File, error)
 	// ReadFile returns the whole content of a file.
 	ReadFile(name string) ([]byte, error)
-	// Truncate cuts a file to size bytes. The cut lasts once the file is synced.
+	// Truncate shortens a file to size bytes. The change is durable once the file is synced.
 	Truncate(name string, size int64) error
-	// Rename replaces newName by oldName. It lasts after SyncFolder.
+	// Rename renames oldName to newName and replaces an existing newName. The change is durable
+	// after SyncFolder.
 	Rename(oldName, newName string) error
-	// Remove deletes a file. It lasts after SyncFolder.
+	// Remove deletes a file. The change is durable after SyncFolder.
 	Remove(name string) error
 	// List returns the names of all files, sorted.
 	List() ([]string, error)
-	// SyncFolder makes created, renamed and removed names last.
+	// SyncFolder makes created, renamed and removed names durable.
 	SyncFolder() error
 }
 
@@ -43,14 +44,14 @@
 type File interface {
 	// Write appends data.
 	Write(data []byte) (int, error)
-	// Sync makes all written data last.
+	// Sync makes all written data durable.
 	Sync() error
 	// Close releases the file without syncing it.
 	Close() error
 }
 
-// WriteFileSynced writes a whole file so that after a crash either the old
-// content or the new one is there: it writes aside, syncs, renames and syncs
+// WriteFileSynced replaces a whole file atomically: after a crash it has either its
+// old or its new content. It writes a temporary file, syncs it, renames it and syncs
 // the folder.
 func WriteFileSynced(fileSystem FileSystem, name string, data []byte) error {
 	temporary := name + ".tmp"
--- a/internal/state/disk/os.go
+++ b/internal/state/disk/os.go
@@ -11,7 +11,7 @@
 	fileMode   = 0o600
 )
 
-// OS is a folder of the machine's file system.
+// OS is a FileSystem on a folder of the machine.
 type OS struct {
 	root string
 }
@@ -34,7 +34,7 @@
 	return os.ReadFile(o.path(name))
 }
 
-// Truncate implements FileSystem. The cut is synced before it returns.
+// Truncate implements FileSystem. It syncs the file before it returns.
 func (o *OS) Truncate(name string, size int64) error {
 	file, err := os.OpenFile(o.path(name), os.O_WRONLY, fileMode)
 	if err != nil {
--- a/internal/state/disk/simulated.go
+++ b/internal/state/disk/simulated.go
@@ -6,19 +6,19 @@
 	"sync"
 )
 
-// Simulated is an in-memory disk with the promises of a real one and no more:
-// on Crash, file content that was not synced is lost from an arbitrary point
-// on (and may be torn), and names that were not synced revert.
+// Simulated is an in-memory disk with only the guarantees of a real one: a Crash
+// loses unsynced file content from an arbitrary point on (and may corrupt its last
+// byte), and reverts names that were not synced.
 type Simulated struct {
 	mutex  sync.Mutex
 	random *rand.Rand
-	// files is what running code sees; durable is what a crash leaves.
+	// files are the files that running code sees, durable those that survive a crash.
 	files   map[string]*simulatedContent
 	durable map[string]*simulatedContent
-	// generation invalidates files that were open before a crash.
+	// generation invalidates files that were opened before a crash.
 	generation int
 	full       bool
-	// Syncs counts file syncs, for bounds in tests and benchmarks.
+	// Syncs is the number of file syncs, for checks in tests and benchmarks.
 	Syncs int
 }
 
@@ -28,8 +28,8 @@
 	synced int
 }
 
-// NewSimulated makes an empty disk whose crashes are decided by the random
-// source.
+// NewSimulated returns an empty disk. The random source decides what its crashes
+// lose.
 func NewSimulated(random *rand.Rand) *Simulated {
 	return &Simulated{
 		random:  random,
@@ -38,7 +38,8 @@
 	}
 }
 
-// Crash loses what was not synced. Files opened before fail from now on.
+// Crash simulates a power loss: data and names that were not synced may be lost. Files that were
+// opened before fail from now on.
 func (s *Simulated) Crash() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -65,22 +66,22 @@
 	s.durable = copyNames(survivors)
 }
 
-// Kill is the end of the process that uses the disk: files stay as they were
-// written, synced or not, and those open before fail from now on.
+// Kill simulates the end of the process that uses the disk: files keep all written
+// data, synced or not. Files that were opened before fail from now on.
 func (s *Simulated) Kill() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.generation++
 }
 
-// SetFull makes the disk refuse every write, or take them again.
+// SetFull makes the disk refuse all writes, or accept them again.
 func (s *Simulated) SetFull(full bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.full = full
 }
 
-// Erase makes the disk come back empty, as a replaced one does.
+// Erase removes all content, as when a disk is replaced by an empty one.
 func (s *Simulated) Erase() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -89,7 +90,7 @@
 	s.durable = map[string]*simulatedContent{}
 }
 
-// Corrupt flips one byte of a file in place, synced or not.
+// Corrupt inverts one byte of a file in place, whether synced or not.
 func (s *Simulated) Corrupt(name string, offset int) error {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
