--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -30,8 +30,8 @@
 	snapshotSuffix = ".snap"
 	// DefaultSegmentBytes is the size at which a new segment is started, in bytes.
 	DefaultSegmentBytes = 4 << 20
-	// snapshotsKept is the number of snapshots that are kept, including the newest.
-	snapshotsKept = 2
+	// maximumSnapshots is the number of snapshots that are kept, including the newest.
+	maximumSnapshots = 2
 )
 
 // CorruptionError reports damage that a crash can't have caused.
@@ -82,15 +82,15 @@
 	currentSize  int
 	buffer       []byte
 	// segments are all segments, oldest first.
-	segments []segment
-	hard     HardState
-	last     uint64
+	segments  []segment
+	hardState HardState
+	lastIndex uint64
 }
 
 // segment is one segment file. Its first index is the lowest that the file may hold.
 type segment struct {
-	name  string
-	first uint64
+	name       string
+	firstIndex uint64
 	// sequence orders segments that start at the same index.
 	sequence uint64
 }
@@ -121,9 +121,9 @@
 	if err := journal.readSegments(recovered); err != nil {
 		return nil, nil, err
 	}
-	journal.hard = recovered.HardState
-	journal.last = recovered.lastIndex()
-	if err := journal.beginSegment(journal.last + 1); err != nil {
+	journal.hardState = recovered.HardState
+	journal.lastIndex = recovered.lastIndex()
+	if err := journal.beginSegment(journal.lastIndex + 1); err != nil {
 		return nil, nil, err
 	}
 	return journal, recovered, nil
@@ -148,12 +148,12 @@
 		if j.buffer, err = appendRecord(j.buffer, record{Entry: &entries[position]}); err != nil {
 			return err
 		}
-		j.last = entries[position].Index
+		j.lastIndex = entries[position].Index
 	}
 	if hard == nil {
 		return nil
 	}
-	j.hard = *hard
+	j.hardState = *hard
 	j.buffer, err = appendRecord(j.buffer, record{HardState: hard})
 	return err
 }
@@ -172,7 +172,7 @@
 	j.currentSize += len(j.buffer)
 	j.buffer = j.buffer[:0]
 	if j.currentSize >= j.segmentBytes {
-		return j.beginSegment(j.last + 1)
+		return j.beginSegment(j.lastIndex + 1)
 	}
 	return nil
 }
@@ -201,9 +201,9 @@
 		return fmt.Errorf("writing snapshot %s: %w", name, err)
 	}
 	if resetLog {
-		j.last = snapshot.Index
+		j.lastIndex = snapshot.Index
 	}
-	if err := j.beginSegment(j.last + 1); err != nil {
+	if err := j.beginSegment(j.lastIndex + 1); err != nil {
 		return err
 	}
 	return j.removeCovered(snapshot.Index, stored.ReplacedSequence)
@@ -216,22 +216,22 @@
 
 // beginSegment creates a segment file and syncs its directory entry. It repeats the hard
 // state in the file, so that older segments can be removed.
-func (j *Journal) beginSegment(first uint64) error {
+func (j *Journal) beginSegment(firstIndex uint64) error {
 	if j.current != nil {
 		if err := j.current.Close(); err != nil {
 			return fmt.Errorf("closing journal file %s: %w", j.currentName, err)
 		}
 	}
-	next := segment{first: first, sequence: 1}
+	next := segment{firstIndex: firstIndex, sequence: 1}
 	if count := len(j.segments); count > 0 {
 		next.sequence = j.segments[count-1].sequence + 1
 	}
-	next.name = fmt.Sprintf("%s%020d-%020d%s", segmentPrefix, next.sequence, first, segmentSuffix)
+	next.name = fmt.Sprintf("%s%020d-%020d%s", segmentPrefix, next.sequence, firstIndex, segmentSuffix)
 	file, err := j.fileSystem.Append(next.name)
 	if err != nil {
 		return fmt.Errorf("creating journal file %s: %w", next.name, err)
 	}
-	header, err := appendRecord(nil, record{HardState: &j.hard})
+	header, err := appendRecord(nil, record{HardState: &j.hardState})
 	if err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 // removeCovered removes the segments whose entries all have indexes up to index, those
 // that were replaced as a whole, and snapshots beyond the number that is kept.
 func (j *Journal) removeCovered(index, replacedSequence uint64) error {
-	for len(j.segments) > 1 && (j.segments[1].first <= index+1 || j.segments[0].sequence <= replacedSequence) {
+	for len(j.segments) > 1 && (j.segments[1].firstIndex <= index+1 || j.segments[0].sequence <= replacedSequence) {
 		if err := j.fileSystem.Remove(j.segments[0].name); err != nil {
 			return fmt.Errorf("removing journal file %s: %w", j.segments[0].name, err)
 		}
@@ -263,7 +263,7 @@
 		return fmt.Errorf("listing the data folder: %w", err)
 	}
 	snapshots := snapshotNames(names)
-	for position := 0; position+snapshotsKept < len(snapshots); position++ {
+	for position := 0; position+maximumSnapshots < len(snapshots); position++ {
 		if err := j.fileSystem.Remove(snapshots[position]); err != nil {
 			return fmt.Errorf("removing snapshot %s: %w", snapshots[position], err)
 		}
@@ -281,27 +281,27 @@
 		if err != nil {
 			return fmt.Errorf("reading journal file %s: %w", file.name, err)
 		}
-		take := recovered.take
+		add := recovered.addRecord
 		if file.sequence <= recovered.replacedSequence {
-			take = recovered.takeHardState
+			add = recovered.addHardState
 		}
-		good, err := decodeRecords(data, take)
+		validBytes, err := decodeRecords(data, add)
 		if err != nil {
-			return &CorruptionError{File: file.name, Offset: good, Detail: err.Error()}
+			return &CorruptionError{File: file.name, Offset: validBytes, Detail: err.Error()}
 		}
-		if good == len(data) {
+		if validBytes == len(data) {
 			if err := j.syncSegment(file.name); err != nil {
 				return err
 			}
 			continue
 		}
-		if position < len(j.segments)-1 || anyFrameAfter(data[good:]) {
-			return &CorruptionError{File: file.name, Offset: good, Detail: "a record has a wrong checksum, and valid records follow it"}
+		if position < len(j.segments)-1 || containsLaterFrame(data[validBytes:]) {
+			return &CorruptionError{File: file.name, Offset: validBytes, Detail: "a record has a wrong checksum, and valid records follow it"}
 		}
-		if err := j.fileSystem.Truncate(file.name, int64(good)); err != nil {
+		if err := j.fileSystem.Truncate(file.name, int64(validBytes)); err != nil {
 			return fmt.Errorf("truncating the torn tail of journal file %s: %w", file.name, err)
 		}
-		recovered.TornBytes = len(data) - good
+		recovered.TornBytes = len(data) - validBytes
 	}
 	return nil
 }
@@ -319,19 +319,19 @@
 	return file.Close()
 }
 
-// takeHardState adds a record of a segment whose entries were replaced by a snapshot: only its hard
+// addHardState adds a record of a segment whose entries were replaced by a snapshot: only its hard
 // state counts.
-func (r *Recovered) takeHardState(value record) error {
+func (r *Recovered) addHardState(value record) error {
 	value.Entry = nil
 	if value.HardState == nil {
 		r.RecordsRead++
 		return nil
 	}
-	return r.take(value)
+	return r.addRecord(value)
 }
 
-// take adds one record that was read from a segment.
-func (r *Recovered) take(value record) error {
+// addRecord adds one record that was read from a segment.
+func (r *Recovered) addRecord(value record) error {
 	r.RecordsRead++
 	if value.HardState != nil {
 		r.HardState = *value.HardState
@@ -366,11 +366,11 @@
 		}
 		sequenceText, firstText, found := strings.Cut(strings.TrimSuffix(middle, segmentSuffix), "-")
 		sequence, sequenceErr := strconv.ParseUint(sequenceText, 10, 64)
-		first, firstErr := strconv.ParseUint(firstText, 10, 64)
+		firstIndex, firstErr := strconv.ParseUint(firstText, 10, 64)
 		if !found || sequenceErr != nil || firstErr != nil {
 			return nil, &CorruptionError{File: name, Detail: "the name of the segment file is not valid"}
 		}
-		segments = append(segments, segment{name: name, first: first, sequence: sequence})
+		segments = append(segments, segment{name: name, firstIndex: firstIndex, sequence: sequence})
 	}
 	return segments, nil
 }
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -48,7 +48,7 @@
 
 // Guards against losing records that a restarted process has read: the first process is killed
 // between a write and its sync, the second one reads the records, then the power fails.
-func TestWhatARestartedProcessReadSurvivesAPowerLoss(t *testing.T) {
+func TestRecordsReadAfterARestartSurviveAPowerLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		fileSystem := disk.NewSimulated(rand.New(rand.NewPCG(seed, 2)))
 		opened, _ := mustOpen(t, fileSystem)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestDamageInTheMiddleIsRefusedWithItsPlace(t *testing.T) {
+func TestDamageInTheMiddleIsReportedWithItsOffset(t *testing.T) {
 	fileSystem := newDisk()
 	opened, _ := mustOpen(t, fileSystem)
 	assert.NilError(t, opened.Append(nil, entriesFrom(1, 8, 1)))
@@ -77,7 +77,7 @@
 	assert.Assert(t, corruption.Offset > 0 && corruption.Offset <= 60)
 }
 
-func TestDamageInAnOlderSegmentIsNeverTakenForATornTail(t *testing.T) {
+func TestDamageInAnOlderSegmentIsNotTreatedAsATornTail(t *testing.T) {
 	fileSystem := newDisk()
 	opened, _ := mustOpen(t, fileSystem)
 	for index := uint64(1); index <= 60; index++ {
@@ -208,13 +208,13 @@
 	f.Add(append(append([]byte(nil), valid...), 0, 0, 0))
 	f.Add([]byte{0, 0, 0, 4, 1, 2, 3, 4, 5, 6, 7, 8})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		good, _ := decodeRecords(data, func(record) error { return nil })
-		assert.Assert(t, good >= 0 && good <= len(data))
-		for offset := 0; offset < good; {
+		validBytes, _ := decodeRecords(data, func(record) error { return nil })
+		assert.Assert(t, validBytes >= 0 && validBytes <= len(data))
+		for offset := 0; offset < validBytes; {
 			payload, valid := FrameAt(data[offset:])
 			assert.Assert(t, valid)
 			offset += recordHeaderBytes + len(payload)
 		}
-		anyFrameAfter(data)
+		containsLaterFrame(data)
 	})
 }
--- a/internal/state/journal/record.go
+++ b/internal/state/journal/record.go
@@ -98,30 +98,30 @@
 	return payload, true
 }
 
-// decodeRecords calls visit with each record until the end or the first damaged frame. good
+// decodeRecords calls visit with each record until the end or the first damaged frame. validBytes
 // is the offset up to which everything is undamaged.
-func decodeRecords(data []byte, visit func(record) error) (good int, err error) {
-	for good < len(data) {
-		payload, valid := FrameAt(data[good:])
+func decodeRecords(data []byte, visit func(record) error) (validBytes int, err error) {
+	for validBytes < len(data) {
+		payload, valid := FrameAt(data[validBytes:])
 		if !valid {
-			return good, nil
+			return validBytes, nil
 		}
 		var value record
 		if err := msgpack.Unmarshal(payload, &value); err != nil {
-			return good, fmt.Errorf("decoding a record with a correct checksum at byte %d: %w", good, err)
+			return validBytes, fmt.Errorf("decoding a record with a correct checksum at byte %d: %w", validBytes, err)
 		}
 		if err := visit(value); err != nil {
-			return good, fmt.Errorf("at byte %d: %w", good, err)
+			return validBytes, fmt.Errorf("at byte %d: %w", validBytes, err)
 		}
-		good += recordHeaderBytes + len(payload)
+		validBytes += recordHeaderBytes + len(payload)
 	}
-	return good, nil
+	return validBytes, nil
 }
 
-// anyFrameAfter reports whether a complete undamaged frame starts anywhere in data
+// containsLaterFrame reports whether a complete undamaged frame starts anywhere in data
 // after its first byte. There is none after a torn tail, but there are some after damage in
 // the middle of a file.
-func anyFrameAfter(data []byte) bool {
+func containsLaterFrame(data []byte) bool {
 	for offset := 1; offset+recordHeaderBytes < len(data); offset++ {
 		if _, valid := FrameAt(data[offset:]); valid {
 			return true
