--- a/internal/protocol/peer/calls.go
+++ b/internal/protocol/peer/calls.go
@@ -8,16 +8,16 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Calls matches replies to the calls that wait for them.
+// Calls sends calls to other nodes and matches the replies to them.
 type Calls struct {
-	// send hands a message to the transport; it may be lost.
+	// send passes a message to the transport; the message may be lost.
 	send    func(to string, kind Kind, body any)
 	mutex   sync.Mutex
 	next    uint64
 	waiting map[uint64]chan Reply
 }
 
-// NewCalls makes a table without waiting calls.
+// NewCalls returns a table without pending calls.
 func NewCalls(send func(to string, kind Kind, body any)) *Calls {
 	return &Calls{send: send, waiting: map[uint64]chan Reply{}}
 }
@@ -37,7 +37,7 @@
 	delete(c.waiting, id)
 }
 
-// Answered hands a reply to the call that waits for it, if one does.
+// Answered delivers a reply to its pending call. A reply without one is dropped.
 func (c *Calls) Answered(reply Reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -47,7 +47,7 @@
 	}
 }
 
-// Answer sends the reply to a call; codeOf classifies an error.
+// Answer sends the reply to a call, with a response or an error; codeOf classifies the error.
 func (c *Calls) Answer(to string, call Call, answer any, err error, codeOf func(error) ErrorCode) {
 	reply := Reply{ID: call.ID}
 	if err == nil {
@@ -59,7 +59,7 @@
 	c.send(to, KindReply, &reply)
 }
 
-// Execute decodes a call's question and does what is asked.
+// Execute decodes a call's request and executes it.
 func Execute[T any](call Call, execute func(T) (any, error)) (any, error) {
 	var question T
 	if err := unmarshal(call.Body, &question); err != nil {
@@ -68,8 +68,8 @@
 	return execute(question)
 }
 
-// Invoke asks another node and decodes its answer. The error is a *ReplyError
-// if the other node answered with one.
+// Invoke calls a method of another node and decodes the response. The error is a
+// *ReplyError if the other node replied with an error.
 func Invoke[T any](ctx context.Context, calls *Calls, to string, method Method, question any) (T, error) {
 	var answer T
 	body, err := msgpack.Marshal(question)
@@ -93,7 +93,7 @@
 	}
 }
 
-// Dispatch decodes an envelope's body and hands it on.
+// Dispatch decodes an envelope's body and passes it to take.
 func Dispatch[T any](envelope Envelope, take func(T)) error {
 	message, err := DecodeBody[T](envelope)
 	if err != nil {
--- a/internal/protocol/peer/dialect.go
+++ b/internal/protocol/peer/dialect.go
@@ -2,33 +2,34 @@
 
 import "fmt"
 
-// Dialect tells how a node reads messages. Each node tells its own with its hellos; one
-// that has not said hello yet, or whose build knows no dialects, is DialectStrict.
+// Dialect is the version of the message format that a node's build reads. Each node sends
+// its own in its hellos. A node that has not sent a hello yet, or whose build sends no
+// version, counts as DialectStrict.
 type Dialect uint8
 
 const (
-	// DialectStrict nodes read a struct that is written as a map by its keys, and pass
-	// over keys that they don't know; a struct that is written as an array they refuse
-	// unless it has just their number of fields.
+	// DialectStrict nodes decode a struct encoded as a map by its keys and ignore unknown
+	// keys. They refuse a struct encoded as an array unless it has exactly as many fields
+	// as their own.
 	DialectStrict Dialect = iota
-	// DialectTolerant nodes also read arrays of fewer and of more fields than their own:
-	// what is missing is zero, what is more is passed over. So a field that a struct gets
-	// behind its last one needs no new dialect.
+	// DialectTolerant nodes also decode arrays with fewer or more fields than their own:
+	// missing fields are zero, additional ones are ignored. So a field that is appended to
+	// a struct needs no new version.
 	DialectTolerant
-	// DialectSums nodes compare InstancesSum of hellos, and know of rollouts.
+	// DialectSums nodes compare InstancesSum of hellos, and support rollouts.
 	DialectSums
-	// DialectPermits nodes give out permits for the limits that instances name.
+	// DialectPermits nodes issue permits for the rate limits that instances name.
 	DialectPermits
-	// dialectEnd is behind the newest dialect.
+	// dialectEnd is one above the newest version.
 	dialectEnd
 )
 
-// OwnDialect is that of this build.
+// OwnDialect is the version of this build.
 const OwnDialect = dialectEnd - 1
 
-// Message is a message on its way to one or more nodes: encoded when it is first needed,
-// and at most once in each form. It is not safe for concurrent use, and its body may
-// not be changed any more.
+// Message is an outgoing message to one or more nodes. It is encoded on first use, and at
+// most once in each form. It is not safe for concurrent use, and its body must not be
+// changed.
 type Message struct {
 	kind  Kind
 	body  any
@@ -36,16 +37,16 @@
 	named []byte
 }
 
-// NewMessage makes a message.
+// NewMessage returns a message with a body of a kind.
 func NewMessage(kind Kind, body any) *Message { return &Message{kind: kind, body: body} }
 
-// Kind is what the body is.
+// Kind returns the kind of the body.
 func (m *Message) Kind() Kind { return m.kind }
 
-// Frame returns the frame for a reader: with arrays, the shorter form by a third to a
-// half for lists, if the reader takes them from builds with other fields; otherwise with
-// field names. A hello is the first word between two nodes, who may have been given
-// another build meanwhile, and always has names.
+// Frame returns the frame for a node that reads a version. Structs are encoded as arrays if
+// the node reads arrays of builds with other fields, and with field names otherwise; arrays
+// make lists shorter by a third to a half. A hello always has field names: it is the first
+// message between two nodes, and the other node's build may have changed since the last one.
 func (m *Message) Frame(reader Dialect) ([]byte, error) {
 	if reader >= DialectTolerant && m.kind != KindHello {
 		return m.encodedOnce(&m.array, marshalArrays)
@@ -61,7 +62,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("encoding a peer message of kind %s: %w", m.kind, err)
 	}
-	// The envelope never gets another field, so that each build reads it.
+	// The envelope must never get another field, so that every build can read it.
 	*frame, err = marshalArrays(&Envelope{Kind: m.kind, Body: body})
 	if err != nil {
 		return nil, fmt.Errorf("encoding a peer envelope of kind %s: %w", m.kind, err)
--- a/internal/protocol/peer/fleet.go
+++ b/internal/protocol/peer/fleet.go
@@ -9,70 +9,72 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// Hello is what a node with open membership says of itself, again and again,
-// to the control nodes; control nodes say it to all nodes that they hear from.
+// Hello is the periodic message in which a node with open membership describes itself
+// to the control nodes. Control nodes send theirs to all nodes that they receive hellos
+// from.
 type Hello struct {
 	// Address (host:port) is the node's peer listener and its name for peers.
 	Address string `msgpack:"a"`
-	// Node and Zone are the names that the settings give.
+	// Node and Zone are the names from the node's settings.
 	Node string `msgpack:"n"`
 	Zone string `msgpack:"z"`
-	// Life names one run of the process; it is drawn anew at each start.
+	// Life identifies the incarnation, one run of the process. It is newly generated at each start.
 	Life     string `msgpack:"l"`
 	Entry    bool   `msgpack:"e,omitempty"`
 	Control  bool   `msgpack:"c,omitempty"`
 	Stopping bool   `msgpack:"s,omitempty"`
-	// Version is the configuration document in force there.
+	// Version is the version of the active configuration document at the sender.
 	Version uint64 `msgpack:"v,omitempty"`
-	// InstancesDigest covers the live instances that the node knows.
+	// InstancesDigest is a digest of the live instances that the node knows.
 	InstancesDigest uint64 `msgpack:"d,omitempty"`
-	// Replica is the identity in a control node's data folder, 0 while it can't
+	// Replica is the identity from a control node's data folder, 0 while it can't
 	// be read.
 	Replica uint64 `msgpack:"r,omitempty"`
-	// HasGroup tells that the replica belongs to a group.
+	// HasGroup reports whether the replica belongs to a group.
 	HasGroup bool `msgpack:"g,omitempty"`
-	// Leader is the address of the leader as the sender knows it in Term.
+	// Leader is the address of the leader of Term that the sender knows.
 	Leader string `msgpack:"w,omitempty"`
 	Term   uint64 `msgpack:"t,omitempty"`
-	// QuorumSilenceMS is the time since a control node last had word of a quorum.
+	// QuorumSilenceMS is the time since a control node's last contact with a quorum, in
+	// milliseconds.
 	QuorumSilenceMS uint64 `msgpack:"q,omitempty"`
-	// Nodes are the nodes that a control node heard from lately. It is left out
-	// when the receiver was told before.
+	// Nodes are the nodes that a control node recently received hellos from. It is left out
+	// when the receiver has the list already.
 	Nodes []NodeEntry `msgpack:"m,omitempty"`
 	// AgeMS is the time since the sender's process started, in milliseconds.
 	AgeMS uint64 `msgpack:"y,omitempty"`
-	// WallMS is the time of day at a control node, in milliseconds since 1970.
+	// WallMS is the wall clock time of a control node, in milliseconds since 1970.
 	WallMS int64 `msgpack:"u,omitempty"`
-	// Evacuated are the evacuated zones as they are in force there. Entry nodes
-	// follow those of control nodes.
+	// Evacuated are the evacuated zones that are active at the sender. Entry nodes
+	// adopt those of control nodes.
 	Evacuated evacuation.Zones `msgpack:"x"`
-	// QuarantineDigest covers what a control node tells of requests that end their
-	// engines; 0 if it holds nothing against any.
+	// QuarantineDigest is a digest of the records that a control node sends about requests
+	// that crash their engines; 0 if it has none.
 	QuarantineDigest uint64 `msgpack:"k,omitempty"`
-	// InstancesSum covers the live instances as InstancesDigest does, which only builds
-	// before DialectSums are told.
+	// InstancesSum is a digest of the live instances too. InstancesDigest is sent only to
+	// builds before DialectSums.
 	InstancesSum uint64 `msgpack:"h,omitempty"`
-	// Rollouts are those in force at a control node; nil if it has nothing to tell of any.
+	// Rollouts are the active rollouts at a control node; nil if it has none to send.
 	Rollouts *rollout.Set `msgpack:"f,omitempty"`
-	// ListVersion is the version of the sender's list of all nodes, if the hello tells of
-	// it: whole in Nodes, or as what has changed since ListBase.
+	// ListVersion is the version of the sender's list of all nodes, if the hello carries
+	// the list: as a whole in Nodes, or as Joined and Left, its changes since ListBase.
 	ListVersion uint64      `msgpack:"lv,omitempty"`
 	ListBase    uint64      `msgpack:"lb,omitempty"`
 	Joined      []NodeEntry `msgpack:"lj,omitempty"`
 	Left        []string    `msgpack:"ll,omitempty"`
-	// Dialect is the sender's.
+	// Dialect is the version of the message format that the sender reads.
 	Dialect Dialect `msgpack:"b,omitempty"`
-	// OlderNodes are the dialects of those in Nodes that have not the sender's.
+	// OlderNodes are the versions of those in Nodes whose version differs from the sender's.
 	OlderNodes map[string]Dialect `msgpack:"o,omitempty"`
-	// LogVersion is the newest version of the replicated log that a control node reads; 0
-	// of builds that don't tell.
+	// LogVersion is the newest version of the replicated log that a control node supports;
+	// 0 from builds that don't send it.
 	LogVersion uint32 `msgpack:"vl,omitempty"`
-	// Build is the commit of the sender's program, "" if it is not known.
+	// Build is the commit that the sender's program was built from, empty if unknown.
 	Build string `msgpack:"bu,omitempty"`
 }
 
-// NodeEntry is one node in a list of nodes. It can't get another field: a list of
-// hundreds is written as arrays for builds of any dialect.
+// NodeEntry is one node in a list of nodes. No field can be added to it: since lists have
+// hundreds of entries, they are encoded as arrays for builds of all versions.
 type NodeEntry struct {
 	Address string `msgpack:"a"`
 	Zone    string `msgpack:"z"`
@@ -89,25 +91,26 @@
 		encoder.EncodeBool(n.Entry), encoder.EncodeBool(n.Control))
 }
 
-// DocumentNotice tells that a document is in force at the sender.
+// DocumentNotice announces the version of the sender's active document.
 type DocumentNotice struct {
 	Version uint64 `msgpack:"v"`
 }
 
-// DocumentFetch asks for the document in force if it is above Have.
+// DocumentFetch requests the active document if its version is above Have.
 type DocumentFetch struct {
 	Have uint64 `msgpack:"h"`
-	// Took tells that this confirms what the receiver sent; it asks for nothing.
+	// Took reports whether the message only confirms a document that was received; it then
+	// requests nothing.
 	Took bool `msgpack:"t,omitempty"`
 }
 
-// DocumentData carries a document as document.Decode reads it.
+// DocumentData carries a document in the encoding that document.Decode reads.
 type DocumentData struct {
 	Version uint64 `msgpack:"v"`
 	Encoded []byte `msgpack:"e"`
 }
 
-// InstancesHeard names the instances that sent heartbeats to the sender of late.
+// InstancesHeard names the instances that recently sent heartbeats to the sender.
 type InstancesHeard struct {
 	IDs []string `msgpack:"i"`
 }
--- a/internal/protocol/peer/peer.go
+++ b/internal/protocol/peer/peer.go
@@ -1,8 +1,8 @@
-// Package peer holds the messages that ravenway's own processes exchange and
+// Package peer defines the messages that ravenway's own processes exchange and
 // their codec: msgpack inside length-prefixed TCP frames (see transport).
 //
 // A frame carries one Envelope. Its body is encoded separately, so that a
-// receiver decodes only what it has a duty for.
+// receiver decodes only the bodies that it has a handler for.
 package peer
 
 import (
@@ -15,7 +15,7 @@
 // Version is the version of the peer protocol.
 const Version = 1
 
-// Kind tells what an envelope's body is.
+// Kind is the kind of an envelope's body.
 type Kind uint8
 
 // Kinds of envelopes.
@@ -32,41 +32,41 @@
 	KindClaims
 	// KindCatalog carries a catalog delta.
 	KindCatalog
-	// KindCatalogFollow asks to be sent catalog deltas.
+	// KindCatalogFollow subscribes the sender to catalog deltas.
 	KindCatalogFollow
-	// KindAccounts carries a holder's reports or their answers.
+	// KindAccounts carries a holder's reports on its budgets, or the responses to them.
 	KindAccounts
 	// KindLend carries loans between holders.
 	KindLend
-	// KindFence carries fence requests and answers.
+	// KindFence carries fence requests and responses.
 	KindFence
 	// KindReports carries back ends' load reports to the nodes of a zone.
 	KindReports
-	// KindHello carries what a node with open membership says of itself.
+	// KindHello carries a Hello of a node with open membership.
 	KindHello
-	// KindDocumentNotice tells that a configuration document is in force.
+	// KindDocumentNotice announces the version of the active configuration document.
 	KindDocumentNotice
-	// KindDocumentFetch asks for the document in force.
+	// KindDocumentFetch requests the active document.
 	KindDocumentFetch
-	// KindDocument carries it.
+	// KindDocument carries a configuration document.
 	KindDocument
 	// KindInstances carries changes of the instance registry.
 	KindInstances
-	// KindInstancesHeard names the instances that a control node heard from.
+	// KindInstancesHeard names the instances that a control node received heartbeats from.
 	KindInstancesHeard
-	// KindLoads carries what entry nodes have under way at the instances.
+	// KindLoads carries the entry nodes' requests in flight at the instances.
 	KindLoads
-	// KindPool carries requests to a zone's pool holders and their refusals.
+	// KindPool carries requests to the holders of a zone's pool and their refusals.
 	KindPool
-	// KindQuarantine carries what nodes hold against requests that end their engines.
+	// KindQuarantine carries the nodes' records of requests that crash their engines.
 	KindQuarantine
-	// KindRollouts carries how instances of old and new versions answer, to the leader.
+	// KindRollouts carries reports on the responses of old and new versions to the leader.
 	KindRollouts
-	// kindEnd is behind the last kind.
+	// kindEnd is one above the last kind.
 	kindEnd
 )
 
-// String names the kind, for metrics.
+// String returns the kind's name, which is used in metrics.
 func (k Kind) String() string {
 	names := [...]string{"none", "consensus", "call", "reply", "status", "claims", "catalog", "follow", "accounts", "lend", "fence", "reports",
 		"hello", "document_notice", "document_fetch", "document", "instances", "instances_heard", "loads", "pool", "quarantine", "rollouts",
@@ -77,7 +77,7 @@
 	return fmt.Sprintf("kind %d", uint8(k))
 }
 
-// Kinds lists all kinds.
+// Kinds returns all kinds.
 func Kinds() []Kind {
 	var kinds []Kind
 	for kind := KindConsensus; kind < kindEnd; kind++ {
@@ -86,19 +86,19 @@
 	return kinds
 }
 
-// Envelope is one frame.
+// Envelope is the content of one frame.
 type Envelope struct {
 	Kind Kind               `msgpack:"k"`
 	Body msgpack.RawMessage `msgpack:"b"`
 }
 
-// Encode returns a frame for a body that only nodes of this build's fields read.
+// Encode returns the frame of a body for nodes that read this build's version of the format.
 func Encode(kind Kind, body any) ([]byte, error) { return NewMessage(kind, body).Frame(OwnDialect) }
 
-// marshalArrays writes structs as arrays: field names would be most of a small message.
+// marshalArrays encodes structs as arrays: field names would be most of a small message.
 func marshalArrays(message any) ([]byte, error) { return marshal(message, true) }
 
-// marshalNamed writes structs as maps, whose fields are found by their names.
+// marshalNamed encodes structs as maps with field names.
 func marshalNamed(message any) ([]byte, error) { return marshal(message, false) }
 
 func marshal(message any, asArrays bool) ([]byte, error) {
@@ -110,7 +110,7 @@
 	return buffer.Bytes(), err
 }
 
-// Decode reads a frame's envelope.
+// Decode decodes a frame's envelope.
 func Decode(frame []byte) (Envelope, error) {
 	var envelope Envelope
 	if err := msgpack.Unmarshal(frame, &envelope); err != nil {
@@ -122,7 +122,7 @@
 	return envelope, nil
 }
 
-// DecodeBody reads an envelope's body into a message.
+// DecodeBody decodes an envelope's body into a message.
 func DecodeBody[T any](envelope Envelope) (T, error) {
 	var message T
 	if err := unmarshal(envelope.Body, &message); err != nil {
@@ -131,35 +131,36 @@
 	return message, nil
 }
 
-// Method names what a call asks for.
+// Method is the method of a call.
 type Method string
 
 // Methods of calls.
 const (
-	// MethodPropose asks the leader to commit a command.
+	// MethodPropose makes the leader commit a command.
 	MethodPropose Method = "propose"
-	// MethodRead asks the leader for committed state.
+	// MethodRead reads committed state from the leader.
 	MethodRead Method = "read"
-	// MethodExplain asks a node for its decisions about a request.
+	// MethodExplain reads a node's decisions about a request.
 	MethodExplain Method = "explain"
-	// MethodAnswer asks a node for a settled answer that it keeps.
+	// MethodAnswer reads a stored response of a finished request from a node.
 	MethodAnswer Method = "answer"
-	// MethodRecall asks a holder to return its unused grant.
+	// MethodRecall makes a holder return its unused grant.
 	MethodRecall Method = "recall"
-	// MethodLend asks a holder to lend a part of its unused grant.
+	// MethodLend makes a holder lend a part of its unused grant.
 	MethodLend Method = "lend"
-	// MethodTakeDocument asks the leader to take a configuration document.
+	// MethodTakeDocument submits a configuration document to the leader.
 	MethodTakeDocument Method = "take_document"
-	// MethodReadDocument asks the leader for the document in force.
+	// MethodReadDocument reads the active document from the leader.
 	MethodReadDocument Method = "read_document"
-	// MethodOrderZone asks the leader to evacuate or restore a zone.
+	// MethodOrderZone makes the leader evacuate or restore a zone.
 	MethodOrderZone Method = "order_zone"
-	// MethodOrderRollout asks the leader to begin a rollout, MethodReadRollout for one.
+	// MethodOrderRollout makes the leader start a rollout, MethodReadRollout reads one from it.
 	MethodOrderRollout Method = "order_rollout"
 	MethodReadRollout  Method = "read_rollout"
-	// MethodPermit asks the holder of an instance's limit for the leave to send one request.
+	// MethodPermit requests a permit for one request from the node that issues the permits
+	// for an instance's rate limit.
 	MethodPermit Method = "permit"
-	// MethodFence asks a claim holder to fence a holder's life.
+	// MethodFence makes a claim acceptor fence an incarnation of a holder.
 	MethodFence Method = "fence"
 )
 
@@ -170,10 +171,10 @@
 	Body   msgpack.RawMessage `msgpack:"b"`
 }
 
-// Reply answers a Call.
+// Reply is the reply to a Call.
 type Reply struct {
 	ID uint64 `msgpack:"i"`
-	// Code tells callers how to go on; empty if there was no error.
+	// Code classifies an error, so that callers know whether to retry; empty if there was none.
 	Code   ErrorCode          `msgpack:"c,omitempty"`
 	Detail string             `msgpack:"d,omitempty"`
 	Body   msgpack.RawMessage `msgpack:"b,omitempty"`
@@ -184,15 +185,16 @@
 
 // Codes of failed calls.
 const (
-	// CodeNotLeader: another node must be asked; nothing was done.
+	// CodeNotLeader: the receiver is not the leader and did nothing; the call must be sent to
+	// another node.
 	CodeNotLeader ErrorCode = "not_leader"
-	// CodeUnknownOutcome: it may or may not have been done.
+	// CodeUnknownOutcome: the call may or may not have taken effect.
 	CodeUnknownOutcome ErrorCode = "unknown_outcome"
-	// CodeRefused: it was not done, and asking again is of no use.
+	// CodeRefused: the call had no effect, and retrying it is useless.
 	CodeRefused ErrorCode = "refused"
 )
 
-// ReplyError is a failed call as the asking side sees it.
+// ReplyError is the error of a call that the other node refused or failed to execute.
 type ReplyError struct {
 	Code   ErrorCode
 	Detail string
@@ -206,23 +208,23 @@
 	Node        string `msgpack:"n"`
 	Zone        string `msgpack:"z"`
 	Incarnation uint64 `msgpack:"i"`
-	// OwnerIncarnation is the life under which the node spends and claims. It
-	// is later than Incarnation if the node was fenced while alive.
+	// OwnerIncarnation is the incarnation under which the node spends and claims. It
+	// is later than Incarnation if the node was fenced while it was running.
 	OwnerIncarnation uint64 `msgpack:"o"`
-	// Revision is the catalog revision in force there.
+	// Revision is the sender's current catalog revision.
 	Revision uint64 `msgpack:"r"`
 	Stopping bool   `msgpack:"s,omitempty"`
 	// Replica is the node's replica identity, 0 if it holds none.
 	Replica uint64 `msgpack:"p,omitempty"`
-	// HasGroup tells that the replica belongs to a group.
+	// HasGroup reports whether the replica belongs to a group.
 	HasGroup bool `msgpack:"g,omitempty"`
-	// Leader is the control node that the sender takes for the leader.
+	// Leader is the control node that the sender considers the leader of Term.
 	Leader string `msgpack:"l,omitempty"`
 	Term   uint64 `msgpack:"t,omitempty"`
 }
 
-// BackendReport is a back end's own word on its load, passed on by the node
-// that asked it.
+// BackendReport is a back end's report on its own load, forwarded by the node
+// that queried it.
 type BackendReport struct {
 	Backend string `msgpack:"b"`
 	Running int    `msgpack:"r"`
@@ -230,12 +232,12 @@
 	Leaving bool   `msgpack:"l,omitempty"`
 }
 
-// BackendReports are the reports of one round.
+// BackendReports are the reports of one round of queries.
 type BackendReports struct {
 	Reports []BackendReport `msgpack:"r"`
 }
 
-// CatalogFollow asks a node for what the sender lacks, now and as it comes.
+// CatalogFollow requests the catalog changes after Revision, the current ones and future ones.
 type CatalogFollow struct {
 	Revision uint64 `msgpack:"r"`
 }
--- a/internal/protocol/peer/tolerant.go
+++ b/internal/protocol/peer/tolerant.go
@@ -10,17 +10,17 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// OlderFields is implemented by structs that got a field elsewhere than behind their
-// last one.
+// OlderFields is implemented by structs to which a field was added anywhere but at the
+// end.
 type OlderFields interface {
-	// OlderFields returns the keys of an array of some number of fields in their order,
-	// as earlier builds write it; nil if they wrote none of that length.
+	// OlderFields returns the field names, in order, of an array with count fields that
+	// earlier builds encode; nil if they encode none of that length.
 	OlderFields(count int) []string
 }
 
-// unmarshal reads a message of this or another build. Messages of this build, nearly all,
-// are read by the library; where that refuses one, its arrays are given the names of
-// their fields first.
+// unmarshal decodes a message of this or another build. The library decodes messages of this
+// build, which are nearly all. If it refuses one, the message's arrays are first converted to
+// maps with field names.
 func unmarshal(data []byte, message any) error {
 	err := msgpack.Unmarshal(data, message)
 	if err == nil {
@@ -29,14 +29,14 @@
 	target := reflect.ValueOf(message).Elem()
 	named, nameErr := nameFields(data, target.Type())
 	if nameErr != nil {
-		// The data is damaged: the library has said where.
+		// The data is damaged; the library's error says where.
 		return err
 	}
 	target.SetZero()
 	return msgpack.Unmarshal(named, message)
 }
 
-// nameFields rewrites the structs of a message that are arrays as maps.
+// nameFields converts the structs of a message that are encoded as arrays to maps.
 func nameFields(data []byte, of reflect.Type) ([]byte, error) {
 	reader := bytes.NewReader(data)
 	var named bytes.Buffer
@@ -47,7 +47,7 @@
 	return named.Bytes(), nil
 }
 
-// namer copies one message from its decoder to its encoder.
+// namer copies one message from its decoder to its encoder and adds field names to arrays.
 type namer struct {
 	decoder *msgpack.Decoder
 	encoder *msgpack.Encoder
@@ -55,7 +55,7 @@
 
 var customDecoder = reflect.TypeFor[msgpack.CustomDecoder]()
 
-// value copies a value that is read into a type.
+// value copies a value that will be decoded into a type.
 func (n *namer) value(of reflect.Type) error {
 	for of.Kind() == reflect.Pointer {
 		of = of.Elem()
@@ -79,7 +79,7 @@
 	return n.raw()
 }
 
-// raw copies a value as it is.
+// raw copies a value unchanged.
 func (n *namer) raw() error {
 	value, err := n.decoder.DecodeRaw()
 	if err != nil {
@@ -115,7 +115,7 @@
 	}
 	for position := range count {
 		if position >= len(known) {
-			// A newer build's field.
+			// The field was added by a newer build.
 			if err := n.decoder.Skip(); err != nil {
 				return err
 			}
@@ -162,14 +162,14 @@
 	return nil
 }
 
-// field is a field of a struct as messages hold it.
+// field is one encoded field of a struct.
 type field struct {
 	name string
 	of   reflect.Type
 }
 
-// fieldsAs are the fields of an array of some length: this build's, unless earlier builds
-// wrote another order in that length.
+// fieldsAs returns the fields of an array with count fields: those of this build, unless
+// earlier builds encode arrays of that length with other fields.
 func fieldsAs(of reflect.Type, count int) []field {
 	fields := fieldsOf(of)
 	older, grew := reflect.Zero(of).Interface().(OlderFields)
@@ -191,8 +191,8 @@
 	return ordered
 }
 
-// fieldsOf lists the fields of a struct in the library's order: those of embedded structs
-// stand in their place.
+// fieldsOf returns the fields of a struct in the library's order, with the fields of embedded
+// structs in place of these.
 func fieldsOf(of reflect.Type) []field {
 	var fields []field
 	for one := range of.Fields() {
@@ -210,9 +210,9 @@
 	return fields
 }
 
-// Shape describes how messages hold a type: for each struct in it the names and kinds of
-// its fields in order, one line a field. Two builds whose shapes of a message are alike
-// write it alike.
+// Shape describes the encoding of a type: one line with name and kind for each field of each
+// struct in it, in order. Two builds with equal shapes of a message encode it in the same
+// way.
 func Shape(of reflect.Type) []string {
 	var lines []string
 	seen := map[reflect.Type]bool{}
@@ -234,7 +234,7 @@
 	return lines
 }
 
-// wireKind is how a value of a type is written.
+// wireKind returns the kind of a type's encoded values.
 func wireKind(of reflect.Type) string {
 	switch of.Kind() {
 	case reflect.Pointer:
--- a/internal/protocol/peer/tolerant_test.go
+++ b/internal/protocol/peer/tolerant_test.go
@@ -31,7 +31,8 @@
 	}
 }
 
-// The library's own order of fields is the one that arrays are read in.
+// fieldsOf must list the fields that the library encodes, in the same order, since arrays are
+// decoded by position.
 func TestFieldsStandInTheOrderOfTheLibrary(t *testing.T) {
 	for _, value := range []any{outer{}, Inner{}, Hello{}, NodeEntry{}, Call{}, Reply{}, Status{}, DocumentFetch{}} {
 		var length int
@@ -42,7 +43,7 @@
 		length = len(fields)
 		assert.Equal(t, len(fieldsOf(reflect.TypeOf(value))), length, "%T", value)
 	}
-	// Read by names after it was written by places.
+	// Encode by position, then decode by name.
 	encoded, err := marshalArrays(filled())
 	assert.NilError(t, err)
 	named, err := nameFields(encoded, reflect.TypeFor[outer]())
@@ -52,7 +53,8 @@
 	assert.DeepEqual(t, read, filled())
 }
 
-// A list of nodes is written for builds that know four fields and no more.
+// Guards against a new field of NodeEntry: lists of nodes are sent to builds that know exactly four
+// fields.
 func TestNodeEntryHasTheFieldsOfAllBuilds(t *testing.T) {
 	assert.Equal(t, reflect.TypeFor[NodeEntry]().NumField(), nodeEntryFields)
 	entry := NodeEntry{Address: "a:1", Zone: "z", Control: true}
