--- a/internal/protocol/peer/dialect.go
+++ b/internal/protocol/peer/protocol.go
@@ -20,12 +20,12 @@
 	DialectSums
 	// DialectPermits nodes issue permits for the rate limits that instances name.
 	DialectPermits
-	// dialectEnd is one above the newest version.
-	dialectEnd
+	// protocolEnd is one above the newest version.
+	protocolEnd
 )
 
 // OwnDialect is the version of this build.
-const OwnDialect = dialectEnd - 1
+const OwnDialect = protocolEnd - 1
 
 // Message is an outgoing message to one or more nodes. It is encoded on first use, and at
 // most once in each form. It is not safe for concurrent use, and its body must not be
@@ -49,12 +49,12 @@
 // message between two nodes, and the other node's build may have changed since the last one.
 func (m *Message) Frame(reader Dialect) ([]byte, error) {
 	if reader >= DialectTolerant && m.kind != KindHello {
-		return m.encodedOnce(&m.array, marshalArrays)
+		return m.encodeOnce(&m.array, marshalArrays)
 	}
-	return m.encodedOnce(&m.named, marshalNamed)
+	return m.encodeOnce(&m.named, marshalNamed)
 }
 
-func (m *Message) encodedOnce(frame *[]byte, marshal func(any) ([]byte, error)) ([]byte, error) {
+func (m *Message) encodeOnce(frame *[]byte, marshal func(any) ([]byte, error)) ([]byte, error) {
 	if *frame != nil {
 		return *frame, nil
 	}
--- a/internal/protocol/peer/tolerant.go
+++ b/internal/protocol/peer/tolerant.go
@@ -40,23 +40,23 @@
 func nameFields(data []byte, of reflect.Type) ([]byte, error) {
 	reader := bytes.NewReader(data)
 	var named bytes.Buffer
-	n := namer{decoder: msgpack.NewDecoder(reader), encoder: msgpack.NewEncoder(&named)}
-	if err := n.value(of); err != nil {
+	n := fieldNamer{decoder: msgpack.NewDecoder(reader), encoder: msgpack.NewEncoder(&named)}
+	if err := n.copyValue(of); err != nil {
 		return nil, err
 	}
 	return named.Bytes(), nil
 }
 
-// namer copies one message from its decoder to its encoder and adds field names to arrays.
-type namer struct {
+// fieldNamer copies one message from its decoder to its encoder and adds field names to arrays.
+type fieldNamer struct {
 	decoder *msgpack.Decoder
 	encoder *msgpack.Encoder
 }
 
 var customDecoder = reflect.TypeFor[msgpack.CustomDecoder]()
 
-// value copies a value that will be decoded into a type.
-func (n *namer) value(of reflect.Type) error {
+// copyValue copies a value that will be decoded into a type.
+func (n *fieldNamer) copyValue(of reflect.Type) error {
 	for of.Kind() == reflect.Pointer {
 		of = of.Elem()
 	}
@@ -68,19 +68,19 @@
 	isMap := msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 	switch {
 	case reflect.PointerTo(of).Implements(customDecoder):
-		return n.raw()
+		return n.copyRaw()
 	case of.Kind() == reflect.Struct && isArray:
-		return n.arrayOfFields(of)
+		return n.copyArrayAsMap(of)
 	case of.Kind() == reflect.Struct && isMap:
-		return n.mapOfFields(of)
+		return n.copyMap(of)
 	case of.Kind() == reflect.Slice && isArray:
-		return n.list(of.Elem())
+		return n.copyList(of.Elem())
 	}
-	return n.raw()
+	return n.copyRaw()
 }
 
-// raw copies a value unchanged.
-func (n *namer) raw() error {
+// copyRaw copies a value unchanged.
+func (n *fieldNamer) copyRaw() error {
 	value, err := n.decoder.DecodeRaw()
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return n.encoder.Encode(value)
 }
 
-func (n *namer) list(element reflect.Type) error {
+func (n *fieldNamer) copyList(element reflect.Type) error {
 	length, err := n.decoder.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -97,19 +97,19 @@
 		return err
 	}
 	for range length {
-		if err := n.value(element); err != nil {
+		if err := n.copyValue(element); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *namer) arrayOfFields(of reflect.Type) error {
+func (n *fieldNamer) copyArrayAsMap(of reflect.Type) error {
 	count, err := n.decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	known := fieldsAs(of, count)
+	known := fieldsOfArray(of, count)
 	if err := n.encoder.EncodeMapLen(min(count, len(known))); err != nil {
 		return err
 	}
@@ -124,14 +124,14 @@
 		if err := n.encoder.EncodeString(known[position].name); err != nil {
 			return err
 		}
-		if err := n.value(known[position].of); err != nil {
+		if err := n.copyValue(known[position].of); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *namer) mapOfFields(of reflect.Type) error {
+func (n *fieldNamer) copyMap(of reflect.Type) error {
 	count, err := n.decoder.DecodeMapLen()
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 		if !found {
 			known = reflect.TypeFor[any]()
 		}
-		if err := n.value(known); err != nil {
+		if err := n.copyValue(known); err != nil {
 			return err
 		}
 	}
@@ -168,9 +168,9 @@
 	of   reflect.Type
 }
 
-// fieldsAs returns the fields of an array with count fields: those of this build, unless
+// fieldsOfArray returns the fields of an array with count fields: those of this build, unless
 // earlier builds encode arrays of that length with other fields.
-func fieldsAs(of reflect.Type, count int) []field {
+func fieldsOfArray(of reflect.Type, count int) []field {
 	fields := fieldsOf(of)
 	older, grew := reflect.Zero(of).Interface().(OlderFields)
 	if !grew {
--- a/internal/protocol/peer/tolerant_test.go
+++ b/internal/protocol/peer/tolerant_test.go
@@ -24,7 +24,7 @@
 	Unnamed bool
 }
 
-func filled() outer {
+func filledOuter() outer {
 	return outer{
 		Inner: Inner{Name: "name", Count: 3}, Plain: 1 << 40, Pointer: &Inner{Name: "pointed"}, List: []Inner{{Name: "one"}, {Name: "two", Count: 2}},
 		Bytes: []byte{1, 2}, Raw: msgpack.RawMessage{0x05}, Unnamed: true,
@@ -33,7 +33,7 @@
 
 // fieldsOf must list the fields that the library encodes, in the same order, since arrays are
 // decoded by position.
-func TestFieldsStandInTheOrderOfTheLibrary(t *testing.T) {
+func TestOrderOfFieldsMatchesTheLibrary(t *testing.T) {
 	for _, value := range []any{outer{}, Inner{}, Hello{}, NodeEntry{}, Call{}, Reply{}, Status{}, DocumentFetch{}} {
 		var length int
 		encoded, err := marshalArrays(value)
@@ -44,13 +44,13 @@
 		assert.Equal(t, len(fieldsOf(reflect.TypeOf(value))), length, "%T", value)
 	}
 	// Encode by position, then decode by name.
-	encoded, err := marshalArrays(filled())
+	encoded, err := marshalArrays(filledOuter())
 	assert.NilError(t, err)
 	named, err := nameFields(encoded, reflect.TypeFor[outer]())
 	assert.NilError(t, err)
 	var read outer
 	assert.NilError(t, msgpack.Unmarshal(named, &read))
-	assert.DeepEqual(t, read, filled())
+	assert.DeepEqual(t, read, filledOuter())
 }
 
 // Guards against a new field of NodeEntry: lists of nodes are sent to builds that know exactly four
@@ -68,7 +68,7 @@
 }
 
 func TestDamagedMessageIsAnError(t *testing.T) {
-	encoded, err := marshalArrays(filled())
+	encoded, err := marshalArrays(filledOuter())
 	assert.NilError(t, err)
 	for length := range encoded {
 		var read outer
