--- a/internal/protocol/operator/operator.go
+++ b/internal/protocol/operator/operator.go
@@ -1,4 +1,4 @@
-// Package operator holds what all listeners for operators have in common.
+// Package operator holds the code that all listeners for operators share.
 package operator
 
 import (
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// bearerPrefix stands before a token in the Authorization header.
+// bearerPrefix precedes the token in the Authorization header.
 const bearerPrefix = "Bearer "
 
-// RequireToken serves only requests that carry the token. An empty token lets
-// all requests pass.
+// RequireToken returns a handler that passes only requests with the bearer token to next
+// and answers others with status 401. With an empty token it passes all requests.
 func RequireToken(token []byte, next http.Handler) http.Handler {
 	if len(token) == 0 {
 		return next
