--- a/internal/protocol/platform/platform.go
+++ b/internal/protocol/platform/platform.go
@@ -1,6 +1,6 @@
-// Package platform is the adapter to the platform's list of live and leaving
-// machines. The list lags and is only a hint: it can stop new work early, but
-// never proves that a machine is gone.
+// Package platform reads the list of live and leaving machines from the platform
+// that runs the machines. The list may be out of date and is only a hint: it can stop
+// new requests early, but never proves that a machine is gone.
 package platform
 
 import (
@@ -11,12 +11,12 @@
 	"net/http"
 )
 
-// PathMachines is where the list is served.
+// PathMachines is the URL path of the list.
 const PathMachines = "/platform/v1/machines"
 
 const maximumListBytes = 16 << 20
 
-// MachineState is what the platform says of a machine.
+// MachineState is the state of a machine according to the platform.
 type MachineState string
 
 // States of a machine.
@@ -32,28 +32,28 @@
 	State   MachineState `json:"state"`
 }
 
-// List is the whole list.
+// List is the response of the platform: all of its machines.
 type List struct {
 	Machines []Machine `json:"machines"`
 }
 
-// Fetch reads the list from a base URL.
+// Fetch requests the list from the platform at a base URL.
 func Fetch(ctx context.Context, client *http.Client, baseURL string) (List, error) {
 	var list List
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, baseURL+PathMachines, nil)
 	if err != nil {
-		return list, fmt.Errorf("asking the platform for its machines: %w", err)
+		return list, fmt.Errorf("requesting the list of machines from the platform: %w", err)
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return list, fmt.Errorf("asking the platform for its machines: %w", err)
+		return list, fmt.Errorf("requesting the list of machines from the platform: %w", err)
 	}
 	defer response.Body.Close()
 	if response.StatusCode != http.StatusOK {
-		return list, fmt.Errorf("asking the platform for its machines: status %d", response.StatusCode)
+		return list, fmt.Errorf("requesting the list of machines from the platform: status %d", response.StatusCode)
 	}
 	if err := json.NewDecoder(io.LimitReader(response.Body, maximumListBytes)).Decode(&list); err != nil {
-		return list, fmt.Errorf("reading the platform's machines: %w", err)
+		return list, fmt.Errorf("decoding the platform's list of machines: %w", err)
 	}
 	return list, nil
 }
