--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// dialStaggered opens a connection with several tries side by side: a try that
-// has no answer goes on while the next one begins. The packets that open a
-// connection may be lost in a cut, and are then sent again only after seconds;
-// over a link that is full they may take over a second. The first connection
-// that comes up is taken, the others are closed. The context bounds all tries.
-// The pause before the next try doubles from the first one.
+// dialStaggered opens a connection with several concurrent attempts: an attempt without
+// a response continues while the next one starts. The packets that open a connection
+// may be lost in a partition, and are then sent again only after seconds; over a
+// saturated link they may take over a second. The first connection that is opened is
+// returned, the others are closed. The context bounds all attempts. The delay before the
+// next attempt starts at pause and doubles each time.
 func dialStaggered(ctx context.Context, pause time.Duration, dial func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -40,8 +40,8 @@
 	for {
 		select {
 		case ended := <-results:
-			// A try that fails says that the other side is there and refuses, or that
-			// it can't be reached at all: the caller waits before it tries again.
+			// A failed attempt means that the other side refuses the connection or can't
+			// be reached at all, so the caller backs off before it tries again.
 			return ended.connection, ended.err
 		case <-next.C:
 			pause *= 2
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedDials answers each try after its own time.
+// scriptedDials is a dial function whose attempts each complete after their own time.
 type scriptedDials struct {
 	waits []time.Duration
 	err   error
@@ -55,8 +55,9 @@
 	})
 }
 
-// Incident CONFIG on zhf-valuation-grown: over a full link the answer to a try
-// came after the try had been given up, each time.
+// Guards against abandoning slow attempts: over a saturated link, each response arrived after
+// its attempt had been given up, so no connection was ever opened (incident CONFIG on
+// zhf-valuation-grown).
 func TestSlowTryGoesOnBesideTheNextOne(t *testing.T) {
 	script := &scriptedDials{waits: []time.Duration{1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond}}
 	inDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
@@ -75,8 +76,9 @@
 	})
 }
 
-// The finding of the shifted site's trouble-1: machines that came back after a loss of
-// all power met no other for 0.9 s, since each had dialled while the others were off.
+// Guards against slow reconnects after a power loss of all machines: each had dialled while
+// the others were still off, so nodes had no connections for 0.9 s after their start
+// (trouble-1 of the shifted site).
 func TestMachineThatGetsItsPowerALittleLaterIsMetALittleLater(t *testing.T) {
 	script := &scriptedDials{waits: []time.Duration{time.Hour, time.Hour, 10 * time.Millisecond}}
 	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// MaximumFrameBytes bounds one frame; a snapshot is the largest.
+	// MaximumFrameBytes bounds the size of one frame; snapshots are the largest ones.
 	MaximumFrameBytes = 64 << 20
-	// maximumHandshakeBytes bounds what a stranger can make a node read.
+	// maximumHandshakeBytes bounds the bytes that a node reads from an unauthenticated peer in
+	// one frame.
 	maximumHandshakeBytes = 4 << 10
-	// frameMACBytes is the length of each frame's authentication code.
+	// frameMACBytes is the length of each frame's message authentication code.
 	frameMACBytes = 16
 	lengthBytes   = 4
-	// FrameOverheadBytes is what a frame adds to its payload.
+	// FrameOverheadBytes is the number of bytes that a frame adds to its payload.
 	FrameOverheadBytes = lengthBytes + frameMACBytes
 )
 
 // Errors of frames.
 var (
-	// ErrFrameTooLong says that a frame's length is over the limit.
+	// ErrFrameTooLong is returned for a frame whose length exceeds the limit.
 	ErrFrameTooLong = errors.New("transport: frame too long")
-	// ErrFrameForged says that a frame's authentication code does not match: it
-	// was garbled, forged, replayed or reordered.
+	// ErrFrameForged is returned for a frame whose authentication code does not match: it
+	// was corrupted, forged, replayed or reordered.
 	ErrFrameForged = errors.New("transport: frame not authentic")
 )
 
-// writePlain writes a frame without authentication, for the handshake only.
+// writePlain writes a frame without an authentication code, for the handshake only.
 func writePlain(writer io.Writer, payload []byte) error {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(payload)))
 	_, err := writer.Write(append(frame, payload...))
 	return err
 }
 
-// readPlain reads a frame of the handshake.
+// readPlain reads a frame without an authentication code, for the handshake only.
 func readPlain(reader io.Reader) ([]byte, error) {
 	return readBounded(reader, maximumHandshakeBytes)
 }
@@ -58,8 +59,8 @@
 	return payload, err
 }
 
-// sealer authenticates the frames of one direction of one connection. The
-// frame's number is part of the code, so that a frame counts once and in order.
+// sealer authenticates the frames of one direction of one connection. A frame's
+// number is part of its authentication code, so replayed or reordered frames are refused.
 type sealer struct {
 	mac    hash.Hash
 	number uint64
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -20,13 +20,13 @@
 
 // Errors of handshakes.
 var (
-	// ErrStranger says that the other side does not hold the shared key.
+	// ErrStranger is returned if the other side could not prove that it holds the shared key.
 	ErrStranger = errors.New("transport: the other side does not hold the shared peer key")
-	// ErrUnknownPeer says that the name is not in the settings.
+	// ErrUnknownPeer is returned if the other side's name is not in the settings.
 	ErrUnknownPeer = errors.New("transport: the other side's name is not a configured peer")
 )
 
-// clientHello opens a connection.
+// clientHello is the first message of a handshake.
 type clientHello struct {
 	Version int    `msgpack:"v"`
 	From    string `msgpack:"f"`
@@ -34,19 +34,19 @@
 	Nonce   []byte `msgpack:"n"`
 }
 
-// serverHello answers it and proves that the server holds the key.
+// serverHello is the response to a clientHello. It proves that the server holds the key.
 type serverHello struct {
 	Nonce []byte `msgpack:"n"`
 	Proof []byte `msgpack:"p"`
 }
 
-// clientProof proves that the client holds the key. Both nonces are part of
-// it, so a recorded handshake can't be replayed.
+// clientProof proves that the client holds the key. Both nonces are part of the proof,
+// so a recorded handshake can't be replayed.
 type clientProof struct {
 	Proof []byte `msgpack:"p"`
 }
 
-// transcript is what both sides prove to have seen.
+// transcript holds the values of a handshake that both sides' proofs cover.
 type transcript struct {
 	key    []byte
 	client clientHello
@@ -64,7 +64,7 @@
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	// crypto/rand.Read never fails: it ends the process instead.
+	// crypto/rand.Read never returns an error: it ends the process instead.
 	_, _ = rand.Read(nonce)
 	return nonce
 }
@@ -97,7 +97,7 @@
 		return "", nil, err
 	}
 	if hello.Version != peer.Version || hello.To != self || len(hello.Nonce) != nonceBytes {
-		return "", nil, fmt.Errorf("%w: a hello of version %d for node %q", ErrStranger, hello.Version, hello.To)
+		return "", nil, fmt.Errorf("%w: received a hello of version %d for node %q", ErrStranger, hello.Version, hello.To)
 	}
 	if !known(hello.From) {
 		return "", nil, fmt.Errorf("%w: %q", ErrUnknownPeer, hello.From)
@@ -119,7 +119,7 @@
 	return hello.From, newSealer(seen.code("session")), nil
 }
 
-// checkCertificate holds a TLS client to the name in its certificate.
+// checkCertificate verifies that a TLS client's certificate contains the name that it claims.
 func checkCertificate(connection net.Conn, name string) error {
 	secured, isTLS := connection.(*tls.Conn)
 	if !isTLS {
--- a/internal/transport/links_test.go
+++ b/internal/transport/links_test.go
@@ -12,12 +12,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// linkHeapBytes is what a link to one peer and the connection from it may take of
-// the heap at rest, both ends together: 1,000 of them are then under 40 MB of an
-// entry node with 112.
+// linkHeapBytes bounds the heap that an idle link to one peer and the connection from it may
+// use, both ends together. So 1,000 of them use less than 40 MB of the 112 MB of an entry
+// node.
 const linkHeapBytes = 40 << 10
 
-// heapOfLinks is the heap that links to a number of peers take at rest, with both
+// heapOfLinks returns the bytes of heap that idle links to a number of peers use, with both
 // ends in this process.
 func heapOfLinks(tb testing.TB, peers int) uint64 {
 	tb.Helper()
@@ -63,7 +63,8 @@
 	return stats.HeapAlloc
 }
 
-// A node has a link to each of hundreds of others, nearly all at rest.
+// Guards the memory of idle links: a node has a link to each of hundreds of others, and nearly all
+// are idle.
 func TestLinksAtRestTakeLittleMemory(t *testing.T) {
 	const peers = 50
 	each := heapOfLinks(t, peers) / peers
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -1,10 +1,10 @@
-// Package transport carries frames between ravenway's own processes: TCP
-// connections, length-prefixed frames, and authentication by a shared key
-// (with mutual TLS around it where the settings give certificates).
+// Package transport carries frames between ravenway's own processes. It uses TCP
+// connections, length-prefixed frames, and authentication by a shared key, inside
+// mutual TLS if the settings name certificates.
 //
-// Each node dials the peers it has something to say to; a connection carries
-// frames in one direction. What can't be sent is dropped, never held back: the
-// protocols above treat the network as lossy.
+// Each node dials the peers that it sends to; a connection carries frames in one
+// direction only. Frames that can't be sent in time are dropped: the protocols above
+// treat the network as lossy.
 package transport
 
 import (
@@ -27,58 +27,58 @@
 )
 
 const (
-	// outgoingCapacity bounds the frames waiting for one peer; the oldest go first.
+	// outgoingCapacity bounds the frames queued for one peer; a full queue drops the oldest.
 	outgoingCapacity = 4096
-	// A link that is full takes over a second each way, and a new connection
-	// needs three ways: to be opened, and two of the handshake.
+	// A saturated link takes over a second in each direction, and a new connection needs
+	// three passes over it: one to be opened and two for the handshake.
 	handshakeTimeout = 4 * time.Second
 	dialTimeout      = 2500 * time.Millisecond
-	// dialAgain is the time after which another try to connect begins beside the
-	// first; it doubles with each. While a machine has no power, or behind a cut, the
-	// packet that opens a connection is lost and is sent again after a second only:
-	// after a loss of all power, with 700 ms, nodes met 0.9 s after they had started.
+	// dialAgain is the delay before the second concurrent attempt to connect; it doubles
+	// with each attempt. While a machine is off or partitioned, the packet that opens a
+	// connection is lost, and is sent again only after a second. With 700 ms, nodes were
+	// connected only 0.9 s after they had started, after a power loss of all machines.
 	dialAgain      = 150 * time.Millisecond
 	writeTimeout   = 2 * time.Second
 	userTimeout    = 1500 * time.Millisecond
 	minimumBackoff = 50 * time.Millisecond
 	maximumBackoff = 300 * time.Millisecond
-	// A connection's buffers are small: a node has one to each of hundreds of
-	// others, and frames over a buffer's size pass it by.
+	// The buffers are small, since a node has a connection to each of hundreds of others.
+	// Frames larger than a buffer bypass it.
 	writeBufferBytes = 8 << 10
 	readBufferBytes  = 4 << 10
-	// maximumFrameAge is how long a frame may wait for its connection. After a
-	// cut all nodes would else send each other all that they had to say in it.
+	// maximumFrameAge is the maximum time that a frame waits for its connection. Without
+	// it, all nodes would send each other the whole backlog after a partition.
 	maximumFrameAge = time.Second
-	// maximumUnauthenticated bounds the connections in their handshake.
+	// maximumUnauthenticated bounds the number of incoming connections in their handshake.
 	maximumUnauthenticated = 256
 )
 
-// Options set up a Mesh.
+// Options configures a Mesh.
 type Options struct {
 	// Self is this node's name.
 	Self string
-	// Peers are the addresses (host:port) of the other nodes by name.
+	// Peers holds the addresses (host:port) of the other nodes by name.
 	Peers map[string]string
-	// OpenMembership makes a node's name its address: any node that holds the
-	// key may connect, and links are made as they are first needed.
+	// OpenMembership makes a node's address its name: any node that holds the key may
+	// connect, and links are created when they are first used.
 	OpenMembership bool
 	// Key is the shared peer key.
 	Key []byte
-	// TLS is nil for plain TCP.
+	// TLS is the configuration of mutual TLS; nil means plain TCP.
 	TLS      *tls.Config
 	Listener net.Listener
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Handle takes one authentic frame. It must not block for long: it runs on
-	// the connection's reader.
+	// Handle is called with each authenticated frame. It must not block for long, since it
+	// runs on the connection's reading goroutine.
 	Handle func(from string, frame []byte)
-	// Dropped is told of a frame that was given up because it had waited too
-	// long for its connection; nil means that nobody is. It must not block.
+	// Dropped is called with each frame that is dropped because it waited too long for
+	// its connection; nil means no call. It must not block.
 	Dropped func(to string, frame []byte, waited time.Duration)
 	Logger  zerolog.Logger
 }
 
-// Mesh is a node's end of all its connections.
+// Mesh holds all connections of a node to and from its peers.
 type Mesh struct {
 	options  Options
 	refused  *metrics.Counter
@@ -88,27 +88,27 @@
 	links       map[string]*outgoingLink
 	connections map[net.Conn]struct{}
 	handshakes  chan struct{}
-	// running is nil before Run.
+	// running is the context of Run, nil before Run.
 	running context.Context
 	duties  sync.WaitGroup
 }
 
-// outgoingLink is the way to one peer.
+// outgoingLink is the queue of frames for one peer, which is sent over one connection at a time.
 type outgoingLink struct {
 	name    string
 	address string
 	frames  *ring.Growing[outgoingFrame]
-	// forget ends the link.
+	// forget is closed to end the link.
 	forget chan struct{}
 }
 
-// outgoingFrame is a frame and when it was queued.
+// outgoingFrame is a frame with the time at which it was queued.
 type outgoingFrame struct {
 	payload []byte
 	queued  time.Time
 }
 
-// waited is how long the frame has waited.
+// waited returns the time that the frame has been queued.
 func (f outgoingFrame) waited() time.Duration { return time.Since(f.queued) }
 
 func newLink(name, address string) *outgoingLink {
@@ -118,7 +118,7 @@
 	}
 }
 
-// NewMesh makes a mesh; Run starts it.
+// NewMesh returns a mesh, which Run starts.
 func NewMesh(options Options) *Mesh {
 	if options.Dial == nil {
 		dialer := &net.Dialer{Control: SetUserTimeout(userTimeout)}
@@ -152,7 +152,8 @@
 	}
 }
 
-// link finds the link to a peer, or makes it if membership is open.
+// link returns the link to a peer and creates it if membership is open; nil means that there is
+// none.
 func (m *Mesh) link(to string) *outgoingLink {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -168,7 +169,8 @@
 	return link
 }
 
-// Forget ends the link to a peer that is gone, with all that waits for it.
+// Forget ends the link to a peer that is gone and drops its queued frames. It has an effect only
+// with open membership.
 func (m *Mesh) Forget(name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -178,7 +180,7 @@
 	}
 }
 
-// Run serves until the context ends.
+// Run sends and receives frames until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	m.mutex.Lock()
 	m.running = ctx
@@ -213,7 +215,7 @@
 	}
 }
 
-// serve authenticates an incoming connection and reads its frames.
+// serve authenticates an incoming connection and handles its frames.
 func (m *Mesh) serve(ctx context.Context, connection net.Conn) {
 	if m.options.TLS != nil {
 		connection = tls.Server(connection, m.options.TLS)
@@ -258,7 +260,8 @@
 		Str("remote", connection.RemoteAddr().String()).Err(err).Send()
 }
 
-// runLink keeps a connection to one peer while there is something to send.
+// runLink connects to one peer when there are frames to send, and reconnects after errors with a
+// growing delay.
 func (m *Mesh) runLink(ctx context.Context, link *outgoingLink) {
 	backoff := minimumBackoff
 	for {
@@ -285,7 +288,7 @@
 	}
 }
 
-// awaitFrame takes the next frame for a peer; false means that the link has ended.
+// awaitFrame waits for the next frame for a peer; false means that the link has ended.
 func (m *Mesh) awaitFrame(ctx context.Context, link *outgoingLink) (outgoingFrame, bool) {
 	for {
 		select {
@@ -306,10 +309,10 @@
 	}
 }
 
-// errConnected marks errors that came after a successful handshake.
+// errConnected marks errors that occurred after a successful handshake.
 var errConnected = errors.New("transport: connection lost")
 
-// sendFrames opens a connection and writes frames until it fails.
+// sendFrames opens a connection and writes frames until the connection fails or the link ends.
 func (m *Mesh) sendFrames(ctx context.Context, link *outgoingLink, frame outgoingFrame) error {
 	connection, err := m.dial(ctx, link.address)
 	if err != nil {
@@ -357,14 +360,15 @@
 	return dialStaggered(ctx, dialAgain, func(ctx context.Context) (net.Conn, error) { return m.options.Dial(ctx, address) })
 }
 
-// watchClose notices that the other side closed a one-way connection, so that
-// the next frame is not lost into it.
+// watchClose closes a channel once the other side has closed a one-way connection, so that
+// the next frame is not written to it and lost.
 func watchClose(connection net.Conn, closed chan<- struct{}) {
 	_, _ = connection.Read(make([]byte, 1))
 	close(closed)
 }
 
-// writeBatch writes a frame and all that wait behind it with one flush.
+// writeBatch writes a frame and all queued ones with one flush. It drops frames that waited longer
+// than maximumFrameAge.
 func (m *Mesh) writeBatch(connection net.Conn, writer *bufio.Writer, seal *sealer, link *outgoingLink, frame outgoingFrame) error {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for found := true; found; frame, found = link.frames.Take() {
--- a/internal/transport/socket.go
+++ b/internal/transport/socket.go
@@ -6,12 +6,12 @@
 )
 
 // tcpUserTimeout is TCP_USER_TIMEOUT of <netinet/tcp.h>, which package syscall
-// does not name.
+// does not define.
 const tcpUserTimeout = 0x12
 
-// SetUserTimeout returns a net.Dialer's Control function that makes a
-// connection fail once sent data was not acknowledged for that long. A network
-// that was cut says nothing by itself.
+// SetUserTimeout returns a net.Dialer's Control function that makes a connection
+// fail once sent data has been unacknowledged for the timeout. Without it, a connection
+// would not notice a partition, which causes no error by itself.
 func SetUserTimeout(timeout time.Duration) func(network, address string, connection syscall.RawConn) error {
 	return func(_, _ string, connection syscall.RawConn) error {
 		var failure error
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,7 +18,8 @@
 
 var sharedKey = bytes.Repeat([]byte("k"), 32)
 
-// listen starts a mesh on loopback and returns its address and what arrives.
+// listen starts a mesh on loopback and returns it with its address and a channel of the frames that
+// it receives.
 func listen(t *testing.T, self string, peers map[string]string) (*Mesh, string, <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,8 +66,8 @@
 	})
 }
 
-// refusedBy runs a hostile client against a listening mesh and returns the
-// number of connections that the mesh refused, and whether it still serves.
+// refusedBy runs a hostile client against a listening mesh and checks that the mesh refuses
+// the connection, delivers nothing, and still serves other peers.
 func refusedBy(t *testing.T, hostile func(connection net.Conn)) {
 	t.Helper()
 	mesh, address, arrived := listen(t, "b", map[string]string{"a": "", "b": ""})
@@ -108,7 +109,7 @@
 
 func TestReplayedHandshakeIsRefused(t *testing.T) {
 	_, address, _ := listen(t, "b", map[string]string{"a": "", "b": ""})
-	// Record a good handshake's client side.
+	// Record the client's side of a valid handshake.
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	recorded := &recordingConnection{Conn: connection}
