--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -21,7 +21,7 @@
 	}
 	results := make(chan result)
 	running := 0
-	try := func() {
+	attempt := func() {
 		running++
 		go func() {
 			connection, err := dial(ctx)
@@ -34,19 +34,19 @@
 			}
 		}()
 	}
-	try()
+	attempt()
 	next := time.NewTimer(pause)
 	defer next.Stop()
 	for {
 		select {
-		case ended := <-results:
+		case completed := <-results:
 			// A failed attempt means that the other side refuses the connection or can't
 			// be reached at all, so the caller backs off before it tries again.
-			return ended.connection, ended.err
+			return completed.connection, completed.err
 		case <-next.C:
 			pause *= 2
 			next.Reset(pause)
-			try()
+			attempt()
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -14,18 +14,18 @@
 
 // scriptedDials is a dial function whose attempts each complete after their own time.
 type scriptedDials struct {
-	waits []time.Duration
-	err   error
+	durations []time.Duration
+	err       error
 
-	mutex  sync.Mutex
-	opened []net.Conn
-	tries  int
+	mutex    sync.Mutex
+	opened   []net.Conn
+	attempts int
 }
 
 func (s *scriptedDials) dial(ctx context.Context) (net.Conn, error) {
 	s.mutex.Lock()
-	wait := s.waits[s.tries]
-	s.tries++
+	wait := s.durations[s.attempts]
+	s.attempts++
 	s.mutex.Unlock()
 	select {
 	case <-ctx.Done():
@@ -35,20 +35,20 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	near, _ := net.Pipe()
+	local, _ := net.Pipe()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.opened = append(s.opened, near)
-	return near, nil
+	s.opened = append(s.opened, local)
+	return local, nil
 }
 
-func inDials(t *testing.T, script *scriptedDials, test func(t *testing.T, connection net.Conn, err error, took time.Duration)) {
+func runDials(t *testing.T, script *scriptedDials, test func(t *testing.T, connection net.Conn, err error, took time.Duration)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		defer cancel()
 		began := time.Now()
-		connection, err := dialStaggered(ctx, dialAgain, script.dial)
+		connection, err := dialStaggered(ctx, initialAttemptDelay, script.dial)
 		took := time.Since(began)
 		synctest.Wait()
 		test(t, connection, err, took)
@@ -58,20 +58,20 @@
 // Guards against abandoning slow attempts: over a saturated link, each response arrived after
 // its attempt had been given up, so no connection was ever opened (incident CONFIG on
 // zhf-valuation-grown).
-func TestSlowTryGoesOnBesideTheNextOne(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond}}
-	inDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
+func TestSlowAttemptContinuesWhileTheNextOneRuns(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond}}
+	runDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
 		assert.NilError(t, err)
 		assert.Equal(t, took, 1400*time.Millisecond)
 		assert.Equal(t, connection, script.opened[0])
 	})
 }
 
-func TestLostTryDoesNotHoldUpTheNextOne(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Hour, 10 * time.Millisecond}}
-	inDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
+func TestLostAttemptDoesNotDelayTheNextOne(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Hour, 10 * time.Millisecond}}
+	runDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
 		assert.NilError(t, err)
-		assert.Equal(t, took, dialAgain+10*time.Millisecond)
+		assert.Equal(t, took, initialAttemptDelay+10*time.Millisecond)
 		assert.Equal(t, connection, script.opened[0])
 	})
 }
@@ -79,27 +79,27 @@
 // Guards against slow reconnects after a power loss of all machines: each had dialled while
 // the others were still off, so nodes had no connections for 0.9 s after their start
 // (trouble-1 of the shifted site).
-func TestMachineThatGetsItsPowerALittleLaterIsMetALittleLater(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Hour, time.Hour, 10 * time.Millisecond}}
-	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
+func TestMachineThatStartsSlightlyLaterIsConnectedSlightlyLater(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Hour, time.Hour, 10 * time.Millisecond}}
+	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
 		assert.NilError(t, err)
 		assert.Assert(t, took < 500*time.Millisecond, "%s", took)
 	})
 }
 
-func TestRefusedTryEndsTheOthers(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Millisecond}, err: errors.New("refused")}
-	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
+func TestRefusedAttemptEndsAllAttempts(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Millisecond}, err: errors.New("refused")}
+	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
 		assert.ErrorContains(t, err, "refused")
 		assert.Equal(t, took, time.Millisecond)
 	})
 }
 
-func TestTriesThatNobodyAnswersEndInTime(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}}
-	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
+func TestUnansweredAttemptsEndAtTheTimeout(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}}
+	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, took, dialTimeout)
-		assert.Equal(t, script.tries, 5)
+		assert.Equal(t, script.attempts, 5)
 	})
 }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -59,29 +59,29 @@
 	return payload, err
 }
 
-// sealer authenticates the frames of one direction of one connection. A frame's
+// frameAuthenticator authenticates the frames of one direction of one connection. A frame's
 // number is part of its authentication code, so replayed or reordered frames are refused.
-type sealer struct {
+type frameAuthenticator struct {
 	mac    hash.Hash
 	number uint64
 }
 
-func newSealer(key []byte) *sealer {
-	return &sealer{mac: hmac.New(sha256.New, key)}
+func newFrameAuthenticator(key []byte) *frameAuthenticator {
+	return &frameAuthenticator{mac: hmac.New(sha256.New, key)}
 }
 
-func (s *sealer) code(payload []byte) []byte {
+func (a *frameAuthenticator) authenticationCode(payload []byte) []byte {
 	var number [8]byte
-	binary.BigEndian.PutUint64(number[:], s.number)
-	s.number++
-	s.mac.Reset()
-	s.mac.Write(number[:])
-	s.mac.Write(payload)
-	return s.mac.Sum(nil)[:frameMACBytes]
+	binary.BigEndian.PutUint64(number[:], a.number)
+	a.number++
+	a.mac.Reset()
+	a.mac.Write(number[:])
+	a.mac.Write(payload)
+	return a.mac.Sum(nil)[:frameMACBytes]
 }
 
 // write writes one authenticated frame.
-func (s *sealer) write(writer *bufio.Writer, payload []byte) error {
+func (a *frameAuthenticator) write(writer *bufio.Writer, payload []byte) error {
 	if len(payload) > MaximumFrameBytes-frameMACBytes {
 		return fmt.Errorf("%w: %d bytes", ErrFrameTooLong, len(payload))
 	}
@@ -93,12 +93,12 @@
 	if _, err := writer.Write(payload); err != nil {
 		return err
 	}
-	_, err := writer.Write(s.code(payload))
+	_, err := writer.Write(a.authenticationCode(payload))
 	return err
 }
 
 // read reads one authenticated frame.
-func (s *sealer) read(reader io.Reader) ([]byte, error) {
+func (a *frameAuthenticator) read(reader io.Reader) ([]byte, error) {
 	frame, err := readBounded(reader, MaximumFrameBytes)
 	if err != nil {
 		return nil, err
@@ -107,7 +107,7 @@
 		return nil, ErrFrameForged
 	}
 	payload, code := frame[:len(frame)-frameMACBytes], frame[len(frame)-frameMACBytes:]
-	if !hmac.Equal(code, s.code(payload)) {
+	if !hmac.Equal(code, a.authenticationCode(payload)) {
 		return nil, ErrFrameForged
 	}
 	return payload, nil
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -70,28 +70,28 @@
 }
 
 // dialHandshake authenticates an outgoing connection.
-func dialHandshake(connection net.Conn, key []byte, self, other string) (*sealer, error) {
+func dialHandshake(connection net.Conn, key []byte, self, other string) (*frameAuthenticator, error) {
 	hello := clientHello{Version: peer.Version, From: self, To: other, Nonce: newNonce()}
 	if err := writeMessage(connection, &hello); err != nil {
 		return nil, err
 	}
-	var answer serverHello
-	if err := readMessage(connection, &answer); err != nil {
+	var response serverHello
+	if err := readMessage(connection, &response); err != nil {
 		return nil, err
 	}
-	seen := transcript{key: key, client: hello, server: answer.Nonce}
-	if !hmac.Equal(answer.Proof, seen.code("server")) {
+	seen := transcript{key: key, client: hello, server: response.Nonce}
+	if !hmac.Equal(response.Proof, seen.code("server")) {
 		return nil, ErrStranger
 	}
 	if err := writeMessage(connection, &clientProof{Proof: seen.code("client")}); err != nil {
 		return nil, err
 	}
-	return newSealer(seen.code("session")), nil
+	return newFrameAuthenticator(seen.code("session")), nil
 }
 
 // acceptHandshake authenticates an incoming connection and returns the name of
 // the other side.
-func acceptHandshake(connection net.Conn, key []byte, self string, known func(string) bool) (string, *sealer, error) {
+func acceptHandshake(connection net.Conn, key []byte, self string, known func(string) bool) (string, *frameAuthenticator, error) {
 	var hello clientHello
 	if err := readMessage(connection, &hello); err != nil {
 		return "", nil, err
@@ -116,7 +116,7 @@
 	if !hmac.Equal(proof.Proof, seen.code("client")) {
 		return "", nil, ErrStranger
 	}
-	return hello.From, newSealer(seen.code("session")), nil
+	return hello.From, newFrameAuthenticator(seen.code("session")), nil
 }
 
 // checkCertificate verifies that a TLS client's certificate contains the name that it claims.
--- a/internal/transport/links_test.go
+++ b/internal/transport/links_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// linkHeapBytes bounds the heap that an idle link to one peer and the connection from it may
+// maximumLinkHeapBytes bounds the heap that an idle link to one peer and the connection from it may
 // use, both ends together. So 1,000 of them use less than 40 MB of the 112 MB of an entry
 // node.
-const linkHeapBytes = 40 << 10
+const maximumLinkHeapBytes = 40 << 10
 
-// heapOfLinks returns the bytes of heap that idle links to a number of peers use, with both
+// heapOfIdleLinks returns the bytes of heap that idle links to a number of peers use, with both
 // ends in this process.
-func heapOfLinks(tb testing.TB, peers int) uint64 {
+func heapOfIdleLinks(tb testing.TB, peers int) uint64 {
 	tb.Helper()
 	before := heapInUse()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -65,9 +65,9 @@
 
 // Guards the memory of idle links: a node has a link to each of hundreds of others, and nearly all
 // are idle.
-func TestLinksAtRestTakeLittleMemory(t *testing.T) {
+func TestIdleLinksUseLittleMemory(t *testing.T) {
 	const peers = 50
-	each := heapOfLinks(t, peers) / peers
+	each := heapOfIdleLinks(t, peers) / peers
 	t.Logf("%d bytes of heap a link", each)
-	assert.Assert(t, each < linkHeapBytes, "%d bytes of heap a link, at most %d", each, linkHeapBytes)
+	assert.Assert(t, each < maximumLinkHeapBytes, "%d bytes of heap a link, at most %d", each, maximumLinkHeapBytes)
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -33,15 +33,15 @@
 	// three passes over it: one to be opened and two for the handshake.
 	handshakeTimeout = 4 * time.Second
 	dialTimeout      = 2500 * time.Millisecond
-	// dialAgain is the delay before the second concurrent attempt to connect; it doubles
+	// initialAttemptDelay is the delay before the second concurrent attempt to connect; it doubles
 	// with each attempt. While a machine is off or partitioned, the packet that opens a
 	// connection is lost, and is sent again only after a second. With 700 ms, nodes were
 	// connected only 0.9 s after they had started, after a power loss of all machines.
-	dialAgain      = 150 * time.Millisecond
-	writeTimeout   = 2 * time.Second
-	userTimeout    = 1500 * time.Millisecond
-	minimumBackoff = 50 * time.Millisecond
-	maximumBackoff = 300 * time.Millisecond
+	initialAttemptDelay = 150 * time.Millisecond
+	writeTimeout        = 2 * time.Second
+	userTimeout         = 1500 * time.Millisecond
+	minimumBackoff      = 50 * time.Millisecond
+	maximumBackoff      = 300 * time.Millisecond
 	// The buffers are small, since a node has a connection to each of hundreds of others.
 	// Frames larger than a buffer bypass it.
 	writeBufferBytes = 8 << 10
@@ -80,17 +80,17 @@
 
 // Mesh holds all connections of a node to and from its peers.
 type Mesh struct {
-	options  Options
-	refused  *metrics.Counter
-	received *metrics.Counter
+	options            Options
+	refusedConnections *metrics.Counter
+	receivedFrames     *metrics.Counter
 
-	mutex       sync.Mutex
-	links       map[string]*outgoingLink
-	connections map[net.Conn]struct{}
-	handshakes  chan struct{}
-	// running is the context of Run, nil before Run.
-	running context.Context
-	duties  sync.WaitGroup
+	mutex          sync.Mutex
+	links          map[string]*outgoingLink
+	connections    map[net.Conn]struct{}
+	handshakeSlots chan struct{}
+	// runContext is the context of Run, nil before Run.
+	runContext context.Context
+	goroutines sync.WaitGroup
 }
 
 // outgoingLink is the queue of frames for one peer, which is sent over one connection at a time.
@@ -98,8 +98,8 @@
 	name    string
 	address string
 	frames  *ring.Growing[outgoingFrame]
-	// forget is closed to end the link.
-	forget chan struct{}
+	// ended is closed to end the link.
+	ended chan struct{}
 }
 
 // outgoingFrame is a frame with the time at which it was queued.
@@ -113,7 +113,7 @@
 
 func newLink(name, address string) *outgoingLink {
 	return &outgoingLink{
-		name: name, address: address, forget: make(chan struct{}),
+		name: name, address: address, ended: make(chan struct{}),
 		frames: ring.NewGrowing[outgoingFrame]("peer_outgoing", outgoingCapacity),
 	}
 }
@@ -130,12 +130,12 @@
 		options.Dropped = func(string, []byte, time.Duration) {}
 	}
 	mesh := &Mesh{
-		options:     options,
-		links:       map[string]*outgoingLink{},
-		connections: map[net.Conn]struct{}{},
-		handshakes:  make(chan struct{}, maximumUnauthenticated),
-		refused:     metrics.GetOrCreateCounter("ravenway_peer_connections_refused_total"),
-		received:    metrics.GetOrCreateCounter("ravenway_peer_frames_received_total"),
+		options:            options,
+		links:              map[string]*outgoingLink{},
+		connections:        map[net.Conn]struct{}{},
+		handshakeSlots:     make(chan struct{}, maximumUnauthenticated),
+		refusedConnections: metrics.GetOrCreateCounter("ravenway_peer_connections_refused_total"),
+		receivedFrames:     metrics.GetOrCreateCounter("ravenway_peer_frames_received_total"),
 	}
 	for name, address := range options.Peers {
 		if name != options.Self {
@@ -163,8 +163,8 @@
 	}
 	link = newLink(to, to)
 	m.links[to] = link
-	if m.running != nil && m.running.Err() == nil {
-		m.duties.Go(func() { m.runLink(m.running, link) })
+	if m.runContext != nil && m.runContext.Err() == nil {
+		m.goroutines.Go(func() { m.runLink(m.runContext, link) })
 	}
 	return link
 }
@@ -176,23 +176,23 @@
 	defer m.mutex.Unlock()
 	if link := m.links[name]; link != nil && m.options.OpenMembership {
 		delete(m.links, name)
-		close(link.forget)
+		close(link.ended)
 	}
 }
 
 // Run sends and receives frames until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	m.mutex.Lock()
-	m.running = ctx
+	m.runContext = ctx
 	for _, link := range m.links {
-		m.duties.Go(func() { m.runLink(ctx, link) })
+		m.goroutines.Go(func() { m.runLink(ctx, link) })
 	}
 	m.mutex.Unlock()
-	m.duties.Go(func() { m.accept(ctx) })
+	m.goroutines.Go(func() { m.accept(ctx) })
 	<-ctx.Done()
 	_ = m.options.Listener.Close()
 	m.closeConnections()
-	m.duties.Wait()
+	m.goroutines.Wait()
 }
 
 func (m *Mesh) accept(ctx context.Context) {
@@ -205,13 +205,13 @@
 			continue
 		}
 		select {
-		case m.handshakes <- struct{}{}:
+		case m.handshakeSlots <- struct{}{}:
 		default:
-			m.refused.Inc()
+			m.refusedConnections.Inc()
 			_ = connection.Close()
 			continue
 		}
-		m.duties.Go(func() { m.serve(ctx, connection) })
+		m.goroutines.Go(func() { m.serve(ctx, connection) })
 	}
 }
 
@@ -221,41 +221,41 @@
 		connection = tls.Server(connection, m.options.TLS)
 	}
 	if !m.track(ctx, connection) {
-		<-m.handshakes
+		<-m.handshakeSlots
 		return
 	}
 	defer m.untrack(connection)
 	_ = connection.SetDeadline(time.Now().Add(handshakeTimeout))
-	from, opener, err := acceptHandshake(connection, m.options.Key, m.options.Self, m.known)
-	<-m.handshakes
+	from, authenticator, err := acceptHandshake(connection, m.options.Key, m.options.Self, m.isKnown)
+	<-m.handshakeSlots
 	if err != nil {
-		m.refuse(connection, err)
+		m.reportRefusal(connection, err)
 		return
 	}
 	_ = connection.SetDeadline(time.Time{})
 	reader := bufio.NewReaderSize(connection, readBufferBytes)
 	for {
-		frame, err := opener.read(reader)
+		frame, err := authenticator.read(reader)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				m.refuse(connection, err)
+				m.reportRefusal(connection, err)
 			}
 			return
 		}
-		m.received.Inc()
+		m.receivedFrames.Inc()
 		m.options.Handle(from, frame)
 	}
 }
 
-func (m *Mesh) known(name string) bool {
+func (m *Mesh) isKnown(name string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	_, found := m.links[name]
 	return found || m.options.OpenMembership
 }
 
-func (m *Mesh) refuse(connection net.Conn, err error) {
-	m.refused.Inc()
+func (m *Mesh) reportRefusal(connection net.Conn, err error) {
+	m.refusedConnections.Inc()
 	m.options.Logger.Warn().Str("event", "peer_connection_refused").
 		Str("remote", connection.RemoteAddr().String()).Err(err).Send()
 }
@@ -292,7 +292,7 @@
 func (m *Mesh) awaitFrame(ctx context.Context, link *outgoingLink) (outgoingFrame, bool) {
 	for {
 		select {
-		case <-link.forget:
+		case <-link.ended:
 			return outgoingFrame{}, false
 		default:
 		}
@@ -302,7 +302,7 @@
 		select {
 		case <-ctx.Done():
 			return outgoingFrame{}, false
-		case <-link.forget:
+		case <-link.ended:
 			return outgoingFrame{}, false
 		case <-link.frames.Ready():
 		}
@@ -328,7 +328,7 @@
 	}
 	defer m.untrack(connection)
 	_ = connection.SetDeadline(time.Now().Add(handshakeTimeout))
-	seal, err := dialHandshake(connection, m.options.Key, m.options.Self, link.name)
+	authenticator, err := dialHandshake(connection, m.options.Key, m.options.Self, link.name)
 	if err != nil {
 		return err
 	}
@@ -338,14 +338,14 @@
 	writer := bufio.NewWriterSize(connection, writeBufferBytes)
 	for found := true; ; frame, found = link.frames.Take() {
 		if found {
-			if err := m.writeBatch(connection, writer, seal, link, frame); err != nil {
+			if err := m.writeBatch(connection, writer, authenticator, link, frame); err != nil {
 				return fmt.Errorf("%w: %w", errConnected, err)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-link.forget:
+		case <-link.ended:
 			return nil
 		case <-closed:
 			return errConnected
@@ -357,7 +357,7 @@
 func (m *Mesh) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return dialStaggered(ctx, dialAgain, func(ctx context.Context) (net.Conn, error) { return m.options.Dial(ctx, address) })
+	return dialStaggered(ctx, initialAttemptDelay, func(ctx context.Context) (net.Conn, error) { return m.options.Dial(ctx, address) })
 }
 
 // watchClose closes a channel once the other side has closed a one-way connection, so that
@@ -369,12 +369,12 @@
 
 // writeBatch writes a frame and all queued ones with one flush. It drops frames that waited longer
 // than maximumFrameAge.
-func (m *Mesh) writeBatch(connection net.Conn, writer *bufio.Writer, seal *sealer, link *outgoingLink, frame outgoingFrame) error {
+func (m *Mesh) writeBatch(connection net.Conn, writer *bufio.Writer, authenticator *frameAuthenticator, link *outgoingLink, frame outgoingFrame) error {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for found := true; found; frame, found = link.frames.Take() {
 		if waited := frame.waited(); waited > maximumFrameAge {
 			m.options.Dropped(link.name, frame.payload, waited)
-		} else if err := seal.write(writer, frame.payload); err != nil {
+		} else if err := authenticator.write(writer, frame.payload); err != nil {
 			return err
 		}
 	}
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -18,9 +18,9 @@
 
 var sharedKey = bytes.Repeat([]byte("k"), 32)
 
-// listen starts a mesh on loopback and returns it with its address and a channel of the frames that
-// it receives.
-func listen(t *testing.T, self string, peers map[string]string) (*Mesh, string, <-chan string) {
+// startMesh starts a mesh on loopback and returns it with its address and a channel of the frames
+// that it receives.
+func startMesh(t *testing.T, self string, peers map[string]string) (*Mesh, string, <-chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -42,7 +42,7 @@
 	return mesh, listener.Addr().String(), arrived
 }
 
-func expect(t *testing.T, arrived <-chan string, frame string) {
+func expectFrame(t *testing.T, arrived <-chan string, frame string) {
 	t.Helper()
 	select {
 	case got := <-arrived:
@@ -55,23 +55,23 @@
 func TestFramesArriveInOrderBetweenPeers(t *testing.T) {
 	defer goleak.VerifyNone(t, goleak.IgnoreCurrent())
 	t.Run("mesh", func(t *testing.T) {
-		_, address, arrived := listen(t, "b", map[string]string{"a": "", "b": ""})
-		sender, _, _ := listen(t, "a", map[string]string{"a": "", "b": address})
+		_, address, arrived := startMesh(t, "b", map[string]string{"a": "", "b": ""})
+		sender, _, _ := startMesh(t, "a", map[string]string{"a": "", "b": address})
 		for _, frame := range []string{"one", "two", "three"} {
 			sender.Send("b", []byte(frame))
 		}
-		expect(t, arrived, "a:one")
-		expect(t, arrived, "a:two")
-		expect(t, arrived, "a:three")
+		expectFrame(t, arrived, "a:one")
+		expectFrame(t, arrived, "a:two")
+		expectFrame(t, arrived, "a:three")
 	})
 }
 
-// refusedBy runs a hostile client against a listening mesh and checks that the mesh refuses
-// the connection, delivers nothing, and still serves other peers.
-func refusedBy(t *testing.T, hostile func(connection net.Conn)) {
+// checkClientIsRefused runs a hostile client against a listening mesh and checks that the mesh
+// refuses the connection, delivers nothing, and still serves other peers.
+func checkClientIsRefused(t *testing.T, hostile func(connection net.Conn)) {
 	t.Helper()
-	mesh, address, arrived := listen(t, "b", map[string]string{"a": "", "b": ""})
-	before := mesh.refused.Get()
+	mesh, address, arrived := startMesh(t, "b", map[string]string{"a": "", "b": ""})
+	before := mesh.refusedConnections.Get()
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
 	hostile(connection)
@@ -85,15 +85,15 @@
 		}
 	}
 	_ = connection.Close()
-	assert.Equal(t, mesh.refused.Get(), before+1)
+	assert.Equal(t, mesh.refusedConnections.Get(), before+1)
 	assert.Equal(t, len(arrived), 0)
-	sender, _, _ := listen(t, "a", map[string]string{"a": "", "b": address})
+	sender, _, _ := startMesh(t, "a", map[string]string{"a": "", "b": address})
 	sender.Send("b", []byte("still here"))
-	expect(t, arrived, "a:still here")
+	expectFrame(t, arrived, "a:still here")
 }
 
-func TestStrangerIsRefused(t *testing.T) {
-	refusedBy(t, func(connection net.Conn) {
+func TestPeerWithoutTheKeyIsRefused(t *testing.T) {
+	checkClientIsRefused(t, func(connection net.Conn) {
 		_, err := dialHandshake(connection, bytes.Repeat([]byte("x"), 32), "a", "b")
 		assert.ErrorIs(t, err, ErrStranger)
 		_ = writeMessage(connection, &clientProof{Proof: []byte("guess")})
@@ -101,14 +101,14 @@
 }
 
 func TestUnknownNameIsRefused(t *testing.T) {
-	refusedBy(t, func(connection net.Conn) {
+	checkClientIsRefused(t, func(connection net.Conn) {
 		_, err := dialHandshake(connection, sharedKey, "nobody", "b")
 		assert.Assert(t, err != nil)
 	})
 }
 
 func TestReplayedHandshakeIsRefused(t *testing.T) {
-	_, address, _ := listen(t, "b", map[string]string{"a": "", "b": ""})
+	_, address, _ := startMesh(t, "b", map[string]string{"a": "", "b": ""})
 	// Record the client's side of a valid handshake.
 	connection, err := net.Dial("tcp", address)
 	assert.NilError(t, err)
@@ -116,7 +116,7 @@
 	_, err = dialHandshake(recorded, sharedKey, "a", "b")
 	assert.NilError(t, err)
 	_ = connection.Close()
-	refusedBy(t, func(connection net.Conn) { _, _ = connection.Write(recorded.written.Bytes()) })
+	checkClientIsRefused(t, func(connection net.Conn) { _, _ = connection.Write(recorded.written.Bytes()) })
 }
 
 type recordingConnection struct {
@@ -130,16 +130,16 @@
 }
 
 func TestOversizedHelloIsRefused(t *testing.T) {
-	refusedBy(t, func(connection net.Conn) { _, _ = connection.Write([]byte{0x7f, 0xff, 0xff, 0xff}) })
+	checkClientIsRefused(t, func(connection net.Conn) { _, _ = connection.Write([]byte{0x7f, 0xff, 0xff, 0xff}) })
 }
 
-func TestGarbledFrameIsRefused(t *testing.T) {
-	refusedBy(t, func(connection net.Conn) {
-		seal, err := dialHandshake(connection, sharedKey, "a", "b")
+func TestCorruptedFrameIsRefused(t *testing.T) {
+	checkClientIsRefused(t, func(connection net.Conn) {
+		authenticator, err := dialHandshake(connection, sharedKey, "a", "b")
 		assert.NilError(t, err)
 		var frame bytes.Buffer
 		writer := bufio.NewWriter(&frame)
-		assert.NilError(t, seal.write(writer, []byte("payload")))
+		assert.NilError(t, authenticator.write(writer, []byte("payload")))
 		assert.NilError(t, writer.Flush())
 		frame.Bytes()[lengthBytes] ^= 1
 		_, _ = connection.Write(frame.Bytes())
@@ -150,14 +150,14 @@
 	key := []byte("session")
 	var frame bytes.Buffer
 	writer := bufio.NewWriter(&frame)
-	assert.NilError(t, newSealer(key).write(writer, []byte("payload")))
+	assert.NilError(t, newFrameAuthenticator(key).write(writer, []byte("payload")))
 	assert.NilError(t, writer.Flush())
 	twice := bytes.NewReader(append(bytes.Clone(frame.Bytes()), frame.Bytes()...))
-	opener := newSealer(key)
-	payload, err := opener.read(twice)
+	authenticator := newFrameAuthenticator(key)
+	payload, err := authenticator.read(twice)
 	assert.NilError(t, err)
 	assert.Equal(t, string(payload), "payload")
-	_, err = opener.read(twice)
+	_, err = authenticator.read(twice)
 	assert.ErrorIs(t, err, ErrFrameForged)
 }
 
@@ -165,7 +165,7 @@
 	f.Add([]byte{0, 0, 0, 20, 1, 2, 3})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		payload, err := newSealer([]byte("session")).read(bytes.NewReader(data))
+		payload, err := newFrameAuthenticator([]byte("session")).read(bytes.NewReader(data))
 		assert.Assert(t, err != nil, "a forged frame was accepted: %x", payload)
 	})
 }
@@ -187,21 +187,21 @@
 		mesh.Send("b", []byte("late"))
 		time.Sleep(maximumFrameAge + time.Millisecond)
 		mesh.Send("b", []byte("fresh"))
-		near, far := net.Pipe()
+		local, remote := net.Pipe()
 		var sent bytes.Buffer
 		read := make(chan struct{})
 		go func() {
 			defer close(read)
-			_, _ = io.Copy(&sent, far)
+			_, _ = io.Copy(&sent, remote)
 		}()
 		first, found := link.frames.Take()
 		assert.Assert(t, found)
-		assert.NilError(t, mesh.writeBatch(near, bufio.NewWriter(near), newSealer(sharedKey), link, first))
-		assert.NilError(t, near.Close())
+		assert.NilError(t, mesh.writeBatch(local, bufio.NewWriter(local), newFrameAuthenticator(sharedKey), link, first))
+		assert.NilError(t, local.Close())
 		<-read
 		assert.Equal(t, len(dropped), 1)
 		assert.Equal(t, dropped[0], drop{to: "b", frame: "late", waited: maximumFrameAge + time.Millisecond})
-		frame, err := newSealer(sharedKey).read(&sent)
+		frame, err := newFrameAuthenticator(sharedKey).read(&sent)
 		assert.NilError(t, err)
 		assert.Equal(t, string(frame), "fresh")
 	})
