--- a/internal/coordination/clocks/clocks.go
+++ b/internal/coordination/clocks/clocks.go
@@ -31,7 +31,7 @@
 
 // Contact returns the reading as the log holds it.
 func (r Reading) Contact() accounts.Contact {
-	return accounts.Contact{Clock: r.Clock, SteadyMS: uint64(r.Steady.Milliseconds()), WallMS: r.WallMS}
+	return accounts.Contact{Clock: r.Clock, MonotonicMS: uint64(r.Steady.Milliseconds()), WallMS: r.WallMS}
 }
 
 // Agree tells whether a clock may be believed: of a group of voters more than
@@ -53,18 +53,18 @@
 // the control nodes agreed on it then and now.
 func Silence(contact accounts.Contact, now Reading, sinceOver time.Duration) (silence time.Duration, known bool) {
 	if contact.Index == 0 {
-		return accounts.UnknownSilence, false
+		return accounts.UnknownTimeSinceContact, false
 	}
 	byDay, isAgreed := passedByDay(contact, now)
 	if contact.Clock == now.Clock {
-		passed := now.Steady - time.Duration(contact.SteadyMS)*time.Millisecond
+		passed := now.Steady - time.Duration(contact.MonotonicMS)*time.Millisecond
 		if isAgreed && byDay > passed+Tolerance {
 			passed = byDay + Tolerance
 		}
 		return max(0, passed-sinceOver), true
 	}
 	if !isAgreed || byDay-sinceOver < -Tolerance {
-		return accounts.UnknownSilence, false
+		return accounts.UnknownTimeSinceContact, false
 	}
 	return max(0, byDay-sinceOver) + Tolerance, true
 }
--- a/internal/coordination/clocks/clocks_test.go
+++ b/internal/coordination/clocks/clocks_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestSilenceIsBoundedByTheSteadyClockElseByTheTimeOfDay(t *testing.T) {
-	heard := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
+	heard := accounts.Contact{Index: 1, Clock: 7, MonotonicMS: 1000, WallMS: 500_000}
 	same, known := Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 1}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, same, 2*time.Second)
@@ -47,7 +47,7 @@
 // Since the contact the leader's machine was suspended for 6 s, which its steady clock does
 // not count.
 func TestSilenceCountsTheTimeForWhichTheLeaderWasSuspended(t *testing.T) {
-	heard := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
+	heard := accounts.Contact{Index: 1, Clock: 7, MonotonicMS: 1000, WallMS: 500_000}
 	silence, known := Silence(heard, Reading{Clock: 7, Steady: 4 * time.Second, WallMS: 509_000}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, silence, 8*time.Second+Tolerance)
--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -240,7 +240,7 @@
 }
 
 // confirm notes what an answer says that the root has.
-func (a *account) confirm(answer accounts.Answer) (advanced bool) {
+func (a *account) confirm(answer accounts.Response) (advanced bool) {
 	advanced = answer.Watermark > a.confirmed.watermark
 	a.confirmed.settled = max(a.confirmed.settled, answer.Settled)
 	a.confirmed.returned = max(a.confirmed.returned, answer.Returned)
@@ -254,15 +254,15 @@
 	a.reportedAt = now
 	report := accounts.Report{
 		Budget: a.name, Settled: a.settled, Returned: a.returned,
-		Watermark: a.watermark, WatermarkSettled: a.watermarkSettled, Wish: a.wish(now),
+		Watermark: a.watermark, WatermarkSettled: a.watermarkSettled, Desired: a.wish(now),
 	}
-	a.wished = report.Wish
+	a.wished = report.Desired
 	if a.requested {
 		a.resendAfter = min(2*a.resendAfter, lastResend)
 		report.Request = a.request
-		report.Need = a.grantLack()
+		report.Required = a.grantLack()
 		wanted := max(a.target(now), a.waiting())
-		report.Want = max(report.Need, accounts.SaturatingSubtract(wanted, a.unreserved()))
+		report.Expected = max(report.Required, accounts.SaturatingSubtract(wanted, a.unreserved()))
 	}
 	if a.contact != nil {
 		report.Allowance = a.nextAllowance()
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -112,7 +112,7 @@
 
 // allowed is the most that the holder may use of its own grant now, in tokens.
 func (a *account) allowed() uint64 {
-	return a.allowances.binding().MostUsed(a.contact.silence())
+	return a.allowances.binding().MaximumUse(a.contact.silence())
 }
 
 // isCovered tells whether all use is within what was allowed, without any pace.
@@ -129,7 +129,7 @@
 	tokens := a.ownUse() + a.waiting() + a.allowedAhead()
 	pace := uint64(paceFactor * a.reserving.at(a.contact.now))
 	binding := a.allowances.binding()
-	if a.contact.silence() > accounts.SilentAfter {
+	if a.contact.silence() > accounts.ContactTimeout {
 		tokens, pace = max(tokens, binding.Tokens), max(pace, binding.Pace)
 	}
 	return a.allowances.send(tokens, pace)
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -438,21 +438,21 @@
 
 // Take applies the root's answers. It returns the watermarks that are durable
 // now, for forgetting claims.
-func (h *Holder) Take(now time.Duration, message AnswerMessage) []accounts.Answer {
+func (h *Holder) Take(now time.Duration, message AnswerMessage) []accounts.Response {
 	if message.Holder != h.options.ID {
 		return nil
 	}
 	h.contact.now = now
 	h.hear(message.Contact)
-	var advanced []accounts.Answer
+	var advanced []accounts.Response
 	for _, answer := range message.Answers {
 		found := h.accounts[answer.Budget]
 		if found == nil {
 			continue
 		}
 		found.granted = max(found.granted, answer.Granted)
-		if found.confirm(answer.Answer) {
-			advanced = append(advanced, answer.Answer)
+		if found.confirm(answer.Response) {
+			advanced = append(advanced, answer.Response)
 		}
 		h.takeAnswer(now, found, answer)
 	}
@@ -482,7 +482,7 @@
 // refusalOf is why a request for some tokens fell short. Holders that do not answer
 // matter only where what they hold would be enough.
 func refusalOf(answer Answer, amount uint64) error {
-	exhausted := &ExhaustedError{Limit: answer.Limit, Spent: answer.Spent, Left: answer.Left, Outstanding: answer.Outstanding}
+	exhausted := &ExhaustedError{Limit: answer.Limit, Spent: answer.Spent, Left: answer.Remaining, Outstanding: answer.Outstanding}
 	if answer.Unreached > 0 && !exhausted.IsFinal(amount) {
 		return fmt.Errorf("%w: %d nodes that hold a part of it do not answer", ErrUnreachable, answer.Unreached)
 	}
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -28,7 +28,7 @@
 	}
 	answer := AnswerMessage{Holder: report.Holder}
 	for _, one := range report.Reports {
-		answer.Answers = append(answer.Answers, Answer{Answer: root.Take(report.Holder, one, 0)})
+		answer.Answers = append(answer.Answers, Answer{Response: root.ApplyReport(report.Holder, one, 0)})
 	}
 	holder.Take(now, answer)
 	return true
@@ -72,7 +72,7 @@
 	holder.Recall(RecallMessage{Holder: holder.ID(), Budget: "b", Number: 1})
 	assert.Equal(t, holder.Free("b"), uint64(0))
 	exchange(3*time.Second, root, holder)
-	assert.Equal(t, root.Budget("b").Left(), 1000-uint64(400))
+	assert.Equal(t, root.Budget("b").Remaining(), 1000-uint64(400))
 	assert.Assert(t, free > 0)
 }
 
@@ -124,13 +124,13 @@
 		holder.Reserve(time.Duration(second)*time.Second, time.Hour, "b", 100, Policy{}, func(Reservation, error) {})
 	}
 	report, _ := holder.Report(5 * time.Second)
-	holder.Take(5*time.Second, AnswerMessage{Holder: id, Answers: []Answer{{Answer: accounts.Answer{Budget: "b", Granted: 5000, Request: report.Reports[0].Request, Left: 50000}}}})
+	holder.Take(5*time.Second, AnswerMessage{Holder: id, Answers: []Answer{{Response: accounts.Response{Budget: "b", Granted: 5000, Request: report.Reports[0].Request, Remaining: 50000}}}})
 	holder.SetStopping()
 	for tick := range 50 {
 		now := 5*time.Second + time.Duration(tick)*40*time.Millisecond
 		holder.Tick(now)
 		if next, due := holder.Report(now); due {
-			assert.Equal(t, next.Reports[0].Want, uint64(0))
+			assert.Equal(t, next.Reports[0].Expected, uint64(0))
 		}
 	}
 	assert.Equal(t, holder.Free("b"), uint64(0))
@@ -140,12 +140,12 @@
 // good, also for a request that some of them do not answer for; else a caller may be
 // served later.
 func TestBudgetIsExhaustedForGoodOnceNothingThatMayComeBackIsEnough(t *testing.T) {
-	short := accounts.Answer{Limit: 100, Spent: 80, Left: 2, Outstanding: 7}
+	short := accounts.Response{Limit: 100, Spent: 80, Remaining: 2, Outstanding: 7}
 	var exhausted *ExhaustedError
-	assert.Assert(t, errors.As(refusalOf(Answer{Answer: short, Unreached: 1}, 10), &exhausted))
+	assert.Assert(t, errors.As(refusalOf(Answer{Response: short, Unreached: 1}, 10), &exhausted))
 	assert.Assert(t, exhausted.IsFinal(10) && !exhausted.IsFinal(9))
-	assert.Assert(t, errors.Is(refusalOf(Answer{Answer: short, Unreached: 1}, 9), ErrUnreachable))
-	assert.Assert(t, errors.Is(refusalOf(Answer{Answer: short}, 9), ErrExhausted))
+	assert.Assert(t, errors.Is(refusalOf(Answer{Response: short, Unreached: 1}, 9), ErrUnreachable))
+	assert.Assert(t, errors.Is(refusalOf(Answer{Response: short}, 9), ErrExhausted))
 }
 
 // In a cut a request that the whole budget could not hold before it is refused at once:
@@ -162,8 +162,8 @@
 	}
 	assert.NilError(t, reserve(0, 10))
 	_, _ = holder.Report(0)
-	holder.Take(0, AnswerMessage{Holder: holder.ID(), Answers: []Answer{{Answer: accounts.Answer{
-		Budget: "b", Request: 1, Short: true, Limit: 1000, Spent: 970, Left: 5, Outstanding: 25,
+	holder.Take(0, AnswerMessage{Holder: holder.ID(), Answers: []Answer{{Response: accounts.Response{
+		Budget: "b", Request: 1, Short: true, Limit: 1000, Spent: 970, Remaining: 5, Outstanding: 25,
 	}}}})
 	isReachable = false
 	assert.ErrorIs(t, reserve(time.Second, 40), ErrUnreachable)
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -26,7 +26,7 @@
 
 // Answer is the root's answer on one budget.
 type Answer struct {
-	accounts.Answer
+	accounts.Response
 	// Unreached is the number of holders that hold a part of the budget and did
 	// not answer a recall: a refusal may be for lack of reach.
 	Unreached int `msgpack:"n,omitempty"`
--- a/internal/coordination/escrow/pool_test.go
+++ b/internal/coordination/escrow/pool_test.go
@@ -57,7 +57,7 @@
 	holder.Tick(time.Second + 2*poolRoundTime)
 	report, due := holder.Report(time.Second + 2*poolRoundTime)
 	assert.Assert(t, due)
-	assert.Equal(t, report.Reports[0].Need, uint64(10))
+	assert.Equal(t, report.Reports[0].Required, uint64(10))
 	assert.Assert(t, !one.ended)
 }
 
@@ -123,7 +123,7 @@
 func TestPoolHolderLendsWhatARequestNeedsAndTheRestGoesBack(t *testing.T) {
 	pool := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "p", Incarnation: 1}, Pool: func(string) []string { return nil }})
 	reserveInPool(pool, time.Second, 1)
-	pool.Take(time.Second, AnswerMessage{Holder: pool.ID(), Answers: []Answer{{Answer: accounts.Answer{Budget: "b", Granted: 100, Request: 1, Limit: 1000}}}})
+	pool.Take(time.Second, AnswerMessage{Holder: pool.ID(), Answers: []Answer{{Response: accounts.Response{Budget: "b", Granted: 100, Request: 1, Limit: 1000}}}})
 
 	holder := pooledHolder("p")
 	var held Reservation
@@ -146,7 +146,7 @@
 	assert.Assert(t, due)
 	assert.Equal(t, report.Reports[0].Settled, uint64(20))
 	assert.Equal(t, report.Reports[0].Returned, uint64(10))
-	assert.Equal(t, report.Reports[0].Wish, uint64(0))
+	assert.Equal(t, report.Reports[0].Desired, uint64(0))
 }
 
 // The demand of the zone is the pool holder's: it asks the root ahead for it.
@@ -155,8 +155,8 @@
 	pool.takePoolRequest(time.Second, PoolRequest{Borrower: accounts.HolderID{Node: "n", Incarnation: 1}, Budget: "b", Need: 50, Number: 1, PatienceMS: 100})
 	report, due := pool.Report(time.Second)
 	assert.Assert(t, due)
-	assert.Equal(t, report.Reports[0].Need, uint64(50))
-	assert.Assert(t, report.Reports[0].Wish > 50)
+	assert.Equal(t, report.Reports[0].Required, uint64(50))
+	assert.Assert(t, report.Reports[0].Desired > 50)
 
 	pool.Tick(time.Second + 100*time.Millisecond)
 	pools := pool.Pools()
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -115,7 +115,7 @@
 		r.holdBackTopUps(pending)
 		batch.Command.Reports = append(batch.Command.Reports, machine.HolderReports{
 			Holder: pending.message.Holder, Reports: pending.message.Reports,
-			Heard: pending.message.Heard, Allowances: pending.message.Allowances,
+			LastContact: pending.message.Heard, Allowances: pending.message.Allowances,
 		})
 	}
 	return batch, true
@@ -128,8 +128,8 @@
 		if r.recalls[report.Budget] == nil && !pending.afterRecall {
 			continue
 		}
-		pending.message.Reports[position].Want = report.Need
-		if report.Need == 0 {
+		pending.message.Reports[position].Expected = report.Required
+		if report.Required == 0 {
 			pending.message.Reports[position].Request = 0
 		}
 	}
@@ -139,7 +139,7 @@
 // and starts recalls.
 func (r *Root) Applied(now time.Duration, batch Batch, result machine.Result) {
 	for position, pending := range batch.pending {
-		r.answer(now, pending, result.Answers[position], result.Contact)
+		r.answer(now, pending, result.Responses[position], result.Contact)
 		for _, report := range pending.message.Reports {
 			if !slices.Contains(r.changed, report.Budget) {
 				r.changed = append(r.changed, report.Budget)
@@ -153,7 +153,7 @@
 	}
 }
 
-func (r *Root) answer(now time.Duration, pending pendingReport, answers []accounts.Answer, contact accounts.Contact) {
+func (r *Root) answer(now time.Duration, pending pendingReport, answers []accounts.Response, contact accounts.Contact) {
 	reply := AnswerMessage{Holder: pending.message.Holder}
 	if pending.message.Allowances {
 		reply.Contact = contact
@@ -168,7 +168,7 @@
 				continue
 			}
 		}
-		reply.Answers = append(reply.Answers, Answer{Answer: answer, Unreached: pending.unreached})
+		reply.Answers = append(reply.Answers, Answer{Response: answer, Unreached: pending.unreached})
 	}
 	if len(reply.Answers) > 0 || reply.Contact.Index > 0 {
 		r.options.Reply(pending.message.Holder.Node, reply)
--- a/internal/coordination/escrow/standing.go
+++ b/internal/coordination/escrow/standing.go
@@ -44,12 +44,12 @@
 // StandingOf returns how a root account stands.
 func StandingOf(budget *accounts.Budget) Standing {
 	return Standing{
-		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding(), Wished: budget.Wished(),
+		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Remaining() + budget.Outstanding(), Wished: budget.TotalDesired(),
 	}
 }
 
-func standingOf(answer accounts.Answer) Standing {
-	return Standing{Budget: answer.Budget, Limit: answer.Limit, Unspent: answer.Left + answer.Outstanding, Wished: answer.Wished}
+func standingOf(answer accounts.Response) Standing {
+	return Standing{Budget: answer.Budget, Limit: answer.Limit, Unspent: answer.Remaining + answer.Outstanding, Wished: answer.TotalDesired}
 }
 
 // most is what the holders together should hold ahead of demand. What a node
--- a/internal/coordination/escrow/standing_test.go
+++ b/internal/coordination/escrow/standing_test.go
@@ -49,15 +49,15 @@
 		}
 	}
 	if batch, found := g.root.Batch(); found {
-		var answers [][]accounts.Answer
+		var answers [][]accounts.Response
 		for _, one := range batch.Command.Reports {
-			var given []accounts.Answer
+			var given []accounts.Response
 			for _, report := range one.Reports {
-				given = append(given, g.accounts.Take(one.Holder, report, 0))
+				given = append(given, g.accounts.ApplyReport(one.Holder, report, 0))
 			}
 			answers = append(answers, given)
 		}
-		g.root.Applied(now, batch, machine.Result{Answers: answers})
+		g.root.Applied(now, batch, machine.Result{Responses: answers})
 	}
 	g.root.Tick(now)
 }
@@ -93,7 +93,7 @@
 		g.step(now + 500*time.Millisecond)
 	}
 	budget := g.accounts.Budget("b")
-	unspent := budget.Left() + budget.Outstanding()
+	unspent := budget.Remaining() + budget.Outstanding()
 	held := uint64(0)
 	for _, holder := range g.holders {
 		held += holder.Free("b")
@@ -116,7 +116,7 @@
 		g.step(now + 500*time.Millisecond)
 	}
 	budget := g.accounts.Budget("b")
-	most := Standing{Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding()}.most(false)
+	most := Standing{Limit: budget.Limit, Unspent: budget.Remaining() + budget.Outstanding()}.most(false)
 	assert.Assert(t, float64(g.holders["n0"].Free("b")) > 0.5*most, "%d of at most %.0f", g.holders["n0"].Free("b"), most)
 }
 
--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -44,7 +44,7 @@
 			continue
 		}
 		listing = append(listing, control)
-		sources = append(sources, listSource{address: control.Address, life: control.Life, version: control.ListVersion})
+		sources = append(sources, listSource{address: control.Address, life: control.Incarnation, version: control.ListVersion})
 	}
 	if len(sources) == 0 {
 		if entries, _ := r.Entries(now); r.live.sources == nil && len(entries) > 0 {
--- a/internal/coordination/roster/live_test.go
+++ b/internal/coordination/roster/live_test.go
@@ -28,7 +28,7 @@
 func TestLiveEntriesAreThoseOfTheNewestListsAndStayWhileNoneIsHeard(t *testing.T) {
 	roster := New("entry-1", nil)
 	assert.Equal(t, roster.LiveEntries(0).Generation, uint64(0))
-	hello := peer.Hello{Address: "control", Life: "x", Control: true, ListVersion: 1, Nodes: listOf("entry-1", "entry-2")}
+	hello := peer.Hello{Address: "control", Incarnation: "x", Control: true, ListVersion: 1, Nodes: listOf("entry-1", "entry-2")}
 	roster.Hello(0, hello)
 	first := roster.LiveEntries(0)
 	assert.DeepEqual(t, addressesOf(first), []string{"entry-1", "entry-2"})
@@ -46,7 +46,7 @@
 // Control nodes of builds that don't count their lists name entry nodes all the same.
 func TestLiveEntriesBesideEarlierControlNodesAreThoseThatTheyName(t *testing.T) {
 	roster := New("entry-1", nil)
-	roster.Hello(0, peer.Hello{Address: "control", Life: "x", Control: true, Nodes: listOf("entry-1", "entry-2")})
+	roster.Hello(0, peer.Hello{Address: "control", Incarnation: "x", Control: true, Nodes: listOf("entry-1", "entry-2")})
 	live := roster.LiveEntries(0)
 	assert.DeepEqual(t, addressesOf(live), []string{"entry-2"})
 	assert.Assert(t, live.Generation > 0 && !live.NamesSelf)
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	known := r.heard[hello.Address]
-	isNew = known == nil || known.Life != hello.Life || now-known.At > AliveFor
+	isNew = known == nil || known.Incarnation != hello.Incarnation || now-known.At > AliveFor
 	heard := &Heard{At: now}
 	hasList := len(hello.Nodes) > 0 || known != nil && takeChanges(&hello, known)
 	repeats := known != nil && !hasList
@@ -101,12 +101,12 @@
 	}
 	if repeats {
 		hello.Nodes, heard.namedAt = known.Nodes, known.namedAt
-		if known.Life == hello.Life {
+		if known.Incarnation == hello.Incarnation {
 			hello.ListVersion = known.ListVersion
 		}
 	}
 	heard.Hello = hello
-	if known != nil && known.Life == hello.Life {
+	if known != nil && known.Incarnation == hello.Incarnation {
 		heard.Meter = known.Meter
 	}
 	heard.Note(now, time.Duration(hello.AgeMS)*time.Millisecond)
@@ -133,7 +133,7 @@
 // takeChanges makes a hello's list of that before and its changes. It returns false if it
 // has none, or if those before were lost: the whole list comes again.
 func takeChanges(hello *peer.Hello, before *Heard) bool {
-	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Life != before.Life {
+	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Incarnation != before.Incarnation {
 		return false
 	}
 	left := make(map[string]bool, len(hello.Left))
--- a/internal/coordination/roster/roster_test.go
+++ b/internal/coordination/roster/roster_test.go
@@ -10,7 +10,7 @@
 )
 
 func control(address, leader string, term uint64, nodes ...peer.NodeEntry) peer.Hello {
-	return peer.Hello{Address: address, Life: "1", Control: true, Leader: leader, Term: term, Nodes: nodes}
+	return peer.Hello{Address: address, Incarnation: "1", Control: true, Leader: leader, Term: term, Nodes: nodes}
 }
 
 func TestNodeLearnsControlNodesFromItsSeeds(t *testing.T) {
@@ -43,16 +43,16 @@
 
 func TestNewLifeOfANodeIsNoticed(t *testing.T) {
 	roster := New("a:1", nil)
-	assert.Assert(t, roster.Hello(0, peer.Hello{Address: "f:1", Life: "1"}))
-	assert.Assert(t, !roster.Hello(0, peer.Hello{Address: "f:1", Life: "1"}))
-	assert.Assert(t, roster.Hello(0, peer.Hello{Address: "f:1", Life: "2"}))
+	assert.Assert(t, roster.Hello(0, peer.Hello{Address: "f:1", Incarnation: "1"}))
+	assert.Assert(t, !roster.Hello(0, peer.Hello{Address: "f:1", Incarnation: "1"}))
+	assert.Assert(t, roster.Hello(0, peer.Hello{Address: "f:1", Incarnation: "2"}))
 }
 
 func TestDelayOfHellosIsMeasuredAnewForEachLife(t *testing.T) {
 	roster := New("f:1", nil)
 	say := func(at, age time.Duration, life string) time.Duration {
 		hello := control("a:1", "", 1)
-		hello.Life, hello.AgeMS = life, uint64(age.Milliseconds())
+		hello.Incarnation, hello.AgeMS = life, uint64(age.Milliseconds())
 		roster.Hello(at, hello)
 		return roster.Get("a:1").Delay()
 	}
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -13,7 +13,7 @@
 type Build struct {
 	Commit, Go string
 	IsModified bool
-	Dialect    peer.Dialect
+	Dialect    peer.ProtocolVersion
 }
 
 // shortCommit is the length of a commit's name that people read.
@@ -32,7 +32,7 @@
 
 // ReadBuild reads what the build left in the program.
 func ReadBuild() Build {
-	build := Build{Commit: unknownCommit, Dialect: peer.OwnDialect}
+	build := Build{Commit: unknownCommit, Dialect: peer.OwnProtocol}
 	information, found := debug.ReadBuildInfo()
 	if !found {
 		return build
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -137,7 +137,7 @@
 
 // mayTryAgain decides on another attempt after one that reached an instance.
 func (r *request) mayTryAgain(result verdict, service string, policy balance.RetryPolicy) bool {
-	if r.arrivals >= max(1, r.route.MaxAttempts) {
+	if r.arrivals >= max(1, r.route.MaximumAttempts) {
 		return false
 	}
 	if result != turnedAway && (!r.route.Idempotent() || r.standing() >= quarantine.Suspected) {
@@ -180,14 +180,14 @@
 	wanted := balance.Request{
 		Service: service, Part: r.call.attemptKey(), Cost: r.call.cost(), Exclude: r.tried, Bytes: len(r.body),
 		Tokens: int(r.call.TokensIn), SharedTokens: r.call.sharedTokens(), Gap: r.route.EventGap, Regions: r.regions(),
-		PermitPatience: r.permitPatience(), IsLastAttempt: r.arrivals+1 >= max(1, r.route.MaxAttempts),
+		PermitPatience: r.permitPatience(), IsLastAttempt: r.arrivals+1 >= max(1, r.route.MaximumAttempts),
 	}
 	configured := r.index.Service(service)
 	if configured != nil {
 		wanted.Cold = balance.ColdPolicy{Rate: configured.ColdRate, Time: configured.ColdTime}
 	}
-	if configured != nil && configured.MaxConnections > 0 {
-		wanted.MaxInFlight = max(2, configured.MaxConnections/max(1, environment.EntryNodes()))
+	if configured != nil && configured.MaximumConnections > 0 {
+		wanted.MaxInFlight = max(2, configured.MaximumConnections/max(1, environment.EntryNodes()))
 	}
 	return wanted
 }
@@ -285,7 +285,7 @@
 // attemptContext limits the wait for a repeatable request's answer, so that
 // there is time left for another instance.
 func (r *request) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	isLast := r.arrivals+1 >= max(1, r.route.MaxAttempts)
+	isLast := r.arrivals+1 >= max(1, r.route.MaximumAttempts)
 	if r.route.Kind != document.Repeatable || isLast {
 		return context.WithCancel(ctx)
 	}
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -334,7 +334,7 @@
 // readBody reads the whole body: it is sent again if an engine turns the
 // request away.
 func (r *request) readBody() *Refusal {
-	limit := r.index.Document.Limits.MaxBodyBytes
+	limit := r.index.Document.Limits.MaximumBodyBytes
 	if limit > 0 && r.incoming.ContentLength > limit {
 		return refuse(http.StatusRequestEntityTooLarge, ReasonTooLarge)
 	}
--- a/internal/forward/pipeline_test.go
+++ b/internal/forward/pipeline_test.go
@@ -193,14 +193,14 @@
 	route := func(name string, kind document.RouteKind) document.Route {
 		return document.Route{
 			Name: name, Host: "127.0.0.1", Prefix: "/" + name + "/", Kind: kind, Timeout: 3 * time.Second, Objective: 100 * time.Millisecond,
-			MaxAttempts: 2, Targets: []document.Target{{Service: "s", Weight: 1}},
+			MaximumAttempts: 2, Targets: []document.Target{{Service: "s", Weight: 1}},
 		}
 	}
 	resumable := route("resumable", document.Stream)
 	resumable.Resumable = true
 	once := route("once", document.NotRepeatable)
 	index := document.NewIndex(&document.Document{
-		Version: 1, Services: []document.Service{{Name: "s", EventTokens: 3}}, Limits: document.Limits{MaxBodyBytes: 1 << 20},
+		Version: 1, Services: []document.Service{{Name: "s", EventTokens: 3}}, Limits: document.Limits{MaximumBodyBytes: 1 << 20},
 		Routes:  []document.Route{route("safe", document.Repeatable), once, route("stream", document.Stream), resumable},
 		Tenants: []document.Tenant{{Name: "t", Keys: []string{"k"}, HasPrepaid: true, Prepaid: 1000}},
 	})
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -74,7 +74,7 @@
 	limits.Answered(h.environment.Now(), limited, ratelimit.Answer{FreeMS: 2000})
 	route := h.environment.index.Document.Routes
 	for position := range route {
-		route[position].MaxAttempts = 1
+		route[position].MaximumAttempts = 1
 	}
 	for number := range 5 {
 		got := h.ask(t, http.MethodPost, "/once/x", fmt.Sprint("r", number), "b")
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -103,7 +103,7 @@
 }
 
 func (r *request) mayResume(service string) bool {
-	if !r.route.Resumable || r.arrivals >= max(1, r.route.MaxAttempts) || r.standing() >= quarantine.Suspected {
+	if !r.route.Resumable || r.arrivals >= max(1, r.route.MaximumAttempts) || r.standing() >= quarantine.Suspected {
 		return false
 	}
 	environment := r.pipeline.options.Environment
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -57,22 +57,22 @@
 	if err != nil {
 		return 0, err
 	}
-	packed, err := document.Pack(raw)
+	packed, err := document.Compress(raw)
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	command := machine.DocumentCommand{Version: taken.Version, Raw: packed, Encoded: encoded}
-	outcome, err := atLeader(ctx, n, peer.MethodTakeDocument, &takeQuestion{Command: command}, func() (machine.DocumentOutcome, error) {
+	outcome, err := atLeader(ctx, n, peer.MethodSubmitDocument, &takeQuestion{Command: command}, func() (machine.DocumentOutcome, error) {
 		return n.takeDocumentHere(ctx, command)
 	})
 	n.log.Info().Str("event", "document_order").Uint64("version", taken.Version).Int("bytes", len(raw)).
-		Uint64("held", outcome.Held).Bool("taken", outcome.Taken).AnErr("error", err).Send()
+		Uint64("held", outcome.ActiveVersion).Bool("taken", outcome.Applied).AnErr("error", err).Send()
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return outcome.Held, nil
+	return outcome.ActiveVersion, nil
 }
 
 // warnOfRegions writes a line for each region that a configuration binds requests to and
@@ -103,7 +103,7 @@
 func (n *Node) ReadDocument(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	held, err := duty.Ask(ctx, n.replica.duty, func(answer func(machine.HeldDocument)) { answer(n.replica.machine.Document()) })
+	held, err := duty.Ask(ctx, n.replica.duty, func(answer func(machine.ActiveDocument)) { answer(n.replica.machine.Document()) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -113,9 +113,9 @@
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	case answer.Same:
-		return document.Unpack(held.Raw)
+		return document.Decompress(held.Raw)
 	}
-	return document.Unpack(answer.Raw)
+	return document.Decompress(answer.Raw)
 }
 
 // errNoLeader says that no leader of the control group is known.
@@ -202,7 +202,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	answer, err := n.executeCall(ctx, from, call)
-	n.calls.Answer(from, call, answer, err, errorCode)
+	n.calls.Reply(from, call, answer, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -220,7 +220,7 @@
 		return nil, consensus.ErrNotLeader
 	}
 	switch call.Method {
-	case peer.MethodTakeDocument:
+	case peer.MethodSubmitDocument:
 		return peer.Execute(call, func(question takeQuestion) (any, error) { return n.takeDocumentHere(ctx, question.Command) })
 	case peer.MethodReadDocument:
 		return peer.Execute(call, func(question readQuestion) (any, error) { return n.readDocumentHere(ctx, question) })
--- a/internal/gateway/dialects.go
+++ b/internal/gateway/dialects.go
@@ -12,13 +12,13 @@
 // alone. It is used by all duties.
 type peerDialects struct {
 	mutex sync.RWMutex
-	of    map[string]peer.Dialect
+	of    map[string]peer.ProtocolVersion
 }
 
-func newPeerDialects() *peerDialects { return &peerDialects{of: map[string]peer.Dialect{}} }
+func newPeerDialects() *peerDialects { return &peerDialects{of: map[string]peer.ProtocolVersion{}} }
 
 // reader is how a node reads. Of an unknown node the strictest is assumed, which all read.
-func (d *peerDialects) reader(address string) peer.Dialect {
+func (d *peerDialects) reader(address string) peer.ProtocolVersion {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
 	return d.of[address]
@@ -31,15 +31,15 @@
 func (d *peerDialects) note(hello peer.Hello) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.of[hello.Address] = hello.Dialect
+	d.of[hello.Address] = hello.ProtocolVersion
 	for _, listed := range slices.Concat(hello.Nodes, hello.Joined) {
 		if listed.Control {
 			// Control nodes tell their own to all.
 			continue
 		}
-		dialect, isOlder := hello.OlderNodes[listed.Address]
+		dialect, isOlder := hello.OlderNodeProtocols[listed.Address]
 		if !isOlder {
-			dialect = hello.Dialect
+			dialect = hello.ProtocolVersion
 		}
 		d.of[listed.Address] = dialect
 	}
@@ -47,14 +47,14 @@
 
 // older returns those of some nodes that have not this build's dialect, with their own;
 // nil if there are none.
-func (d *peerDialects) older(nodes []peer.NodeEntry) map[string]peer.Dialect {
+func (d *peerDialects) older(nodes []peer.NodeEntry) map[string]peer.ProtocolVersion {
 	d.mutex.RLock()
 	defer d.mutex.RUnlock()
-	var older map[string]peer.Dialect
+	var older map[string]peer.ProtocolVersion
 	for _, node := range nodes {
-		if dialect := d.of[node.Address]; dialect != peer.OwnDialect && !node.Control {
+		if dialect := d.of[node.Address]; dialect != peer.OwnProtocol && !node.Control {
 			if older == nil {
-				older = map[string]peer.Dialect{}
+				older = map[string]peer.ProtocolVersion{}
 			}
 			older[node.Address] = dialect
 		}
--- a/internal/gateway/documents.go
+++ b/internal/gateway/documents.go
@@ -170,5 +170,5 @@
 		return
 	}
 	d.put(from, data.Version, data.Encoded)
-	d.node.send(from, peer.KindDocumentFetch, &peer.DocumentFetch{Have: d.version(), Took: true})
+	d.node.send(from, peer.KindDocumentFetch, &peer.DocumentFetch{Have: d.version(), Confirms: true})
 }
--- a/internal/gateway/duties_bench_test.go
+++ b/internal/gateway/duties_bench_test.go
@@ -72,8 +72,8 @@
 // controlHello is a control node's hello to a node; every tenth names all nodes.
 func controlHello(number, entries int, digest uint64, withNodes bool) peer.Hello {
 	hello := peer.Hello{
-		Address: benchControl(number), Zone: benchZone(number), Life: "1", Control: true, HasGroup: true, Leader: benchControl(0),
-		Term: 1, Version: 0, InstancesSum: digest, Dialect: peer.OwnDialect,
+		Address: benchControl(number), Zone: benchZone(number), Incarnation: "1", Control: true, HasGroup: true, Leader: benchControl(0),
+		Term: 1, Version: 0, InstancesSum: digest, ProtocolVersion: peer.OwnProtocol,
 	}
 	if withNodes {
 		for entry := range entries {
@@ -85,10 +85,10 @@
 
 func forgetFrames(node *Node, entries int) {
 	for number := range entries {
-		node.mesh.Forget(benchEntry(number))
+		node.mesh.RemoveLink(benchEntry(number))
 	}
 	for number := range benchControls {
-		node.mesh.Forget(benchControl(number))
+		node.mesh.RemoveLink(benchControl(number))
 	}
 }
 
@@ -170,8 +170,8 @@
 	for number := range benchTenants {
 		name := fmt.Sprint("tenant-", number)
 		holder.Reserve(node.now(), time.Hour, name, 1000, escrow.Policy{}, func(escrow.Reservation, error) {})
-		holder.Take(node.now(), escrow.AnswerMessage{Holder: holder.ID(), Answers: []escrow.Answer{{Answer: accounts.Answer{
-			Budget: name, Granted: 1 << 20, Request: 1, Limit: 1 << 30, Left: 1 << 29,
+		holder.Take(node.now(), escrow.AnswerMessage{Holder: holder.ID(), Answers: []escrow.Answer{{Response: accounts.Response{
+			Budget: name, Granted: 1 << 20, Request: 1, Limit: 1 << 30, Remaining: 1 << 29,
 		}}}})
 	}
 }
@@ -243,7 +243,7 @@
 	var hellos []peer.Hello
 	for number := range entries {
 		hellos = append(hellos, peer.Hello{
-			Address: benchEntry(number), Zone: benchZone(number), Life: "1", Entry: true, InstancesSum: node.fleet.registry.Digest(), Dialect: peer.OwnDialect,
+			Address: benchEntry(number), Zone: benchZone(number), Incarnation: "1", Entry: true, InstancesSum: node.fleet.registry.Digest(), ProtocolVersion: peer.OwnProtocol,
 		})
 	}
 	return hellos
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -201,7 +201,7 @@
 	f.logMerged()
 	f.forgetList(now)
 	for _, gone := range f.roster.Forget(now) {
-		f.node.mesh.Forget(gone)
+		f.node.mesh.RemoveLink(gone)
 		f.node.dialects.forget(gone)
 		delete(f.told, gone)
 		delete(f.mismatches, gone)
@@ -324,11 +324,11 @@
 func (f *fleetDuty) describe() peer.Hello {
 	current := f.node.settings.Load()
 	said := peer.Hello{
-		Address: f.node.address, Node: current.Node.Name, Zone: current.Node.Zone, Life: f.node.life,
+		Address: f.node.address, Node: current.Node.Name, Zone: current.Node.Zone, Incarnation: f.node.life,
 		Entry: current.HasRole(settings.RoleEntry), Control: f.isControl(), Stopping: f.node.isStopping(),
 		Version: f.node.documents.version(), InstancesSum: f.registry.Digest(),
 		AgeMS: uint64(f.node.now().Milliseconds()), Evacuated: f.node.zones.inForce(),
-		QuarantineDigest: f.node.quarantine.digest.Load(), Dialect: peer.OwnDialect, Build: f.node.options.Build,
+		QuarantineDigest: f.node.quarantine.digest.Load(), ProtocolVersion: peer.OwnProtocol, Build: f.node.options.Build,
 	}
 	if f.hearsOlder() {
 		said.InstancesDigest = f.registry.OrderedDigest()
@@ -342,7 +342,7 @@
 
 // hearsOlder tells whether a node is heard that compares ordered digests.
 func (f *fleetDuty) hearsOlder() bool {
-	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Heard) bool { return known.Dialect < peer.DialectSums })
+	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Heard) bool { return known.ProtocolVersion < peer.ProtocolSums })
 }
 
 // takeHello notes another node's hello and settles what differs.
@@ -398,7 +398,7 @@
 // greetNew notes a node that was not heard before, or not of late.
 func (f *fleetDuty) greetNew(now time.Duration, hello peer.Hello) {
 	f.node.log.Info().Str("event", "node_heard").Str("peer", hello.Node).Str("address", hello.Address).
-		Str("life", hello.Life).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
+		Str("life", hello.Incarnation).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
 	delete(f.told, hello.Address)
 	if f.isControl() {
 		// It learns at once what it would else wait for.
@@ -429,7 +429,7 @@
 	}
 	for _, known := range f.roster.Controls(now) {
 		view.controls++
-		quorum := time.Duration(known.QuorumSilenceMS) * time.Millisecond
+		quorum := time.Duration(known.TimeSinceQuorumMS) * time.Millisecond
 		if !known.HasGroup || quorum > quorumFor {
 			continue
 		}
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -105,7 +105,7 @@
 // node and an entry node the entry node begins, unless the control node knows of nothing.
 func (f *fleetDuty) compareInstances(hello peer.Hello) {
 	own, other := f.registry.Digest(), hello.InstancesSum
-	if hello.Dialect < peer.DialectSums {
+	if hello.ProtocolVersion < peer.ProtocolSums {
 		own, other = f.registry.OrderedDigest(), hello.InstancesDigest
 	}
 	if other == own || !hello.Control && !f.isControl() {
@@ -136,7 +136,7 @@
 // askFor asks a node for instances that are not known here, and tells it of those that it
 // does not know.
 func (f *fleetDuty) askFor(hello peer.Hello, known mismatch) {
-	if hello.Dialect >= peer.DialectSums {
+	if hello.ProtocolVersion >= peer.ProtocolSums {
 		delete(f.mismatches, hello.Address)
 		f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Answer: true, Sums: f.registry.Sums()})
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-func (f *fleetDuty) takeHeard(heard peer.InstancesHeard) {
+func (f *fleetDuty) takeHeard(heard peer.InstanceContacts) {
 	f.duty.Offer(func() { f.registry.Heard(f.node.now(), heard.IDs) })
 }
 
@@ -216,7 +216,7 @@
 		return
 	}
 	for _, known := range f.roster.Controls(f.node.now()) {
-		f.node.send(known.Address, peer.KindInstancesHeard, &peer.InstancesHeard{IDs: ids})
+		f.node.send(known.Address, peer.KindInstanceContacts, &peer.InstanceContacts{IDs: ids})
 	}
 }
 
--- a/internal/gateway/judging.go
+++ b/internal/gateway/judging.go
@@ -125,7 +125,7 @@
 	var live []string
 	for _, known := range d.node.fleet.view.Load().alive {
 		if known.Entry {
-			live = append(live, holderName(known.Address, known.Life))
+			live = append(live, holderName(known.Address, known.Incarnation))
 		}
 	}
 	return live
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -76,7 +76,7 @@
 	k.generation = live.Generation
 	nodes := []ratelimit.Node{{Address: k.node.address, Zone: k.node.settings.Load().Node.Zone}}
 	for _, entry := range live.Nodes {
-		if entry.Address != k.node.address && k.node.dialects.reader(entry.Address) >= peer.DialectPermits {
+		if entry.Address != k.node.address && k.node.dialects.reader(entry.Address) >= peer.ProtocolPermits {
 			nodes = append(nodes, ratelimit.Node{Address: entry.Address, Zone: entry.Zone})
 		}
 	}
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -42,7 +42,7 @@
 // its latest changes.
 type nodeList struct {
 	nodes    []peer.NodeEntry
-	dialects []peer.Dialect
+	dialects []peer.ProtocolVersion
 	// version rises with each change; history are the latest ones, the newest last.
 	version uint64
 	history []listChange
@@ -64,14 +64,14 @@
 // update makes the list anew.
 func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Heard) {
 	before, beforeDialects := l.nodes, l.dialects
-	l.nodes, l.dialects, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
+	l.nodes, l.dialects, l.controls = []peer.NodeEntry{own}, []peer.ProtocolVersion{peer.OwnProtocol}, []peer.NodeEntry{own}
 	digest := xxhash.New()
 	for _, known := range alive {
 		if known.Stopping {
 			continue
 		}
 		entry := peer.NodeEntry{Address: known.Address, Zone: known.Zone, Entry: known.Entry, Control: known.Control}
-		l.nodes, l.dialects = append(l.nodes, entry), append(l.dialects, known.Dialect)
+		l.nodes, l.dialects = append(l.nodes, entry), append(l.dialects, known.ProtocolVersion)
 		if known.Control {
 			l.controls = append(l.controls, entry)
 			_, _ = digest.WriteString(known.Address)
@@ -92,12 +92,12 @@
 }
 
 // dialectsOf are the dialects of those nodes that are in another list too.
-func dialectsOf(nodes []peer.NodeEntry, dialects []peer.Dialect, others []peer.NodeEntry) []peer.Dialect {
+func dialectsOf(nodes []peer.NodeEntry, dialects []peer.ProtocolVersion, others []peer.NodeEntry) []peer.ProtocolVersion {
 	isOther := make(map[string]bool, len(others))
 	for _, other := range others {
 		isOther[other.Address] = true
 	}
-	var common []peer.Dialect
+	var common []peer.ProtocolVersion
 	for position, node := range nodes {
 		if isOther[node.Address] {
 			common = append(common, dialects[position])
@@ -174,7 +174,7 @@
 		}
 		told.controls, told.version = list.controlsDigest, 0
 	case isDue || told.version != list.version:
-		readsChanges := h.fleet.node.dialects.reader(receiver) >= peer.DialectSums
+		readsChanges := h.fleet.node.dialects.reader(receiver) >= peer.ProtocolSums
 		hello = h.withAll(told.version, isDue || !readsChanges)
 		told.version = list.version
 	}
@@ -200,7 +200,7 @@
 	if isWhole || !isKnown {
 		if h.whole == nil {
 			said := h.said
-			said.Nodes, said.ListVersion, said.OlderNodes = list.nodes, list.version, h.fleet.node.dialects.older(list.nodes)
+			said.Nodes, said.ListVersion, said.OlderNodeProtocols = list.nodes, list.version, h.fleet.node.dialects.older(list.nodes)
 			h.whole = peer.NewMessage(peer.KindHello, said)
 		}
 		return h.whole
--- a/internal/gateway/lists_test.go
+++ b/internal/gateway/lists_test.go
@@ -18,7 +18,7 @@
 func aliveNodes(names []string) []*roster.Heard {
 	var alive []*roster.Heard
 	for _, name := range names {
-		alive = append(alive, &roster.Heard{Hello: peer.Hello{Address: name, Zone: "a", Entry: true, Dialect: peer.OwnDialect}})
+		alive = append(alive, &roster.Heard{Hello: peer.Hello{Address: name, Zone: "a", Entry: true, ProtocolVersion: peer.OwnProtocol}})
 	}
 	return alive
 }
@@ -45,7 +45,7 @@
 			}
 			slices.Sort(names)
 			list.update(own, aliveNodes(names))
-			hello := peer.Hello{Address: own.Address, Zone: "a", Control: true, Life: "1"}
+			hello := peer.Hello{Address: own.Address, Zone: "a", Control: true, Incarnation: "1"}
 			change, isKnown := list.since(told)
 			if !isKnown || rapid.IntRange(0, 9).Draw(t, "whole") == 0 {
 				hello.Nodes, hello.ListVersion = list.nodes, list.version
@@ -98,7 +98,7 @@
 		node.fleet.hello()
 		idle := node.sent.bytes[peer.KindHello].Get() - before
 		newcomer := benchEntry(entries + 1)
-		node.fleet.roster.Hello(node.now(), peer.Hello{Address: newcomer, Zone: benchZone(1), Life: "1", Entry: true, Dialect: peer.OwnDialect})
+		node.fleet.roster.Hello(node.now(), peer.Hello{Address: newcomer, Zone: benchZone(1), Incarnation: "1", Entry: true, ProtocolVersion: peer.OwnProtocol})
 		before = node.sent.bytes[peer.KindHello].Get()
 		setClock(node, began)
 		node.fleet.hello()
--- a/internal/gateway/lives.go
+++ b/internal/gateway/lives.go
@@ -36,23 +36,23 @@
 // runs another one.
 func (r *replicaDuty) closeLives() {
 	command := r.livesOver()
-	if len(command.Lives) == 0 {
+	if len(command.Incarnations) == 0 {
 		return
 	}
-	r.propose(machine.Command{CloseLives: command}, func(_ machine.Result, err error) {
-		r.node.log.Info().Str("event", "lives_closed").Int("count", len(command.Lives)).AnErr("error", err).Send()
+	r.propose(machine.Command{CloseIncarnations: command}, func(_ machine.Result, err error) {
+		r.node.log.Info().Str("event", "lives_closed").Int("count", len(command.Incarnations)).AnErr("error", err).Send()
 	})
 }
 
 // livesOver lists the holders whose life is over, and how long each was silent
 // before its successor had started.
-func (r *replicaDuty) livesOver() *machine.CloseLivesCommand {
+func (r *replicaDuty) livesOver() *machine.CloseIncarnationsCommand {
 	running, reading := r.runningEntries(), r.readClocks()
-	command := &machine.CloseLivesCommand{}
+	command := &machine.CloseIncarnationsCommand{}
 	for _, holder := range r.machine.Accounts().Holders() {
 		address, life := holderAddress(holder.Node)
 		successor, isRunning := running[address]
-		if !isRunning || successor.Life == life {
+		if !isRunning || successor.Incarnation == life {
 			continue
 		}
 		// Its successor had started by then.
@@ -61,7 +61,7 @@
 		if !known && r.node.now()-r.leadsSince < clockPatience {
 			continue
 		}
-		command.Lives, command.Silences = append(command.Lives, holder), append(command.Silences, silence)
+		command.Incarnations, command.TimesSinceContact = append(command.Incarnations, holder), append(command.TimesSinceContact, silence)
 		r.node.log.Info().Str("event", "life_over").Str("node", successor.Node).Str("life", life).
 			Bool("silence_known", known).Int64("silence_ms", silence.Milliseconds()).Send()
 	}
--- a/internal/gateway/logversion.go
+++ b/internal/gateway/logversion.go
@@ -23,7 +23,7 @@
 
 // logVersionOf is the newest version of the log that a control node reads.
 func logVersionOf(hello peer.Hello) machine.LogVersion {
-	if hello.LogVersion == 0 && hello.Dialect >= peer.DialectSums {
+	if hello.LogVersion == 0 && hello.ProtocolVersion >= peer.ProtocolSums {
 		// Builds that know rollouts, before they told versions.
 		return machine.VersionRollouts
 	}
--- a/internal/gateway/logversion_test.go
+++ b/internal/gateway/logversion_test.go
@@ -35,9 +35,9 @@
 	t.Fatal("not within 100 ticks")
 }
 
-func hearControl(replica *replicaDuty, dialect peer.Dialect, logVersion uint32) {
+func hearControl(replica *replicaDuty, dialect peer.ProtocolVersion, logVersion uint32) {
 	hello := controlHello(1, 3, 1, true)
-	hello.Dialect, hello.LogVersion = dialect, logVersion
+	hello.ProtocolVersion, hello.LogVersion = dialect, logVersion
 	replica.node.fleet.roster.Hello(replica.node.now(), hello)
 	replica.node.fleet.publish()
 }
@@ -45,7 +45,7 @@
 func TestLogVersionIsRaisedOnceAllControlNodesReadItAndHaveSettled(t *testing.T) {
 	replica := newFoundedReplica(t)
 	replica.node.settings.Load().Fleet.UpgradeSettling = 20 * time.Millisecond
-	hearControl(replica, peer.DialectTolerant, 0)
+	hearControl(replica, peer.ProtocolTolerant, 0)
 	for range 3 * manageTicks {
 		replica.tick()
 		replica.flush()
@@ -53,7 +53,7 @@
 	assert.Equal(t, replica.machine.LogVersion(), machine.VersionFirst)
 	assert.DeepEqual(t, replica.shared.Load().waitsFor, []string{benchControl(1)})
 	// It is given a build that knows rollouts, and tells no version.
-	hearControl(replica, peer.DialectSums, 0)
+	hearControl(replica, peer.ProtocolSums, 0)
 	began := time.Now()
 	runUntil(t, replica, func() bool {
 		time.Sleep(time.Millisecond)
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -351,7 +351,7 @@
 
 // sendMessage sends a message as the receiver reads it.
 func (n *Node) sendMessage(to string, message *peer.Message) {
-	reader := peer.OwnDialect
+	reader := peer.OwnProtocol
 	if to != n.address {
 		reader = n.dialects.reader(to)
 	}
@@ -386,7 +386,7 @@
 		return peer.Dispatch(envelope, func(hello peer.Hello) { n.fleet.takeHello(from, hello) })
 	case peer.KindInstances:
 		return peer.Dispatch(envelope, func(message instancesMessage) { n.fleet.takeInstances(from, message) })
-	case peer.KindInstancesHeard:
+	case peer.KindInstanceContacts:
 		return peer.Dispatch(envelope, n.fleet.takeHeard)
 	case peer.KindDocumentNotice:
 		return peer.Dispatch(envelope, func(notice peer.DocumentNotice) { n.documents.takeNotice(from, notice.Version) })
@@ -423,7 +423,7 @@
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
-		return peer.Dispatch(envelope, n.calls.Answered)
+		return peer.Dispatch(envelope, n.calls.Deliver)
 	}
 	return fmt.Errorf("kind %s has no duty here", envelope.Kind)
 }
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -59,14 +59,14 @@
 	answer.Nodes = append(answer.Nodes, &ravenwayv1.NodeStatus{
 		Name: current.Node.Name, Zone: current.Node.Zone, Control: node.replica != nil,
 		Leader: node.address == answer.Leader, Revision: answer.Revision, Stopping: node.isStopping(),
-		EvacuationRevision: zones.Revision, Dialect: uint32(peer.OwnDialect), Build: node.options.Build,
+		EvacuationRevision: zones.Revision, Dialect: uint32(peer.OwnProtocol), Build: node.options.Build,
 		LogVersion: answer.GetNewestLogVersion(),
 	})
 	for _, known := range view.alive {
 		answer.Nodes = append(answer.Nodes, &ravenwayv1.NodeStatus{
 			Name: known.Node, Zone: known.Zone, Control: known.Control, Leader: known.Address == answer.Leader,
 			Revision: known.Version, SilentMilliseconds: uint64((node.now() - known.At).Milliseconds()), Stopping: known.Stopping,
-			EvacuationRevision: known.Evacuated.Revision, Dialect: uint32(known.Dialect), Build: known.Build, LogVersion: known.LogVersion,
+			EvacuationRevision: known.Evacuated.Revision, Dialect: uint32(known.ProtocolVersion), Build: known.Build, LogVersion: known.LogVersion,
 		})
 	}
 	return connect.NewResponse(answer), nil
@@ -188,7 +188,7 @@
 		budget := r.machine.Accounts().Budget(name)
 		described = append(described, &ravenwayv1.BudgetStatus{
 			Budget: name, Tenant: name, Limit: budget.Limit, Settled: budget.Settled(), Outstanding: budget.Outstanding(),
-			EndedAllowed: budget.Ended.Allowed, EndedPaced: budget.Ended.Paced, EndedWhole: budget.Ended.Whole,
+			EndedAllowed: budget.CrashCharges.Allowed, EndedPaced: budget.CrashCharges.Paced, EndedWhole: budget.CrashCharges.WholeGrants,
 		})
 	}
 	return described
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -38,7 +38,7 @@
 			p.node.sendMessage(known.Address, notice)
 			continue
 		}
-		if p.due(known.Address, known.Life, known.Version, held) {
+		if p.due(known.Address, known.Incarnation, known.Version, held) {
 			sent++
 			p.node.sendMessage(known.Address, whole)
 		}
@@ -83,13 +83,13 @@
 	if !p.isSender(hello, p.controls(p.node.fleet.view.Load().alive)) {
 		return
 	}
-	p.sendIfDue(hello.Address, hello.Life, hello.Version, "hello")
+	p.sendIfDue(hello.Address, hello.Incarnation, hello.Version, "hello")
 }
 
 // answer sends the document in force to an entry node that asks for a newer one
 // than it has, or notes that it took one.
 func (p *documentPublisher) answer(from string, fetch peer.DocumentFetch) {
-	if fetch.Took {
+	if fetch.Confirms {
 		p.sendIfDue(from, "", fetch.Have, "confirmation")
 		return
 	}
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -327,12 +327,12 @@
 	for _, name := range r.machine.Accounts().Names() {
 		budgets = append(budgets, r.machine.Accounts().Budget(name))
 	}
-	slices.SortStableFunc(budgets, func(a, b *accounts.Budget) int { return cmp.Compare(a.Left(), b.Left()) })
+	slices.SortStableFunc(budgets, func(a, b *accounts.Budget) int { return cmp.Compare(a.Remaining(), b.Remaining()) })
 	for _, budget := range budgets[:min(len(budgets), accountLines)] {
 		r.node.log.Info().Str("event", "account").Str("tenant", budget.Name).Uint64("limit", budget.Limit).
 			Uint64("spent", budget.Spent()).Int64("forfeited", budget.Forfeited).
-			Int64("ended_allowed", budget.Ended.Allowed).Int64("ended_paced", budget.Ended.Paced).Int64("ended_whole", budget.Ended.Whole).
-			Uint64("outstanding", budget.Outstanding()).Uint64("left", budget.Left()).Int("holders", len(budget.Holders)).Send()
+			Int64("ended_allowed", budget.CrashCharges.Allowed).Int64("ended_paced", budget.CrashCharges.Paced).Int64("ended_whole", budget.CrashCharges.WholeGrants).
+			Uint64("outstanding", budget.Outstanding()).Uint64("left", budget.Remaining()).Int("holders", len(budget.Holders)).Send()
 	}
 }
 
@@ -384,7 +384,7 @@
 	view := r.shared.Load()
 	hello.Replica, hello.HasGroup = uint64(view.replica), view.hasGroup
 	hello.Leader, hello.Term = view.leader, view.term
-	hello.QuorumSilenceMS = uint64(view.quorumSilence.Milliseconds())
+	hello.TimeSinceQuorumMS = uint64(view.quorumSilence.Milliseconds())
 	hello.WallMS = time.Now().UnixMilli()
 	hello.LogVersion = uint32(machine.OwnLogVersion)
 }
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -49,10 +49,10 @@
 
 // rolloutAnswer answers an order for a rollout, or a question for one.
 type rolloutAnswer struct {
-	Refused rolloutRefusal  `msgpack:"f"`
-	Answer  rollout.Answer  `msgpack:"a"`
-	Rollout rollout.Rollout `msgpack:"r"`
-	Found   bool            `msgpack:"o"`
+	Refused rolloutRefusal   `msgpack:"f"`
+	Answer  rollout.Response `msgpack:"a"`
+	Rollout rollout.Rollout  `msgpack:"r"`
+	Found   bool             `msgpack:"o"`
 }
 
 // rolloutQuestion asks the leader for a service's newest rollout.
@@ -87,9 +87,9 @@
 		return fmt.Errorf("%w: %q of service %q", ErrVersionRuns, order.Version, order.Service)
 	case a.Refused == refusedOlderNodes:
 		return fmt.Errorf("%w: %w", ErrUnavailable, errOlderNodes)
-	case a.Answer == rollout.UnderWay:
+	case a.Answer == rollout.InProgress:
 		return fmt.Errorf("%w: to %q since entry %d, now %s", ErrRolloutUnderWay, a.Rollout.Version, a.Rollout.Revision, a.Rollout.Stage)
-	case a.Answer == rollout.OtherUnderWay:
+	case a.Answer == rollout.OtherInProgress:
 		return fmt.Errorf("%w: to %q", ErrOtherRollout, a.Rollout.Version)
 	}
 	return nil
@@ -113,7 +113,7 @@
 	if err != nil {
 		return rolloutAnswer{}, err
 	}
-	return rolloutAnswer{Answer: result.Rollout.Answer, Rollout: result.Rollout.Rollout, Found: true}, nil
+	return rolloutAnswer{Answer: result.Rollout.Response, Rollout: result.Rollout.Rollout, Found: true}, nil
 }
 
 // refusesRollout tells why an order can't be taken as things are.
@@ -126,7 +126,7 @@
 		return refusedOlderNodes
 	}
 	for _, known := range n.fleet.view.Load().alive {
-		if known.Dialect < peer.DialectSums {
+		if known.ProtocolVersion < peer.ProtocolSums {
 			return refusedOlderNodes
 		}
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -143,8 +143,8 @@
 	if limits.IdleTimeout > 0 {
 		begun.http.IdleTimeout = limits.IdleTimeout
 	}
-	if limits.MaxHeaderBytes > 0 {
-		begun.http.MaxHeaderBytes = limits.MaxHeaderBytes
+	if limits.MaximumHeaderBytes > 0 {
+		begun.http.MaxHeaderBytes = limits.MaximumHeaderBytes
 	}
 	c.current = begun
 	c.all = append(c.all, begun)
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -47,17 +47,17 @@
 // samplesOfStrictBuilds are messages with the fields that the builds before dialects know.
 // The frames that those builds write of them are under testdata.
 func samplesOfStrictBuilds() []wireSample {
-	contact := accounts.Contact{Index: 12, Clock: 3, SteadyMS: 1234, WallMS: 1700000000000}
+	contact := accounts.Contact{Index: 12, Clock: 3, MonotonicMS: 1234, WallMS: 1700000000000}
 	allowance := accounts.Allowance{Sequence: 3, Tokens: 4000, Pace: 100}
 	loan := accounts.Loan{Lender: sampleHolder, Borrower: accounts.HolderID{Node: "b#1", Incarnation: 2}, Budget: "hule930", Total: 77}
 	return []wireSample{
 		{"hello of an entry node", peer.KindHello, &peer.Hello{
-			Address: "10.1.0.40:7340", Node: "front-a-1", Zone: "a", Life: "0123456789abcdef", Entry: true, Stopping: true, Version: 77,
+			Address: "10.1.0.40:7340", Node: "front-a-1", Zone: "a", Incarnation: "0123456789abcdef", Entry: true, Stopping: true, Version: 77,
 			InstancesDigest: 1 << 60, AgeMS: 20000,
 		}},
 		{"hello of a control node", peer.KindHello, &peer.Hello{
-			Address: "10.1.0.43:7340", Node: "core-a-1", Zone: "a", Life: "fedcba9876543210", Control: true, Version: 78, InstancesDigest: 5,
-			Replica: 1 << 61, HasGroup: true, Leader: "10.1.0.44:7340", Term: 9, QuorumSilenceMS: 12, AgeMS: 300, WallMS: 1700000000000,
+			Address: "10.1.0.43:7340", Node: "core-a-1", Zone: "a", Incarnation: "fedcba9876543210", Control: true, Version: 78, InstancesDigest: 5,
+			Replica: 1 << 61, HasGroup: true, Leader: "10.1.0.44:7340", Term: 9, TimeSinceQuorumMS: 12, AgeMS: 300, WallMS: 1700000000000,
 			Nodes:     []peer.NodeEntry{{Address: "10.1.0.43:7340", Zone: "a", Control: true}, {Address: "10.1.0.40:7340", Zone: "a", Entry: true}},
 			Evacuated: evacuation.Zones{Revision: 4, Names: []string{"b"}},
 		}},
@@ -65,9 +65,9 @@
 			{ID: "i-1", Service: "huvo11a", Address: "10.8.0.1:8080", Zone: "a", Version: "v1", Slots: 64, State: registry.Ready, Sequence: 12, ColdLeft: 5e9},
 			{ID: "i-2", Service: "wuno96b", Address: "10.8.0.2:8080", Zone: "b", Version: "v2", Slots: 6, State: registry.Draining, Sequence: 300},
 		}}},
-		{"instances heard", peer.KindInstancesHeard, &peer.InstancesHeard{IDs: []string{"i-1", "i-2"}}},
+		{"instances heard", peer.KindInstanceContacts, &peer.InstanceContacts{IDs: []string{"i-1", "i-2"}}},
 		{"notice", peer.KindDocumentNotice, &peer.DocumentNotice{Version: 78}},
-		{"fetch", peer.KindDocumentFetch, &peer.DocumentFetch{Have: 77, Took: true}},
+		{"fetch", peer.KindDocumentFetch, &peer.DocumentFetch{Have: 77, Confirms: true}},
 		{"document", peer.KindDocument, &peer.DocumentData{Version: 78, Encoded: []byte("document")}},
 		{"append", peer.KindConsensus, &consensus.Message{
 			Kind: consensus.MessageAppend, From: 1 << 60, To: 3, Term: 9, Index: 400, LogTerm: 8, Commit: 399, Entries: []journal.Entry{{Index: 401, Term: 9, Data: []byte("command")}},
@@ -78,12 +78,12 @@
 		}},
 		{"report", peer.KindAccounts, &escrow.AccountsMessage{Report: &escrow.ReportMessage{
 			Holder: sampleHolder, Allowances: true, Heard: contact, Recalled: []escrow.RecallMessage{{Holder: sampleHolder, Budget: "hule930", Number: 4, Granted: 500}},
-			Reports: []accounts.Report{{Budget: "hule930", Settled: 12000, Returned: 100, Watermark: 20000, WatermarkSettled: 11000, Request: 3, Need: 4, Want: 5, Wish: 3000, Allowance: allowance}},
+			Reports: []accounts.Report{{Budget: "hule930", Settled: 12000, Returned: 100, Watermark: 20000, WatermarkSettled: 11000, Request: 3, Required: 4, Expected: 5, Desired: 3000, Allowance: allowance}},
 		}}},
 		{"answer", peer.KindAccounts, &escrow.AccountsMessage{Answer: &escrow.AnswerMessage{Holder: sampleHolder, Contact: contact, Answers: []escrow.Answer{{
-			Unreached: 2, Answer: accounts.Answer{
-				Budget: "hule930", Granted: 30000, Settled: 12000, Returned: 100, Watermark: 20000, Request: 3, Short: true, Left: 100000, Limit: 400000, Spent: 200000,
-				Outstanding: 30000, Holders: 73, Wished: 9, Unknown: true, Closed: true, Allowance: allowance,
+			Unreached: 2, Response: accounts.Response{
+				Budget: "hule930", Granted: 30000, Settled: 12000, Returned: 100, Watermark: 20000, Request: 3, Short: true, Remaining: 100000, Limit: 400000, Spent: 200000,
+				Outstanding: 30000, Holders: 73, TotalDesired: 9, Unknown: true, Closed: true, Allowance: allowance,
 			},
 		}}}}},
 		{"recall", peer.KindAccounts, &escrow.AccountsMessage{Recall: &escrow.RecallMessage{Holder: sampleHolder, Budget: "hule930", Number: 4, Granted: 500}}},
@@ -114,13 +114,13 @@
 	for _, one := range all {
 		switch body := one.body.(type) {
 		case *peer.Hello:
-			body.QuarantineDigest, body.InstancesSum, body.Dialect = 99, 98, peer.OwnDialect
+			body.QuarantineDigest, body.InstancesSum, body.ProtocolVersion = 99, 98, peer.OwnProtocol
 			if body.Control {
 				body.Rollouts = &rollout.Set{Revision: 9, Rollouts: []rollout.Rollout{{
 					Order:    rollout.Order{Service: "huvo11a", Version: "v2", Duration: 12 * time.Second, OrderedMS: 1700000000000},
 					Revision: 9, Stage: rollout.Canary, Reason: "ordered",
 				}}}
-				body.OlderNodes = map[string]peer.Dialect{"10.1.0.40:7340": peer.DialectStrict}
+				body.OlderNodeProtocols = map[string]peer.ProtocolVersion{"10.1.0.40:7340": peer.ProtocolStrict}
 			}
 		case *instancesMessage:
 			body.Instances[0].Born, body.Instances[0].Epoch = 1700000000000, 1
@@ -147,8 +147,8 @@
 		return decodedBody[peer.Hello](envelope)
 	case *instancesMessage:
 		return decodedBody[instancesMessage](envelope)
-	case *peer.InstancesHeard:
-		return decodedBody[peer.InstancesHeard](envelope)
+	case *peer.InstanceContacts:
+		return decodedBody[peer.InstanceContacts](envelope)
 	case *peer.DocumentNotice:
 		return decodedBody[peer.DocumentNotice](envelope)
 	case *peer.DocumentFetch:
@@ -233,7 +233,7 @@
 // their own rules and with their own structs.
 func TestFramesForEarlierBuildsAreReadByThem(t *testing.T) {
 	for _, sample := range samples() {
-		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.DialectStrict)
+		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.ProtocolStrict)
 		assert.NilError(t, err)
 		read, err := decodeStrictly(frame, sample.body)
 		assert.NilError(t, err, sample.name)
@@ -271,7 +271,7 @@
 // Messages between two nodes of this build.
 func TestFramesOfThisBuildAreReadWhole(t *testing.T) {
 	for _, sample := range samples() {
-		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.OwnDialect)
+		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.OwnProtocol)
 		assert.NilError(t, err)
 		read, err := decodeInto(frame, sample.body)
 		assert.NilError(t, err, sample.name)
@@ -357,7 +357,7 @@
 		if sample.kind == peer.KindHello {
 			continue
 		}
-		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.OwnDialect)
+		frame, err := peer.NewMessage(sample.kind, sample.body).Frame(peer.OwnProtocol)
 		assert.NilError(t, err)
 		read, err := decodeInto(withFields(t, frame, 2), sample.body)
 		assert.NilError(t, err, sample.name)
@@ -378,7 +378,7 @@
 // names the holder that the bytes name.
 func FuzzMessagesOfAnyBuild(f *testing.F) {
 	for _, sample := range samples() {
-		for _, reader := range []peer.Dialect{peer.DialectStrict, peer.OwnDialect} {
+		for _, reader := range []peer.ProtocolVersion{peer.ProtocolStrict, peer.OwnProtocol} {
 			frame, err := peer.NewMessage(sample.kind, sample.body).Frame(reader)
 			assert.NilError(f, err)
 			f.Add(frame)
@@ -400,17 +400,17 @@
 func TestDialectsAreKnownFromHellosAndLists(t *testing.T) {
 	node := newIdleNode(t, benchEntry(0), benchZone(0), settings.RoleEntry)
 	hello := controlHello(0, 3, 1, true)
-	assert.Equal(t, node.dialects.reader(hello.Address), peer.DialectStrict, "an unknown node")
-	hello.Dialect, hello.OlderNodes = peer.OwnDialect, map[string]peer.Dialect{benchEntry(2): peer.DialectStrict}
+	assert.Equal(t, node.dialects.reader(hello.Address), peer.ProtocolStrict, "an unknown node")
+	hello.ProtocolVersion, hello.OlderNodeProtocols = peer.OwnProtocol, map[string]peer.ProtocolVersion{benchEntry(2): peer.ProtocolStrict}
 	node.fleet.takeHello(hello.Address, hello)
-	assert.Equal(t, node.dialects.reader(hello.Address), peer.OwnDialect)
-	assert.Equal(t, node.dialects.reader(benchEntry(1)), peer.OwnDialect)
-	assert.Equal(t, node.dialects.reader(benchEntry(2)), peer.DialectStrict)
+	assert.Equal(t, node.dialects.reader(hello.Address), peer.OwnProtocol)
+	assert.Equal(t, node.dialects.reader(benchEntry(1)), peer.OwnProtocol)
+	assert.Equal(t, node.dialects.reader(benchEntry(2)), peer.ProtocolStrict)
 	// It is given the earlier build again, which can't tell how the others read.
 	earlier := controlHello(0, 3, 1, true)
-	earlier.Dialect = peer.DialectStrict
+	earlier.ProtocolVersion = peer.ProtocolStrict
 	node.fleet.takeHello(hello.Address, earlier)
 	for _, address := range []string{hello.Address, benchEntry(1), benchEntry(2)} {
-		assert.Equal(t, node.dialects.reader(address), peer.DialectStrict)
+		assert.Equal(t, node.dialects.reader(address), peer.ProtocolStrict)
 	}
 }
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -25,7 +25,7 @@
 	route := func(name string, kind document.RouteKind, service string) document.Route {
 		return document.Route{
 			Name: name, Host: "lab", Prefix: "/" + name + "/", Kind: kind, Timeout: 5 * time.Second, Objective: 200 * time.Millisecond,
-			MaxAttempts: 2, Targets: []document.Target{{Service: service, Weight: 1}},
+			MaximumAttempts: 2, Targets: []document.Target{{Service: service, Weight: 1}},
 		}
 	}
 	resumable := route("resumable", document.Stream, "llm")
--- a/internal/lab/openfleet/rollout_test.go
+++ b/internal/lab/openfleet/rollout_test.go
@@ -234,7 +234,7 @@
 			assert.Equal(t, len(status.Msg.GetRollouts()), 1, name)
 			assert.Equal(t, status.Msg.GetRollouts()[0].GetStage(), "canary")
 			for _, node := range status.Msg.GetNodes() {
-				assert.Equal(t, node.GetDialect(), uint32(peer.OwnDialect))
+				assert.Equal(t, node.GetDialect(), uint32(peer.OwnProtocol))
 			}
 		}
 		_, err = f.Operators("entry-1").OrderRollout(f.ctx, connect.NewRequest(request))
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -176,7 +176,7 @@
 		return
 	}
 	budget := s.accounts.Budget(budgetName)
-	sum := s.result.Used + budget.Left()
+	sum := s.result.Used + budget.Remaining()
 	for _, name := range s.names {
 		if node := s.nodes[name]; !node.down {
 			sum += node.holder.Held(budgetName)
@@ -228,15 +228,15 @@
 	if !found {
 		return
 	}
-	answers := make([][]accounts.Answer, len(batch.Command.Reports))
+	answers := make([][]accounts.Response, len(batch.Command.Reports))
 	for position, reports := range batch.Command.Reports {
 		for _, report := range reports.Reports {
-			answers[position] = append(answers[position], s.accounts.Take(reports.Holder, report, 0))
+			answers[position] = append(answers[position], s.accounts.ApplyReport(reports.Holder, report, 0))
 		}
 	}
 	s.check(s.accounts.Budget(budgetName).Check())
 	s.checkConservation("a commit")
-	s.root.Applied(s.world.Now, batch, machine.Result{Answers: answers})
+	s.root.Applied(s.world.Now, batch, machine.Result{Responses: answers})
 }
 
 func (s *BudgetSimulation) withHolder(name string, act func(*escrow.Holder)) {
--- a/internal/lab/simulate/cutloans.go
+++ b/internal/lab/simulate/cutloans.go
@@ -188,7 +188,7 @@
 			s.toNode(to, func(node *cutNode) { node.holder.TakeStandings(message) })
 		},
 		Contact: func() accounts.Contact {
-			return accounts.Contact{Clock: 1, SteadyMS: uint64(s.world.Now.Milliseconds())}
+			return accounts.Contact{Clock: 1, MonotonicMS: uint64(s.world.Now.Milliseconds())}
 		},
 	})
 	s.world.Every(logDelay, func() bool {
--- a/internal/lab/simulate/lostlives.go
+++ b/internal/lab/simulate/lostlives.go
@@ -414,13 +414,13 @@
 	result := machine.Result{Contact: contact}
 	for _, reports := range command.Reports {
 		if reports.Allowances {
-			root.Hear(reports.Holder, reports.Heard, contact)
+			root.RecordContact(reports.Holder, reports.LastContact, contact)
 		}
-		var answers []accounts.Answer
+		var answers []accounts.Response
 		for _, report := range reports.Reports {
-			answers = append(answers, root.Take(reports.Holder, report, 0))
+			answers = append(answers, root.ApplyReport(reports.Holder, report, 0))
 		}
-		result.Answers = append(result.Answers, answers)
+		result.Responses = append(result.Responses, answers)
 	}
 	return result
 }
@@ -453,7 +453,7 @@
 	for _, budget := range s.budgets {
 		charged[budget] = s.accounts.Budget(budget).ClosedSettled
 	}
-	s.accounts.End(id, silence)
+	s.accounts.CloseCrashed(id, silence)
 	delete(s.dead, id)
 	for _, budget := range s.budgets {
 		charge := s.accounts.Budget(budget).ClosedSettled - charged[budget]
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -112,17 +112,17 @@
 	route := func(name, service string, kind document.RouteKind, resumable bool) document.Route {
 		return document.Route{
 			Name: name, Host: callHost, Prefix: "/" + name + "/", Kind: kind, Timeout: callTimeout, Objective: 300 * time.Millisecond,
-			EventGap: 400 * time.Millisecond, MaxAttempts: 2, Resumable: resumable, Targets: []document.Target{{Service: service, Weight: 1}},
+			EventGap: 400 * time.Millisecond, MaximumAttempts: 2, Resumable: resumable, Targets: []document.Target{{Service: service, Weight: 1}},
 		}
 	}
 	wanted := &document.Document{
-		Version: 1, Limits: document.Limits{MaxHeaderBytes: 16 << 10, MaxBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
+		Version: 1, Limits: document.Limits{MaximumHeaderBytes: 16 << 10, MaximumBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Routes: []document.Route{
 			route("safe", servicePlain, document.Repeatable, false), route("once", servicePlain, document.NotRepeatable, false),
 			route("stream", serviceModel, document.Stream, false), route("resumable", serviceModel, document.Stream, true),
 		},
 		Services: []document.Service{
-			{Name: servicePlain, MaxConnections: 200}, {Name: serviceModel, MaxConnections: 200, Slots: 64, CacheTokens: 1 << 20, EventTokens: eventTokens},
+			{Name: servicePlain, MaximumConnections: 200}, {Name: serviceModel, MaximumConnections: 200, Slots: 64, CacheTokens: 1 << 20, EventTokens: eventTokens},
 		},
 	}
 	for number := range tenants {
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -103,7 +103,7 @@
 
 func (c *catalogDuty) takeDelta(from string, delta catalog.Delta) {
 	c.duty.Offer(func() {
-		changed, err := c.catalog.Follow(delta)
+		changed, err := c.catalog.ApplyDelta(delta)
 		if err != nil {
 			c.node.log.Warn().Str("event", "catalog_delta_refused").Str("peer", from).Err(err).Send()
 			return
@@ -137,7 +137,7 @@
 			delete(c.sent, name)
 			continue
 		}
-		if delta, lacks := c.catalog.Since(c.sent[name]); lacks {
+		if delta, lacks := c.catalog.DeltaSince(c.sent[name]); lacks {
 			c.sent[name] = delta.To
 			c.node.send(name, peer.KindCatalog, &delta)
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -64,7 +64,7 @@
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
-		return peer.Dispatch(envelope, n.calls.Answered)
+		return peer.Dispatch(envelope, n.calls.Deliver)
 	case peer.KindStatus:
 		return peer.Dispatch(envelope, n.fleet.take)
 	case peer.KindClaims:
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	answer, err := n.executeCall(ctx, call)
-	n.calls.Answer(from, call, answer, err, errorCode)
+	n.calls.Reply(from, call, answer, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -140,7 +140,7 @@
 		return peer.Execute(call, func(question readQuestion) (any, error) { return n.readHere(ctx, question) })
 	case peer.MethodExplain:
 		return peer.Execute(call, func(question explainQuestion) (any, error) { return n.decisions.explain(question.RequestID), nil })
-	case peer.MethodAnswer:
+	case peer.MethodReadResponse:
 		return peer.Execute(call, func(question answerQuestion) (any, error) { return n.answers.find(question.RequestID), nil })
 	case peer.MethodRecall:
 		return peer.Execute(call, func(question recallQuestion) (any, error) { return n.recallHere(ctx, question) })
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -280,7 +280,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	answer, err := callNode[storedAnswer](ctx, n, claim.Owner.Node, peer.MethodAnswer, &answerQuestion{RequestID: claim.RequestID})
+	answer, err := callNode[storedAnswer](ctx, n, claim.Owner.Node, peer.MethodReadResponse, &answerQuestion{RequestID: claim.RequestID})
 	if err != nil {
 		return storedAnswer{}
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -183,7 +183,7 @@
 
 // publish hands catalog changes to the catalog duty.
 func (r *replicaDuty) publish() {
-	delta, changed := r.machine.Catalog().Since(r.published)
+	delta, changed := r.machine.Catalog().DeltaSince(r.published)
 	if !changed {
 		return
 	}
--- a/internal/protocol/peer/calls.go
+++ b/internal/protocol/peer/calls.go
@@ -37,8 +37,8 @@
 	delete(c.pending, id)
 }
 
-// Answered delivers a reply to its pending call. A reply without one is dropped.
-func (c *Calls) Answered(reply Reply) {
+// Deliver delivers a reply to its pending call. A reply without one is dropped.
+func (c *Calls) Deliver(reply Reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if response := c.pending[reply.ID]; response != nil {
@@ -47,8 +47,8 @@
 	}
 }
 
-// Answer sends the reply to a call, with a response or an error; codeOf classifies the error.
-func (c *Calls) Answer(to string, call Call, response any, err error, codeOf func(error) ErrorCode) {
+// Reply sends the reply to a call, with a response or an error; codeOf classifies the error.
+func (c *Calls) Reply(to string, call Call, response any, err error, codeOf func(error) ErrorCode) {
 	reply := Reply{ID: call.ID}
 	if err == nil {
 		reply.Body, err = msgpack.Marshal(response)
--- a/internal/protocol/peer/fleet.go
+++ b/internal/protocol/peer/fleet.go
@@ -18,11 +18,11 @@
 	// Node and Zone are the names from the node's settings.
 	Node string `msgpack:"n"`
 	Zone string `msgpack:"z"`
-	// Life identifies the incarnation, one run of the process. It is newly generated at each start.
-	Life     string `msgpack:"l"`
-	Entry    bool   `msgpack:"e,omitempty"`
-	Control  bool   `msgpack:"c,omitempty"`
-	Stopping bool   `msgpack:"s,omitempty"`
+	// Incarnation identifies the incarnation, one run of the process. It is newly generated at each start.
+	Incarnation string `msgpack:"l"`
+	Entry       bool   `msgpack:"e,omitempty"`
+	Control     bool   `msgpack:"c,omitempty"`
+	Stopping    bool   `msgpack:"s,omitempty"`
 	// Version is the version of the active configuration document at the sender.
 	Version uint64 `msgpack:"v,omitempty"`
 	// InstancesDigest is a digest of the live instances that the node knows.
@@ -35,9 +35,9 @@
 	// Leader is the address of the leader of Term that the sender knows.
 	Leader string `msgpack:"w,omitempty"`
 	Term   uint64 `msgpack:"t,omitempty"`
-	// QuorumSilenceMS is the time since a control node's last contact with a quorum, in
+	// TimeSinceQuorumMS is the time since a control node's last contact with a quorum, in
 	// milliseconds.
-	QuorumSilenceMS uint64 `msgpack:"q,omitempty"`
+	TimeSinceQuorumMS uint64 `msgpack:"q,omitempty"`
 	// Nodes are the nodes that a control node recently received hellos from. It is left out
 	// when the receiver has the list already.
 	Nodes []NodeEntry `msgpack:"m,omitempty"`
@@ -62,10 +62,10 @@
 	ListBase    uint64      `msgpack:"lb,omitempty"`
 	Joined      []NodeEntry `msgpack:"lj,omitempty"`
 	Left        []string    `msgpack:"ll,omitempty"`
-	// Dialect is the version of the message format that the sender reads.
-	Dialect Dialect `msgpack:"b,omitempty"`
-	// OlderNodes are the versions of those in Nodes whose version differs from the sender's.
-	OlderNodes map[string]Dialect `msgpack:"o,omitempty"`
+	// ProtocolVersion is the version of the message format that the sender reads.
+	ProtocolVersion ProtocolVersion `msgpack:"b,omitempty"`
+	// OlderNodeProtocols are the versions of those in Nodes whose version differs from the sender's.
+	OlderNodeProtocols map[string]ProtocolVersion `msgpack:"o,omitempty"`
 	// LogVersion is the newest version of the replicated log that a control node supports;
 	// 0 from builds that don't send it.
 	LogVersion uint32 `msgpack:"vl,omitempty"`
@@ -99,9 +99,9 @@
 // DocumentFetch requests the active document if its version is above Have.
 type DocumentFetch struct {
 	Have uint64 `msgpack:"h"`
-	// Took reports whether the message only confirms a document that was received; it then
+	// Confirms reports whether the message only confirms a document that was received; it then
 	// requests nothing.
-	Took bool `msgpack:"t,omitempty"`
+	Confirms bool `msgpack:"t,omitempty"`
 }
 
 // DocumentData carries a document in the encoding that document.Decode reads.
@@ -110,7 +110,7 @@
 	Encoded []byte `msgpack:"e"`
 }
 
-// InstancesHeard names the instances that recently sent heartbeats to the sender.
-type InstancesHeard struct {
+// InstanceContacts names the instances that recently sent heartbeats to the sender.
+type InstanceContacts struct {
 	IDs []string `msgpack:"i"`
 }
--- a/internal/protocol/peer/peer.go
+++ b/internal/protocol/peer/peer.go
@@ -12,8 +12,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Version is the version of the peer protocol.
-const Version = 1
+// HandshakeVersion is the version of the peer protocol.
+const HandshakeVersion = 1
 
 // Kind is the kind of an envelope's body.
 type Kind uint8
@@ -52,8 +52,8 @@
 	KindDocument
 	// KindInstances carries changes of the instance registry.
 	KindInstances
-	// KindInstancesHeard names the instances that a control node received heartbeats from.
-	KindInstancesHeard
+	// KindInstanceContacts names the instances that a control node received heartbeats from.
+	KindInstanceContacts
 	// KindLoads carries the entry nodes' requests in flight at the instances.
 	KindLoads
 	// KindPool carries requests to the holders of a zone's pool and their refusals.
@@ -93,7 +93,7 @@
 }
 
 // Encode returns the frame of a body for nodes that read this build's version of the format.
-func Encode(kind Kind, body any) ([]byte, error) { return NewMessage(kind, body).Frame(OwnDialect) }
+func Encode(kind Kind, body any) ([]byte, error) { return NewMessage(kind, body).Frame(OwnProtocol) }
 
 // marshalArrays encodes structs as arrays: field names would be most of a small message.
 func marshalArrays(message any) ([]byte, error) { return marshal(message, true) }
@@ -142,14 +142,14 @@
 	MethodRead Method = "read"
 	// MethodExplain reads a node's decisions about a request.
 	MethodExplain Method = "explain"
-	// MethodAnswer reads a stored response of a finished request from a node.
-	MethodAnswer Method = "answer"
+	// MethodReadResponse reads a stored response of a finished request from a node.
+	MethodReadResponse Method = "answer"
 	// MethodRecall makes a holder return its unused grant.
 	MethodRecall Method = "recall"
 	// MethodLend makes a holder lend a part of its unused grant.
 	MethodLend Method = "lend"
-	// MethodTakeDocument submits a configuration document to the leader.
-	MethodTakeDocument Method = "take_document"
+	// MethodSubmitDocument submits a configuration document to the leader.
+	MethodSubmitDocument Method = "take_document"
 	// MethodReadDocument reads the active document from the leader.
 	MethodReadDocument Method = "read_document"
 	// MethodOrderZone makes the leader evacuate or restore a zone.
--- a/internal/protocol/peer/protocol.go
+++ b/internal/protocol/peer/protocol.go
@@ -2,30 +2,30 @@
 
 import "fmt"
 
-// Dialect is the version of the message format that a node's build reads. Each node sends
+// ProtocolVersion is the version of the message format that a node's build reads. Each node sends
 // its own in its hellos. A node that has not sent a hello yet, or whose build sends no
 // version, counts as DialectStrict.
-type Dialect uint8
+type ProtocolVersion uint8
 
 const (
-	// DialectStrict nodes decode a struct encoded as a map by its keys and ignore unknown
+	// ProtocolStrict nodes decode a struct encoded as a map by its keys and ignore unknown
 	// keys. They refuse a struct encoded as an array unless it has exactly as many fields
 	// as their own.
-	DialectStrict Dialect = iota
-	// DialectTolerant nodes also decode arrays with fewer or more fields than their own:
+	ProtocolStrict ProtocolVersion = iota
+	// ProtocolTolerant nodes also decode arrays with fewer or more fields than their own:
 	// missing fields are zero, additional ones are ignored. So a field that is appended to
 	// a struct needs no new version.
-	DialectTolerant
-	// DialectSums nodes compare InstancesSum of hellos, and support rollouts.
-	DialectSums
-	// DialectPermits nodes issue permits for the rate limits that instances name.
-	DialectPermits
+	ProtocolTolerant
+	// ProtocolSums nodes compare InstancesSum of hellos, and support rollouts.
+	ProtocolSums
+	// ProtocolPermits nodes issue permits for the rate limits that instances name.
+	ProtocolPermits
 	// protocolEnd is one above the newest version.
 	protocolEnd
 )
 
-// OwnDialect is the version of this build.
-const OwnDialect = protocolEnd - 1
+// OwnProtocol is the version of this build.
+const OwnProtocol = protocolEnd - 1
 
 // Message is an outgoing message to one or more nodes. It is encoded on first use, and at
 // most once in each form. It is not safe for concurrent use, and its body must not be
@@ -47,8 +47,8 @@
 // the node reads arrays of builds with other fields, and with field names otherwise; arrays
 // make lists shorter by a third to a half. A hello always has field names: it is the first
 // message between two nodes, and the other node's build may have changed since the last one.
-func (m *Message) Frame(reader Dialect) ([]byte, error) {
-	if reader >= DialectTolerant && m.kind != KindHello {
+func (m *Message) Frame(reader ProtocolVersion) ([]byte, error) {
+	if reader >= ProtocolTolerant && m.kind != KindHello {
 		return m.encodeOnce(&m.array, marshalArrays)
 	}
 	return m.encodeOnce(&m.named, marshalNamed)
--- a/internal/state/accounts/accounts.go
+++ b/internal/state/accounts/accounts.go
@@ -52,9 +52,9 @@
 	WatermarkSettled uint64 `msgpack:"ws"`
 	// LastRequest is the number of the newest grant request that was decided.
 	LastRequest uint64 `msgpack:"q"`
-	// Wish is the amount that the holder would hold ahead of demand if the budget were
+	// Desired is the amount that the holder would hold ahead of demand if the budget were
 	// not short, from its last report.
-	Wish uint64 `msgpack:"wi,omitempty"`
+	Desired uint64 `msgpack:"wi,omitempty"`
 	// Allowance is the newest allowance that the holder has requested.
 	Allowance Allowance `msgpack:"cl"`
 }
@@ -77,8 +77,8 @@
 	// was spent. It is negative while holders that spent borrowed tokens are closed and
 	// their lenders are still open.
 	Forfeited int64 `msgpack:"f"`
-	// Ended breaks down the charges of crashed incarnations by reason.
-	Ended EndedCharges `msgpack:"ec"`
+	// CrashCharges breaks down the charges of crashed incarnations by reason.
+	CrashCharges CrashCharges `msgpack:"ec"`
 	// Target is the requested limit. It is below Limit while more than Target is
 	// granted; Limit is lowered towards it as grants are returned.
 	Target  uint64               `msgpack:"tg"`
@@ -88,20 +88,20 @@
 	Transfers map[LoanPair]uint64 `msgpack:"-"`
 }
 
-// EndedCharges are the tokens that were charged to incarnations that crashed without a
+// CrashCharges are the tokens that were charged to incarnations that crashed without a
 // final report, beyond their reported usage, by reason. They include the tokens that
 // such an incarnation lent, while the borrowers' usage of these is in the borrowers' own
 // accounts. So the sum equals Forfeited only once both sides of each loan have ended.
-type EndedCharges struct {
+type CrashCharges struct {
 	// Allowed were covered by the incarnation's allowance: reserved for requests in
 	// flight, lent, or allowed ahead of use.
 	Allowed int64 `msgpack:"a"`
 	// Paced are the tokens that its pace allowed while it may have been without contact to
 	// the root.
 	Paced int64 `msgpack:"p"`
-	// Whole are the remainders of grants of incarnations whose time without contact to the
+	// WholeGrants are the remainders of grants of incarnations whose time without contact to the
 	// root is unknown.
-	Whole int64 `msgpack:"w"`
+	WholeGrants int64 `msgpack:"w"`
 }
 
 // LoanPair identifies the loans from one holder to another.
@@ -137,8 +137,8 @@
 // Committed returns the tokens that the limit must cover: those granted and not returned.
 func (b *Budget) Committed() uint64 { return b.Granted - b.Returned }
 
-// Left returns the tokens that can still be granted.
-func (b *Budget) Left() uint64 { return SaturatingSubtract(b.Limit, b.Committed()) }
+// Remaining returns the tokens that can still be granted.
+func (b *Budget) Remaining() uint64 { return SaturatingSubtract(b.Limit, b.Committed()) }
 
 // Outstanding returns the tokens that are granted and neither returned nor settled.
 func (b *Budget) Outstanding() uint64 { return SaturatingSubtract(b.Committed(), b.Settled()) }
@@ -156,11 +156,11 @@
 	return min(tokens, b.Outstanding()), holders
 }
 
-// Wished returns the total that all holders would hold ahead of demand.
-func (b *Budget) Wished() uint64 {
+// TotalDesired returns the total that all holders would hold ahead of demand.
+func (b *Budget) TotalDesired() uint64 {
 	var desired uint64
 	for _, holder := range b.Holders {
-		desired += holder.Wish
+		desired += holder.Desired
 	}
 	return desired
 }
@@ -174,18 +174,18 @@
 	WatermarkSettled uint64 `msgpack:"ws"`
 	// Request numbers the holder's grant requests; 0 means none. Need is the amount that
 	// requests already waiting lack, Want the amount that the expected demand would use.
-	Request uint64 `msgpack:"q,omitempty"`
-	Need    uint64 `msgpack:"nd,omitempty"`
-	Want    uint64 `msgpack:"wt,omitempty"`
-	// Wish is the amount that the holder would hold ahead of demand if the budget were not
+	Request  uint64 `msgpack:"q,omitempty"`
+	Required uint64 `msgpack:"nd,omitempty"`
+	Expected uint64 `msgpack:"wt,omitempty"`
+	// Desired is the amount that the holder would hold ahead of demand if the budget were not
 	// short.
-	Wish uint64 `msgpack:"wi,omitempty"`
+	Desired uint64 `msgpack:"wi,omitempty"`
 	// Allowance is the allowance that the holder requests.
 	Allowance Allowance `msgpack:"cl"`
 }
 
-// Answer is the root's response to one report.
-type Answer struct {
+// Response is the root's response to one report.
+type Response struct {
 	Budget string `msgpack:"b"`
 	// Granted is the holder's cumulative grant.
 	Granted uint64 `msgpack:"g"`
@@ -196,8 +196,8 @@
 	Request   uint64 `msgpack:"q,omitempty"`
 	// Short reports whether the request's required amount could not be granted now.
 	Short bool `msgpack:"sh,omitempty"`
-	// Left is the amount that can still be granted after this response.
-	Left uint64 `msgpack:"l"`
+	// Remaining is the amount that can still be granted after this response.
+	Remaining uint64 `msgpack:"l"`
 	// Limit and Spent are the budget's limit and the usage of it that is certain.
 	Limit uint64 `msgpack:"li"`
 	Spent uint64 `msgpack:"sp"`
@@ -205,8 +205,8 @@
 	// number of holders that have any of it.
 	Outstanding uint64 `msgpack:"o"`
 	Holders     int    `msgpack:"hs"`
-	// Wished is the total that all holders would hold ahead of demand.
-	Wished uint64 `msgpack:"wd,omitempty"`
+	// TotalDesired is the total that all holders would hold ahead of demand.
+	TotalDesired uint64 `msgpack:"wd,omitempty"`
 	// Unknown reports whether there is no such budget, Closed whether this holder's
 	// account is fenced and must not be spent from.
 	Unknown bool `msgpack:"u,omitempty"`
@@ -296,10 +296,10 @@
 	return nil
 }
 
-// Take applies one holder's report and decides its grant request.
+// ApplyReport applies one holder's report and decides its grant request.
 // sharePercent is the budget's grant share; 0 means DefaultGrantSharePercent.
-func (a *Accounts) Take(id HolderID, report Report, sharePercent uint32) Answer {
-	response := Answer{Budget: report.Budget, Request: report.Request}
+func (a *Accounts) ApplyReport(id HolderID, report Report, sharePercent uint32) Response {
+	response := Response{Budget: report.Budget, Request: report.Request}
 	budget := a.budgets[report.Budget]
 	if budget == nil {
 		response.Unknown = true
@@ -312,7 +312,7 @@
 	holder := budget.holder(id)
 	budget.applyReturn(holder, report.Returned)
 	holder.Settled = max(holder.Settled, report.Settled)
-	holder.Wish = report.Wish
+	holder.Desired = report.Desired
 	if report.Allowance.Sequence > holder.Allowance.Sequence {
 		holder.Allowance = report.Allowance
 	}
@@ -321,10 +321,10 @@
 		holder.WatermarkSettled = report.WatermarkSettled
 	}
 	if report.Request > holder.LastRequest {
-		granted := budget.grantAmount(report.Need, report.Want, sharePercent)
+		granted := budget.grantAmount(report.Required, report.Expected, sharePercent)
 		holder.Granted += granted
 		budget.Granted += granted
-		response.Short = granted < report.Need
+		response.Short = granted < report.Required
 		if !response.Short {
 			// A request that was not granted in full may be repeated after a recall.
 			holder.LastRequest = report.Request
@@ -332,10 +332,10 @@
 	}
 	response.Granted, response.Allowance = holder.Granted, holder.Allowance
 	response.Settled, response.Returned, response.Watermark = holder.Settled, holder.Returned, holder.Watermark
-	response.Left = budget.Left()
+	response.Remaining = budget.Remaining()
 	response.Limit, response.Spent = budget.Limit, budget.Spent()
 	response.Outstanding, response.Holders = budget.outstandingByHolders()
-	response.Wished = budget.Wished()
+	response.TotalDesired = budget.TotalDesired()
 	return response
 }
 
@@ -506,7 +506,7 @@
 	if sharePercent == 0 {
 		sharePercent = DefaultGrantSharePercent
 	}
-	left := b.Left()
+	left := b.Remaining()
 	share := left / 100 * uint64(sharePercent)
 	amount := max(required, min(expected, share))
 	if amount > left {
--- a/internal/state/accounts/accounts_test.go
+++ b/internal/state/accounts/accounts_test.go
@@ -15,11 +15,11 @@
 	for _, order := range [][]HolderID{{lender, borrower}, {borrower, lender}} {
 		root := New()
 		root.SetLimit("t", 1000)
-		root.Take(lender, Report{Budget: "t", Request: 1, Need: 200}, 0)
-		root.Take(borrower, Report{Budget: "t", Request: 1, Need: 50}, 0)
+		root.ApplyReport(lender, Report{Budget: "t", Request: 1, Required: 200}, 0)
+		root.ApplyReport(borrower, Report{Budget: "t", Request: 1, Required: 50}, 0)
 		// The lender lent 100 tokens and spent all but 10 of the remaining 100.
-		root.Take(lender, Report{Budget: "t", Settled: 90}, 0)
-		root.Take(borrower, Report{Budget: "t", Settled: 150}, 0)
+		root.ApplyReport(lender, Report{Budget: "t", Settled: 90}, 0)
+		root.ApplyReport(borrower, Report{Budget: "t", Settled: 150}, 0)
 		for _, one := range order {
 			root.Fence(one)
 			assert.NilError(t, root.Close(one, nil, nil, true))
--- a/internal/state/accounts/allowance.go
+++ b/internal/state/accounts/allowance.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// SilentAfter is the time since the last contact with the root after which a holder may
+// ContactTimeout is the time since the last contact with the root after which a holder may
 // use its grant beyond its allowance. A shorter time charges more unspent tokens when all
 // machines fail together; a longer time prolongs the refusals at the start of a partition.
 // Holders and the root must agree on it. 0.3 and 0.5 s were measured, see
 // docs/design/budgets.md.
-const SilentAfter = 300 * time.Millisecond
+const ContactTimeout = 300 * time.Millisecond
 
-// UnknownSilence stands for an unknown time since the last contact with the root.
-const UnknownSilence time.Duration = 1<<63 - 1
+// UnknownTimeSinceContact stands for an unknown time since the last contact with the root.
+const UnknownTimeSinceContact time.Duration = 1<<63 - 1
 
 // Allowance bounds the usage of a holder's grant. While the holder is in contact with the
 // root it uses no more than Tokens in total, and has Tokens raised in the log before it
@@ -27,10 +27,10 @@
 	Pace   uint64 `msgpack:"p"`
 }
 
-// MostUsed returns the maximum that a holder may have used under the allowance after a
+// MaximumUse returns the maximum that a holder may have used under the allowance after a
 // time without contact to the root, in tokens.
-func (a Allowance) MostUsed(sinceContact time.Duration) uint64 {
-	if sinceContact <= SilentAfter {
+func (a Allowance) MaximumUse(sinceContact time.Duration) uint64 {
+	if sinceContact <= ContactTimeout {
 		return a.Tokens
 	}
 	return a.Tokens + a.paced(sinceContact)
@@ -38,7 +38,7 @@
 
 // paced returns the tokens that the pace allows in a time without contact to the root.
 func (a Allowance) paced(sinceContact time.Duration) uint64 {
-	return uint64(float64(a.Pace) * (sinceContact - SilentAfter).Seconds())
+	return uint64(float64(a.Pace) * (sinceContact - ContactTimeout).Seconds())
 }
 
 // Contact is the time at which the root decided on a holder's report, read from the
@@ -50,17 +50,17 @@
 	Index uint64 `msgpack:"i"`
 	// Clock identifies the process whose monotonic clock SteadyMS is read from, in
 	// milliseconds.
-	Clock    uint64 `msgpack:"c"`
-	SteadyMS uint64 `msgpack:"s"`
+	Clock       uint64 `msgpack:"c"`
+	MonotonicMS uint64 `msgpack:"s"`
 	// WallMS is the wall clock time in milliseconds since 1970; 0 where the control
 	// nodes' clocks did not agree on it.
 	WallMS int64 `msgpack:"w"`
 }
 
-// Hear records the newest contact that a holder has received. If none is recorded for the
+// RecordContact records the newest contact that a holder has received. If none is recorded for the
 // holder, now is recorded: the holder has received no contact from before the entry with
 // its first report.
-func (a *Accounts) Hear(id HolderID, received, now Contact) {
+func (a *Accounts) RecordContact(id HolderID, received, now Contact) {
 	if a.Fenced(id) {
 		return
 	}
@@ -81,10 +81,10 @@
 // with an index of 0.
 func (a *Accounts) LastContact(id HolderID) Contact { return a.contacts[id] }
 
-// End closes the accounts of an incarnation that has ended without a final report of its
+// CloseCrashed closes the accounts of an incarnation that has ended without a final report of its
 // usage. sinceContact is an upper bound on its time without contact to the root; what it can't
 // have spent can be granted again.
-func (a *Accounts) End(id HolderID, sinceContact time.Duration) {
+func (a *Accounts) CloseCrashed(id HolderID, sinceContact time.Duration) {
 	a.Fence(id)
 	if a.Closed(id) {
 		return
@@ -103,13 +103,13 @@
 	}
 	held := SaturatingSubtract(holder.Granted, holder.Returned)
 	charged := held
-	if holder.Allowance.Sequence > 0 && sinceContact != UnknownSilence {
-		charged = min(held, holder.Allowance.MostUsed(sinceContact))
+	if holder.Allowance.Sequence > 0 && sinceContact != UnknownTimeSinceContact {
+		charged = min(held, holder.Allowance.MaximumUse(sinceContact))
 		allowed := min(held, holder.Allowance.Tokens)
-		b.Ended.Allowed += int64(allowed) - int64(holder.Settled)
-		b.Ended.Paced += int64(charged - allowed)
+		b.CrashCharges.Allowed += int64(allowed) - int64(holder.Settled)
+		b.CrashCharges.Paced += int64(charged - allowed)
 	} else {
-		b.Ended.Whole += int64(held) - int64(holder.Settled)
+		b.CrashCharges.WholeGrants += int64(held) - int64(holder.Settled)
 	}
 	b.Forfeited += int64(charged) - int64(holder.Settled)
 	b.Returned += held - charged
--- a/internal/state/accounts/allowance_test.go
+++ b/internal/state/accounts/allowance_test.go
@@ -13,7 +13,7 @@
 	root := New()
 	root.SetLimit("b", 2000)
 	id := HolderID{Node: "n#1", Incarnation: 1}
-	root.Take(id, Report{Budget: "b", Request: 1, Need: 1000, Want: 1000, Settled: 150, Allowance: allowance}, 0)
+	root.ApplyReport(id, Report{Budget: "b", Request: 1, Required: 1000, Expected: 1000, Settled: 150, Allowance: allowance}, 0)
 	return root, id
 }
 
@@ -25,20 +25,20 @@
 		sinceContact time.Duration
 		charged      uint64
 	}{
-		{name: "in contact until its end", allowance: allowance, sinceContact: SilentAfter, charged: 200},
-		{name: "two seconds beyond the contact timeout", allowance: allowance, sinceContact: SilentAfter + 2*time.Second, charged: 400},
+		{name: "in contact until its end", allowance: allowance, sinceContact: ContactTimeout, charged: 200},
+		{name: "two seconds beyond the contact timeout", allowance: allowance, sinceContact: ContactTimeout + 2*time.Second, charged: 400},
 		{name: "longer than the grant lasts at its pace", allowance: allowance, sinceContact: time.Hour, charged: 1000},
-		{name: "unknown time since the last contact", allowance: allowance, sinceContact: UnknownSilence, charged: 1000},
+		{name: "unknown time since the last contact", allowance: allowance, sinceContact: UnknownTimeSinceContact, charged: 1000},
 		{name: "without allowances", allowance: Allowance{}, sinceContact: 0, charged: 1000},
 	} {
 		t.Run(one.name, func(t *testing.T) {
 			root, id := accountsWithGrant(one.allowance)
-			root.End(id, one.sinceContact)
+			root.CloseCrashed(id, one.sinceContact)
 			budget := root.Budget("b")
-			assert.Equal(t, budget.Left(), 2000-one.charged)
+			assert.Equal(t, budget.Remaining(), 2000-one.charged)
 			assert.Equal(t, budget.Spent(), uint64(150))
 			assert.NilError(t, budget.Check())
-			response := root.Take(id, Report{Budget: "b", Request: 2, Need: 1}, 0)
+			response := root.ApplyReport(id, Report{Budget: "b", Request: 2, Required: 1}, 0)
 			assert.Assert(t, response.Closed, "a late report must be refused as closed")
 		})
 	}
@@ -46,23 +46,23 @@
 
 func TestOlderAllowanceDoesNotReplaceANewerOne(t *testing.T) {
 	root, id := accountsWithGrant(Allowance{Sequence: 2, Tokens: 200})
-	response := root.Take(id, Report{Budget: "b", Allowance: Allowance{Sequence: 1, Tokens: 100}}, 0)
+	response := root.ApplyReport(id, Report{Budget: "b", Allowance: Allowance{Sequence: 1, Tokens: 100}}, 0)
 	assert.DeepEqual(t, response.Allowance, Allowance{Sequence: 2, Tokens: 200})
 }
 
 func TestContactsAndAllowancesAreKeptInSnapshots(t *testing.T) {
 	root, id := accountsWithGrant(Allowance{Sequence: 1, Tokens: 200, Pace: 100})
-	root.Hear(id, Contact{}, Contact{Index: 3, Clock: 7, SteadyMS: 5, WallMS: 900})
-	root.Hear(id, Contact{Index: 9, Clock: 7, SteadyMS: 80}, Contact{Index: 10})
-	root.Hear(id, Contact{Index: 4, Clock: 7, SteadyMS: 20}, Contact{Index: 11})
+	root.RecordContact(id, Contact{}, Contact{Index: 3, Clock: 7, MonotonicMS: 5, WallMS: 900})
+	root.RecordContact(id, Contact{Index: 9, Clock: 7, MonotonicMS: 80}, Contact{Index: 10})
+	root.RecordContact(id, Contact{Index: 4, Clock: 7, MonotonicMS: 20}, Contact{Index: 11})
 	// A contact without a wall clock time keeps that of the previous one.
-	received := Contact{Index: 9, Clock: 7, SteadyMS: 80, WallMS: 900}
+	received := Contact{Index: 9, Clock: 7, MonotonicMS: 80, WallMS: 900}
 	assert.DeepEqual(t, root.LastContact(id), received)
 	data, err := root.Encode()
 	assert.NilError(t, err)
 	restored, err := Decode(data)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, restored.LastContact(id), received)
-	restored.End(id, SilentAfter)
-	assert.Equal(t, restored.Budget("b").Left(), uint64(1800))
+	restored.CloseCrashed(id, ContactTimeout)
+	assert.Equal(t, restored.Budget("b").Remaining(), uint64(1800))
 }
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -181,9 +181,9 @@
 	}
 }
 
-// Since returns the changes that a follower at a revision lacks and reports whether there
+// DeltaSince returns the changes that a follower at a revision lacks and reports whether there
 // are any. A follower that is too far behind receives every object.
-func (c *Catalog) Since(revision uint64) (Delta, bool) {
+func (c *Catalog) DeltaSince(revision uint64) (Delta, bool) {
 	if revision >= c.revision {
 		return Delta{}, false
 	}
@@ -213,10 +213,10 @@
 	return changes
 }
 
-// Follow applies a delta from another node and reports whether anything changed.
+// ApplyDelta applies a delta from another node and reports whether anything changed.
 // A delta that starts after this catalog's revision would leave a gap and is
 // refused. One that ends at or before it is ignored, so the revision never decreases.
-func (c *Catalog) Follow(delta Delta) (bool, error) {
+func (c *Catalog) ApplyDelta(delta Delta) (bool, error) {
 	if delta.To <= c.revision {
 		return false, nil
 	}
--- a/internal/state/document/compress.go
+++ b/internal/state/document/compress.go
@@ -16,9 +16,9 @@
 	maximumDecompressedBytes = 64 << 20
 )
 
-// Pack compresses data for the log and for other nodes. Documents are repetitive, so they
+// Compress compresses data for the log and for other nodes. Documents are repetitive, so they
 // compress well, and each version is sent to every node.
-func Pack(data []byte) ([]byte, error) {
+func Compress(data []byte) ([]byte, error) {
 	compressed := bytes.NewBuffer([]byte{compressionMarker})
 	writer, err := flate.NewWriter(compressed, flate.BestSpeed)
 	if err == nil {
@@ -33,9 +33,9 @@
 	return compressed.Bytes(), nil
 }
 
-// Unpack decompresses data that Pack returned. Data that is not compressed is
+// Decompress decompresses data that Pack returned. Data that is not compressed is
 // returned unchanged.
-func Unpack(data []byte) ([]byte, error) {
+func Decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressionMarker {
 		return data, nil
 	}
--- a/internal/state/document/document.go
+++ b/internal/state/document/document.go
@@ -53,8 +53,8 @@
 	EventGap time.Duration `msgpack:"g"`
 	// Priority is the route's priority; 0 is the most urgent.
 	Priority int `msgpack:"u"`
-	// MaxAttempts is the maximum number of engines that one request is sent to.
-	MaxAttempts int `msgpack:"m"`
+	// MaximumAttempts is the maximum number of engines that one request is sent to.
+	MaximumAttempts int `msgpack:"m"`
 	// Public routes need no key.
 	Public bool `msgpack:"b"`
 	// Sticky routes have requests that name the parts of the prompt that they share with others.
@@ -79,9 +79,9 @@
 // Service is a set of engines that do the same work.
 type Service struct {
 	Name string `msgpack:"n"`
-	// MaxConnections is the maximum number of connections that one engine accepts from all
+	// MaximumConnections is the maximum number of connections that one engine accepts from all
 	// callers together.
-	MaxConnections int `msgpack:"c"`
+	MaximumConnections int `msgpack:"c"`
 	// EventTokens is the number of tokens in an event of a stream; 0 means one.
 	EventTokens int `msgpack:"e"`
 	// Slots is the number of requests that a model engine processes concurrently; 0
@@ -99,10 +99,10 @@
 // Limits bound the size of a caller's requests, the time for their headers and the time that a
 // connection may be idle.
 type Limits struct {
-	MaxHeaderBytes int           `msgpack:"h"`
-	MaxBodyBytes   int64         `msgpack:"b"`
-	HeaderTimeout  time.Duration `msgpack:"t"`
-	IdleTimeout    time.Duration `msgpack:"i"`
+	MaximumHeaderBytes int           `msgpack:"h"`
+	MaximumBodyBytes   int64         `msgpack:"b"`
+	HeaderTimeout      time.Duration `msgpack:"t"`
+	IdleTimeout        time.Duration `msgpack:"i"`
 }
 
 // Tenant is a customer with its API keys.
@@ -242,13 +242,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("encoding a configuration document: %w", err)
 	}
-	return Pack(data)
+	return Compress(data)
 }
 
 // Decode returns the document of the bytes that Encode returned.
 func Decode(data []byte) (*Document, error) {
 	decoded := &Document{}
-	data, err := Unpack(data)
+	data, err := Decompress(data)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/state/document/document_test.go
+++ b/internal/state/document/document_test.go
@@ -65,19 +65,19 @@
 func TestCompressedDataIsReadUnchanged(t *testing.T) {
 	long := bytes.Repeat([]byte(`{"name":"r-6yhvz3p","host":"ficu95.example","path_prefix":"/x/"},`), 400)
 	for _, data := range [][]byte{nil, {}, []byte("{}"), long, {compressionMarker, 2, 3}} {
-		compressed, err := Pack(data)
+		compressed, err := Compress(data)
 		assert.NilError(t, err)
-		decompressed, err := Unpack(compressed)
+		decompressed, err := Decompress(compressed)
 		assert.NilError(t, err)
 		assert.Assert(t, bytes.Equal(decompressed, data), "%q", data)
 	}
-	compressed, err := Pack(long)
+	compressed, err := Compress(long)
 	assert.NilError(t, err)
 	assert.Assert(t, len(compressed) < len(long)/10, "%d of %d bytes", len(compressed), len(long))
 	// Earlier versions wrote uncompressed bytes.
-	decompressed, err := Unpack([]byte(`{"version":1}`))
+	decompressed, err := Decompress([]byte(`{"version":1}`))
 	assert.NilError(t, err)
 	assert.Equal(t, string(decompressed), `{"version":1}`)
-	_, err = Unpack([]byte{compressionMarker, 0xff, 0xff, 0xff})
+	_, err = Decompress([]byte{compressionMarker, 0xff, 0xff, 0xff})
 	assert.ErrorContains(t, err, "unpacking")
 }
--- a/internal/state/machine/document.go
+++ b/internal/state/machine/document.go
@@ -19,58 +19,58 @@
 
 // DocumentOutcome is the result of a DocumentCommand.
 type DocumentOutcome struct {
-	// Held is the version that is active after the command.
-	Held uint64 `msgpack:"h"`
-	// Taken reports whether the command made its version the active one. It is false for
+	// ActiveVersion is the version that is active after the command.
+	ActiveVersion uint64 `msgpack:"h"`
+	// Applied reports whether the command made its version the active one. It is false for
 	// a version at or below the active one, which changes nothing.
-	Taken bool `msgpack:"t"`
+	Applied bool `msgpack:"t"`
 }
 
-// HeldDocument is the active configuration document. Its content must not be
+// ActiveDocument is the active configuration document. Its content must not be
 // changed.
-type HeldDocument struct {
+type ActiveDocument struct {
 	Version uint64 `msgpack:"v"`
 	Raw     []byte `msgpack:"r"`
 	Encoded []byte `msgpack:"e"`
 }
 
-// CloseLivesCommand closes the accounts of node incarnations that are known to have ended
+// CloseIncarnationsCommand closes the accounts of node incarnations that are known to have ended
 // and charges the tokens that they may have spent.
-type CloseLivesCommand struct {
-	Lives []accounts.HolderID `msgpack:"l"`
-	// Silences are upper bounds on the incarnations' time without contact to the root, in
+type CloseIncarnationsCommand struct {
+	Incarnations []accounts.HolderID `msgpack:"l"`
+	// TimesSinceContact are upper bounds on the incarnations' time without contact to the root, in
 	// the order of Lives. An incarnation without one may have spent all that it held.
-	Silences []time.Duration `msgpack:"s"`
+	TimesSinceContact []time.Duration `msgpack:"s"`
 }
 
 // Document returns the active document; its version is 0 before the first document.
-func (m *Machine) Document() HeldDocument { return m.document }
+func (m *Machine) Document() ActiveDocument { return m.document }
 
 // applyDocument keeps the highest version: an accepted document is never reverted to an older one.
 func (m *Machine) applyDocument(command *DocumentCommand) Result {
 	if command.Version <= m.document.Version {
-		return Result{Document: &DocumentOutcome{Held: m.document.Version}}
+		return Result{Document: &DocumentOutcome{ActiveVersion: m.document.Version}}
 	}
 	decoded, err := document.Decode(command.Encoded)
 	if err != nil {
 		return Result{Refused: fmt.Sprintf("version %d can't be read: %v", command.Version, err)}
 	}
-	m.document = HeldDocument{Version: command.Version, Raw: command.Raw, Encoded: command.Encoded}
+	m.document = ActiveDocument{Version: command.Version, Raw: command.Raw, Encoded: command.Encoded}
 	for _, tenant := range decoded.Tenants {
 		if tenant.HasPrepaid {
 			m.accounts.SetLimit(tenant.Name, tenant.Prepaid)
 		}
 	}
-	return Result{Document: &DocumentOutcome{Held: command.Version, Taken: true}}
+	return Result{Document: &DocumentOutcome{ActiveVersion: command.Version, Applied: true}}
 }
 
-func (m *Machine) applyCloseLives(command *CloseLivesCommand) Result {
-	for position, incarnation := range command.Lives {
-		sinceContact := accounts.UnknownSilence
-		if position < len(command.Silences) {
-			sinceContact = command.Silences[position]
+func (m *Machine) applyCloseLives(command *CloseIncarnationsCommand) Result {
+	for position, incarnation := range command.Incarnations {
+		sinceContact := accounts.UnknownTimeSinceContact
+		if position < len(command.TimesSinceContact) {
+			sinceContact = command.TimesSinceContact[position]
 		}
-		m.accounts.End(incarnation, sinceContact)
+		m.accounts.CloseCrashed(incarnation, sinceContact)
 	}
 	return Result{}
 }
--- a/internal/state/machine/document_test.go
+++ b/internal/state/machine/document_test.go
@@ -33,9 +33,9 @@
 
 func TestHighestVersionWinsAndAVersionKeepsItsFirstContent(t *testing.T) {
 	machine := New()
-	assert.DeepEqual(t, *apply(t, machine, 1, documentCommand(t, 7, 100, "first")).Document, DocumentOutcome{Held: 7, Taken: true})
-	assert.DeepEqual(t, *apply(t, machine, 2, documentCommand(t, 7, 900, "other")).Document, DocumentOutcome{Held: 7})
-	assert.DeepEqual(t, *apply(t, machine, 3, documentCommand(t, 5, 900, "older")).Document, DocumentOutcome{Held: 7})
+	assert.DeepEqual(t, *apply(t, machine, 1, documentCommand(t, 7, 100, "first")).Document, DocumentOutcome{ActiveVersion: 7, Applied: true})
+	assert.DeepEqual(t, *apply(t, machine, 2, documentCommand(t, 7, 900, "other")).Document, DocumentOutcome{ActiveVersion: 7})
+	assert.DeepEqual(t, *apply(t, machine, 3, documentCommand(t, 5, 900, "older")).Document, DocumentOutcome{ActiveVersion: 7})
 	assert.Equal(t, string(machine.Document().Raw), "first")
 	assert.Equal(t, machine.Accounts().Budget("one").Limit, uint64(100))
 
@@ -50,17 +50,17 @@
 	machine := New()
 	apply(t, machine, 1, documentCommand(t, 1, 1000, ""))
 	holder := accounts.HolderID{Node: "front", Incarnation: 1}
-	applyReport := func(index uint64, report accounts.Report) accounts.Answer {
+	applyReport := func(index uint64, report accounts.Report) accounts.Response {
 		report.Budget = "one"
-		return apply(t, machine, index, Command{Reports: []HolderReports{{Holder: holder, Reports: []accounts.Report{report}}}}).Answers[0][0]
+		return apply(t, machine, index, Command{Reports: []HolderReports{{Holder: holder, Reports: []accounts.Report{report}}}}).Responses[0][0]
 	}
-	assert.Equal(t, applyReport(2, accounts.Report{Request: 1, Need: 600, Want: 600}).Granted, uint64(600))
+	assert.Equal(t, applyReport(2, accounts.Report{Request: 1, Required: 600, Expected: 600}).Granted, uint64(600))
 	apply(t, machine, 3, documentCommand(t, 2, 300, ""))
 	assert.NilError(t, machine.Accounts().Budget("one").Check())
-	assert.Assert(t, applyReport(4, accounts.Report{Request: 2, Need: 1}).Short)
+	assert.Assert(t, applyReport(4, accounts.Report{Request: 2, Required: 1}).Short)
 	applyReport(5, accounts.Report{Returned: 400})
 	assert.Equal(t, machine.Accounts().Budget("one").Limit, uint64(300))
-	assert.Equal(t, machine.Accounts().Budget("one").Left(), uint64(100))
+	assert.Equal(t, machine.Accounts().Budget("one").Remaining(), uint64(100))
 }
 
 func TestCrashedIncarnationIsChargedInFullButNotReportedAsSpent(t *testing.T) {
@@ -68,15 +68,15 @@
 	apply(t, machine, 1, documentCommand(t, 1, 1000, ""))
 	holder := accounts.HolderID{Node: "front", Incarnation: 1}
 	apply(t, machine, 2, Command{Reports: []HolderReports{{Holder: holder, Reports: []accounts.Report{
-		{Budget: "one", Request: 1, Need: 600, Want: 600, Settled: 50},
+		{Budget: "one", Request: 1, Required: 600, Expected: 600, Settled: 50},
 	}}}})
-	apply(t, machine, 3, Command{CloseLives: &CloseLivesCommand{Lives: []accounts.HolderID{holder}}})
+	apply(t, machine, 3, Command{CloseIncarnations: &CloseIncarnationsCommand{Incarnations: []accounts.HolderID{holder}}})
 	budget := machine.Accounts().Budget("one")
-	assert.Equal(t, budget.Left(), uint64(400))
+	assert.Equal(t, budget.Remaining(), uint64(400))
 	assert.Equal(t, budget.Spent(), uint64(50))
 	late := apply(t, machine, 4, Command{Reports: []HolderReports{{Holder: holder, Reports: []accounts.Report{{Budget: "one", Returned: 550}}}}})
-	assert.Assert(t, late.Answers[0][0].Closed)
-	assert.Equal(t, budget.Left(), uint64(400))
+	assert.Assert(t, late.Responses[0][0].Closed)
+	assert.Equal(t, budget.Remaining(), uint64(400))
 }
 
 // Guards the size of encoded reports: each command is sent to each replica. In a test of
@@ -84,7 +84,7 @@
 // zones.
 func TestReportsTakeFewBytesInTheLog(t *testing.T) {
 	report := accounts.Report{
-		Budget: "tenant1", Settled: 123_456, Returned: 23_456, Watermark: 120, WatermarkSettled: 120_456, Request: 17, Wish: 30_000,
+		Budget: "tenant1", Settled: 123_456, Returned: 23_456, Watermark: 120, WatermarkSettled: 120_456, Request: 17, Desired: 30_000,
 	}
 	holder := HolderReports{Holder: accounts.HolderID{Node: "10.1.0.38:7480#2f6cf049f8c10487", Incarnation: 1}}
 	for range 10 {
--- a/internal/state/machine/golden_test.go
+++ b/internal/state/machine/golden_test.go
@@ -17,13 +17,13 @@
 // name of its line in the golden files.
 func goldenCommands() map[string]Command {
 	holder := accounts.HolderID{Node: "10.1.0.40:7340#0123456789abcdef", Incarnation: 1}
-	contact := accounts.Contact{Index: 12, Clock: 3, SteadyMS: 1234, WallMS: 1700000000000}
+	contact := accounts.Contact{Index: 12, Clock: 3, MonotonicMS: 1234, WallMS: 1700000000000}
 	return map[string]Command{
 		"document": {Document: &DocumentCommand{Version: 7, Raw: []byte("raw"), Encoded: []byte("encoded")}, Contact: contact},
 		"zone":     {Zone: &ZoneCommand{Zone: "a", Evacuated: true}},
-		"lives":    {CloseLives: &CloseLivesCommand{Lives: []accounts.HolderID{holder}, Silences: []time.Duration{time.Second}}, Contact: contact},
-		"reports": {Contact: contact, Reports: []HolderReports{{Holder: holder, Heard: contact, Allowances: true, Reports: []accounts.Report{{
-			Budget: "hule930", Settled: 12000, Returned: 100, Watermark: 20000, WatermarkSettled: 11000, Request: 3, Need: 4, Want: 5, Wish: 3000,
+		"lives":    {CloseIncarnations: &CloseIncarnationsCommand{Incarnations: []accounts.HolderID{holder}, TimesSinceContact: []time.Duration{time.Second}}, Contact: contact},
+		"reports": {Contact: contact, Reports: []HolderReports{{Holder: holder, LastContact: contact, Allowances: true, Reports: []accounts.Report{{
+			Budget: "hule930", Settled: 12000, Returned: 100, Watermark: 20000, WatermarkSettled: 11000, Request: 3, Required: 4, Expected: 5, Desired: 3000,
 			Allowance: accounts.Allowance{Sequence: 3, Tokens: 4000, Pace: 100},
 		}}}}},
 	}
--- a/internal/state/machine/machine.go
+++ b/internal/state/machine/machine.go
@@ -47,8 +47,8 @@
 	Order       *OrderCommand   `msgpack:"d,omitempty"`
 	OrderResult *OrderResult    `msgpack:"e,omitempty"`
 	// Document and CloseLives are for fleets that are configured by one document.
-	Document   *DocumentCommand   `msgpack:"m,omitempty"`
-	CloseLives *CloseLivesCommand `msgpack:"z,omitempty"`
+	Document          *DocumentCommand          `msgpack:"m,omitempty"`
+	CloseIncarnations *CloseIncarnationsCommand `msgpack:"z,omitempty"`
 	// Contact is the time on the proposer's clocks, for Reports. Its index is set to that
 	// of the log entry when the entry is applied.
 	Contact accounts.Contact `msgpack:"k"`
@@ -78,9 +78,9 @@
 type HolderReports struct {
 	Holder  accounts.HolderID `msgpack:"h"`
 	Reports []accounts.Report `msgpack:"r"`
-	// Heard is the newest contact that the holder has received; its index is 0 if the
+	// LastContact is the newest contact that the holder has received; its index is 0 if the
 	// holder uses no allowances.
-	Heard accounts.Contact `msgpack:"k"`
+	LastContact accounts.Contact `msgpack:"k"`
 	// Allowances reports whether the holder keeps to allowances.
 	Allowances bool `msgpack:"c"`
 }
@@ -155,8 +155,8 @@
 	Refused string           `msgpack:"r,omitempty"`
 	Catalog *catalog.Outcome `msgpack:"c,omitempty"`
 	Budget  *BudgetStatus    `msgpack:"b,omitempty"`
-	// Answers are the responses to the command's Reports, in the same order.
-	Answers [][]accounts.Answer `msgpack:"a,omitempty"`
+	// Responses are the responses to the command's Reports, in the same order.
+	Responses [][]accounts.Response `msgpack:"a,omitempty"`
 	// Contact is the command's contact with the index of the log entry.
 	Contact accounts.Contact `msgpack:"k"`
 	Order   *OrderRecord     `msgpack:"o,omitempty"`
@@ -176,7 +176,7 @@
 	operationOrder []string
 	nodes          map[string]NodeRecord
 	orders         map[uint64]*OrderRecord
-	document       HeldDocument
+	document       ActiveDocument
 	evacuated      evacuation.Zones
 	rollouts       rollout.Set
 	logVersion     LogVersion
@@ -280,8 +280,8 @@
 		return m.applyOrderResult(*command.OrderResult)
 	case command.Document != nil:
 		return m.applyDocument(command.Document)
-	case command.CloseLives != nil:
-		return m.applyCloseLives(command.CloseLives)
+	case command.CloseIncarnations != nil:
+		return m.applyCloseLives(command.CloseIncarnations)
 	case command.Zone != nil:
 		return m.applyZone(index, command.Zone)
 	case command.Rollout != nil:
@@ -347,18 +347,18 @@
 }
 
 func (m *Machine) applyReports(index uint64, command Command) Result {
-	result := Result{Answers: make([][]accounts.Answer, 0, len(command.Reports)), Contact: command.Contact}
+	result := Result{Responses: make([][]accounts.Response, 0, len(command.Reports)), Contact: command.Contact}
 	result.Contact.Index = index
 	for _, holder := range command.Reports {
 		if holder.Allowances {
-			m.accounts.Hear(holder.Holder, holder.Heard, result.Contact)
+			m.accounts.RecordContact(holder.Holder, holder.LastContact, result.Contact)
 		}
-		responses := make([]accounts.Answer, 0, len(holder.Reports))
+		responses := make([]accounts.Response, 0, len(holder.Reports))
 		for _, report := range holder.Reports {
 			share := m.catalog.Budget(report.Budget).GetGrantSharePercent()
-			responses = append(responses, m.accounts.Take(holder.Holder, report, share))
+			responses = append(responses, m.accounts.ApplyReport(holder.Holder, report, share))
 		}
-		result.Answers = append(result.Answers, responses)
+		result.Responses = append(result.Responses, responses)
 	}
 	return result
 }
--- a/internal/state/machine/named.go
+++ b/internal/state/machine/named.go
@@ -25,8 +25,8 @@
 
 // RolloutOutcome is the result of a RolloutCommand.
 type RolloutOutcome struct {
-	// Answer is the response to an order; 0 for a step.
-	Answer rollout.Answer `msgpack:"a"`
+	// Response is the response to an order; 0 for a step.
+	Response rollout.Response `msgpack:"a"`
 	// Rollout is the service's newest rollout.
 	Rollout rollout.Rollout `msgpack:"r"`
 }
@@ -82,7 +82,7 @@
 	outcome := &RolloutOutcome{}
 	switch {
 	case command.Order != nil:
-		m.rollouts, outcome.Answer = m.rollouts.Take(index, *command.Order)
+		m.rollouts, outcome.Response = m.rollouts.ApplyOrder(index, *command.Order)
 		outcome.Rollout, _ = m.rollouts.Find(command.Order.Service)
 	case command.Step != nil:
 		m.rollouts = m.rollouts.Advance(index, *command.Step)
--- a/internal/state/machine/snapshot.go
+++ b/internal/state/machine/snapshot.go
@@ -25,7 +25,7 @@
 	Operations []storedOperation `msgpack:"o"`
 	Nodes      []NodeRecord      `msgpack:"n"`
 	Orders     []OrderRecord     `msgpack:"d"`
-	Document   HeldDocument      `msgpack:"m"`
+	Document   ActiveDocument    `msgpack:"m"`
 	Evacuated  evacuation.Zones  `msgpack:"z"`
 	Rollouts   rollout.Set       `msgpack:"l"`
 	LogVersion LogVersion        `msgpack:"v,omitempty"`
--- a/internal/state/rollout/rollout.go
+++ b/internal/state/rollout/rollout.go
@@ -81,16 +81,16 @@
 	return slices.BinarySearchFunc(s.Rollouts, service, func(known Rollout, wanted string) int { return cmp.Compare(known.Service, wanted) })
 }
 
-// Answer is the response to an order.
-type Answer uint8
+// Response is the response to an order.
+type Response uint8
 
 const (
-	// Begun: the order is new and its rollout has started.
-	Begun Answer = iota + 1
-	// UnderWay: the same order was accepted before.
-	UnderWay
-	// OtherUnderWay: a rollout of the service to another version is in progress.
-	OtherUnderWay
+	// Started: the order is new and its rollout has started.
+	Started Response = iota + 1
+	// InProgress: the same order was accepted before.
+	InProgress
+	// OtherInProgress: a rollout of the service to another version is in progress.
+	OtherInProgress
 )
 
 // repetitionWindow is the time after an order in which an equal order counts as a repetition
@@ -98,9 +98,9 @@
 // order for some seconds, and a bad version is rolled back sooner than that.
 const repetitionWindow = 15 * time.Second
 
-// Take applies an order from the log entry at an index and returns the resulting set and the
+// ApplyOrder applies an order from the log entry at an index and returns the resulting set and the
 // response to the order.
-func (s Set) Take(index uint64, order Order) (Set, Answer) {
+func (s Set) ApplyOrder(index uint64, order Order) (Set, Response) {
 	position, found := s.position(order.Service)
 	if found {
 		known := s.Rollouts[position]
@@ -108,9 +108,9 @@
 		isSame := known.Version == order.Version
 		switch {
 		case isSame && (known.Stage.IsRunning() || known.Duration == order.Duration && since.Abs() < repetitionWindow):
-			return s, UnderWay
+			return s, InProgress
 		case known.Stage.IsRunning():
-			return s, OtherUnderWay
+			return s, OtherInProgress
 		}
 	}
 	started := Rollout{Order: order, Revision: index, Stage: Canary, Reason: "ordered"}
@@ -120,7 +120,7 @@
 	} else {
 		rollouts = slices.Insert(rollouts, position, started)
 	}
-	return Set{Revision: index, Rollouts: rollouts}, Begun
+	return Set{Revision: index, Rollouts: rollouts}, Started
 }
 
 // Step moves a rollout to a later stage.
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -12,15 +12,15 @@
 }
 
 func TestOrderStartsARolloutOnlyOnce(t *testing.T) {
-	set, response := Set{}.Take(7, order("llm", "v2", 0))
-	assert.Equal(t, response, Begun)
-	again, response := set.Take(8, order("llm", "v2", 3))
-	assert.Equal(t, response, UnderWay)
+	set, response := Set{}.ApplyOrder(7, order("llm", "v2", 0))
+	assert.Equal(t, response, Started)
+	again, response := set.ApplyOrder(8, order("llm", "v2", 3))
+	assert.Equal(t, response, InProgress)
 	assert.Equal(t, again.Revision, uint64(7))
-	_, response = set.Take(9, order("llm", "v3", 3))
-	assert.Equal(t, response, OtherUnderWay)
-	other, response := set.Take(10, order("app", "v3", 3))
-	assert.Equal(t, response, Begun)
+	_, response = set.ApplyOrder(9, order("llm", "v3", 3))
+	assert.Equal(t, response, OtherInProgress)
+	other, response := set.ApplyOrder(10, order("app", "v3", 3))
+	assert.Equal(t, response, Started)
 	assert.Equal(t, other.Rollouts[0].Service, "app")
 	assert.Equal(t, other.Rollouts[1].Service, "llm")
 	assert.Equal(t, len(set.Rollouts), 1, "Take must not change the set that it is called on")
@@ -29,20 +29,20 @@
 // Guards against a repeated order restarting the rollout of a bad version: the operator lost
 // the acknowledgement, and the version was rolled back before the order was repeated.
 func TestRepeatedOrderDoesNotRestartARolledBackVersion(t *testing.T) {
-	set, _ := Set{}.Take(7, order("llm", "v2", 0))
+	set, _ := Set{}.ApplyOrder(7, order("llm", "v2", 0))
 	set = set.Advance(8, Step{Service: "llm", Rollout: 7, Stage: RolledBack, Reason: "it fails"})
-	_, response := set.Take(9, order("llm", "v2", 4))
-	assert.Equal(t, response, UnderWay)
-	later, response := set.Take(10, order("llm", "v2", 60))
-	assert.Equal(t, response, Begun)
+	_, response := set.ApplyOrder(9, order("llm", "v2", 4))
+	assert.Equal(t, response, InProgress)
+	later, response := set.ApplyOrder(10, order("llm", "v2", 60))
+	assert.Equal(t, response, Started)
 	started, _ := later.Find("llm")
 	assert.Equal(t, started.Stage, Canary)
-	_, response = set.Take(11, order("llm", "v3", 4))
-	assert.Equal(t, response, Begun)
+	_, response = set.ApplyOrder(11, order("llm", "v3", 4))
+	assert.Equal(t, response, Started)
 }
 
 func TestStagesOfARolloutOnlyAdvance(t *testing.T) {
-	set, _ := Set{}.Take(7, order("llm", "v2", 0))
+	set, _ := Set{}.ApplyOrder(7, order("llm", "v2", 0))
 	for index, step := range []struct {
 		rollout uint64
 		stage   Stage
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -28,9 +28,9 @@
 var (
 	// ErrFrameTooLong is returned for a frame whose length exceeds the limit.
 	ErrFrameTooLong = errors.New("transport: frame too long")
-	// ErrFrameForged is returned for a frame whose authentication code does not match: it
+	// ErrFrameNotAuthentic is returned for a frame whose authentication code does not match: it
 	// was corrupted, forged, replayed or reordered.
-	ErrFrameForged = errors.New("transport: frame not authentic")
+	ErrFrameNotAuthentic = errors.New("transport: frame not authentic")
 )
 
 // writePlain writes a frame without an authentication code, for the handshake only.
@@ -104,11 +104,11 @@
 		return nil, err
 	}
 	if len(frame) < frameMACBytes {
-		return nil, ErrFrameForged
+		return nil, ErrFrameNotAuthentic
 	}
 	payload, code := frame[:len(frame)-frameMACBytes], frame[len(frame)-frameMACBytes:]
 	if !hmac.Equal(code, a.authenticationCode(payload)) {
-		return nil, ErrFrameForged
+		return nil, ErrFrameNotAuthentic
 	}
 	return payload, nil
 }
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -20,8 +20,8 @@
 
 // Errors of handshakes.
 var (
-	// ErrStranger is returned if the other side could not prove that it holds the shared key.
-	ErrStranger = errors.New("transport: the other side does not hold the shared peer key")
+	// ErrUnauthenticated is returned if the other side could not prove that it holds the shared key.
+	ErrUnauthenticated = errors.New("transport: the other side does not hold the shared peer key")
 	// ErrUnknownPeer is returned if the other side's name is not in the settings.
 	ErrUnknownPeer = errors.New("transport: the other side's name is not a configured peer")
 )
@@ -71,7 +71,7 @@
 
 // dialHandshake authenticates an outgoing connection.
 func dialHandshake(connection net.Conn, key []byte, self, other string) (*frameAuthenticator, error) {
-	hello := clientHello{Version: peer.Version, From: self, To: other, Nonce: newNonce()}
+	hello := clientHello{Version: peer.HandshakeVersion, From: self, To: other, Nonce: newNonce()}
 	if err := writeMessage(connection, &hello); err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 	}
 	seen := transcript{key: key, client: hello, server: response.Nonce}
 	if !hmac.Equal(response.Proof, seen.code("server")) {
-		return nil, ErrStranger
+		return nil, ErrUnauthenticated
 	}
 	if err := writeMessage(connection, &clientProof{Proof: seen.code("client")}); err != nil {
 		return nil, err
@@ -96,8 +96,8 @@
 	if err := readMessage(connection, &hello); err != nil {
 		return "", nil, err
 	}
-	if hello.Version != peer.Version || hello.To != self || len(hello.Nonce) != nonceBytes {
-		return "", nil, fmt.Errorf("%w: received a hello of version %d for node %q", ErrStranger, hello.Version, hello.To)
+	if hello.Version != peer.HandshakeVersion || hello.To != self || len(hello.Nonce) != nonceBytes {
+		return "", nil, fmt.Errorf("%w: received a hello of version %d for node %q", ErrUnauthenticated, hello.Version, hello.To)
 	}
 	if !known(hello.From) {
 		return "", nil, fmt.Errorf("%w: %q", ErrUnknownPeer, hello.From)
@@ -114,7 +114,7 @@
 		return "", nil, err
 	}
 	if !hmac.Equal(proof.Proof, seen.code("client")) {
-		return "", nil, ErrStranger
+		return "", nil, ErrUnauthenticated
 	}
 	return hello.From, newFrameAuthenticator(seen.code("session")), nil
 }
@@ -130,7 +130,7 @@
 	}
 	certificates := secured.ConnectionState().PeerCertificates
 	if len(certificates) == 0 || !slices.Contains(certificates[0].DNSNames, name) {
-		return fmt.Errorf("%w: the certificate is not for %q", ErrStranger, name)
+		return fmt.Errorf("%w: the certificate is not for %q", ErrUnauthenticated, name)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 		return err
 	}
 	if err := msgpack.Unmarshal(payload, message); err != nil {
-		return fmt.Errorf("%w: %v", ErrStranger, err)
+		return fmt.Errorf("%w: %v", ErrUnauthenticated, err)
 	}
 	return nil
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -169,9 +169,9 @@
 	return link
 }
 
-// Forget ends the link to a peer that is gone and drops its queued frames. It has an effect only
+// RemoveLink ends the link to a peer that is gone and drops its queued frames. It has an effect only
 // with open membership.
-func (m *Mesh) Forget(name string) {
+func (m *Mesh) RemoveLink(name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if link := m.links[name]; link != nil && m.options.OpenMembership {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -95,7 +95,7 @@
 func TestPeerWithoutTheKeyIsRefused(t *testing.T) {
 	checkClientIsRefused(t, func(connection net.Conn) {
 		_, err := dialHandshake(connection, bytes.Repeat([]byte("x"), 32), "a", "b")
-		assert.ErrorIs(t, err, ErrStranger)
+		assert.ErrorIs(t, err, ErrUnauthenticated)
 		_ = writeMessage(connection, &clientProof{Proof: []byte("guess")})
 	})
 }
@@ -158,7 +158,7 @@
 	assert.NilError(t, err)
 	assert.Equal(t, string(payload), "payload")
 	_, err = authenticator.read(twice)
-	assert.ErrorIs(t, err, ErrFrameForged)
+	assert.ErrorIs(t, err, ErrFrameNotAuthentic)
 }
 
 func FuzzFrame(f *testing.F) {
