--- a/internal/protocol/peer/calls.go
+++ b/internal/protocol/peer/calls.go
@@ -37,7 +37,7 @@
 	delete(c.pending, id)
 }
 
-// Deliver delivers a reply to its pending call. A reply without one is dropped.
+// Deliver passes a reply to its pending call. A reply without one is dropped.
 func (c *Calls) Deliver(reply Reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/protocol/peer/fleet.go
+++ b/internal/protocol/peer/fleet.go
@@ -18,7 +18,8 @@
 	// Node and Zone are the names from the node's settings.
 	Node string `msgpack:"n"`
 	Zone string `msgpack:"z"`
-	// Incarnation identifies the incarnation, one run of the process. It is newly generated at each start.
+	// Incarnation identifies one run of the sender's process. It is newly generated at each
+	// start.
 	Incarnation string `msgpack:"l"`
 	Entry       bool   `msgpack:"e,omitempty"`
 	Control     bool   `msgpack:"c,omitempty"`
@@ -52,7 +53,7 @@
 	// that crash their engines; 0 if it has none.
 	QuarantineDigest uint64 `msgpack:"k,omitempty"`
 	// InstancesSum is a digest of the live instances too. InstancesDigest is sent only to
-	// builds before DialectSums.
+	// builds before ProtocolSums.
 	InstancesSum uint64 `msgpack:"h,omitempty"`
 	// Rollouts are the active rollouts at a control node; nil if it has none to send.
 	Rollouts *rollout.Set `msgpack:"f,omitempty"`
--- a/internal/protocol/peer/peer.go
+++ b/internal/protocol/peer/peer.go
@@ -12,7 +12,8 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// HandshakeVersion is the version of the peer protocol.
+// HandshakeVersion is the version of the handshake between nodes. Nodes with different ones refuse
+// each other's connections.
 const HandshakeVersion = 1
 
 // Kind is the kind of an envelope's body.
--- a/internal/protocol/peer/protocol.go
+++ b/internal/protocol/peer/protocol.go
@@ -4,7 +4,7 @@
 
 // ProtocolVersion is the version of the message format that a node's build reads. Each node sends
 // its own in its hellos. A node that has not sent a hello yet, or whose build sends no
-// version, counts as DialectStrict.
+// version, counts as ProtocolStrict.
 type ProtocolVersion uint8
 
 const (
--- a/internal/state/accounts/accounts.go
+++ b/internal/state/accounts/accounts.go
@@ -118,7 +118,7 @@
 	Total    uint64   `msgpack:"t"`
 }
 
-// Pair returns the loan's lender and borrower.
+// Pair returns the pair of the loan's lender and borrower.
 func (l Loan) Pair() LoanPair { return LoanPair{Lender: l.Lender, Borrower: l.Borrower} }
 
 // Settled returns the usage of all holders, in tokens: what open ones reported and closed ones
@@ -144,12 +144,12 @@
 func (b *Budget) Outstanding() uint64 { return SaturatingSubtract(b.Committed(), b.Settled()) }
 
 // outstandingByHolders returns the tokens that holders may still spend, and the number of holders
-// that have any. Lent tokens count as the lender's until its incarnation ends, even after the borrower
-// has used them. So the sum is capped at the budget's outstanding tokens.
+// that have any. Lent tokens count as the lender's until its incarnation ends, even after the
+// borrower has used them. So the sum is capped at the budget's outstanding tokens.
 func (b *Budget) outstandingByHolders() (tokens uint64, holders int) {
 	for _, holder := range b.Holders {
-		if left := holder.Outstanding(); left > 0 {
-			tokens += left
+		if remaining := holder.Outstanding(); remaining > 0 {
+			tokens += remaining
 			holders++
 		}
 	}
@@ -172,8 +172,8 @@
 	Returned         uint64 `msgpack:"r"`
 	Watermark        uint64 `msgpack:"w"`
 	WatermarkSettled uint64 `msgpack:"ws"`
-	// Request numbers the holder's grant requests; 0 means none. Need is the amount that
-	// requests already waiting lack, Want the amount that the expected demand would use.
+	// Request numbers the holder's grant requests; 0 means none. Required is the amount that
+	// requests already waiting lack, Expected the amount that the expected demand would use.
 	Request  uint64 `msgpack:"q,omitempty"`
 	Required uint64 `msgpack:"nd,omitempty"`
 	Expected uint64 `msgpack:"wt,omitempty"`
@@ -506,14 +506,14 @@
 	if sharePercent == 0 {
 		sharePercent = DefaultGrantSharePercent
 	}
-	left := b.Remaining()
-	share := left / 100 * uint64(sharePercent)
+	remaining := b.Remaining()
+	share := remaining / 100 * uint64(sharePercent)
 	amount := max(required, min(expected, share))
-	if amount > left {
-		if required > left {
+	if amount > remaining {
+		if required > remaining {
 			return 0
 		}
-		return left
+		return remaining
 	}
 	return amount
 }
--- a/internal/state/accounts/allowance.go
+++ b/internal/state/accounts/allowance.go
@@ -14,7 +14,7 @@
 
 // Allowance bounds the usage of a holder's grant. While the holder is in contact with the
 // root it uses no more than Tokens in total, and has Tokens raised in the log before it
-// uses more. Once its last contact is older than SilentAfter it may use Pace tokens a
+// uses more. Once its last contact is older than ContactTimeout it may use Pace tokens a
 // second on top. So if the holder's incarnation crashes without a final report, its usage
 // is at most Tokens plus what the pace allowed since its last contact with the root; the
 // remainder of its grant is known to be unspent.
@@ -43,12 +43,12 @@
 
 // Contact is the time at which the root decided on a holder's report, read from the
 // leader's clocks. The response carries it to the holder, whose next report carries it
-// back: a holder that has received a contact was in touch with the root at that time or
+// back: a holder that has received a contact was in contact with the root at that time or
 // later.
 type Contact struct {
 	// Index is the log entry with the decision; 0 means no contact.
 	Index uint64 `msgpack:"i"`
-	// Clock identifies the process whose monotonic clock SteadyMS is read from, in
+	// Clock identifies the process whose monotonic clock MonotonicMS is read from, in
 	// milliseconds.
 	Clock       uint64 `msgpack:"c"`
 	MonotonicMS uint64 `msgpack:"s"`
--- a/internal/state/document/compress.go
+++ b/internal/state/document/compress.go
@@ -33,7 +33,7 @@
 	return compressed.Bytes(), nil
 }
 
-// Decompress decompresses data that Pack returned. Data that is not compressed is
+// Decompress decompresses data that Compress returned. Data that is not compressed is
 // returned unchanged.
 func Decompress(data []byte) ([]byte, error) {
 	if len(data) == 0 || data[0] != compressionMarker {
--- a/internal/state/machine/document.go
+++ b/internal/state/machine/document.go
@@ -39,7 +39,7 @@
 type CloseIncarnationsCommand struct {
 	Incarnations []accounts.HolderID `msgpack:"l"`
 	// TimesSinceContact are upper bounds on the incarnations' time without contact to the root, in
-	// the order of Lives. An incarnation without one may have spent all that it held.
+	// the order of Incarnations. An incarnation without one may have spent all that it held.
 	TimesSinceContact []time.Duration `msgpack:"s"`
 }
 
@@ -64,7 +64,7 @@
 	return Result{Document: &DocumentOutcome{ActiveVersion: command.Version, Applied: true}}
 }
 
-func (m *Machine) applyCloseLives(command *CloseIncarnationsCommand) Result {
+func (m *Machine) applyCloseIncarnations(command *CloseIncarnationsCommand) Result {
 	for position, incarnation := range command.Incarnations {
 		sinceContact := accounts.UnknownTimeSinceContact
 		if position < len(command.TimesSinceContact) {
--- a/internal/state/machine/machine.go
+++ b/internal/state/machine/machine.go
@@ -46,7 +46,7 @@
 	Node        *NodeRecord     `msgpack:"n,omitempty"`
 	Order       *OrderCommand   `msgpack:"d,omitempty"`
 	OrderResult *OrderResult    `msgpack:"e,omitempty"`
-	// Document and CloseLives are for fleets that are configured by one document.
+	// Document and CloseIncarnations are for fleets that are configured by one document.
 	Document          *DocumentCommand          `msgpack:"m,omitempty"`
 	CloseIncarnations *CloseIncarnationsCommand `msgpack:"z,omitempty"`
 	// Contact is the time on the proposer's clocks, for Reports. Its index is set to that
@@ -281,7 +281,7 @@
 	case command.Document != nil:
 		return m.applyDocument(command.Document)
 	case command.CloseIncarnations != nil:
-		return m.applyCloseLives(command.CloseIncarnations)
+		return m.applyCloseIncarnations(command.CloseIncarnations)
 	case command.Zone != nil:
 		return m.applyZone(index, command.Zone)
 	case command.Rollout != nil:
--- a/internal/state/rollout/rollout.go
+++ b/internal/state/rollout/rollout.go
@@ -87,7 +87,7 @@
 const (
 	// Started: the order is new and its rollout has started.
 	Started Response = iota + 1
-	// InProgress: the same order was accepted before.
+	// InProgress: the same order was accepted before, so no other rollout is started.
 	InProgress
 	// OtherInProgress: a rollout of the service to another version is in progress.
 	OtherInProgress
