--- a/internal/protocol/operator/operator_test.go
+++ b/internal/protocol/operator/operator_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestOnlyTheTokenOpens(t *testing.T) {
-	open := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusOK) })
-	for _, one := range []struct {
+func TestOnlyRequestsWithTheTokenAreServed(t *testing.T) {
+	next := http.HandlerFunc(func(writer http.ResponseWriter, _ *http.Request) { writer.WriteHeader(http.StatusOK) })
+	for _, test := range []struct {
 		token, header string
 		status        int
 	}{
@@ -19,10 +19,10 @@
 	} {
 		recorder := httptest.NewRecorder()
 		request := httptest.NewRequest(http.MethodPost, "/", nil)
-		if one.header != "" {
-			request.Header.Set("Authorization", one.header)
+		if test.header != "" {
+			request.Header.Set("Authorization", test.header)
 		}
-		RequireToken([]byte(one.token), open).ServeHTTP(recorder, request)
-		assert.Equal(t, recorder.Code, one.status, "%+v", one)
+		RequireToken([]byte(test.token), next).ServeHTTP(recorder, request)
+		assert.Equal(t, recorder.Code, test.status, "%+v", test)
 	}
 }
