--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -23,7 +23,7 @@
 	assert.Equal(t, response, Started)
 	assert.Equal(t, other.Rollouts[0].Service, "app")
 	assert.Equal(t, other.Rollouts[1].Service, "llm")
-	assert.Equal(t, len(set.Rollouts), 1, "Take must not change the set that it is called on")
+	assert.Equal(t, len(set.Rollouts), 1, "ApplyOrder must not change the set that it is called on")
 }
 
 // Guards against a repeated order restarting the rollout of a bad version: the operator lost
