--- a/internal/coordination/clocks/clocks.go
+++ b/internal/coordination/clocks/clocks.go
@@ -31,7 +31,7 @@
 
 // Contact returns the reading in the form that the log stores.
 func (r Reading) Contact() accounts.Contact {
-	return accounts.Contact{Clock: r.Clock, SteadyMS: uint64(r.Monotonic.Milliseconds()), WallMS: r.WallMS}
+	return accounts.Contact{Clock: r.Clock, MonotonicMS: uint64(r.Monotonic.Milliseconds()), WallMS: r.WallMS}
 }
 
 // Agree reports whether the own wall clock is reliable: the clocks of more than half of the voters,
@@ -53,18 +53,18 @@
 // control nodes agreed on it both then and now.
 func TimeSinceContact(contact accounts.Contact, now Reading, sinceEnd time.Duration) (sinceContact time.Duration, known bool) {
 	if contact.Index == 0 {
-		return accounts.UnknownSilence, false
+		return accounts.UnknownTimeSinceContact, false
 	}
 	byWallClock, isAgreed := elapsedByWallClock(contact, now)
 	if contact.Clock == now.Clock {
-		elapsed := now.Monotonic - time.Duration(contact.SteadyMS)*time.Millisecond
+		elapsed := now.Monotonic - time.Duration(contact.MonotonicMS)*time.Millisecond
 		if isAgreed && byWallClock > elapsed+Tolerance {
 			elapsed = byWallClock + Tolerance
 		}
 		return max(0, elapsed-sinceEnd), true
 	}
 	if !isAgreed || byWallClock-sinceEnd < -Tolerance {
-		return accounts.UnknownSilence, false
+		return accounts.UnknownTimeSinceContact, false
 	}
 	return max(0, byWallClock-sinceEnd) + Tolerance, true
 }
--- a/internal/coordination/clocks/clocks_test.go
+++ b/internal/coordination/clocks/clocks_test.go
@@ -28,7 +28,7 @@
 }
 
 func TestTimeSinceContactUsesTheMonotonicClockElseTheWallClock(t *testing.T) {
-	contact := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
+	contact := accounts.Contact{Index: 1, Clock: 7, MonotonicMS: 1000, WallMS: 500_000}
 	sameProcess, known := TimeSinceContact(contact, Reading{Clock: 7, Monotonic: 4 * time.Second, WallMS: 1}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, sameProcess, 2*time.Second)
@@ -47,7 +47,7 @@
 // After the contact the leader's machine was suspended for 6 s, which its monotonic clock does not
 // count.
 func TestTimeSinceContactCountsTheSuspensionOfTheLeader(t *testing.T) {
-	contact := accounts.Contact{Index: 1, Clock: 7, SteadyMS: 1000, WallMS: 500_000}
+	contact := accounts.Contact{Index: 1, Clock: 7, MonotonicMS: 1000, WallMS: 500_000}
 	sinceContact, known := TimeSinceContact(contact, Reading{Clock: 7, Monotonic: 4 * time.Second, WallMS: 509_000}, time.Second)
 	assert.Assert(t, known)
 	assert.Equal(t, sinceContact, 8*time.Second+Tolerance)
--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -242,7 +242,7 @@
 }
 
 // confirm records the amounts that a response confirms, and reports whether the watermark advanced.
-func (a *account) confirm(response accounts.Answer) (advanced bool) {
+func (a *account) confirm(response accounts.Response) (advanced bool) {
 	advanced = response.Watermark > a.confirmed.watermark
 	a.confirmed.settled = max(a.confirmed.settled, response.Settled)
 	a.confirmed.returned = max(a.confirmed.returned, response.Returned)
@@ -256,15 +256,15 @@
 	a.reportedAt = now
 	report := accounts.Report{
 		Budget: a.name, Settled: a.settled, Returned: a.returned,
-		Watermark: a.watermark, WatermarkSettled: a.watermarkSettled, Wish: a.desired(now),
+		Watermark: a.watermark, WatermarkSettled: a.watermarkSettled, Desired: a.desired(now),
 	}
-	a.reportedDesired = report.Wish
+	a.reportedDesired = report.Desired
 	if a.requested {
 		a.resendAfter = min(2*a.resendAfter, lastResend)
 		report.Request = a.requestNumber
-		report.Need = a.grantShortfall()
+		report.Required = a.grantShortfall()
 		wanted := max(a.target(now), a.totalWaiting())
-		report.Want = max(report.Need, accounts.SaturatingSubtract(wanted, a.unreserved()))
+		report.Expected = max(report.Required, accounts.SaturatingSubtract(wanted, a.unreserved()))
 	}
 	if a.contact != nil {
 		report.Allowance = a.nextAllowance()
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -114,7 +114,7 @@
 
 // allowed returns the maximum tokens that the holder may have used of its own grant by now.
 func (a *account) allowed() uint64 {
-	return a.allowances.binding().MostUsed(a.contact.sinceContact())
+	return a.allowances.binding().MaximumUse(a.contact.sinceContact())
 }
 
 // isCovered reports whether all use is within the allowed tokens, without use of the pace.
@@ -131,7 +131,7 @@
 	tokens := a.ownUse() + a.totalWaiting() + a.allowedAhead()
 	pace := uint64(paceFactor * a.reserving.at(a.contact.now))
 	binding := a.allowances.binding()
-	if a.contact.sinceContact() > accounts.SilentAfter {
+	if a.contact.sinceContact() > accounts.ContactTimeout {
 		tokens, pace = max(tokens, binding.Tokens), max(pace, binding.Pace)
 	}
 	return a.allowances.send(tokens, pace)
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -440,21 +440,21 @@
 
 // TakeResponse applies the root's responses. It returns those whose watermarks have become durable,
 // so that the caller can forget the claims up to them.
-func (h *Holder) TakeResponse(now time.Duration, message ResponseMessage) []accounts.Answer {
+func (h *Holder) TakeResponse(now time.Duration, message ResponseMessage) []accounts.Response {
 	if message.Holder != h.options.ID {
 		return nil
 	}
 	h.contact.now = now
 	h.receiveContact(message.Contact)
-	var advanced []accounts.Answer
+	var advanced []accounts.Response
 	for _, response := range message.Responses {
 		budgetAccount := h.accounts[response.Budget]
 		if budgetAccount == nil {
 			continue
 		}
 		budgetAccount.granted = max(budgetAccount.granted, response.Granted)
-		if budgetAccount.confirm(response.Answer) {
-			advanced = append(advanced, response.Answer)
+		if budgetAccount.confirm(response.Response) {
+			advanced = append(advanced, response.Response)
 		}
 		h.applyResponse(now, budgetAccount, response)
 	}
@@ -484,7 +484,7 @@
 // refusalOf returns why a request for amount tokens fell short. Holders that did not respond matter
 // only if what they hold would be enough.
 func refusalOf(response Response, amount uint64) error {
-	exhausted := &ExhaustedError{Limit: response.Limit, Spent: response.Spent, Left: response.Left, Outstanding: response.Outstanding}
+	exhausted := &ExhaustedError{Limit: response.Limit, Spent: response.Spent, Left: response.Remaining, Outstanding: response.Outstanding}
 	if response.Unreached > 0 && !exhausted.IsFinal(amount) {
 		return fmt.Errorf("%w: %d nodes that hold a part of it do not answer", ErrUnreachable, response.Unreached)
 	}
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -28,7 +28,7 @@
 	}
 	response := ResponseMessage{Holder: report.Holder}
 	for _, budgetReport := range report.Reports {
-		response.Responses = append(response.Responses, Response{Answer: root.Take(report.Holder, budgetReport, 0)})
+		response.Responses = append(response.Responses, Response{Response: root.ApplyReport(report.Holder, budgetReport, 0)})
 	}
 	holder.TakeResponse(now, response)
 	return true
@@ -72,7 +72,7 @@
 	holder.Recall(RecallMessage{Holder: holder.ID(), Budget: "b", Number: 1})
 	assert.Equal(t, holder.Free("b"), uint64(0))
 	exchange(3*time.Second, root, holder)
-	assert.Equal(t, root.Budget("b").Left(), 1000-uint64(400))
+	assert.Equal(t, root.Budget("b").Remaining(), 1000-uint64(400))
 	assert.Assert(t, free > 0)
 }
 
@@ -124,13 +124,13 @@
 		holder.Reserve(time.Duration(second)*time.Second, time.Hour, "b", 100, Policy{}, func(Reservation, error) {})
 	}
 	report, _ := holder.Report(5 * time.Second)
-	holder.TakeResponse(5*time.Second, ResponseMessage{Holder: id, Responses: []Response{{Answer: accounts.Answer{Budget: "b", Granted: 5000, Request: report.Reports[0].Request, Left: 50000}}}})
+	holder.TakeResponse(5*time.Second, ResponseMessage{Holder: id, Responses: []Response{{Response: accounts.Response{Budget: "b", Granted: 5000, Request: report.Reports[0].Request, Remaining: 50000}}}})
 	holder.SetStopping()
 	for tick := range 50 {
 		now := 5*time.Second + time.Duration(tick)*40*time.Millisecond
 		holder.Tick(now)
 		if next, due := holder.Report(now); due {
-			assert.Equal(t, next.Reports[0].Want, uint64(0))
+			assert.Equal(t, next.Reports[0].Expected, uint64(0))
 		}
 	}
 	assert.Equal(t, holder.Free("b"), uint64(0))
@@ -139,12 +139,12 @@
 // A budget is exhausted for good if even everything that holders may still return is not enough, also
 // if some of them did not respond. Otherwise a later request may be served.
 func TestBudgetIsExhaustedForGoodIfAllPossibleReturnsAreNotEnough(t *testing.T) {
-	short := accounts.Answer{Limit: 100, Spent: 80, Left: 2, Outstanding: 7}
+	short := accounts.Response{Limit: 100, Spent: 80, Remaining: 2, Outstanding: 7}
 	var exhausted *ExhaustedError
-	assert.Assert(t, errors.As(refusalOf(Response{Answer: short, Unreached: 1}, 10), &exhausted))
+	assert.Assert(t, errors.As(refusalOf(Response{Response: short, Unreached: 1}, 10), &exhausted))
 	assert.Assert(t, exhausted.IsFinal(10) && !exhausted.IsFinal(9))
-	assert.Assert(t, errors.Is(refusalOf(Response{Answer: short, Unreached: 1}, 9), ErrUnreachable))
-	assert.Assert(t, errors.Is(refusalOf(Response{Answer: short}, 9), ErrExhausted))
+	assert.Assert(t, errors.Is(refusalOf(Response{Response: short, Unreached: 1}, 9), ErrUnreachable))
+	assert.Assert(t, errors.Is(refusalOf(Response{Response: short}, 9), ErrExhausted))
 }
 
 // In a partition a request that the whole budget could not hold before it is refused immediately. Its
@@ -161,8 +161,8 @@
 	}
 	assert.NilError(t, reserve(0, 10))
 	_, _ = holder.Report(0)
-	holder.TakeResponse(0, ResponseMessage{Holder: holder.ID(), Responses: []Response{{Answer: accounts.Answer{
-		Budget: "b", Request: 1, Short: true, Limit: 1000, Spent: 970, Left: 5, Outstanding: 25,
+	holder.TakeResponse(0, ResponseMessage{Holder: holder.ID(), Responses: []Response{{Response: accounts.Response{
+		Budget: "b", Request: 1, Short: true, Limit: 1000, Spent: 970, Remaining: 5, Outstanding: 25,
 	}}}})
 	isReachable = false
 	assert.ErrorIs(t, reserve(time.Second, 40), ErrUnreachable)
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -26,7 +26,7 @@
 
 // Response is the root's response on one budget.
 type Response struct {
-	accounts.Answer
+	accounts.Response
 	// Unreached is the number of holders that hold a part of the budget and did not respond to a
 	// recall. If it is above 0, a refusal may be due to a partition rather than to a spent budget.
 	Unreached int `msgpack:"n,omitempty"`
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -116,7 +116,7 @@
 		r.holdBackTopUps(pending)
 		batch.Command.Reports = append(batch.Command.Reports, machine.HolderReports{
 			Holder: pending.message.Holder, Reports: pending.message.Reports,
-			Heard: pending.message.LastContact, Allowances: pending.message.Allowances,
+			LastContact: pending.message.LastContact, Allowances: pending.message.Allowances,
 		})
 	}
 	return batch, true
@@ -129,8 +129,8 @@
 		if r.recalls[report.Budget] == nil && !pending.afterRecall {
 			continue
 		}
-		pending.message.Reports[position].Want = report.Need
-		if report.Need == 0 {
+		pending.message.Reports[position].Expected = report.Required
+		if report.Required == 0 {
 			pending.message.Reports[position].Request = 0
 		}
 	}
@@ -139,7 +139,7 @@
 // Applied handles the result of a committed batch: it responds to the holders and starts recalls.
 func (r *Root) Applied(now time.Duration, batch Batch, result machine.Result) {
 	for position, pending := range batch.pending {
-		r.respond(now, pending, result.Answers[position], result.Contact)
+		r.respond(now, pending, result.Responses[position], result.Contact)
 		for _, report := range pending.message.Reports {
 			if !slices.Contains(r.changed, report.Budget) {
 				r.changed = append(r.changed, report.Budget)
@@ -153,7 +153,7 @@
 	}
 }
 
-func (r *Root) respond(now time.Duration, pending pendingReport, responses []accounts.Answer, contact accounts.Contact) {
+func (r *Root) respond(now time.Duration, pending pendingReport, responses []accounts.Response, contact accounts.Contact) {
 	message := ResponseMessage{Holder: pending.message.Holder}
 	if pending.message.Allowances {
 		message.Contact = contact
@@ -168,7 +168,7 @@
 				continue
 			}
 		}
-		message.Responses = append(message.Responses, Response{Answer: response, Unreached: pending.unreached})
+		message.Responses = append(message.Responses, Response{Response: response, Unreached: pending.unreached})
 	}
 	if len(message.Responses) > 0 || message.Contact.Index > 0 {
 		r.options.Respond(pending.message.Holder.Node, message)
--- a/internal/coordination/escrow/summary.go
+++ b/internal/coordination/escrow/summary.go
@@ -43,12 +43,12 @@
 // SummaryOf returns the summary of a root account.
 func SummaryOf(budget *accounts.Budget) BudgetSummary {
 	return BudgetSummary{
-		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding(), TotalDesired: budget.Wished(),
+		Budget: budget.Name, Limit: budget.Limit, Unspent: budget.Remaining() + budget.Outstanding(), TotalDesired: budget.TotalDesired(),
 	}
 }
 
-func summaryOfResponse(response accounts.Answer) BudgetSummary {
-	return BudgetSummary{Budget: response.Budget, Limit: response.Limit, Unspent: response.Left + response.Outstanding, TotalDesired: response.Wished}
+func summaryOfResponse(response accounts.Response) BudgetSummary {
+	return BudgetSummary{Budget: response.Budget, Limit: response.Limit, Unspent: response.Remaining + response.Outstanding, TotalDesired: response.TotalDesired}
 }
 
 // maximumHeld returns the maximum tokens that the holders together should hold ahead of demand. What a
--- a/internal/coordination/escrow/summary_test.go
+++ b/internal/coordination/escrow/summary_test.go
@@ -49,15 +49,15 @@
 		}
 	}
 	if batch, found := g.root.Batch(); found {
-		var responses [][]accounts.Answer
+		var responses [][]accounts.Response
 		for _, holderReports := range batch.Command.Reports {
-			var holderResponses []accounts.Answer
+			var holderResponses []accounts.Response
 			for _, report := range holderReports.Reports {
-				holderResponses = append(holderResponses, g.accounts.Take(holderReports.Holder, report, 0))
+				holderResponses = append(holderResponses, g.accounts.ApplyReport(holderReports.Holder, report, 0))
 			}
 			responses = append(responses, holderResponses)
 		}
-		g.root.Applied(now, batch, machine.Result{Answers: responses})
+		g.root.Applied(now, batch, machine.Result{Responses: responses})
 	}
 	g.root.Tick(now)
 }
@@ -93,7 +93,7 @@
 		g.step(now + 500*time.Millisecond)
 	}
 	budget := g.accounts.Budget("b")
-	unspent := budget.Left() + budget.Outstanding()
+	unspent := budget.Remaining() + budget.Outstanding()
 	held := uint64(0)
 	for _, holder := range g.holders {
 		held += holder.Free("b")
@@ -116,7 +116,7 @@
 		g.step(now + 500*time.Millisecond)
 	}
 	budget := g.accounts.Budget("b")
-	maximum := BudgetSummary{Limit: budget.Limit, Unspent: budget.Left() + budget.Outstanding()}.maximumHeld(false)
+	maximum := BudgetSummary{Limit: budget.Limit, Unspent: budget.Remaining() + budget.Outstanding()}.maximumHeld(false)
 	assert.Assert(t, float64(g.holders["n0"].Free("b")) > 0.5*maximum, "%d of at most %.0f", g.holders["n0"].Free("b"), maximum)
 }
 
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -91,7 +91,7 @@
 		return false
 	}
 	known := r.peers[hello.Address]
-	isNew = known == nil || known.Life != hello.Life || now-known.ReceivedAt > AliveFor
+	isNew = known == nil || known.Incarnation != hello.Incarnation || now-known.ReceivedAt > AliveFor
 	current := &Peer{ReceivedAt: now}
 	hasList := len(hello.Nodes) > 0 || known != nil && applyChanges(&hello, known)
 	isRepeated := known != nil && !hasList
@@ -101,12 +101,12 @@
 	}
 	if isRepeated {
 		hello.Nodes, current.listRecordedAt = known.Nodes, known.listRecordedAt
-		if known.Life == hello.Life {
+		if known.Incarnation == hello.Incarnation {
 			hello.ListVersion = known.ListVersion
 		}
 	}
 	current.Hello = hello
-	if known != nil && known.Life == hello.Life {
+	if known != nil && known.Incarnation == hello.Incarnation {
 		current.Meter = known.Meter
 	}
 	current.Record(now, time.Duration(hello.AgeMS)*time.Millisecond)
@@ -134,7 +134,7 @@
 // false if the hello has no changes, or if earlier changes were lost: then the sender sends the
 // whole list again.
 func applyChanges(hello *peer.Hello, before *Peer) bool {
-	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Life != before.Life {
+	if hello.ListBase == 0 || hello.ListBase != before.ListVersion || hello.Incarnation != before.Incarnation {
 		return false
 	}
 	left := make(map[string]bool, len(hello.Left))
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -139,7 +139,7 @@
 
 // mayRetry reports whether another attempt is allowed after one that reached an instance.
 func (r *request) mayRetry(result attemptResult, service string, policy balance.RetryPolicy) bool {
-	if r.instancesReached >= max(1, r.route.MaxAttempts) {
+	if r.instancesReached >= max(1, r.route.MaximumAttempts) {
 		return false
 	}
 	if result != rejected && (!r.route.Idempotent() || r.quarantineStatus() >= quarantine.Suspected) {
@@ -182,14 +182,14 @@
 	described := balance.Request{
 		Service: service, Part: r.call.attemptKey(), Cost: r.call.cost(), Exclude: r.tried, Bytes: len(r.body),
 		Tokens: int(r.call.TokensIn), SharedTokens: r.call.sharedTokens(), MaximumEventGap: r.route.EventGap, Regions: r.regions(),
-		MaximumPermitWait: r.permitMaximumWait(), IsLastAttempt: r.instancesReached+1 >= max(1, r.route.MaxAttempts),
+		MaximumPermitWait: r.permitMaximumWait(), IsLastAttempt: r.instancesReached+1 >= max(1, r.route.MaximumAttempts),
 	}
 	configured := r.index.Service(service)
 	if configured != nil {
 		described.Cold = balance.ColdPolicy{Rate: configured.ColdRate, Time: configured.ColdTime}
 	}
-	if configured != nil && configured.MaxConnections > 0 {
-		described.MaximumInFlight = max(2, configured.MaxConnections/max(1, environment.EntryNodes()))
+	if configured != nil && configured.MaximumConnections > 0 {
+		described.MaximumInFlight = max(2, configured.MaximumConnections/max(1, environment.EntryNodes()))
 	}
 	return described
 }
@@ -286,7 +286,7 @@
 // attemptContext limits the wait for a repeatable request's response, so that there is time left
 // for another instance.
 func (r *request) attemptContext(ctx context.Context) (context.Context, context.CancelFunc) {
-	isLast := r.instancesReached+1 >= max(1, r.route.MaxAttempts)
+	isLast := r.instancesReached+1 >= max(1, r.route.MaximumAttempts)
 	if r.route.Kind != document.Repeatable || isLast {
 		return context.WithCancel(ctx)
 	}
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -337,7 +337,7 @@
 
 // readBody reads the whole body, because it is sent again if an engine rejects the request.
 func (r *request) readBody() *Refusal {
-	limit := r.index.Document.Limits.MaxBodyBytes
+	limit := r.index.Document.Limits.MaximumBodyBytes
 	if limit > 0 && r.incoming.ContentLength > limit {
 		return refuse(http.StatusRequestEntityTooLarge, ReasonTooLarge)
 	}
--- a/internal/forward/ratelimit_test.go
+++ b/internal/forward/ratelimit_test.go
@@ -76,7 +76,7 @@
 	limits.RecordResponse(h.environment.Now(), limited, ratelimit.PermitResponse{FreeMS: 2000})
 	route := h.environment.index.Document.Routes
 	for position := range route {
-		route[position].MaxAttempts = 1
+		route[position].MaximumAttempts = 1
 	}
 	for number := range 5 {
 		got := h.send(t, http.MethodPost, "/once/x", fmt.Sprint("r", number), "b")
--- a/internal/forward/stream.go
+++ b/internal/forward/stream.go
@@ -103,7 +103,7 @@
 }
 
 func (r *request) mayResume(service string) bool {
-	if !r.route.Resumable || r.instancesReached >= max(1, r.route.MaxAttempts) || r.quarantineStatus() >= quarantine.Suspected {
+	if !r.route.Resumable || r.instancesReached >= max(1, r.route.MaximumAttempts) || r.quarantineStatus() >= quarantine.Suspected {
 		return false
 	}
 	environment := r.pipeline.options.Environment
--- a/internal/gateway/canary.go
+++ b/internal/gateway/canary.go
@@ -126,7 +126,7 @@
 	var live []string
 	for _, known := range d.node.fleet.view.Load().alive {
 		if known.Entry {
-			live = append(live, holderName(known.Address, known.Life))
+			live = append(live, holderName(known.Address, known.Incarnation))
 		}
 	}
 	return live
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -59,22 +59,22 @@
 	if err != nil {
 		return 0, err
 	}
-	packed, err := document.Pack(raw)
+	packed, err := document.Compress(raw)
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	command := machine.DocumentCommand{Version: taken.Version, Raw: packed, Encoded: encoded}
-	outcome, err := atLeader(ctx, n, peer.MethodTakeDocument, &commitDocumentRequest{Command: command}, func() (machine.DocumentOutcome, error) {
+	outcome, err := atLeader(ctx, n, peer.MethodSubmitDocument, &commitDocumentRequest{Command: command}, func() (machine.DocumentOutcome, error) {
 		return n.commitDocumentHere(ctx, command)
 	})
 	n.log.Info().Str("event", "document_order").Uint64("version", taken.Version).Int("bytes", len(raw)).
-		Uint64("held", outcome.Held).Bool("taken", outcome.Taken).AnErr("error", err).Send()
+		Uint64("held", outcome.ActiveVersion).Bool("taken", outcome.Applied).AnErr("error", err).Send()
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
-	return outcome.Held, nil
+	return outcome.ActiveVersion, nil
 }
 
 // warnOfUnknownRegions logs a warning for each region that a configuration binds requests to but
@@ -105,7 +105,7 @@
 func (n *Node) ReadDocument(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	heldDocument, err := duty.Ask(ctx, n.replica.duty, func(respond func(machine.HeldDocument)) { respond(n.replica.machine.Document()) })
+	heldDocument, err := duty.Ask(ctx, n.replica.duty, func(respond func(machine.ActiveDocument)) { respond(n.replica.machine.Document()) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -115,9 +115,9 @@
 	case err != nil:
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	case response.Same:
-		return document.Unpack(heldDocument.Raw)
+		return document.Decompress(heldDocument.Raw)
 	}
-	return document.Unpack(response.Raw)
+	return document.Decompress(response.Raw)
 }
 
 // errNoLeader says that no leader of the control group is known.
@@ -204,7 +204,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
 	response, err := n.executeCall(ctx, from, call)
-	n.calls.Answer(from, call, response, err, errorCode)
+	n.calls.Reply(from, call, response, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -224,7 +224,7 @@
 		return nil, consensus.ErrNotLeader
 	}
 	switch call.Method {
-	case peer.MethodTakeDocument:
+	case peer.MethodSubmitDocument:
 		return peer.Execute(call, func(request commitDocumentRequest) (any, error) { return n.commitDocumentHere(ctx, request.Command) })
 	case peer.MethodReadDocument:
 		return peer.Execute(call, func(request readDocumentRequest) (any, error) { return n.readDocumentHere(ctx, request) })
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -206,7 +206,7 @@
 	f.logMerged()
 	f.dropStaleList(now)
 	for _, gone := range f.roster.Forget(now) {
-		f.node.mesh.Forget(gone)
+		f.node.mesh.RemoveLink(gone)
 		f.node.protocols.forget(gone)
 		delete(f.sentLists, gone)
 		delete(f.mismatches, gone)
@@ -331,11 +331,11 @@
 func (f *fleetDuty) ownHello() peer.Hello {
 	current := f.node.settings.Load()
 	hello := peer.Hello{
-		Address: f.node.address, Node: current.Node.Name, Zone: current.Node.Zone, Life: f.node.incarnation,
+		Address: f.node.address, Node: current.Node.Name, Zone: current.Node.Zone, Incarnation: f.node.incarnation,
 		Entry: current.HasRole(settings.RoleEntry), Control: f.isControl(), Stopping: f.node.isStopping(),
 		Version: f.node.documents.version(), InstancesSum: f.registry.Digest(),
 		AgeMS: uint64(f.node.now().Milliseconds()), Evacuated: f.node.zones.current(),
-		QuarantineDigest: f.node.quarantine.digest.Load(), Dialect: peer.OwnDialect, Build: f.node.options.Build,
+		QuarantineDigest: f.node.quarantine.digest.Load(), ProtocolVersion: peer.OwnProtocol, Build: f.node.options.Build,
 	}
 	if f.hasOlderPeers() {
 		hello.InstancesDigest = f.registry.OrderedDigest()
@@ -349,7 +349,7 @@
 
 // hasOlderPeers reports whether any live node runs an older build that compares ordered digests.
 func (f *fleetDuty) hasOlderPeers() bool {
-	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Peer) bool { return known.Dialect < peer.DialectSums })
+	return slices.ContainsFunc(f.view.Load().alive, func(known *roster.Peer) bool { return known.ProtocolVersion < peer.ProtocolSums })
 }
 
 // handleHello records another node's hello and starts to reconcile state that differs.
@@ -406,7 +406,7 @@
 // handleNewNode handles the first hello of a node that was unknown or recently unreachable.
 func (f *fleetDuty) handleNewNode(now time.Duration, hello peer.Hello) {
 	f.node.log.Info().Str("event", "node_heard").Str("peer", hello.Node).Str("address", hello.Address).
-		Str("life", hello.Life).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
+		Str("life", hello.Incarnation).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
 	delete(f.sentLists, hello.Address)
 	if f.isControl() {
 		// Sends the node list without waiting for the next round.
@@ -437,7 +437,7 @@
 	}
 	for _, known := range f.roster.Controls(now) {
 		view.controls++
-		quorumAge := time.Duration(known.QuorumSilenceMS) * time.Millisecond
+		quorumAge := time.Duration(known.TimeSinceQuorumMS) * time.Millisecond
 		if !known.HasGroup || quorumAge > maximumQuorumAge {
 			continue
 		}
--- a/internal/gateway/incarnations.go
+++ b/internal/gateway/incarnations.go
@@ -36,23 +36,23 @@
 // a newer one.
 func (r *replicaDuty) closeIncarnations() {
 	command := r.endedIncarnations()
-	if len(command.Lives) == 0 {
+	if len(command.Incarnations) == 0 {
 		return
 	}
-	r.propose(machine.Command{CloseLives: command}, func(_ machine.Result, err error) {
-		r.node.log.Info().Str("event", "lives_closed").Int("count", len(command.Lives)).AnErr("error", err).Send()
+	r.propose(machine.Command{CloseIncarnations: command}, func(_ machine.Result, err error) {
+		r.node.log.Info().Str("event", "lives_closed").Int("count", len(command.Incarnations)).AnErr("error", err).Send()
 	})
 }
 
 // endedIncarnations lists the holders whose incarnation has ended, with the time between each one's
 // last contact and the start of its successor.
-func (r *replicaDuty) endedIncarnations() *machine.CloseLivesCommand {
+func (r *replicaDuty) endedIncarnations() *machine.CloseIncarnationsCommand {
 	running, reading := r.runningEntries(), r.readClocks()
-	command := &machine.CloseLivesCommand{}
+	command := &machine.CloseIncarnationsCommand{}
 	for _, holder := range r.machine.Accounts().Holders() {
 		address, incarnation := holderAddress(holder.Node)
 		successor, isRunning := running[address]
-		if !isRunning || successor.Life == incarnation {
+		if !isRunning || successor.Incarnation == incarnation {
 			continue
 		}
 		// The successor has been running for this long, so the incarnation ended before.
@@ -61,7 +61,7 @@
 		if !known && r.node.now()-r.leaderSince < clockTimeout {
 			continue
 		}
-		command.Lives, command.Silences = append(command.Lives, holder), append(command.Silences, sinceContact)
+		command.Incarnations, command.TimesSinceContact = append(command.Incarnations, holder), append(command.TimesSinceContact, sinceContact)
 		r.node.log.Info().Str("event", "life_over").Str("node", successor.Node).Str("life", incarnation).
 			Bool("silence_known", known).Int64("silence_ms", sinceContact.Milliseconds()).Send()
 	}
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -111,7 +111,7 @@
 // no live instance.
 func (f *fleetDuty) compareInstances(hello peer.Hello) {
 	own, other := f.registry.Digest(), hello.InstancesSum
-	if hello.Dialect < peer.DialectSums {
+	if hello.ProtocolVersion < peer.ProtocolSums {
 		own, other = f.registry.OrderedDigest(), hello.InstancesDigest
 	}
 	if other == own || !hello.Control && !f.isControl() {
@@ -142,7 +142,7 @@
 // requestInstances requests instances that this node lacks, and sends those that the other node
 // lacks.
 func (f *fleetDuty) requestInstances(hello peer.Hello, known mismatch) {
-	if hello.Dialect >= peer.DialectSums {
+	if hello.ProtocolVersion >= peer.ProtocolSums {
 		delete(f.mismatches, hello.Address)
 		f.node.send(hello.Address, peer.KindInstances, &instancesMessage{Request: true, Sums: f.registry.Sums()})
 		return
@@ -212,7 +212,7 @@
 	}
 }
 
-func (f *fleetDuty) handleInstancesHeard(received peer.InstancesHeard) {
+func (f *fleetDuty) handleInstancesHeard(received peer.InstanceContacts) {
 	f.duty.Offer(func() { f.registry.RecordContact(f.node.now(), received.IDs) })
 }
 
@@ -224,7 +224,7 @@
 		return
 	}
 	for _, known := range f.roster.Controls(f.node.now()) {
-		f.node.send(known.Address, peer.KindInstancesHeard, &peer.InstancesHeard{IDs: ids})
+		f.node.send(known.Address, peer.KindInstanceContacts, &peer.InstanceContacts{IDs: ids})
 	}
 }
 
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -76,7 +76,7 @@
 	e.generation = live.Generation
 	nodes := []ratelimit.Node{{Address: e.node.address, Zone: e.node.settings.Load().Node.Zone}}
 	for _, entry := range live.Nodes {
-		if entry.Address != e.node.address && e.node.protocols.versionOf(entry.Address) >= peer.DialectPermits {
+		if entry.Address != e.node.address && e.node.protocols.versionOf(entry.Address) >= peer.ProtocolPermits {
 			nodes = append(nodes, ratelimit.Node{Address: entry.Address, Zone: entry.Zone})
 		}
 	}
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -45,7 +45,7 @@
 // latest changes.
 type nodeList struct {
 	nodes     []peer.NodeEntry
-	protocols []peer.Dialect
+	protocols []peer.ProtocolVersion
 	// version rises with each change. history holds the latest changes, the newest last.
 	version uint64
 	history []listChange
@@ -68,14 +68,14 @@
 // update rebuilds the list from the live nodes.
 func (l *nodeList) update(own peer.NodeEntry, alive []*roster.Peer) {
 	before, beforeProtocols := l.nodes, l.protocols
-	l.nodes, l.protocols, l.controls = []peer.NodeEntry{own}, []peer.Dialect{peer.OwnDialect}, []peer.NodeEntry{own}
+	l.nodes, l.protocols, l.controls = []peer.NodeEntry{own}, []peer.ProtocolVersion{peer.OwnProtocol}, []peer.NodeEntry{own}
 	digest := xxhash.New()
 	for _, known := range alive {
 		if known.Stopping {
 			continue
 		}
 		entry := peer.NodeEntry{Address: known.Address, Zone: known.Zone, Entry: known.Entry, Control: known.Control}
-		l.nodes, l.protocols = append(l.nodes, entry), append(l.protocols, known.Dialect)
+		l.nodes, l.protocols = append(l.nodes, entry), append(l.protocols, known.ProtocolVersion)
 		if known.Control {
 			l.controls = append(l.controls, entry)
 			_, _ = digest.WriteString(known.Address)
@@ -96,12 +96,12 @@
 }
 
 // protocolsOf are the protocol versions of those nodes that are also in another list.
-func protocolsOf(nodes []peer.NodeEntry, protocols []peer.Dialect, others []peer.NodeEntry) []peer.Dialect {
+func protocolsOf(nodes []peer.NodeEntry, protocols []peer.ProtocolVersion, others []peer.NodeEntry) []peer.ProtocolVersion {
 	isOther := make(map[string]bool, len(others))
 	for _, other := range others {
 		isOther[other.Address] = true
 	}
-	var common []peer.Dialect
+	var common []peer.ProtocolVersion
 	for position, node := range nodes {
 		if isOther[node.Address] {
 			common = append(common, protocols[position])
@@ -178,7 +178,7 @@
 		}
 		state.controls, state.version = list.controlsDigest, 0
 	case isDue || state.version != list.version:
-		readsChanges := h.fleet.node.protocols.versionOf(receiver) >= peer.DialectSums
+		readsChanges := h.fleet.node.protocols.versionOf(receiver) >= peer.ProtocolSums
 		hello = h.withAllNodes(state.version, isDue || !readsChanges)
 		state.version = list.version
 	}
@@ -204,7 +204,7 @@
 	if isWhole || !isKnown {
 		if h.full == nil {
 			own := h.hello
-			own.Nodes, own.ListVersion, own.OlderNodes = list.nodes, list.version, h.fleet.node.protocols.olderVersions(list.nodes)
+			own.Nodes, own.ListVersion, own.OlderNodeProtocols = list.nodes, list.version, h.fleet.node.protocols.olderVersions(list.nodes)
 			h.full = peer.NewMessage(peer.KindHello, own)
 		}
 		return h.full
--- a/internal/gateway/logversion.go
+++ b/internal/gateway/logversion.go
@@ -23,7 +23,7 @@
 
 // logVersionOf is the newest version of the log that a control node reads.
 func logVersionOf(hello peer.Hello) machine.LogVersion {
-	if hello.LogVersion == 0 && hello.Dialect >= peer.DialectSums {
+	if hello.LogVersion == 0 && hello.ProtocolVersion >= peer.ProtocolSums {
 		// These builds support rollouts but do not report a log version yet.
 		return machine.VersionRollouts
 	}
--- a/internal/gateway/logversion_test.go
+++ b/internal/gateway/logversion_test.go
@@ -36,9 +36,9 @@
 	t.Fatal("the condition did not hold within 100 ticks")
 }
 
-func recordControlHello(replica *replicaDuty, protocol peer.Dialect, logVersion uint32) {
+func recordControlHello(replica *replicaDuty, protocol peer.ProtocolVersion, logVersion uint32) {
 	hello := controlHello(1, 3, 1, true)
-	hello.Dialect, hello.LogVersion = protocol, logVersion
+	hello.ProtocolVersion, hello.LogVersion = protocol, logVersion
 	replica.node.fleet.roster.Hello(replica.node.now(), hello)
 	replica.node.fleet.publishView()
 }
@@ -46,7 +46,7 @@
 func TestLogVersionIsRaisedOnceAllControlNodesReadItAndHaveSettled(t *testing.T) {
 	replica := newBootstrappedReplica(t)
 	replica.node.settings.Load().Fleet.UpgradeSettling = 20 * time.Millisecond
-	recordControlHello(replica, peer.DialectTolerant, 0)
+	recordControlHello(replica, peer.ProtocolTolerant, 0)
 	for range 3 * membershipTicks {
 		replica.tick()
 		replica.flush()
@@ -54,7 +54,7 @@
 	assert.Equal(t, replica.machine.LogVersion(), machine.VersionFirst)
 	assert.DeepEqual(t, replica.shared.Load().waitsFor, []string{benchControl(1)})
 	// The node is upgraded to a build that supports rollouts but reports no log version.
-	recordControlHello(replica, peer.DialectSums, 0)
+	recordControlHello(replica, peer.ProtocolSums, 0)
 	startedAt := time.Now()
 	runUntil(t, replica, func() bool {
 		time.Sleep(time.Millisecond)
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -358,7 +358,7 @@
 
 // sendMessage sends a message in the protocol version that the receiver reads.
 func (n *Node) sendMessage(to string, message *peer.Message) {
-	reader := peer.OwnDialect
+	reader := peer.OwnProtocol
 	if to != n.address {
 		reader = n.protocols.versionOf(to)
 	}
@@ -393,7 +393,7 @@
 		return peer.Dispatch(envelope, func(hello peer.Hello) { n.fleet.handleHello(from, hello) })
 	case peer.KindInstances:
 		return peer.Dispatch(envelope, func(message instancesMessage) { n.fleet.handleInstances(from, message) })
-	case peer.KindInstancesHeard:
+	case peer.KindInstanceContacts:
 		return peer.Dispatch(envelope, n.fleet.handleInstancesHeard)
 	case peer.KindDocumentNotice:
 		return peer.Dispatch(envelope, func(notice peer.DocumentNotice) { n.documents.handleNotice(from, notice.Version) })
@@ -430,7 +430,7 @@
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
-		return peer.Dispatch(envelope, n.calls.Answered)
+		return peer.Dispatch(envelope, n.calls.Deliver)
 	}
 	return fmt.Errorf("no duty on this node handles messages of kind %s", envelope.Kind)
 }
--- a/internal/gateway/peerprotocols.go
+++ b/internal/gateway/peerprotocols.go
@@ -12,14 +12,16 @@
 // duties use it.
 type peerProtocols struct {
 	mutex    sync.RWMutex
-	versions map[string]peer.Dialect
+	versions map[string]peer.ProtocolVersion
 }
 
-func newPeerProtocols() *peerProtocols { return &peerProtocols{versions: map[string]peer.Dialect{}} }
+func newPeerProtocols() *peerProtocols {
+	return &peerProtocols{versions: map[string]peer.ProtocolVersion{}}
+}
 
 // versionOf returns the protocol version that a node reads. For an unknown node it is the oldest
 // one, whose decoding is strict and which all builds read.
-func (p *peerProtocols) versionOf(address string) peer.Dialect {
+func (p *peerProtocols) versionOf(address string) peer.ProtocolVersion {
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
 	return p.versions[address]
@@ -32,15 +34,15 @@
 func (p *peerProtocols) record(hello peer.Hello) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	p.versions[hello.Address] = hello.Dialect
+	p.versions[hello.Address] = hello.ProtocolVersion
 	for _, listed := range slices.Concat(hello.Nodes, hello.Joined) {
 		if listed.Control {
 			// Control nodes report their own version to all nodes.
 			continue
 		}
-		version, isOlder := hello.OlderNodes[listed.Address]
+		version, isOlder := hello.OlderNodeProtocols[listed.Address]
 		if !isOlder {
-			version = hello.Dialect
+			version = hello.ProtocolVersion
 		}
 		p.versions[listed.Address] = version
 	}
@@ -48,14 +50,14 @@
 
 // olderVersions returns the protocol versions of those entry nodes that do not run this build's
 // version, by address; nil if there are none.
-func (p *peerProtocols) olderVersions(nodes []peer.NodeEntry) map[string]peer.Dialect {
+func (p *peerProtocols) olderVersions(nodes []peer.NodeEntry) map[string]peer.ProtocolVersion {
 	p.mutex.RLock()
 	defer p.mutex.RUnlock()
-	var older map[string]peer.Dialect
+	var older map[string]peer.ProtocolVersion
 	for _, node := range nodes {
-		if version := p.versions[node.Address]; version != peer.OwnDialect && !node.Control {
+		if version := p.versions[node.Address]; version != peer.OwnProtocol && !node.Control {
 			if older == nil {
-				older = map[string]peer.Dialect{}
+				older = map[string]peer.ProtocolVersion{}
 			}
 			older[node.Address] = version
 		}
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -38,7 +38,7 @@
 			p.node.sendMessage(known.Address, notice)
 			continue
 		}
-		if p.isDue(known.Address, known.Life, known.Version, document) {
+		if p.isDue(known.Address, known.Incarnation, known.Version, document) {
 			sent++
 			p.node.sendMessage(known.Address, whole)
 		}
@@ -83,13 +83,13 @@
 	if !p.isSender(hello, p.controls(p.node.fleet.view.Load().alive)) {
 		return
 	}
-	p.sendIfDue(hello.Address, hello.Life, hello.Version, "hello")
+	p.sendIfDue(hello.Address, hello.Incarnation, hello.Version, "hello")
 }
 
 // handleFetch sends the document in effect to an entry node that requests a newer one than it has,
 // or records that the node has applied one.
 func (p *documentPublisher) handleFetch(from string, fetch peer.DocumentFetch) {
-	if fetch.Took {
+	if fetch.Confirms {
 		p.sendIfDue(from, "", fetch.Have, "confirmation")
 		return
 	}
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -51,10 +51,10 @@
 
 // rolloutResponse is the response to a rollout order, or to a request for a service's rollout.
 type rolloutResponse struct {
-	Refusal  rolloutRefusal  `msgpack:"f"`
-	Response rollout.Answer  `msgpack:"a"`
-	Rollout  rollout.Rollout `msgpack:"r"`
-	Found    bool            `msgpack:"o"`
+	Refusal  rolloutRefusal   `msgpack:"f"`
+	Response rollout.Response `msgpack:"a"`
+	Rollout  rollout.Rollout  `msgpack:"r"`
+	Found    bool             `msgpack:"o"`
 }
 
 // readRolloutRequest requests a service's newest rollout from the leader.
@@ -89,9 +89,9 @@
 		return fmt.Errorf("%w: %q of service %q", ErrVersionAlreadyRunning, order.Version, order.Service)
 	case a.Refusal == refusedOlderNodes:
 		return fmt.Errorf("%w: %w", ErrUnavailable, errOlderNodes)
-	case a.Response == rollout.UnderWay:
+	case a.Response == rollout.InProgress:
 		return fmt.Errorf("%w: to %q since entry %d, now %s", ErrRolloutInProgress, a.Rollout.Version, a.Rollout.Revision, a.Rollout.Stage)
-	case a.Response == rollout.OtherUnderWay:
+	case a.Response == rollout.OtherInProgress:
 		return fmt.Errorf("%w: to %q", ErrOtherRollout, a.Rollout.Version)
 	}
 	return nil
@@ -115,7 +115,7 @@
 	if err != nil {
 		return rolloutResponse{}, err
 	}
-	return rolloutResponse{Response: result.Rollout.Answer, Rollout: result.Rollout.Rollout, Found: true}, nil
+	return rolloutResponse{Response: result.Rollout.Response, Rollout: result.Rollout.Rollout, Found: true}, nil
 }
 
 // rolloutRefusalFor returns why an order can't be accepted at the moment, or rolloutAccepted if it
@@ -129,7 +129,7 @@
 		return refusedOlderNodes
 	}
 	for _, known := range n.fleet.view.Load().alive {
-		if known.Dialect < peer.DialectSums {
+		if known.ProtocolVersion < peer.ProtocolSums {
 			return refusedOlderNodes
 		}
 	}
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -143,8 +143,8 @@
 	if limits.IdleTimeout > 0 {
 		started.http.IdleTimeout = limits.IdleTimeout
 	}
-	if limits.MaxHeaderBytes > 0 {
-		started.http.MaxHeaderBytes = limits.MaxHeaderBytes
+	if limits.MaximumHeaderBytes > 0 {
+		started.http.MaxHeaderBytes = limits.MaximumHeaderBytes
 	}
 	c.current = started
 	c.servers = append(c.servers, started)
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -65,7 +65,7 @@
 	case peer.KindCall:
 		return peer.Dispatch(envelope, func(call peer.Call) { go n.serveCall(from, call) })
 	case peer.KindReply:
-		return peer.Dispatch(envelope, n.calls.Answered)
+		return peer.Dispatch(envelope, n.calls.Deliver)
 	case peer.KindStatus:
 		return peer.Dispatch(envelope, n.fleet.record)
 	case peer.KindClaims:
@@ -120,7 +120,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	response, err := n.executeCall(ctx, call)
-	n.calls.Answer(from, call, response, err, errorCode)
+	n.calls.Reply(from, call, response, err, errorCode)
 }
 
 func errorCode(err error) peer.ErrorCode {
@@ -141,7 +141,7 @@
 		return peer.Execute(call, func(request readRequest) (any, error) { return n.readLocally(ctx, request) })
 	case peer.MethodExplain:
 		return peer.Execute(call, func(request explainRequest) (any, error) { return n.decisions.explain(request.RequestID), nil })
-	case peer.MethodAnswer:
+	case peer.MethodReadResponse:
 		return peer.Execute(call, func(request storedResponseRequest) (any, error) { return n.responses.find(request.RequestID), nil })
 	case peer.MethodRecall:
 		return peer.Execute(call, func(request recallRequest) (any, error) { return n.recallLocally(ctx, request) })
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -280,7 +280,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	response, err := callNode[storedResponse](ctx, n, claim.Owner.Node, peer.MethodAnswer, &storedResponseRequest{RequestID: claim.RequestID})
+	response, err := callNode[storedResponse](ctx, n, claim.Owner.Node, peer.MethodReadResponse, &storedResponseRequest{RequestID: claim.RequestID})
 	if err != nil {
 		return storedResponse{}
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -185,7 +185,7 @@
 
 // publishCatalog passes catalog changes to the catalog duty.
 func (r *replicaDuty) publishCatalog() {
-	delta, changed := r.machine.Catalog().Since(r.publishedRevision)
+	delta, changed := r.machine.Catalog().DeltaSince(r.publishedRevision)
 	if !changed {
 		return
 	}
--- a/internal/protocol/peer/tolerant.go
+++ b/internal/protocol/peer/tolerant.go
@@ -10,17 +10,17 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// OlderFields is implemented by structs that got a field elsewhere than behind their
-// last one.
+// OlderFields is implemented by structs to which a field was added anywhere but at the
+// end.
 type OlderFields interface {
-	// OlderFields returns the keys of an array of some number of fields in their order,
-	// as earlier builds write it; nil if they wrote none of that length.
+	// OlderFields returns the field names, in order, of an array with count fields that
+	// earlier builds encode; nil if they encode none of that length.
 	OlderFields(count int) []string
 }
 
-// unmarshal reads a message of this or another build. Messages of this build, nearly all,
-// are read by the library; where that refuses one, its arrays are given the names of
-// their fields first.
+// unmarshal decodes a message of this or another build. The library decodes messages of this
+// build, which are nearly all. If it refuses one, the message's arrays are first converted to
+// maps with field names.
 func unmarshal(data []byte, message any) error {
 	err := msgpack.Unmarshal(data, message)
 	if err == nil {
@@ -29,34 +29,34 @@
 	target := reflect.ValueOf(message).Elem()
 	named, nameErr := nameFields(data, target.Type())
 	if nameErr != nil {
-		// The data is damaged: the library has said where.
+		// The data is damaged; the library's error says where.
 		return err
 	}
 	target.SetZero()
 	return msgpack.Unmarshal(named, message)
 }
 
-// nameFields rewrites the structs of a message that are arrays as maps.
+// nameFields converts the structs of a message that are encoded as arrays to maps.
 func nameFields(data []byte, of reflect.Type) ([]byte, error) {
 	reader := bytes.NewReader(data)
 	var named bytes.Buffer
-	n := namer{decoder: msgpack.NewDecoder(reader), encoder: msgpack.NewEncoder(&named)}
-	if err := n.value(of); err != nil {
+	n := fieldNamer{decoder: msgpack.NewDecoder(reader), encoder: msgpack.NewEncoder(&named)}
+	if err := n.copyValue(of); err != nil {
 		return nil, err
 	}
 	return named.Bytes(), nil
 }
 
-// namer copies one message from its decoder to its encoder.
-type namer struct {
+// fieldNamer copies one message from its decoder to its encoder and adds field names to arrays.
+type fieldNamer struct {
 	decoder *msgpack.Decoder
 	encoder *msgpack.Encoder
 }
 
 var customDecoder = reflect.TypeFor[msgpack.CustomDecoder]()
 
-// value copies a value that is read into a type.
-func (n *namer) value(of reflect.Type) error {
+// copyValue copies a value that will be decoded into a type.
+func (n *fieldNamer) copyValue(of reflect.Type) error {
 	for of.Kind() == reflect.Pointer {
 		of = of.Elem()
 	}
@@ -68,19 +68,19 @@
 	isMap := msgpcode.IsFixedMap(code) || code == msgpcode.Map16 || code == msgpcode.Map32
 	switch {
 	case reflect.PointerTo(of).Implements(customDecoder):
-		return n.raw()
+		return n.copyRaw()
 	case of.Kind() == reflect.Struct && isArray:
-		return n.arrayOfFields(of)
+		return n.copyArrayAsMap(of)
 	case of.Kind() == reflect.Struct && isMap:
-		return n.mapOfFields(of)
+		return n.copyMap(of)
 	case of.Kind() == reflect.Slice && isArray:
-		return n.list(of.Elem())
+		return n.copyList(of.Elem())
 	}
-	return n.raw()
+	return n.copyRaw()
 }
 
-// raw copies a value as it is.
-func (n *namer) raw() error {
+// copyRaw copies a value unchanged.
+func (n *fieldNamer) copyRaw() error {
 	value, err := n.decoder.DecodeRaw()
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	return n.encoder.Encode(value)
 }
 
-func (n *namer) list(element reflect.Type) error {
+func (n *fieldNamer) copyList(element reflect.Type) error {
 	length, err := n.decoder.DecodeArrayLen()
 	if err != nil {
 		return err
@@ -97,25 +97,25 @@
 		return err
 	}
 	for range length {
-		if err := n.value(element); err != nil {
+		if err := n.copyValue(element); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *namer) arrayOfFields(of reflect.Type) error {
+func (n *fieldNamer) copyArrayAsMap(of reflect.Type) error {
 	count, err := n.decoder.DecodeArrayLen()
 	if err != nil {
 		return err
 	}
-	known := fieldsAs(of, count)
+	known := fieldsOfArray(of, count)
 	if err := n.encoder.EncodeMapLen(min(count, len(known))); err != nil {
 		return err
 	}
 	for position := range count {
 		if position >= len(known) {
-			// A newer build's field.
+			// The field was added by a newer build.
 			if err := n.decoder.Skip(); err != nil {
 				return err
 			}
@@ -124,14 +124,14 @@
 		if err := n.encoder.EncodeString(known[position].name); err != nil {
 			return err
 		}
-		if err := n.value(known[position].of); err != nil {
+		if err := n.copyValue(known[position].of); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (n *namer) mapOfFields(of reflect.Type) error {
+func (n *fieldNamer) copyMap(of reflect.Type) error {
 	count, err := n.decoder.DecodeMapLen()
 	if err != nil {
 		return err
@@ -155,22 +155,22 @@
 		if !found {
 			known = reflect.TypeFor[any]()
 		}
-		if err := n.value(known); err != nil {
+		if err := n.copyValue(known); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// field is a field of a struct as messages hold it.
+// field is one encoded field of a struct.
 type field struct {
 	name string
 	of   reflect.Type
 }
 
-// fieldsAs are the fields of an array of some length: this build's, unless earlier builds
-// wrote another order in that length.
-func fieldsAs(of reflect.Type, count int) []field {
+// fieldsOfArray returns the fields of an array with count fields: those of this build, unless
+// earlier builds encode arrays of that length with other fields.
+func fieldsOfArray(of reflect.Type, count int) []field {
 	fields := fieldsOf(of)
 	older, grew := reflect.Zero(of).Interface().(OlderFields)
 	if !grew {
@@ -191,8 +191,8 @@
 	return ordered
 }
 
-// fieldsOf lists the fields of a struct in the library's order: those of embedded structs
-// stand in their place.
+// fieldsOf returns the fields of a struct in the library's order, with the fields of embedded
+// structs in place of these.
 func fieldsOf(of reflect.Type) []field {
 	var fields []field
 	for one := range of.Fields() {
@@ -210,9 +210,9 @@
 	return fields
 }
 
-// Shape describes how messages hold a type: for each struct in it the names and kinds of
-// its fields in order, one line a field. Two builds whose shapes of a message are alike
-// write it alike.
+// Shape describes the encoding of a type: one line with name and kind for each field of each
+// struct in it, in order. Two builds with equal shapes of a message encode it in the same
+// way.
 func Shape(of reflect.Type) []string {
 	var lines []string
 	seen := map[reflect.Type]bool{}
@@ -234,7 +234,7 @@
 	return lines
 }
 
-// wireKind is how a value of a type is written.
+// wireKind returns the kind of a type's encoded values.
 func wireKind(of reflect.Type) string {
 	switch of.Kind() {
 	case reflect.Pointer:
--- a/internal/protocol/peer/tolerant_test.go
+++ b/internal/protocol/peer/tolerant_test.go
@@ -24,15 +24,16 @@
 	Unnamed bool
 }
 
-func filled() outer {
+func filledOuter() outer {
 	return outer{
 		Inner: Inner{Name: "name", Count: 3}, Plain: 1 << 40, Pointer: &Inner{Name: "pointed"}, List: []Inner{{Name: "one"}, {Name: "two", Count: 2}},
 		Bytes: []byte{1, 2}, Raw: msgpack.RawMessage{0x05}, Unnamed: true,
 	}
 }
 
-// The library's own order of fields is the one that arrays are read in.
-func TestFieldsStandInTheOrderOfTheLibrary(t *testing.T) {
+// fieldsOf must list the fields that the library encodes, in the same order, since arrays are
+// decoded by position.
+func TestOrderOfFieldsMatchesTheLibrary(t *testing.T) {
 	for _, value := range []any{outer{}, Inner{}, Hello{}, NodeEntry{}, Call{}, Reply{}, Status{}, DocumentFetch{}} {
 		var length int
 		encoded, err := marshalArrays(value)
@@ -42,17 +43,18 @@
 		length = len(fields)
 		assert.Equal(t, len(fieldsOf(reflect.TypeOf(value))), length, "%T", value)
 	}
-	// Read by names after it was written by places.
-	encoded, err := marshalArrays(filled())
+	// Encode by position, then decode by name.
+	encoded, err := marshalArrays(filledOuter())
 	assert.NilError(t, err)
 	named, err := nameFields(encoded, reflect.TypeFor[outer]())
 	assert.NilError(t, err)
 	var read outer
 	assert.NilError(t, msgpack.Unmarshal(named, &read))
-	assert.DeepEqual(t, read, filled())
+	assert.DeepEqual(t, read, filledOuter())
 }
 
-// A list of nodes is written for builds that know four fields and no more.
+// Guards against a new field of NodeEntry: lists of nodes are sent to builds that know exactly four
+// fields.
 func TestNodeEntryHasTheFieldsOfAllBuilds(t *testing.T) {
 	assert.Equal(t, reflect.TypeFor[NodeEntry]().NumField(), nodeEntryFields)
 	entry := NodeEntry{Address: "a:1", Zone: "z", Control: true}
@@ -66,7 +68,7 @@
 }
 
 func TestDamagedMessageIsAnError(t *testing.T) {
-	encoded, err := marshalArrays(filled())
+	encoded, err := marshalArrays(filledOuter())
 	assert.NilError(t, err)
 	for length := range encoded {
 		var read outer
--- a/internal/state/accounts/allowance.go
+++ b/internal/state/accounts/allowance.go
@@ -2,113 +2,114 @@
 
 import "time"
 
-// SilentAfter is how long a holder must not have heard the root before it may
-// use its grant beyond its allowance. Shorter, and a loss of all machines at once
-// charges more that nobody spent; longer, and a cut begins with longer refusals.
-// Holders and the root must agree on it. Measured: 0.3 and 0.5 s, see
+// ContactTimeout is the time since the last contact with the root after which a holder may
+// use its grant beyond its allowance. A shorter time charges more unspent tokens when all
+// machines fail together; a longer time prolongs the refusals at the start of a partition.
+// Holders and the root must agree on it. 0.3 and 0.5 s were measured, see
 // docs/design/budgets.md.
-const SilentAfter = 300 * time.Millisecond
+const ContactTimeout = 300 * time.Millisecond
 
-// UnknownSilence stands for a time that nobody can bound.
-const UnknownSilence time.Duration = 1<<63 - 1
+// UnknownTimeSinceContact stands for an unknown time since the last contact with the root.
+const UnknownTimeSinceContact time.Duration = 1<<63 - 1
 
-// Allowance bounds what a holder may use of its grant. While the holder hears the
-// root it uses no more than Tokens in all, and has them raised in the log first.
-// Once it has not heard the root for SilentAfter it may use Pace tokens a second
-// on top of that. So when the holder's life ends without a word, its use is at
-// most Tokens and what the pace allowed in the time since it last heard the root;
-// the rest of its grant is known to be unspent.
+// Allowance bounds the usage of a holder's grant. While the holder is in contact with the
+// root it uses no more than Tokens in total, and has Tokens raised in the log before it
+// uses more. Once its last contact is older than ContactTimeout it may use Pace tokens a
+// second on top. So if the holder's incarnation crashes without a final report, its usage
+// is at most Tokens plus what the pace allowed since its last contact with the root; the
+// remainder of its grant is known to be unspent.
 type Allowance struct {
-	// Sequence numbers a holder's allowances on one budget, from 1; 0 means that it
-	// has none and may use its whole grant at any time.
+	// Sequence numbers a holder's allowances on one budget, from 1; 0 means that the
+	// holder has none and may use its whole grant at any time.
 	Sequence uint64 `msgpack:"q"`
 	// Tokens is cumulative, Pace in tokens a second.
 	Tokens uint64 `msgpack:"t"`
 	Pace   uint64 `msgpack:"p"`
 }
 
-// MostUsed is the most that a holder may have used under an allowance after a time
-// without the root, in tokens.
-func (a Allowance) MostUsed(silence time.Duration) uint64 {
-	if silence <= SilentAfter {
+// MaximumUse returns the maximum that a holder may have used under the allowance after a
+// time without contact to the root, in tokens.
+func (a Allowance) MaximumUse(sinceContact time.Duration) uint64 {
+	if sinceContact <= ContactTimeout {
 		return a.Tokens
 	}
-	return a.Tokens + a.paced(silence)
+	return a.Tokens + a.paced(sinceContact)
 }
 
-// paced is what the pace allows in a time without the root, in tokens.
-func (a Allowance) paced(silence time.Duration) uint64 {
-	return uint64(float64(a.Pace) * (silence - SilentAfter).Seconds())
+// paced returns the tokens that the pace allows in a time without contact to the root.
+func (a Allowance) paced(sinceContact time.Duration) uint64 {
+	return uint64(float64(a.Pace) * (sinceContact - ContactTimeout).Seconds())
 }
 
-// Contact is a moment at which the root decided on a holder's report, as the
-// leader's clocks showed it. The answer carries it to the holder, and the
-// holder's next report back: a holder that has heard of a contact has not been
-// without the root since before it.
+// Contact is the time at which the root decided on a holder's report, read from the
+// leader's clocks. The response carries it to the holder, whose next report carries it
+// back: a holder that has received a contact was in contact with the root at that time or
+// later.
 type Contact struct {
 	// Index is the log entry with the decision; 0 means no contact.
 	Index uint64 `msgpack:"i"`
-	// Clock names the process whose steady clock SteadyMS is read from, in
+	// Clock identifies the process whose monotonic clock MonotonicMS is read from, in
 	// milliseconds.
-	Clock    uint64 `msgpack:"c"`
-	SteadyMS uint64 `msgpack:"s"`
-	// WallMS is the time of day in milliseconds since 1970; 0 where the control
+	Clock       uint64 `msgpack:"c"`
+	MonotonicMS uint64 `msgpack:"s"`
+	// WallMS is the wall clock time in milliseconds since 1970; 0 where the control
 	// nodes' clocks did not agree on it.
 	WallMS int64 `msgpack:"w"`
 }
 
-// Hear notes the newest contact that a holder has heard of. A holder of which
-// none is known has heard of none before the entry with its first report.
-func (a *Accounts) Hear(id HolderID, heard, now Contact) {
+// RecordContact records the newest contact that a holder has received. If none is recorded for the
+// holder, now is recorded: the holder has received no contact from before the entry with
+// its first report.
+func (a *Accounts) RecordContact(id HolderID, received, now Contact) {
 	if a.Fenced(id) {
 		return
 	}
 	known, found := a.contacts[id]
 	switch {
-	case heard.Index > known.Index:
-		if heard.WallMS == 0 {
-			// An earlier time of day only makes the silence longer.
-			heard.WallMS = known.WallMS
+	case received.Index > known.Index:
+		if received.WallMS == 0 {
+			// An earlier wall clock time only makes the time since the contact longer.
+			received.WallMS = known.WallMS
 		}
-		a.contacts[id] = heard
+		a.contacts[id] = received
 	case !found:
 		a.contacts[id] = now
 	}
 }
 
-// LastContact returns the newest contact that a holder is known to have heard
-// of, or one with an index of 0.
+// LastContact returns the newest contact that a holder is known to have received, or one
+// with an index of 0.
 func (a *Accounts) LastContact(id HolderID) Contact { return a.contacts[id] }
 
-// End closes the accounts of a life that is over, without its word on what it
-// spent. silence is a bound on its time without the root; what it can't have
-// spent becomes grantable again.
-func (a *Accounts) End(id HolderID, silence time.Duration) {
+// CloseCrashed closes the accounts of an incarnation that has ended without a final report of its
+// usage. sinceContact is an upper bound on its time without contact to the root; what it can't
+// have spent can be granted again.
+func (a *Accounts) CloseCrashed(id HolderID, sinceContact time.Duration) {
 	a.Fence(id)
 	if a.Closed(id) {
 		return
 	}
-	a.closed[id.Node] = max(a.closed[id.Node], id.Incarnation)
+	a.closedIncarnations[id.Node] = max(a.closedIncarnations[id.Node], id.Incarnation)
 	for _, budget := range a.budgets {
-		budget.end(id, silence)
+		budget.closeCrashed(id, sinceContact)
 	}
 	delete(a.contacts, id)
 }
 
-func (b *Budget) end(id HolderID, silence time.Duration) {
+func (b *Budget) closeCrashed(id HolderID, sinceContact time.Duration) {
 	holder := b.Holders[id]
 	if holder == nil {
 		return
 	}
 	held := SaturatingSubtract(holder.Granted, holder.Returned)
 	charged := held
-	if holder.Allowance.Sequence > 0 && silence != UnknownSilence {
-		charged = min(held, holder.Allowance.MostUsed(silence))
+	if holder.Allowance.Sequence > 0 && sinceContact != UnknownTimeSinceContact {
+		charged = min(held, holder.Allowance.MaximumUse(sinceContact))
 		allowed := min(held, holder.Allowance.Tokens)
-		b.Ended.Allowed += int64(allowed) - int64(holder.Settled)
-		b.Ended.Paced += int64(charged - allowed)
+		b.CrashCharges.Allowed += int64(allowed) - int64(holder.Settled)
+		b.CrashCharges.Paced += int64(charged - allowed)
 	} else {
-		b.Ended.Whole += int64(held) - int64(holder.Settled)
+		b.CrashCharges.WholeGrants += int64(held) - int64(holder.Settled)
 	}
 	b.Forfeited += int64(charged) - int64(holder.Settled)
 	b.Returned += held - charged
--- a/internal/state/accounts/snapshot.go
+++ b/internal/state/accounts/snapshot.go
@@ -7,24 +7,24 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// storedBudget is a budget as a snapshot holds it, in a fixed order.
+// storedBudget is the snapshot form of a budget, with its holders and loans in a fixed order.
 type storedBudget struct {
 	Budget  Budget   `msgpack:"b"`
 	Holders []Holder `msgpack:"h"`
 	Loans   []Loan   `msgpack:"l"`
 }
 
-// storedAccounts is the whole of a snapshot.
+// storedAccounts is the snapshot form of all accounts.
 type storedAccounts struct {
 	Budgets []storedBudget      `msgpack:"b"`
 	Fenced  []storedIncarnation `msgpack:"f"`
 	Closed  []storedIncarnation `msgpack:"c"`
-	// Contacts is empty in snapshots of earlier versions: of such a holder
-	// nothing is known, and its whole grant is charged.
+	// Contacts is empty in snapshots of earlier versions: without a known contact, a
+	// holder's whole grant is charged.
 	Contacts []storedContact `msgpack:"k"`
 }
 
-// storedContact is the newest contact that one holder has heard of.
+// storedContact is the newest contact that one holder has received.
 type storedContact struct {
 	ID      HolderID `msgpack:"h"`
 	Contact Contact  `msgpack:"c"`
@@ -36,7 +36,7 @@
 	Incarnation uint64 `msgpack:"i"`
 }
 
-// Encode returns all accounts in an order that depends on their content only.
+// Encode returns the encoded accounts. The bytes depend on the accounts' content only.
 func (a *Accounts) Encode() ([]byte, error) {
 	stored := make([]storedBudget, 0, len(a.budgets))
 	for _, name := range a.Names() {
@@ -52,7 +52,7 @@
 		stored = append(stored, entry)
 	}
 	data, err := msgpack.Marshal(&storedAccounts{
-		Budgets: stored, Fenced: sortedIncarnations(a.fenced), Closed: sortedIncarnations(a.closed), Contacts: a.sortedContacts(),
+		Budgets: stored, Fenced: sortedIncarnations(a.fencedIncarnations), Closed: sortedIncarnations(a.closedIncarnations), Contacts: a.sortedContacts(),
 	})
 	if err != nil {
 		return nil, fmt.Errorf("encoding accounts: %w", err)
@@ -60,7 +60,7 @@
 	return data, nil
 }
 
-// Decode reads what Encode wrote.
+// Decode restores accounts from the bytes that Encode returned.
 func Decode(data []byte) (*Accounts, error) {
 	var stored storedAccounts
 	if err := msgpack.Unmarshal(data, &stored); err != nil {
@@ -80,10 +80,10 @@
 		}
 	}
 	for _, entry := range stored.Fenced {
-		accounts.fenced[entry.Node] = entry.Incarnation
+		accounts.fencedIncarnations[entry.Node] = entry.Incarnation
 	}
 	for _, entry := range stored.Closed {
-		accounts.closed[entry.Node] = entry.Incarnation
+		accounts.closedIncarnations[entry.Node] = entry.Incarnation
 	}
 	for _, entry := range stored.Contacts {
 		accounts.contacts[entry.ID] = entry.Contact
--- a/internal/state/machine/document.go
+++ b/internal/state/machine/document.go
@@ -8,69 +8,69 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// DocumentCommand replaces the whole configuration by one with a higher version.
+// DocumentCommand replaces the whole configuration with one of a higher version.
 type DocumentCommand struct {
 	Version uint64 `msgpack:"v"`
-	// Raw is the document as the operator sent it, packed, for reading it back.
+	// Raw is the document as the operator sent it, compressed, for reading it back.
 	Raw []byte `msgpack:"r"`
-	// Encoded is the document as document.Decode reads it.
+	// Encoded is the document in the encoding that document.Decode reads.
 	Encoded []byte `msgpack:"e"`
 }
 
-// DocumentOutcome is the answer to a DocumentCommand.
+// DocumentOutcome is the result of a DocumentCommand.
 type DocumentOutcome struct {
-	// Held is the version held afterwards.
-	Held uint64 `msgpack:"h"`
-	// Taken tells that this command put its version in force. It is false for
-	// a version at or below the one held, which changes nothing.
-	Taken bool `msgpack:"t"`
+	// ActiveVersion is the version that is active after the command.
+	ActiveVersion uint64 `msgpack:"h"`
+	// Applied reports whether the command made its version the active one. It is false for
+	// a version at or below the active one, which changes nothing.
+	Applied bool `msgpack:"t"`
 }
 
-// HeldDocument is the configuration document in force. Its content must not
-// be changed.
-type HeldDocument struct {
+// ActiveDocument is the active configuration document. Its content must not be
+// changed.
+type ActiveDocument struct {
 	Version uint64 `msgpack:"v"`
 	Raw     []byte `msgpack:"r"`
 	Encoded []byte `msgpack:"e"`
 }
 
-// CloseLivesCommand ends lives of nodes that are known to be over. What they may
-// have spent is charged.
-type CloseLivesCommand struct {
-	Lives []accounts.HolderID `msgpack:"l"`
-	// Silences are bounds on the lives' time without the root, one for each; a
-	// life without one may have spent all that it held.
-	Silences []time.Duration `msgpack:"s"`
+// CloseIncarnationsCommand closes the accounts of node incarnations that are known to have ended
+// and charges the tokens that they may have spent.
+type CloseIncarnationsCommand struct {
+	Incarnations []accounts.HolderID `msgpack:"l"`
+	// TimesSinceContact are upper bounds on the incarnations' time without contact to the root, in
+	// the order of Incarnations. An incarnation without one may have spent all that it held.
+	TimesSinceContact []time.Duration `msgpack:"s"`
 }
 
-// Document returns the document in force; its version is 0 before the first.
-func (m *Machine) Document() HeldDocument { return m.document }
+// Document returns the active document; its version is 0 before the first document.
+func (m *Machine) Document() ActiveDocument { return m.document }
 
-// applyDocument keeps the highest version: what was accepted never reverts.
+// applyDocument keeps the highest version: an accepted document is never reverted to an older one.
 func (m *Machine) applyDocument(command *DocumentCommand) Result {
 	if command.Version <= m.document.Version {
-		return Result{Document: &DocumentOutcome{Held: m.document.Version}}
+		return Result{Document: &DocumentOutcome{ActiveVersion: m.document.Version}}
 	}
 	decoded, err := document.Decode(command.Encoded)
 	if err != nil {
 		return Result{Refused: fmt.Sprintf("version %d can't be read: %v", command.Version, err)}
 	}
-	m.document = HeldDocument{Version: command.Version, Raw: command.Raw, Encoded: command.Encoded}
+	m.document = ActiveDocument{Version: command.Version, Raw: command.Raw, Encoded: command.Encoded}
 	for _, tenant := range decoded.Tenants {
 		if tenant.HasPrepaid {
 			m.accounts.SetLimit(tenant.Name, tenant.Prepaid)
 		}
 	}
-	return Result{Document: &DocumentOutcome{Held: command.Version, Taken: true}}
+	return Result{Document: &DocumentOutcome{ActiveVersion: command.Version, Applied: true}}
 }
 
-func (m *Machine) applyCloseLives(command *CloseLivesCommand) Result {
-	for position, life := range command.Lives {
-		silence := accounts.UnknownSilence
-		if position < len(command.Silences) {
-			silence = command.Silences[position]
+func (m *Machine) applyCloseIncarnations(command *CloseIncarnationsCommand) Result {
+	for position, incarnation := range command.Incarnations {
+		sinceContact := accounts.UnknownTimeSinceContact
+		if position < len(command.TimesSinceContact) {
+			sinceContact = command.TimesSinceContact[position]
 		}
-		m.accounts.End(life, silence)
+		m.accounts.CloseCrashed(incarnation, sinceContact)
 	}
 	return Result{}
 }
--- a/internal/state/machine/snapshot.go
+++ b/internal/state/machine/snapshot.go
@@ -12,27 +12,27 @@
 	"github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// storedOperation is one remembered answer.
+// storedOperation is the snapshot form of one operation's result.
 type storedOperation struct {
 	ID     string `msgpack:"i"`
 	Result Result `msgpack:"r"`
 }
 
-// storedMachine is the whole of a snapshot.
+// storedMachine is the snapshot form of the whole state.
 type storedMachine struct {
 	Catalog    []byte            `msgpack:"c"`
 	Accounts   []byte            `msgpack:"a"`
 	Operations []storedOperation `msgpack:"o"`
 	Nodes      []NodeRecord      `msgpack:"n"`
 	Orders     []OrderRecord     `msgpack:"d"`
-	Document   HeldDocument      `msgpack:"m"`
+	Document   ActiveDocument    `msgpack:"m"`
 	Evacuated  evacuation.Zones  `msgpack:"z"`
 	Rollouts   rollout.Set       `msgpack:"l"`
 	LogVersion LogVersion        `msgpack:"v,omitempty"`
 }
 
-// Snapshot implements consensus.StateMachine. Its bytes depend on the state
-// only, so replicas can be compared by them.
+// Snapshot implements consensus.StateMachine. The bytes depend on the state only,
+// so that the states of replicas can be compared by them.
 func (m *Machine) Snapshot() ([]byte, error) {
 	var stored storedMachine
 	var err error
@@ -74,7 +74,7 @@
 		return err
 	}
 	for _, operation := range stored.Operations {
-		restored.rememberOperation(operation.ID, operation.Result)
+		restored.storeOperation(operation.ID, operation.Result)
 	}
 	for _, record := range stored.Nodes {
 		restored.nodes[record.Name] = record
--- a/internal/state/rollout/rollout_test.go
+++ b/internal/state/rollout/rollout_test.go
@@ -11,38 +11,38 @@
 	return Order{Service: service, Version: version, Duration: 12 * time.Second, OrderedMS: atSecond * 1000}
 }
 
-func TestOrderIsTakenOnce(t *testing.T) {
-	set, answer := Set{}.Take(7, order("llm", "v2", 0))
-	assert.Equal(t, answer, Begun)
-	again, answer := set.Take(8, order("llm", "v2", 3))
-	assert.Equal(t, answer, UnderWay)
+func TestOrderStartsARolloutOnlyOnce(t *testing.T) {
+	set, response := Set{}.ApplyOrder(7, order("llm", "v2", 0))
+	assert.Equal(t, response, Started)
+	again, response := set.ApplyOrder(8, order("llm", "v2", 3))
+	assert.Equal(t, response, InProgress)
 	assert.Equal(t, again.Revision, uint64(7))
-	_, answer = set.Take(9, order("llm", "v3", 3))
-	assert.Equal(t, answer, OtherUnderWay)
-	other, answer := set.Take(10, order("app", "v3", 3))
-	assert.Equal(t, answer, Begun)
+	_, response = set.ApplyOrder(9, order("llm", "v3", 3))
+	assert.Equal(t, response, OtherInProgress)
+	other, response := set.ApplyOrder(10, order("app", "v3", 3))
+	assert.Equal(t, response, Started)
 	assert.Equal(t, other.Rollouts[0].Service, "app")
 	assert.Equal(t, other.Rollouts[1].Service, "llm")
-	assert.Equal(t, len(set.Rollouts), 1, "a value never changes")
+	assert.Equal(t, len(set.Rollouts), 1, "ApplyOrder must not change the set that it is called on")
 }
 
-// The acknowledgement was lost, and the version was rolled back before the operator sent
-// its order again: that must not bring the version back.
-func TestRepeatedOrderDoesNotBringABadVersionBack(t *testing.T) {
-	set, _ := Set{}.Take(7, order("llm", "v2", 0))
+// Guards against a repeated order restarting the rollout of a bad version: the operator lost
+// the acknowledgement, and the version was rolled back before the order was repeated.
+func TestRepeatedOrderDoesNotRestartARolledBackVersion(t *testing.T) {
+	set, _ := Set{}.ApplyOrder(7, order("llm", "v2", 0))
 	set = set.Advance(8, Step{Service: "llm", Rollout: 7, Stage: RolledBack, Reason: "it fails"})
-	_, answer := set.Take(9, order("llm", "v2", 4))
-	assert.Equal(t, answer, UnderWay)
-	later, answer := set.Take(10, order("llm", "v2", 60))
-	assert.Equal(t, answer, Begun)
-	begun, _ := later.Find("llm")
-	assert.Equal(t, begun.Stage, Canary)
-	_, answer = set.Take(11, order("llm", "v3", 4))
-	assert.Equal(t, answer, Begun)
+	_, response := set.ApplyOrder(9, order("llm", "v2", 4))
+	assert.Equal(t, response, InProgress)
+	later, response := set.ApplyOrder(10, order("llm", "v2", 60))
+	assert.Equal(t, response, Started)
+	started, _ := later.Find("llm")
+	assert.Equal(t, started.Stage, Canary)
+	_, response = set.ApplyOrder(11, order("llm", "v3", 4))
+	assert.Equal(t, response, Started)
 }
 
-func TestRolloutMovesOnlyForward(t *testing.T) {
-	set, _ := Set{}.Take(7, order("llm", "v2", 0))
+func TestStagesOfARolloutOnlyAdvance(t *testing.T) {
+	set, _ := Set{}.ApplyOrder(7, order("llm", "v2", 0))
 	for index, step := range []struct {
 		rollout uint64
 		stage   Stage
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -12,20 +12,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// scriptedDials answers each try after its own time.
+// scriptedDials is a dial function whose attempts each complete after their own time.
 type scriptedDials struct {
-	waits []time.Duration
-	err   error
+	durations []time.Duration
+	err       error
 
-	mutex  sync.Mutex
-	opened []net.Conn
-	tries  int
+	mutex    sync.Mutex
+	opened   []net.Conn
+	attempts int
 }
 
 func (s *scriptedDials) dial(ctx context.Context) (net.Conn, error) {
 	s.mutex.Lock()
-	wait := s.waits[s.tries]
-	s.tries++
+	wait := s.durations[s.attempts]
+	s.attempts++
 	s.mutex.Unlock()
 	select {
 	case <-ctx.Done():
@@ -35,69 +35,71 @@
 	if s.err != nil {
 		return nil, s.err
 	}
-	near, _ := net.Pipe()
+	local, _ := net.Pipe()
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.opened = append(s.opened, near)
-	return near, nil
+	s.opened = append(s.opened, local)
+	return local, nil
 }
 
-func inDials(t *testing.T, script *scriptedDials, test func(t *testing.T, connection net.Conn, err error, took time.Duration)) {
+func runDials(t *testing.T, script *scriptedDials, test func(t *testing.T, connection net.Conn, err error, took time.Duration)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 		defer cancel()
 		began := time.Now()
-		connection, err := dialStaggered(ctx, dialAgain, script.dial)
+		connection, err := dialStaggered(ctx, initialAttemptDelay, script.dial)
 		took := time.Since(began)
 		synctest.Wait()
 		test(t, connection, err, took)
 	})
 }
 
-// Incident CONFIG on zhf-valuation-grown: over a full link the answer to a try
-// came after the try had been given up, each time.
-func TestSlowTryGoesOnBesideTheNextOne(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond}}
-	inDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
+// Guards against abandoning slow attempts: over a saturated link, each response arrived after
+// its attempt had been given up, so no connection was ever opened (incident CONFIG on
+// zhf-valuation-grown).
+func TestSlowAttemptContinuesWhileTheNextOneRuns(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond}}
+	runDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
 		assert.NilError(t, err)
 		assert.Equal(t, took, 1400*time.Millisecond)
 		assert.Equal(t, connection, script.opened[0])
 	})
 }
 
-func TestLostTryDoesNotHoldUpTheNextOne(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Hour, 10 * time.Millisecond}}
-	inDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
+func TestLostAttemptDoesNotDelayTheNextOne(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Hour, 10 * time.Millisecond}}
+	runDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
 		assert.NilError(t, err)
-		assert.Equal(t, took, dialAgain+10*time.Millisecond)
+		assert.Equal(t, took, initialAttemptDelay+10*time.Millisecond)
 		assert.Equal(t, connection, script.opened[0])
 	})
 }
 
-// The finding of the shifted site's trouble-1: machines that came back after a loss of
-// all power met no other for 0.9 s, since each had dialled while the others were off.
-func TestMachineThatGetsItsPowerALittleLaterIsMetALittleLater(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Hour, time.Hour, 10 * time.Millisecond}}
-	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
+// Guards against slow reconnects after a power loss of all machines: each had dialled while
+// the others were still off, so nodes had no connections for 0.9 s after their start
+// (trouble-1 of the shifted site).
+func TestMachineThatStartsSlightlyLaterIsConnectedSlightlyLater(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Hour, time.Hour, 10 * time.Millisecond}}
+	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
 		assert.NilError(t, err)
 		assert.Assert(t, took < 500*time.Millisecond, "%s", took)
 	})
 }
 
-func TestRefusedTryEndsTheOthers(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Millisecond}, err: errors.New("refused")}
-	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
+func TestRefusedAttemptEndsAllAttempts(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Millisecond}, err: errors.New("refused")}
+	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
 		assert.ErrorContains(t, err, "refused")
 		assert.Equal(t, took, time.Millisecond)
 	})
 }
 
-func TestTriesThatNobodyAnswersEndInTime(t *testing.T) {
-	script := &scriptedDials{waits: []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}}
-	inDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
+func TestUnansweredAttemptsEndAtTheTimeout(t *testing.T) {
+	script := &scriptedDials{durations: []time.Duration{time.Hour, time.Hour, time.Hour, time.Hour, time.Hour}}
+	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
 		assert.ErrorIs(t, err, context.DeadlineExceeded)
 		assert.Equal(t, took, dialTimeout)
-		assert.Equal(t, script.tries, 5)
+		assert.Equal(t, script.attempts, 5)
 	})
 }
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -12,34 +12,35 @@
 )
 
 const (
-	// MaximumFrameBytes bounds one frame; a snapshot is the largest.
+	// MaximumFrameBytes bounds the size of one frame; snapshots are the largest ones.
 	MaximumFrameBytes = 64 << 20
-	// maximumHandshakeBytes bounds what a stranger can make a node read.
+	// maximumHandshakeBytes bounds the bytes that a node reads from an unauthenticated peer in
+	// one frame.
 	maximumHandshakeBytes = 4 << 10
-	// frameMACBytes is the length of each frame's authentication code.
+	// frameMACBytes is the length of each frame's message authentication code.
 	frameMACBytes = 16
 	lengthBytes   = 4
-	// FrameOverheadBytes is what a frame adds to its payload.
+	// FrameOverheadBytes is the number of bytes that a frame adds to its payload.
 	FrameOverheadBytes = lengthBytes + frameMACBytes
 )
 
 // Errors of frames.
 var (
-	// ErrFrameTooLong says that a frame's length is over the limit.
+	// ErrFrameTooLong is returned for a frame whose length exceeds the limit.
 	ErrFrameTooLong = errors.New("transport: frame too long")
-	// ErrFrameForged says that a frame's authentication code does not match: it
-	// was garbled, forged, replayed or reordered.
-	ErrFrameForged = errors.New("transport: frame not authentic")
+	// ErrFrameNotAuthentic is returned for a frame whose authentication code does not match: it
+	// was corrupted, forged, replayed or reordered.
+	ErrFrameNotAuthentic = errors.New("transport: frame not authentic")
 )
 
-// writePlain writes a frame without authentication, for the handshake only.
+// writePlain writes a frame without an authentication code, for the handshake only.
 func writePlain(writer io.Writer, payload []byte) error {
 	frame := binary.BigEndian.AppendUint32(nil, uint32(len(payload)))
 	_, err := writer.Write(append(frame, payload...))
 	return err
 }
 
-// readPlain reads a frame of the handshake.
+// readPlain reads a frame without an authentication code, for the handshake only.
 func readPlain(reader io.Reader) ([]byte, error) {
 	return readBounded(reader, maximumHandshakeBytes)
 }
@@ -58,29 +59,29 @@
 	return payload, err
 }
 
-// sealer authenticates the frames of one direction of one connection. The
-// frame's number is part of the code, so that a frame counts once and in order.
-type sealer struct {
+// frameAuthenticator authenticates the frames of one direction of one connection. A frame's
+// number is part of its authentication code, so replayed or reordered frames are refused.
+type frameAuthenticator struct {
 	mac    hash.Hash
 	number uint64
 }
 
-func newSealer(key []byte) *sealer {
-	return &sealer{mac: hmac.New(sha256.New, key)}
+func newFrameAuthenticator(key []byte) *frameAuthenticator {
+	return &frameAuthenticator{mac: hmac.New(sha256.New, key)}
 }
 
-func (s *sealer) code(payload []byte) []byte {
+func (a *frameAuthenticator) authenticationCode(payload []byte) []byte {
 	var number [8]byte
-	binary.BigEndian.PutUint64(number[:], s.number)
-	s.number++
-	s.mac.Reset()
-	s.mac.Write(number[:])
-	s.mac.Write(payload)
-	return s.mac.Sum(nil)[:frameMACBytes]
+	binary.BigEndian.PutUint64(number[:], a.number)
+	a.number++
+	a.mac.Reset()
+	a.mac.Write(number[:])
+	a.mac.Write(payload)
+	return a.mac.Sum(nil)[:frameMACBytes]
 }
 
 // write writes one authenticated frame.
-func (s *sealer) write(writer *bufio.Writer, payload []byte) error {
+func (a *frameAuthenticator) write(writer *bufio.Writer, payload []byte) error {
 	if len(payload) > MaximumFrameBytes-frameMACBytes {
 		return fmt.Errorf("%w: %d bytes", ErrFrameTooLong, len(payload))
 	}
@@ -92,22 +93,22 @@
 	if _, err := writer.Write(payload); err != nil {
 		return err
 	}
-	_, err := writer.Write(s.code(payload))
+	_, err := writer.Write(a.authenticationCode(payload))
 	return err
 }
 
 // read reads one authenticated frame.
-func (s *sealer) read(reader io.Reader) ([]byte, error) {
+func (a *frameAuthenticator) read(reader io.Reader) ([]byte, error) {
 	frame, err := readBounded(reader, MaximumFrameBytes)
 	if err != nil {
 		return nil, err
 	}
 	if len(frame) < frameMACBytes {
-		return nil, ErrFrameForged
+		return nil, ErrFrameNotAuthentic
 	}
 	payload, code := frame[:len(frame)-frameMACBytes], frame[len(frame)-frameMACBytes:]
-	if !hmac.Equal(code, s.code(payload)) {
-		return nil, ErrFrameForged
+	if !hmac.Equal(code, a.authenticationCode(payload)) {
+		return nil, ErrFrameNotAuthentic
 	}
 	return payload, nil
 }
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -20,13 +20,13 @@
 
 // Errors of handshakes.
 var (
-	// ErrStranger says that the other side does not hold the shared key.
-	ErrStranger = errors.New("transport: the other side does not hold the shared peer key")
-	// ErrUnknownPeer says that the name is not in the settings.
+	// ErrUnauthenticated is returned if the other side could not prove that it holds the shared key.
+	ErrUnauthenticated = errors.New("transport: the other side does not hold the shared peer key")
+	// ErrUnknownPeer is returned if the other side's name is not in the settings.
 	ErrUnknownPeer = errors.New("transport: the other side's name is not a configured peer")
 )
 
-// clientHello opens a connection.
+// clientHello is the first message of a handshake.
 type clientHello struct {
 	Version int    `msgpack:"v"`
 	From    string `msgpack:"f"`
@@ -34,19 +34,19 @@
 	Nonce   []byte `msgpack:"n"`
 }
 
-// serverHello answers it and proves that the server holds the key.
+// serverHello is the response to a clientHello. It proves that the server holds the key.
 type serverHello struct {
 	Nonce []byte `msgpack:"n"`
 	Proof []byte `msgpack:"p"`
 }
 
-// clientProof proves that the client holds the key. Both nonces are part of
-// it, so a recorded handshake can't be replayed.
+// clientProof proves that the client holds the key. Both nonces are part of the proof,
+// so a recorded handshake can't be replayed.
 type clientProof struct {
 	Proof []byte `msgpack:"p"`
 }
 
-// transcript is what both sides prove to have seen.
+// transcript holds the values of a handshake that both sides' proofs cover.
 type transcript struct {
 	key    []byte
 	client clientHello
@@ -64,40 +64,40 @@
 
 func newNonce() []byte {
 	nonce := make([]byte, nonceBytes)
-	// crypto/rand.Read never fails: it ends the process instead.
+	// crypto/rand.Read never returns an error: it ends the process instead.
 	_, _ = rand.Read(nonce)
 	return nonce
 }
 
 // dialHandshake authenticates an outgoing connection.
-func dialHandshake(connection net.Conn, key []byte, self, other string) (*sealer, error) {
-	hello := clientHello{Version: peer.Version, From: self, To: other, Nonce: newNonce()}
+func dialHandshake(connection net.Conn, key []byte, self, other string) (*frameAuthenticator, error) {
+	hello := clientHello{Version: peer.HandshakeVersion, From: self, To: other, Nonce: newNonce()}
 	if err := writeMessage(connection, &hello); err != nil {
 		return nil, err
 	}
-	var answer serverHello
-	if err := readMessage(connection, &answer); err != nil {
+	var response serverHello
+	if err := readMessage(connection, &response); err != nil {
 		return nil, err
 	}
-	seen := transcript{key: key, client: hello, server: answer.Nonce}
-	if !hmac.Equal(answer.Proof, seen.code("server")) {
-		return nil, ErrStranger
+	seen := transcript{key: key, client: hello, server: response.Nonce}
+	if !hmac.Equal(response.Proof, seen.code("server")) {
+		return nil, ErrUnauthenticated
 	}
 	if err := writeMessage(connection, &clientProof{Proof: seen.code("client")}); err != nil {
 		return nil, err
 	}
-	return newSealer(seen.code("session")), nil
+	return newFrameAuthenticator(seen.code("session")), nil
 }
 
 // acceptHandshake authenticates an incoming connection and returns the name of
 // the other side.
-func acceptHandshake(connection net.Conn, key []byte, self string, known func(string) bool) (string, *sealer, error) {
+func acceptHandshake(connection net.Conn, key []byte, self string, known func(string) bool) (string, *frameAuthenticator, error) {
 	var hello clientHello
 	if err := readMessage(connection, &hello); err != nil {
 		return "", nil, err
 	}
-	if hello.Version != peer.Version || hello.To != self || len(hello.Nonce) != nonceBytes {
-		return "", nil, fmt.Errorf("%w: a hello of version %d for node %q", ErrStranger, hello.Version, hello.To)
+	if hello.Version != peer.HandshakeVersion || hello.To != self || len(hello.Nonce) != nonceBytes {
+		return "", nil, fmt.Errorf("%w: received a hello of version %d for node %q", ErrUnauthenticated, hello.Version, hello.To)
 	}
 	if !known(hello.From) {
 		return "", nil, fmt.Errorf("%w: %q", ErrUnknownPeer, hello.From)
@@ -114,12 +114,12 @@
 		return "", nil, err
 	}
 	if !hmac.Equal(proof.Proof, seen.code("client")) {
-		return "", nil, ErrStranger
+		return "", nil, ErrUnauthenticated
 	}
-	return hello.From, newSealer(seen.code("session")), nil
+	return hello.From, newFrameAuthenticator(seen.code("session")), nil
 }
 
-// checkCertificate holds a TLS client to the name in its certificate.
+// checkCertificate verifies that a TLS client's certificate contains the name that it claims.
 func checkCertificate(connection net.Conn, name string) error {
 	secured, isTLS := connection.(*tls.Conn)
 	if !isTLS {
@@ -130,7 +130,7 @@
 	}
 	certificates := secured.ConnectionState().PeerCertificates
 	if len(certificates) == 0 || !slices.Contains(certificates[0].DNSNames, name) {
-		return fmt.Errorf("%w: the certificate is not for %q", ErrStranger, name)
+		return fmt.Errorf("%w: the certificate is not for %q", ErrUnauthenticated, name)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 		return err
 	}
 	if err := msgpack.Unmarshal(payload, message); err != nil {
-		return fmt.Errorf("%w: %v", ErrStranger, err)
+		return fmt.Errorf("%w: %v", ErrUnauthenticated, err)
 	}
 	return nil
 }
--- a/internal/transport/links_test.go
+++ b/internal/transport/links_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// linkHeapBytes is what a link to one peer and the connection from it may take of
-// the heap at rest, both ends together: 1,000 of them are then under 40 MB of an
-// entry node with 112.
-const linkHeapBytes = 40 << 10
+// maximumLinkHeapBytes bounds the heap that an idle link to one peer and the connection from it may
+// use, both ends together. So 1,000 of them use less than 40 MB of the 112 MB of an entry
+// node.
+const maximumLinkHeapBytes = 40 << 10
 
-// heapOfLinks is the heap that links to a number of peers take at rest, with both
+// heapOfIdleLinks returns the bytes of heap that idle links to a number of peers use, with both
 // ends in this process.
-func heapOfLinks(tb testing.TB, peers int) uint64 {
+func heapOfIdleLinks(tb testing.TB, peers int) uint64 {
 	tb.Helper()
 	before := heapInUse()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -63,10 +63,11 @@
 	return stats.HeapAlloc
 }
 
-// A node has a link to each of hundreds of others, nearly all at rest.
-func TestLinksAtRestTakeLittleMemory(t *testing.T) {
+// Guards the memory of idle links: a node has a link to each of hundreds of others, and nearly all
+// are idle.
+func TestIdleLinksUseLittleMemory(t *testing.T) {
 	const peers = 50
-	each := heapOfLinks(t, peers) / peers
+	each := heapOfIdleLinks(t, peers) / peers
 	t.Logf("%d bytes of heap a link", each)
-	assert.Assert(t, each < linkHeapBytes, "%d bytes of heap a link, at most %d", each, linkHeapBytes)
+	assert.Assert(t, each < maximumLinkHeapBytes, "%d bytes of heap a link, at most %d", each, maximumLinkHeapBytes)
 }
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -1,10 +1,10 @@
-// Package transport carries frames between ravenway's own processes: TCP
-// connections, length-prefixed frames, and authentication by a shared key
-// (with mutual TLS around it where the settings give certificates).
+// Package transport carries frames between ravenway's own processes. It uses TCP
+// connections, length-prefixed frames, and authentication by a shared key, inside
+// mutual TLS if the settings name certificates.
 //
-// Each node dials the peers it has something to say to; a connection carries
-// frames in one direction. What can't be sent is dropped, never held back: the
-// protocols above treat the network as lossy.
+// Each node dials the peers that it sends to; a connection carries frames in one
+// direction only. Frames that can't be sent in time are dropped: the protocols above
+// treat the network as lossy.
 package transport
 
 import (
@@ -27,98 +27,98 @@
 )
 
 const (
-	// outgoingCapacity bounds the frames waiting for one peer; the oldest go first.
+	// outgoingCapacity bounds the frames queued for one peer; a full queue drops the oldest.
 	outgoingCapacity = 4096
-	// A link that is full takes over a second each way, and a new connection
-	// needs three ways: to be opened, and two of the handshake.
+	// A saturated link takes over a second in each direction, and a new connection needs
+	// three passes over it: one to be opened and two for the handshake.
 	handshakeTimeout = 4 * time.Second
 	dialTimeout      = 2500 * time.Millisecond
-	// dialAgain is the time after which another try to connect begins beside the
-	// first; it doubles with each. While a machine has no power, or behind a cut, the
-	// packet that opens a connection is lost and is sent again after a second only:
-	// after a loss of all power, with 700 ms, nodes met 0.9 s after they had started.
-	dialAgain      = 150 * time.Millisecond
-	writeTimeout   = 2 * time.Second
-	userTimeout    = 1500 * time.Millisecond
-	minimumBackoff = 50 * time.Millisecond
-	maximumBackoff = 300 * time.Millisecond
-	// A connection's buffers are small: a node has one to each of hundreds of
-	// others, and frames over a buffer's size pass it by.
+	// initialAttemptDelay is the delay before the second concurrent attempt to connect; it doubles
+	// with each attempt. While a machine is off or partitioned, the packet that opens a
+	// connection is lost, and is sent again only after a second. With 700 ms, nodes were
+	// connected only 0.9 s after they had started, after a power loss of all machines.
+	initialAttemptDelay = 150 * time.Millisecond
+	writeTimeout        = 2 * time.Second
+	userTimeout         = 1500 * time.Millisecond
+	minimumBackoff      = 50 * time.Millisecond
+	maximumBackoff      = 300 * time.Millisecond
+	// The buffers are small, since a node has a connection to each of hundreds of others.
+	// Frames larger than a buffer bypass it.
 	writeBufferBytes = 8 << 10
 	readBufferBytes  = 4 << 10
-	// maximumFrameAge is how long a frame may wait for its connection. After a
-	// cut all nodes would else send each other all that they had to say in it.
+	// maximumFrameAge is the maximum time that a frame waits for its connection. Without
+	// it, all nodes would send each other the whole backlog after a partition.
 	maximumFrameAge = time.Second
-	// maximumUnauthenticated bounds the connections in their handshake.
+	// maximumUnauthenticated bounds the number of incoming connections in their handshake.
 	maximumUnauthenticated = 256
 )
 
-// Options set up a Mesh.
+// Options configures a Mesh.
 type Options struct {
 	// Self is this node's name.
 	Self string
-	// Peers are the addresses (host:port) of the other nodes by name.
+	// Peers holds the addresses (host:port) of the other nodes by name.
 	Peers map[string]string
-	// OpenMembership makes a node's name its address: any node that holds the
-	// key may connect, and links are made as they are first needed.
+	// OpenMembership makes a node's address its name: any node that holds the key may
+	// connect, and links are created when they are first used.
 	OpenMembership bool
 	// Key is the shared peer key.
 	Key []byte
-	// TLS is nil for plain TCP.
+	// TLS is the configuration of mutual TLS; nil means plain TCP.
 	TLS      *tls.Config
 	Listener net.Listener
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Handle takes one authentic frame. It must not block for long: it runs on
-	// the connection's reader.
+	// Handle is called with each authenticated frame. It must not block for long, since it
+	// runs on the connection's reading goroutine.
 	Handle func(from string, frame []byte)
-	// Dropped is told of a frame that was given up because it had waited too
-	// long for its connection; nil means that nobody is. It must not block.
+	// Dropped is called with each frame that is dropped because it waited too long for
+	// its connection; nil means no call. It must not block.
 	Dropped func(to string, frame []byte, waited time.Duration)
 	Logger  zerolog.Logger
 }
 
-// Mesh is a node's end of all its connections.
+// Mesh holds all connections of a node to and from its peers.
 type Mesh struct {
-	options  Options
-	refused  *metrics.Counter
-	received *metrics.Counter
+	options            Options
+	refusedConnections *metrics.Counter
+	receivedFrames     *metrics.Counter
 
-	mutex       sync.Mutex
-	links       map[string]*outgoingLink
-	connections map[net.Conn]struct{}
-	handshakes  chan struct{}
-	// running is nil before Run.
-	running context.Context
-	duties  sync.WaitGroup
+	mutex          sync.Mutex
+	links          map[string]*outgoingLink
+	connections    map[net.Conn]struct{}
+	handshakeSlots chan struct{}
+	// runContext is the context of Run, nil before Run.
+	runContext context.Context
+	goroutines sync.WaitGroup
 }
 
-// outgoingLink is the way to one peer.
+// outgoingLink is the queue of frames for one peer, which is sent over one connection at a time.
 type outgoingLink struct {
 	name    string
 	address string
 	frames  *ring.Growing[outgoingFrame]
-	// forget ends the link.
-	forget chan struct{}
+	// ended is closed to end the link.
+	ended chan struct{}
 }
 
-// outgoingFrame is a frame and when it was queued.
+// outgoingFrame is a frame with the time at which it was queued.
 type outgoingFrame struct {
 	payload []byte
 	queued  time.Time
 }
 
-// waited is how long the frame has waited.
+// waited returns the time that the frame has been queued.
 func (f outgoingFrame) waited() time.Duration { return time.Since(f.queued) }
 
 func newLink(name, address string) *outgoingLink {
 	return &outgoingLink{
-		name: name, address: address, forget: make(chan struct{}),
+		name: name, address: address, ended: make(chan struct{}),
 		frames: ring.NewGrowing[outgoingFrame]("peer_outgoing", outgoingCapacity),
 	}
 }
 
-// NewMesh makes a mesh; Run starts it.
+// NewMesh returns a mesh, which Run starts.
 func NewMesh(options Options) *Mesh {
 	if options.Dial == nil {
 		dialer := &net.Dialer{Control: SetUserTimeout(userTimeout)}
@@ -130,12 +130,12 @@
 		options.Dropped = func(string, []byte, time.Duration) {}
 	}
 	mesh := &Mesh{
-		options:     options,
-		links:       map[string]*outgoingLink{},
-		connections: map[net.Conn]struct{}{},
-		handshakes:  make(chan struct{}, maximumUnauthenticated),
-		refused:     metrics.GetOrCreateCounter("ravenway_peer_connections_refused_total"),
-		received:    metrics.GetOrCreateCounter("ravenway_peer_frames_received_total"),
+		options:            options,
+		links:              map[string]*outgoingLink{},
+		connections:        map[net.Conn]struct{}{},
+		handshakeSlots:     make(chan struct{}, maximumUnauthenticated),
+		refusedConnections: metrics.GetOrCreateCounter("ravenway_peer_connections_refused_total"),
+		receivedFrames:     metrics.GetOrCreateCounter("ravenway_peer_frames_received_total"),
 	}
 	for name, address := range options.Peers {
 		if name != options.Self {
@@ -152,7 +152,8 @@
 	}
 }
 
-// link finds the link to a peer, or makes it if membership is open.
+// link returns the link to a peer and creates it if membership is open; nil means that there is
+// none.
 func (m *Mesh) link(to string) *outgoingLink {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -162,35 +163,36 @@
 	}
 	link = newLink(to, to)
 	m.links[to] = link
-	if m.running != nil && m.running.Err() == nil {
-		m.duties.Go(func() { m.runLink(m.running, link) })
+	if m.runContext != nil && m.runContext.Err() == nil {
+		m.goroutines.Go(func() { m.runLink(m.runContext, link) })
 	}
 	return link
 }
 
-// Forget ends the link to a peer that is gone, with all that waits for it.
-func (m *Mesh) Forget(name string) {
+// RemoveLink ends the link to a peer that is gone and drops its queued frames. It has an effect only
+// with open membership.
+func (m *Mesh) RemoveLink(name string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if link := m.links[name]; link != nil && m.options.OpenMembership {
 		delete(m.links, name)
-		close(link.forget)
+		close(link.ended)
 	}
 }
 
-// Run serves until the context ends.
+// Run sends and receives frames until the context ends.
 func (m *Mesh) Run(ctx context.Context) {
 	m.mutex.Lock()
-	m.running = ctx
+	m.runContext = ctx
 	for _, link := range m.links {
-		m.duties.Go(func() { m.runLink(ctx, link) })
+		m.goroutines.Go(func() { m.runLink(ctx, link) })
 	}
 	m.mutex.Unlock()
-	m.duties.Go(func() { m.accept(ctx) })
+	m.goroutines.Go(func() { m.accept(ctx) })
 	<-ctx.Done()
 	_ = m.options.Listener.Close()
 	m.closeConnections()
-	m.duties.Wait()
+	m.goroutines.Wait()
 }
 
 func (m *Mesh) accept(ctx context.Context) {
@@ -203,62 +205,63 @@
 			continue
 		}
 		select {
-		case m.handshakes <- struct{}{}:
+		case m.handshakeSlots <- struct{}{}:
 		default:
-			m.refused.Inc()
+			m.refusedConnections.Inc()
 			_ = connection.Close()
 			continue
 		}
-		m.duties.Go(func() { m.serve(ctx, connection) })
+		m.goroutines.Go(func() { m.serve(ctx, connection) })
 	}
 }
 
-// serve authenticates an incoming connection and reads its frames.
+// serve authenticates an incoming connection and handles its frames.
 func (m *Mesh) serve(ctx context.Context, connection net.Conn) {
 	if m.options.TLS != nil {
 		connection = tls.Server(connection, m.options.TLS)
 	}
 	if !m.track(ctx, connection) {
-		<-m.handshakes
+		<-m.handshakeSlots
 		return
 	}
 	defer m.untrack(connection)
 	_ = connection.SetDeadline(time.Now().Add(handshakeTimeout))
-	from, opener, err := acceptHandshake(connection, m.options.Key, m.options.Self, m.known)
-	<-m.handshakes
+	from, authenticator, err := acceptHandshake(connection, m.options.Key, m.options.Self, m.isKnown)
+	<-m.handshakeSlots
 	if err != nil {
-		m.refuse(connection, err)
+		m.reportRefusal(connection, err)
 		return
 	}
 	_ = connection.SetDeadline(time.Time{})
 	reader := bufio.NewReaderSize(connection, readBufferBytes)
 	for {
-		frame, err := opener.read(reader)
+		frame, err := authenticator.read(reader)
 		if err != nil {
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				m.refuse(connection, err)
+				m.reportRefusal(connection, err)
 			}
 			return
 		}
-		m.received.Inc()
+		m.receivedFrames.Inc()
 		m.options.Handle(from, frame)
 	}
 }
 
-func (m *Mesh) known(name string) bool {
+func (m *Mesh) isKnown(name string) bool {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	_, found := m.links[name]
 	return found || m.options.OpenMembership
 }
 
-func (m *Mesh) refuse(connection net.Conn, err error) {
-	m.refused.Inc()
+func (m *Mesh) reportRefusal(connection net.Conn, err error) {
+	m.refusedConnections.Inc()
 	m.options.Logger.Warn().Str("event", "peer_connection_refused").
 		Str("remote", connection.RemoteAddr().String()).Err(err).Send()
 }
 
-// runLink keeps a connection to one peer while there is something to send.
+// runLink connects to one peer when there are frames to send, and reconnects after errors with a
+// growing delay.
 func (m *Mesh) runLink(ctx context.Context, link *outgoingLink) {
 	backoff := minimumBackoff
 	for {
@@ -285,11 +288,11 @@
 	}
 }
 
-// awaitFrame takes the next frame for a peer; false means that the link has ended.
+// awaitFrame waits for the next frame for a peer; false means that the link has ended.
 func (m *Mesh) awaitFrame(ctx context.Context, link *outgoingLink) (outgoingFrame, bool) {
 	for {
 		select {
-		case <-link.forget:
+		case <-link.ended:
 			return outgoingFrame{}, false
 		default:
 		}
@@ -299,17 +302,17 @@
 		select {
 		case <-ctx.Done():
 			return outgoingFrame{}, false
-		case <-link.forget:
+		case <-link.ended:
 			return outgoingFrame{}, false
 		case <-link.frames.Ready():
 		}
 	}
 }
 
-// errConnected marks errors that came after a successful handshake.
+// errConnected marks errors that occurred after a successful handshake.
 var errConnected = errors.New("transport: connection lost")
 
-// sendFrames opens a connection and writes frames until it fails.
+// sendFrames opens a connection and writes frames until the connection fails or the link ends.
 func (m *Mesh) sendFrames(ctx context.Context, link *outgoingLink, frame outgoingFrame) error {
 	connection, err := m.dial(ctx, link.address)
 	if err != nil {
@@ -325,7 +328,7 @@
 	}
 	defer m.untrack(connection)
 	_ = connection.SetDeadline(time.Now().Add(handshakeTimeout))
-	seal, err := dialHandshake(connection, m.options.Key, m.options.Self, link.name)
+	authenticator, err := dialHandshake(connection, m.options.Key, m.options.Self, link.name)
 	if err != nil {
 		return err
 	}
@@ -335,14 +338,14 @@
 	writer := bufio.NewWriterSize(connection, writeBufferBytes)
 	for found := true; ; frame, found = link.frames.Take() {
 		if found {
-			if err := m.writeBatch(connection, writer, seal, link, frame); err != nil {
+			if err := m.writeBatch(connection, writer, authenticator, link, frame); err != nil {
 				return fmt.Errorf("%w: %w", errConnected, err)
 			}
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-link.forget:
+		case <-link.ended:
 			return nil
 		case <-closed:
 			return errConnected
@@ -354,23 +357,24 @@
 func (m *Mesh) dial(ctx context.Context, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
-	return dialStaggered(ctx, dialAgain, func(ctx context.Context) (net.Conn, error) { return m.options.Dial(ctx, address) })
+	return dialStaggered(ctx, initialAttemptDelay, func(ctx context.Context) (net.Conn, error) { return m.options.Dial(ctx, address) })
 }
 
-// watchClose notices that the other side closed a one-way connection, so that
-// the next frame is not lost into it.
+// watchClose closes a channel once the other side has closed a one-way connection, so that
+// the next frame is not written to it and lost.
 func watchClose(connection net.Conn, closed chan<- struct{}) {
 	_, _ = connection.Read(make([]byte, 1))
 	close(closed)
 }
 
-// writeBatch writes a frame and all that wait behind it with one flush.
-func (m *Mesh) writeBatch(connection net.Conn, writer *bufio.Writer, seal *sealer, link *outgoingLink, frame outgoingFrame) error {
+// writeBatch writes a frame and all queued ones with one flush. It drops frames that waited longer
+// than maximumFrameAge.
+func (m *Mesh) writeBatch(connection net.Conn, writer *bufio.Writer, authenticator *frameAuthenticator, link *outgoingLink, frame outgoingFrame) error {
 	_ = connection.SetWriteDeadline(time.Now().Add(writeTimeout))
 	for found := true; found; frame, found = link.frames.Take() {
 		if waited := frame.waited(); waited > maximumFrameAge {
 			m.options.Dropped(link.name, frame.payload, waited)
-		} else if err := seal.write(writer, frame.payload); err != nil {
+		} else if err := authenticator.write(writer, frame.payload); err != nil {
 			return err
 		}
 	}
