--- a/internal/lab/soak/backoff.go
+++ b/internal/lab/soak/backoff.go
@@ -14,31 +14,33 @@
 )
 
 const (
-	// backoffStream numbers the random stream of pauses and of engines that announce a shutdown.
-	backoffStream = 4100
-	// Engines reject all requests for a while, with a break of up to shedPause between two such times.
-	shedLeast, shedMost = 400 * time.Millisecond, 2500 * time.Millisecond
-	shedPause           = 2 * time.Second
-	// pauseLeast and pauseMost bound the pause that engines request while they reject.
-	pauseLeast, pauseMost = 600 * time.Millisecond, 4 * time.Second
-	// One time in leaveOneIn an engine announces a shutdown, continues to serve for a while, and
+	// backoffRandomStream numbers the random stream of pauses and of engines that announce a
+	// shutdown.
+	backoffRandomStream = 4100
+	// Engines reject all requests for a while, with a break of up to maximumRejectInterval between
+	// two such times.
+	minimumRejectTime, maximumRejectTime = 400 * time.Millisecond, 2500 * time.Millisecond
+	maximumRejectInterval                = 2 * time.Second
+	// minimumPause and maximumPause bound the pause that engines request while they reject.
+	minimumPause, maximumPause = 600 * time.Millisecond, 4 * time.Second
+	// One time in shutdownOneIn an engine announces a shutdown, continues to serve for a while, and
 	// is replaced.
-	leaveOneIn            = 4
-	leaveLeast, leaveMost = 2500 * time.Millisecond, 5 * time.Second
-	// strangeOneIn is the rate of responses with an unknown header: one in so many.
-	strangeOneIn = 50
+	shutdownOneIn                            = 4
+	minimumShutdownTime, maximumShutdownTime = 2500 * time.Millisecond, 5 * time.Second
+	// unknownHeaderOneIn is the rate of responses with an unknown header: one in so many.
+	unknownHeaderOneIn = 50
 )
 
 // backoffRecord holds what one incarnation of an engine requested of its senders, and which
 // requests it received.
 type backoffRecord struct {
 	// pause is the requested pause while the engine rejects all requests; 0 if it accepts them.
-	pause     time.Duration
-	isLeaving bool
-	senders   map[string]*pausecheck.Record
+	pause          time.Duration
+	isShuttingDown bool
+	senders        map[string]*pausecheck.Record
 }
 
-func (b *backoffRecord) of(sender string) *pausecheck.Record {
+func (b *backoffRecord) senderRecord(sender string) *pausecheck.Record {
 	if b.senders[sender] == nil {
 		if b.senders == nil {
 			b.senders = map[string]*pausecheck.Record{}
@@ -55,8 +57,8 @@
 	machines map[string]*machine
 }
 
-// note records the entry node that a request is sent to.
-func (s *senders) note(request string, entry *machine) {
+// record records the entry node that a request is sent to.
+func (s *senders) record(request string, entry *machine) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.machines[request] = entry
@@ -72,23 +74,23 @@
 	return fmt.Sprintf("%s/%d", entry.name, entry.epoch.Load())
 }
 
-// refuses records a request, writes the engine's signals into the response header, and reports
-// whether the engine rejects the request.
-func (e *engine) refuses(header http.Header, request string) bool {
+// recordAndReject records a request, writes the engine's signals into the response header, and
+// reports whether the engine rejects the request.
+func (e *engine) recordAndReject(header http.Header, request string) bool {
 	sender := e.truth.senders.of(request)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	now, record := time.Since(e.limit.began), e.backoff.of(sender)
+	now, record := time.Since(e.limit.startedAt), e.backoff.senderRecord(sender)
 	record.Arrive(now)
 	add := func(more http.Header) {
 		for name, values := range more {
 			header[name] = values
 		}
 	}
-	if rand.IntN(strangeOneIn) == 0 {
+	if rand.IntN(unknownHeaderOneIn) == 0 {
 		add(http.Header{"Server-Strange": {"1"}})
 	}
-	if e.backoff.isLeaving {
+	if e.backoff.isShuttingDown {
 		add(e.wire.LeavingHeader())
 		record.Leave(now)
 	}
@@ -100,62 +102,63 @@
 	return true
 }
 
-// shed makes the engine reject all requests and request a pause; 0 ends that.
-func (e *engine) shed(pause time.Duration) {
+// setPause makes the engine reject all requests and request a pause; 0 ends that.
+func (e *engine) setPause(pause time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.backoff.pause = pause
 }
 
-// leave makes the engine announce its shutdown in its responses. Its heartbeats are unchanged.
-func (e *engine) leave() {
+// announceShutdown makes the engine announce its shutdown in its responses. Its heartbeats are
+// unchanged.
+func (e *engine) announceShutdown() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.backoff.isLeaving = true
+	e.backoff.isShuttingDown = true
 }
 
 // disturbEngines makes engines request pauses, several at the same time, while faults are injected.
 func (r *run) disturbEngines(ctx, faulty context.Context, random *rand.Rand) {
-	var leaving sync.WaitGroup
-	defer leaving.Wait()
+	var shuttingDown sync.WaitGroup
+	defer shuttingDown.Wait()
 	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(shedPause))))
-		if random.IntN(leaveOneIn) == 0 {
-			place, lasts := random.IntN(firstNewPlace), between(random, leaveLeast, leaveMost)
-			leaving.Go(func() { r.leaveEngine(ctx, place, lasts) })
+		pause.For(faulty, time.Duration(random.Int64N(int64(maximumRejectInterval))))
+		if random.IntN(shutdownOneIn) == 0 {
+			place, lasts := random.IntN(firstNewPlace), randomDuration(random, minimumShutdownTime, maximumShutdownTime)
+			shuttingDown.Go(func() { r.shutDownEngine(ctx, place, lasts) })
 		}
-		shedding := r.fleet.drawEngines(random)
-		for _, one := range shedding {
-			asked := between(random, pauseLeast, pauseMost)
-			r.note("engine %s rejects all requests and requests a pause of %d ms", one.ID, asked.Milliseconds())
-			one.shed(asked)
+		rejecting := r.fleet.drawEngines(random)
+		for _, one := range rejecting {
+			requested := randomDuration(random, minimumPause, maximumPause)
+			r.reportf("engine %s rejects all requests and requests a pause of %d ms", one.ID, requested.Milliseconds())
+			one.setPause(requested)
 		}
-		pause.For(faulty, between(random, shedLeast, shedMost))
-		for _, one := range shedding {
-			one.shed(0)
+		pause.For(faulty, randomDuration(random, minimumRejectTime, maximumRejectTime))
+		for _, one := range rejecting {
+			one.setPause(0)
 		}
 	}
 }
 
-func between(random *rand.Rand, least, most time.Duration) time.Duration {
-	return least + time.Duration(random.Int64N(int64(most-least)))
+func randomDuration(random *rand.Rand, minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(random.Int64N(int64(maximum-minimum)))
 }
 
-// leaveEngine makes an engine announce its shutdown, and replaces it later.
-func (r *run) leaveEngine(ctx context.Context, place int, lasts time.Duration) {
+// shutDownEngine makes an engine announce its shutdown, and replaces it later.
+func (r *run) shutDownEngine(ctx context.Context, place int, lasts time.Duration) {
 	r.fleet.mutex.Lock()
 	one := r.fleet.engines[placeName(place)]
 	r.fleet.mutex.Unlock()
 	if one == nil {
 		return
 	}
-	r.note("engine %s announces its shutdown, replaced after %d ms", one.ID, lasts.Milliseconds())
-	one.leave()
+	r.reportf("engine %s announces its shutdown, replaced after %d ms", one.ID, lasts.Milliseconds())
+	one.announceShutdown()
 	pause.For(ctx, lasts)
 	r.fleet.mutex.Lock()
-	isStill := r.fleet.engines[placeName(place)] == one
+	isCurrent := r.fleet.engines[placeName(place)] == one
 	r.fleet.mutex.Unlock()
-	if isStill {
+	if isCurrent {
 		r.replaceEngine(ctx, place, shortestFault, true)
 	}
 }
@@ -163,30 +166,30 @@
 // checkBackoff compares the requests that engines received with the pauses that they requested.
 func (r *run) checkBackoff() {
 	r.fleet.mutex.Lock()
-	lives := slices.Clone(r.fleet.everyLife)
+	incarnations := slices.Clone(r.fleet.allIncarnations)
 	r.fleet.mutex.Unlock()
-	pauses, worst, told, late := 0, 0, 0, 0
-	for _, one := range lives {
+	pauses, worst, announced, late := 0, 0, 0, 0
+	for _, one := range incarnations {
 		one.mutex.Lock()
 		for sender, record := range one.backoff.senders {
-			most := record.Most()
-			pauses, worst = pauses+record.Pauses(), max(worst, most)
-			if most > 0 {
-				r.note("engine %s got requests of %s in a pause, %v after it had requested it", one.ID, sender, record.Offsets())
+			maximum := record.Most()
+			pauses, worst = pauses+record.Pauses(), max(worst, maximum)
+			if maximum > 0 {
+				r.reportf("engine %s got requests of %s in a pause, %v after it had requested it", one.ID, sender, record.Offsets())
 			}
-			if most > pausecheck.Allowed {
-				r.breaks("engine %s got %d requests of %s in a pause, allowed %d", one.ID, most, sender, pausecheck.Allowed)
+			if maximum > pausecheck.Allowed {
+				r.violationf("engine %s got %d requests of %s in a pause, allowed %d", one.ID, maximum, sender, pausecheck.Allowed)
 			}
-			after, wasTold := record.AfterLeaving()
-			if wasTold {
-				told++
+			after, wasAnnounced := record.AfterLeaving()
+			if wasAnnounced {
+				announced++
 			}
 			if late += after; after > 0 {
-				r.breaks("engine %s got %d requests of %s after it had announced its shutdown", one.ID, after, sender)
+				r.violationf("engine %s got %d requests of %s after it had announced its shutdown", one.ID, after, sender)
 			}
 		}
 		one.mutex.Unlock()
 	}
-	r.note("%d pauses requested, at most %d requests of a node in one, allowed %d; %d times a node received the announcement of a shutdown, %d requests came later than %s after it",
-		pauses, worst, pausecheck.Allowed, told, late, pausecheck.Drain)
+	r.reportf("%d pauses requested, at most %d requests of a node in one, allowed %d; %d times a node received the announcement of a shutdown, %d requests came later than %s after it",
+		pauses, worst, pausecheck.Allowed, announced, late, pausecheck.Drain)
 }
--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -46,15 +46,15 @@
 
 // result is one call and its outcome. Times are since the start of the run.
 type result struct {
-	id      string
-	kind    Kind
-	entry   *machine
-	began   time.Duration
-	ended   time.Duration
-	outcome Outcome
-	detail  string
-	// stopping reports whether a planned stop of the entry node had begun when the call ended.
-	stopping bool
+	id        string
+	kind      Kind
+	entry     *machine
+	startedAt time.Duration
+	endedAt   time.Duration
+	outcome   Outcome
+	detail    string
+	// isStopping reports whether a planned stop of the entry node had begun when the call ended.
+	isStopping bool
 }
 
 // keyPrefix and the tenant's name form the tenant's key.
@@ -64,23 +64,23 @@
 
 // callers send calls continuously and record the outcomes.
 type callers struct {
-	fleet   *fleet
-	client  *http.Client
-	began   time.Time
-	mutex   sync.Mutex
-	results []result
-	running sync.WaitGroup
+	fleet     *fleet
+	client    *http.Client
+	startedAt time.Time
+	mutex     sync.Mutex
+	results   []result
+	running   sync.WaitGroup
 }
 
 const (
-	callPause     = 12 * time.Millisecond
-	largestPrompt = 120
-	mostOut       = streamEvents * eventTokens
+	callInterval        = 12 * time.Millisecond
+	maximumPromptTokens = 120
+	maximumOutputTokens = streamEvents * eventTokens
 )
 
 func newCallers(of *fleet, began time.Time) *callers {
 	return &callers{
-		fleet: of, began: began,
+		fleet: of, startedAt: began,
 		// Idle connections are kept until the peer's process is gone.
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, DisableCompression: true}},
 	}
@@ -91,16 +91,16 @@
 	kinds := []Kind{Safe, Once, Stream, Resumable}
 	var entries []*machine
 	for _, one := range c.fleet.members {
-		if !one.control {
+		if !one.isControl {
 			entries = append(entries, one)
 		}
 	}
 	for number := 0; ctx.Err() == nil; number++ {
 		kind, entry := kinds[random.IntN(len(kinds))], entries[random.IntN(len(entries))]
-		tenant := fmt.Sprintf("tenant-%d", random.IntN(tenants))
+		tenant := fmt.Sprintf("tenant-%d", random.IntN(tenantCount))
 		call := standin.Call{ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + tenant, Wait: callTimeout, Part: "part-" + strconv.Itoa(random.IntN(20))}
 		if kind == Stream || kind == Resumable {
-			call.TokensIn, call.TokensOut = 1+uint64(random.IntN(largestPrompt)), mostOut
+			call.TokensIn, call.TokensOut = 1+uint64(random.IntN(maximumPromptTokens)), maximumOutputTokens
 		}
 		c.running.Go(func() {
 			ended := c.call(kind, entry, call)
@@ -108,20 +108,20 @@
 			defer c.mutex.Unlock()
 			c.results = append(c.results, ended)
 		})
-		pause.For(ctx, callPause)
+		pause.For(ctx, callInterval)
 	}
 	c.running.Wait()
 }
 
 // call sends one call and classifies its response.
 func (c *callers) call(kind Kind, entry *machine, call standin.Call) result {
-	ended := result{id: call.ID, kind: kind, entry: entry, began: time.Since(c.began)}
+	ended := result{id: call.ID, kind: kind, entry: entry, startedAt: time.Since(c.startedAt)}
 	ctx, cancel := context.WithTimeout(context.Background(), call.Wait)
 	defer cancel()
 	ended.outcome, ended.detail = c.send(ctx, kind, entry, call)
-	ended.ended = time.Since(c.began)
+	ended.endedAt = time.Since(c.startedAt)
 	entry.mutex.Lock()
-	ended.stopping = entry.stopping
+	ended.isStopping = entry.isStopping
 	entry.mutex.Unlock()
 	return ended
 }
@@ -139,7 +139,7 @@
 		return Failed, err.Error()
 	}
 	request.Header, request.Host = c.fleet.wire.CallerHeader(call), callHost
-	c.fleet.truth.senders.note(call.ID, entry)
+	c.fleet.truth.senders.record(call.ID, entry)
 	response, err := c.client.Do(request)
 	if err != nil {
 		return Cut, err.Error()
@@ -153,16 +153,16 @@
 	case kind == Stream || kind == Resumable:
 		outcome, detail, events := readStream(response.Body, call.ID)
 		if events > 0 {
-			c.fleet.truth.receive(tenantOfKey(call.Key), call.TokensIn+uint64(events)*eventTokens)
+			c.fleet.truth.recordDelivery(tenantOfKey(call.Key), call.TokensIn+uint64(events)*eventTokens)
 		}
 		return outcome, detail
 	}
-	answer, err := io.ReadAll(response.Body)
+	received, err := io.ReadAll(response.Body)
 	if err != nil {
 		return Cut, err.Error()
 	}
-	if string(answer) != plainBody(call.ID) {
-		return Wrong, fmt.Sprintf("%.80q", answer)
+	if string(received) != plainBody(call.ID) {
+		return Wrong, fmt.Sprintf("%.80q", received)
 	}
 	return Whole, ""
 }
@@ -172,22 +172,22 @@
 	reader := bufio.NewReader(body)
 	var read strings.Builder
 	_, err := io.Copy(&read, reader)
-	var want strings.Builder
+	var expected strings.Builder
 	for number := 1; number <= streamEvents; number++ {
-		want.WriteString(eventText(id, number))
+		expected.WriteString(eventText(id, number))
 	}
 	events = strings.Count(read.String(), "\n\n")
 	switch {
-	case err != nil && strings.HasPrefix(want.String(), read.String()):
+	case err != nil && strings.HasPrefix(expected.String(), read.String()):
 		return Cut, err.Error(), events
-	case err == nil && read.String() == want.String():
+	case err == nil && read.String() == expected.String():
 		return Whole, "", events
 	}
 	return Wrong, fmt.Sprintf("error %v after %.200q", err, read.String()), events
 }
 
-// all returns the results of the calls that have ended so far.
-func (c *callers) all() []result {
+// snapshot returns the results of the calls that have ended so far.
+func (c *callers) snapshot() []result {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return append([]result(nil), c.results...)
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -16,11 +16,12 @@
 	"github.com/ravenway/ravenway/platform"
 )
 
-// judged returns a run without processes, with the results of calls that the checks are to judge.
-func judged(results ...result) *run {
+// runWithResults returns a run without processes, with the results of calls that the checks are to
+// judge.
+func runWithResults(results ...result) *run {
 	entry := &machine{name: "entry-0", host: "127.0.0.1"}
-	of := &fleet{truth: newTruth(), prepaid: map[string]uint64{}, wanted: firstConfiguration()}
-	r := &run{fleet: of, callers: newCallers(of, time.Now()), report: io.Discard, held: map[*machine]bool{}, endsBeforeQuarantine: map[Kind]int{}}
+	of := &fleet{truth: newTruth(), prepaid: map[string]uint64{}, desired: firstConfiguration()}
+	r := &run{fleet: of, callers: newCallers(of, time.Now()), report: io.Discard, held: map[*machine]bool{}, crashesBeforeQuarantine: map[Kind]int{}}
 	for _, one := range results {
 		one.entry = entry
 		r.callers.results = append(r.callers.results, one)
@@ -28,49 +29,49 @@
 	return r
 }
 
-func TestChecksNoticeBrokenPromises(t *testing.T) {
+func TestChecksDetectViolatedGuarantees(t *testing.T) {
 	for want, prepare := range map[string]func() *run{
-		"got a wrong answer":  func() *run { return judged(result{id: "x", kind: Safe, outcome: Wrong}) },
-		"ran 2 times":         func() *run { return ranTwice(judged(result{id: "x", kind: Once, outcome: Whole})) },
-		"was refused with":    func() *run { return ranTwice(judged(result{id: "x", kind: Safe, outcome: NotRun})) },
-		"tokens of 5 prepaid": overspent,
+		"got a wrong answer":  func() *run { return runWithResults(result{id: "x", kind: Safe, outcome: Wrong}) },
+		"ran 2 times":         func() *run { return withTwoRuns(runWithResults(result{id: "x", kind: Once, outcome: Whole})) },
+		"was refused with":    func() *run { return withTwoRuns(runWithResults(result{id: "x", kind: Safe, outcome: NotRun})) },
+		"tokens of 5 prepaid": runWithOverspentBudget,
 		"only 7 are charged or held": func() *run {
-			r := judged()
-			r.judgeLedger([]ledgerEntry{{tenant: "t", limit: 100, settled: 4, outstanding: 3, got: 8}})
+			r := runWithResults()
+			r.checkLedgerEntries([]ledgerEntry{{tenant: "t", limit: 100, settled: 4, outstanding: 3, received: 8}})
 			return r
 		},
 		"planned stop of entry-0": func() *run {
-			return ranTwice(judged(result{id: "x", kind: Resumable, outcome: Cut, stopping: true}))
+			return withTwoRuns(runWithResults(result{id: "x", kind: Resumable, outcome: Cut, isStopping: true}))
 		},
 	} {
 		r := prepare()
-		r.judge()
+		r.checkCalls()
 		_, err := r.summarize()
 		assert.Assert(t, errors.Is(err, ErrBroken) && strings.Contains(err.Error(), want), "%q: %v", want, err)
 	}
-	r := judged(result{id: "x", kind: Resumable, outcome: Cut, stopping: true, began: time.Second, ended: 2 * time.Second})
-	r.rough = []span{{from: 0, until: 1500 * time.Millisecond}}
-	ranTwice(r).judge()
+	r := runWithResults(result{id: "x", kind: Resumable, outcome: Cut, isStopping: true, startedAt: time.Second, endedAt: 2 * time.Second})
+	r.disruptiveSpans = []span{{from: 0, until: 1500 * time.Millisecond}}
+	withTwoRuns(r).checkCalls()
 	_, err := r.summarize()
 	assert.NilError(t, err, "a call that was cut near another fault is not counted against the planned stop")
 }
 
-func ranTwice(r *run) *run {
+func withTwoRuns(r *run) *run {
 	for range 2 {
-		r.fleet.truth.begin(standin.EngineRequest{ID: "x", Tenant: "t", TokensIn: 3})
+		r.fleet.truth.recordRun(standin.EngineRequest{ID: "x", Tenant: "t", TokensIn: 3})
 	}
 	return r
 }
 
-func overspent() *run {
-	r := judged()
+func runWithOverspentBudget() *run {
+	r := runWithResults()
 	r.fleet.prepaid["t"] = 5
-	r.fleet.truth.receive("t", 3)
-	r.fleet.truth.receive("t", 3)
+	r.fleet.truth.recordDelivery("t", 3)
+	r.fleet.truth.recordDelivery("t", 3)
 	return r
 }
 
-func TestStreamsAreHeldAgainstTheOnlyRightOne(t *testing.T) {
+func TestStreamsOtherThanTheExpectedOneAreWrong(t *testing.T) {
 	var whole strings.Builder
 	for number := 1; number <= streamEvents; number++ {
 		whole.WriteString(eventText("x", number))
@@ -120,53 +121,53 @@
 	}
 	assert.Assert(t, echoes(5*time.Second))
 	for _, mode := range []RelayMode{Silent, OneWay} {
-		relay.set(mode)
+		relay.setMode(mode)
 		assert.Assert(t, !echoes(200*time.Millisecond), "%s", mode)
-		relay.set(Passing)
+		relay.setMode(Passing)
 		// The delayed byte is delivered now, and the next one too.
 		_ = connection.SetReadDeadline(time.Now().Add(5 * time.Second))
 		_, err := io.ReadFull(connection, make([]byte, 1))
 		assert.NilError(t, err)
 		assert.Assert(t, echoes(5*time.Second))
 	}
-	relay.set(Resetting)
+	relay.setMode(Resetting)
 	assert.Assert(t, !echoes(5*time.Second))
 }
 
-func TestChecksNoticeRequestsInAPauseAndAfterLeaving(t *testing.T) {
+func TestChecksDetectRequestsInAPauseAndAfterAShutdownAnnouncement(t *testing.T) {
 	entry := &machine{name: "entry-0"}
 	for want, prepare := range map[string]func(e *engine){
 		"in a pause": func(e *engine) {
 			e.backoff.pause = time.Minute
-			e.refuses(http.Header{}, "x")
-			e.limit.began = e.limit.began.Add(-time.Second)
+			e.recordAndReject(http.Header{}, "x")
+			e.limit.startedAt = e.limit.startedAt.Add(-time.Second)
 			for range 3 {
-				e.refuses(http.Header{}, "x")
+				e.recordAndReject(http.Header{}, "x")
 			}
 		},
 		"had announced its shutdown": func(e *engine) {
-			e.backoff.isLeaving = true
-			e.refuses(http.Header{}, "x")
-			e.limit.began = e.limit.began.Add(-3 * time.Second)
-			e.refuses(http.Header{}, "x")
+			e.backoff.isShuttingDown = true
+			e.recordAndReject(http.Header{}, "x")
+			e.limit.startedAt = e.limit.startedAt.Add(-3 * time.Second)
+			e.recordAndReject(http.Header{}, "x")
 		},
 	} {
-		r := judged()
-		r.fleet.truth.senders.note("x", entry)
-		one := &engine{wire: platform.StandIn{}, truth: r.fleet.truth, limit: limitRecord{began: time.Now()}}
-		r.fleet.everyLife = append(r.fleet.everyLife, one)
+		r := runWithResults()
+		r.fleet.truth.senders.record("x", entry)
+		one := &engine{wire: platform.StandIn{}, truth: r.fleet.truth, limit: limitRecord{startedAt: time.Now()}}
+		r.fleet.allIncarnations = append(r.fleet.allIncarnations, one)
 		prepare(one)
 		r.checkBackoff()
-		assert.Equal(t, len(r.broken), 1, "%v", r.broken)
-		assert.Assert(t, strings.Contains(r.broken[0], want) && strings.Contains(r.broken[0], "entry-0/0"), "%q", r.broken)
+		assert.Equal(t, len(r.violations), 1, "%v", r.violations)
+		assert.Assert(t, strings.Contains(r.violations[0], want) && strings.Contains(r.violations[0], "entry-0/0"), "%q", r.violations)
 	}
 }
 
 // A process that was restarted or suspended can't know of a pause that was requested before, so it
 // counts as another sender and its requests don't break the earlier pause.
-func TestProcessThatStoodStillIsAnotherSender(t *testing.T) {
+func TestSuspendedProcessCountsAsAnotherSender(t *testing.T) {
 	entry, of := &machine{name: "entry-0"}, &senders{machines: map[string]*machine{}}
-	of.note("x", entry)
+	of.record("x", entry)
 	before := of.of("x")
 	entry.signal(syscall.SIGSTOP)
 	assert.Equal(t, of.of("x"), before)
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -19,9 +19,9 @@
 	// eventTokens is the number of tokens in an event of a stream.
 	eventTokens = 2
 	// streamEvents is the length of each stream.
-	streamEvents = 8
-	eventPause   = 40 * time.Millisecond
-	plainWork    = 15 * time.Millisecond
+	streamEvents  = 8
+	eventInterval = 40 * time.Millisecond
+	plainDuration = 15 * time.Millisecond
 )
 
 // Truth records what the engines really ran and what the callers received, independently of the
@@ -34,42 +34,42 @@
 	// tokens counts what the callers of each tenant received: for a stream of which at least one
 	// event arrived, the prompt once and each event.
 	tokens map[string]uint64
-	// poisonEnds counts the engines that each poison request crashed.
-	poisonEnds map[string]int
+	// poisonCrashes counts the engines that each poison request crashed.
+	poisonCrashes map[string]int
 	// senders maps each request to the entry node that sends it.
 	senders senders
 }
 
 func newTruth() *Truth {
-	return &Truth{runs: map[string]int{}, plainRuns: map[string]int{}, tokens: map[string]uint64{}, poisonEnds: map[string]int{}, senders: senders{machines: map[string]*machine{}}}
+	return &Truth{runs: map[string]int{}, plainRuns: map[string]int{}, tokens: map[string]uint64{}, poisonCrashes: map[string]int{}, senders: senders{machines: map[string]*machine{}}}
 }
 
-func (t *Truth) endedBy(request string) {
+func (t *Truth) recordPoisonCrash(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.poisonEnds[request]++
+	t.poisonCrashes[request]++
 }
 
 // PoisonEnds returns how many engines a request has crashed.
 func (t *Truth) PoisonEnds(request string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.poisonEnds[request]
+	return t.poisonCrashes[request]
 }
 
-func (t *Truth) begin(request standin.EngineRequest) {
+func (t *Truth) recordRun(request standin.EngineRequest) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.runs[request.ID]++
 }
 
-func (t *Truth) receive(tenant string, tokens uint64) {
+func (t *Truth) recordDelivery(tenant string, tokens uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tokens[tenant] += tokens
 }
 
-func (t *Truth) beginPlain(version string) {
+func (t *Truth) recordPlainRun(version string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.plainRuns[version]++
@@ -110,24 +110,24 @@
 	server *http.Server
 	mutex  sync.Mutex
 	state  registry.State
-	// fails makes the engine fail each plain call.
-	fails bool
+	// failsPlainCalls makes the engine fail each plain call.
+	failsPlainCalls bool
 	// limit holds the rate limits that the engine named, and the requests that it received.
 	limit limitRecord
 	// backoff holds the pauses that the engine requested, and the requests that it received.
 	backoff backoffRecord
-	// end crashes the engine because of a poison request with this body.
-	end func(ended *engine, body string)
+	// crashByPoison crashes the engine because of a poison request with this body.
+	crashByPoison func(ended *engine, body string)
 }
 
-// startEngine starts an engine that listens on the instance's address. If fails is set, it fails
-// each plain call.
-func startEngine(instance registry.Instance, wire standin.Wire, truth *Truth, fails bool, end func(*engine, string)) (*engine, error) {
+// startEngine starts an engine that listens on the instance's address. If failsPlainCalls is set,
+// it fails each plain call.
+func startEngine(instance registry.Instance, wire standin.Wire, truth *Truth, failsPlainCalls bool, crashByPoison func(*engine, string)) (*engine, error) {
 	listener, err := net.Listen("tcp", instance.Address)
 	if err != nil {
 		return nil, fmt.Errorf("starting engine %s: %w", instance.ID, err)
 	}
-	made := &engine{Instance: instance, wire: wire, truth: truth, state: registry.Ready, fails: fails, end: end, limit: limitRecord{began: time.Now()}}
+	made := &engine{Instance: instance, wire: wire, truth: truth, state: registry.Ready, failsPlainCalls: failsPlainCalls, crashByPoison: crashByPoison, limit: limitRecord{startedAt: time.Now()}}
 	made.server = &http.Server{Handler: made}
 	go func() { _ = made.server.Serve(listener) }()
 	return made, nil
@@ -150,9 +150,9 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.Sequence++
-	said := e.Instance
-	said.State = e.state
-	return said
+	beat := e.Instance
+	beat.State = e.state
+	return beat
 }
 
 // ServeHTTP implements http.Handler.
@@ -167,28 +167,28 @@
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.refuses(writer.Header(), request.ID) {
-		e.noteArrival(writer.Header(), true)
+	if e.recordAndReject(writer.Header(), request.ID) {
+		e.recordArrival(writer.Header(), true)
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	isFailure := e.fails && request.TokensIn == 0
-	e.noteArrival(writer.Header(), isFailure)
-	e.truth.begin(request)
-	if strings.HasPrefix(string(body), poisonBody) {
+	isFailure := e.failsPlainCalls && request.TokensIn == 0
+	e.recordArrival(writer.Header(), isFailure)
+	e.truth.recordRun(request)
+	if strings.HasPrefix(string(body), poisonBodyPrefix) {
 		writer.Header().Set("Content-Type", "text/event-stream")
 		writer.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(writer).Flush()
-		time.Sleep(poisonLeast + rand.N(poisonMost-poisonLeast))
-		e.end(e, string(body))
+		time.Sleep(minimumPoisonRun + rand.N(maximumPoisonRun-minimumPoisonRun))
+		e.crashByPoison(e, string(body))
 		panic(http.ErrAbortHandler)
 	}
 	if request.TokensIn > 0 {
 		e.stream(writer, incoming, request)
 		return
 	}
-	e.truth.beginPlain(e.Version)
-	time.Sleep(plainWork)
+	e.truth.recordPlainRun(e.Version)
+	time.Sleep(plainDuration)
 	if isFailure {
 		writer.WriteHeader(http.StatusInternalServerError)
 	}
@@ -207,7 +207,7 @@
 	writer.Header().Set("Content-Type", "text/event-stream")
 	for number := request.After + 1; number <= streamEvents; number++ {
 		select {
-		case <-time.After(eventPause):
+		case <-time.After(eventInterval):
 		case <-incoming.Context().Done():
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -12,42 +12,42 @@
 
 // fault is one kind of fault. play injects it and repairs it before it returns.
 type fault struct {
-	name string
-	play func(ctx context.Context, run *run, random *rand.Rand)
+	name   string
+	inject func(ctx context.Context, run *run, random *rand.Rand)
 }
 
 const (
-	shortestFault = 300 * time.Millisecond
-	longestFault  = 3 * time.Second
-	faultPause    = 700 * time.Millisecond
-	// diskPause is the minimum time between two lost disks: a replica counts towards the quorum
-	// only after it holds the log again.
-	diskPause = 6 * time.Second
-	drainTime = 1500 * time.Millisecond
+	shortestFault     = 300 * time.Millisecond
+	longestFault      = 3 * time.Second
+	meanFaultInterval = 700 * time.Millisecond
+	// minimumDiskLossInterval is the minimum time between two lost disks: a replica counts towards
+	// the quorum only after it holds the log again.
+	minimumDiskLossInterval = 6 * time.Second
+	drainTime               = 1500 * time.Millisecond
 )
 
-func lasting(random *rand.Rand) time.Duration {
+func randomFaultDuration(random *rand.Rand) time.Duration {
 	return shortestFault + time.Duration(random.Int64N(int64(longestFault-shortestFault)))
 }
 
 // faults are all kinds of faults. They are injected by concurrent series, so that they overlap.
 var faults = []fault{
 	{"kill_entry", func(ctx context.Context, r *run, random *rand.Rand) {
-		r.bounce(ctx, r.pick(random, false), lasting(random), false)
+		r.killAndRestart(ctx, r.pick(random, false), randomFaultDuration(random), false)
 	}},
 	{"kill_control", func(ctx context.Context, r *run, random *rand.Rand) {
-		r.bounce(ctx, r.pick(random, true), lasting(random), false)
+		r.killAndRestart(ctx, r.pick(random, true), randomFaultDuration(random), false)
 	}},
 	{"kill_all_controls", func(ctx context.Context, r *run, random *rand.Rand) {
-		r.bounceAll(ctx, lasting(random), func(one *machine) bool { return one.control })
+		r.killAndRestartAll(ctx, randomFaultDuration(random), func(one *machine) bool { return one.isControl })
 	}},
 	{"lose_disk", func(ctx context.Context, r *run, random *rand.Rand) {
-		r.loseDisk(ctx, r.pick(random, true), lasting(random))
+		r.loseDisk(ctx, r.pick(random, true), randomFaultDuration(random))
 	}},
 	{"pause", func(ctx context.Context, r *run, random *rand.Rand) {
 		one := r.fleet.members[random.IntN(len(r.fleet.members))]
 		one.signal(syscall.SIGSTOP)
-		pause.For(ctx, lasting(random))
+		pause.For(ctx, randomFaultDuration(random))
 		one.signal(syscall.SIGCONT)
 	}},
 	{"planned_stop", func(ctx context.Context, r *run, random *rand.Rand) { r.plannedStop(ctx, r.pick(random, false)) }},
@@ -55,38 +55,38 @@
 	{"relay", func(ctx context.Context, r *run, random *rand.Rand) {
 		one := r.fleet.members[random.IntN(len(r.fleet.members))]
 		mode := RelayMode(1 + random.IntN(int(Resetting)))
-		r.note("relay of %s: %s", one.name, mode)
-		one.relay.set(mode)
-		pause.For(ctx, lasting(random))
-		one.relay.set(Passing)
+		r.reportf("relay of %s: %s", one.name, mode)
+		one.relay.setMode(mode)
+		pause.For(ctx, randomFaultDuration(random))
+		one.relay.setMode(Passing)
 	}},
 	{"cut_core", func(ctx context.Context, r *run, random *rand.Rand) {
-		for _, one := range r.fleet.members[:controls] {
-			one.relay.set(Silent)
+		for _, one := range r.fleet.members[:controlCount] {
+			one.relay.setMode(Silent)
 		}
-		pause.For(ctx, 2*lasting(random))
-		for _, one := range r.fleet.members[:controls] {
-			one.relay.set(Passing)
+		pause.For(ctx, 2*randomFaultDuration(random))
+		for _, one := range r.fleet.members[:controlCount] {
+			one.relay.setMode(Passing)
 		}
 	}},
 	{"crash_engine", func(ctx context.Context, r *run, random *rand.Rand) {
-		r.replaceEngine(ctx, random.IntN(6), lasting(random), false)
+		r.replaceEngine(ctx, random.IntN(6), randomFaultDuration(random), false)
 	}},
 	{"drain_engine", func(ctx context.Context, r *run, random *rand.Rand) {
 		r.replaceEngine(ctx, random.IntN(6), drainTime, true)
 	}},
 	{"configuration", func(ctx context.Context, r *run, random *rand.Rand) {
-		r.fleet.change(random.IntN(100))
-		_ = r.fleet.waitFor(ctx, 15*time.Second, "an acknowledgement", func() bool { return r.fleet.order(ctx) })
+		r.fleet.changeConfiguration(random.IntN(100))
+		_ = r.fleet.waitFor(ctx, 15*time.Second, "an acknowledgement", func() bool { return r.fleet.sendConfiguration(ctx) })
 	}},
 }
 
 // pick draws a machine of a role.
 func (r *run) pick(random *rand.Rand, control bool) *machine {
 	if control {
-		return r.fleet.members[random.IntN(controls)]
+		return r.fleet.members[random.IntN(controlCount)]
 	}
-	return r.fleet.members[controls+random.IntN(len(r.fleet.members)-controls)]
+	return r.fleet.members[controlCount+random.IntN(len(r.fleet.members)-controlCount)]
 }
 
 // hold reserves a machine's process for one fault and reports whether it was free.
@@ -106,31 +106,32 @@
 	delete(r.held, one)
 }
 
-func (r *run) startAgain(one *machine) {
+func (r *run) restart(one *machine) {
 	if err := one.start(r.fleet.wire, r.fleet.seeds, false); err != nil {
-		r.breaks("%s does not start: %v", one.name, err)
+		r.violationf("%s does not start: %v", one.name, err)
 	}
 }
 
-// bounce kills a process and starts it again after a time, with an empty disk if wipe is set.
-func (r *run) bounce(ctx context.Context, one *machine, down time.Duration, wipe bool) {
+// killAndRestart kills a process and starts it again after a time, with an empty disk if wipe is
+// set.
+func (r *run) killAndRestart(ctx context.Context, one *machine, down time.Duration, wipe bool) {
 	if !r.hold(one) {
 		return
 	}
 	defer r.release(one)
-	r.note("kill %s, wipe %v, for %d ms", one.name, wipe, down.Milliseconds())
+	r.reportf("kill %s, wipe %v, for %d ms", one.name, wipe, down.Milliseconds())
 	one.kill()
 	if wipe {
-		if err := one.wipe(); err != nil {
-			r.breaks("%v", err)
+		if err := one.wipeDisk(); err != nil {
+			r.violationf("%v", err)
 		}
 	}
 	pause.For(ctx, down)
-	r.startAgain(one)
+	r.restart(one)
 }
 
-// bounceAll kills all processes that match at the same time.
-func (r *run) bounceAll(ctx context.Context, down time.Duration, matches func(*machine) bool) {
+// killAndRestartAll kills all processes that match at the same time.
+func (r *run) killAndRestartAll(ctx context.Context, down time.Duration, matches func(*machine) bool) {
 	var held []*machine
 	for _, one := range r.fleet.members {
 		if matches(one) && r.hold(one) {
@@ -139,11 +140,11 @@
 			one.signal(syscall.SIGKILL)
 		}
 	}
-	r.note("kill %d processes at the same time for %d ms", len(held), down.Milliseconds())
+	r.reportf("kill %d processes at the same time for %d ms", len(held), down.Milliseconds())
 	pause.For(ctx, down)
 	for _, one := range held {
-		one.waitEnd(time.Minute)
-		r.startAgain(one)
+		one.waitForExit(time.Minute)
+		r.restart(one)
 		r.release(one)
 	}
 }
@@ -152,13 +153,13 @@
 // other process is down.
 func (r *run) loseDisk(ctx context.Context, one *machine, down time.Duration) {
 	r.mutex.Lock()
-	allowed := time.Since(r.diskLostAt) > diskPause && len(r.held) == 0
+	allowed := time.Since(r.diskLostAt) > minimumDiskLossInterval && len(r.held) == 0
 	if allowed {
 		r.diskLostAt = time.Now().Add(down)
 	}
 	r.mutex.Unlock()
 	if allowed {
-		r.bounce(ctx, one, down, true)
+		r.killAndRestart(ctx, one, down, true)
 	}
 }
 
@@ -168,13 +169,13 @@
 		return
 	}
 	defer r.release(one)
-	r.note("planned stop of %s", one.name)
+	r.reportf("planned stop of %s", one.name)
 	one.signal(syscall.SIGTERM)
-	if !one.waitEnd(stopGrace) {
-		r.note("%s did not exit within its grace period; killing it", one.name)
+	if !one.waitForExit(stopGrace) {
+		r.reportf("%s did not exit within its grace period; killing it", one.name)
 		one.kill()
 	}
-	r.startAgain(one)
+	r.restart(one)
 }
 
 // replaceEngine ends an engine, with or without a drain, and starts another one at its address.
@@ -189,7 +190,7 @@
 	if old == nil {
 		return
 	}
-	r.note("engine %s ends, drains %v", old.ID, drains)
+	r.reportf("engine %s ends, drains %v", old.ID, drains)
 	if drains {
 		old.setState(registry.Draining)
 		pause.For(ctx, lasts+callTimeout/2)
@@ -206,6 +207,6 @@
 	old.crash()
 	pause.For(ctx, lasts)
 	if err := r.fleet.addEngine(old.Service, place, ""); err != nil {
-		r.breaks("%v", err)
+		r.violationf("%v", err)
 	}
 }
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -21,20 +21,20 @@
 )
 
 const (
-	serviceModel  = "model"
-	servicePlain  = "plain"
-	callHost      = "soak.example"
-	controls      = 3
-	beatInterval  = 400 * time.Millisecond
-	callTimeout   = 5 * time.Second
-	controlWait   = time.Second
-	tenants       = 3
-	firstPrepaid  = 40_000
-	topUp         = 15_000
-	fileMode      = 0o600
-	folderMode    = 0o700
-	peerKeyLength = 48
-	firstLane     = 10
+	serviceModel      = "model"
+	servicePlain      = "plain"
+	callHost          = "soak.example"
+	controlCount      = 3
+	heartbeatInterval = 400 * time.Millisecond
+	callTimeout       = 5 * time.Second
+	controlWait       = time.Second
+	tenantCount       = 3
+	firstPrepaid      = 40_000
+	prepaidIncrement  = 15_000
+	fileMode          = 0o600
+	directoryMode     = 0o700
+	peerKeyLength     = 48
+	firstLane         = 10
 )
 
 var zones = []string{"a", "b", "c"}
@@ -51,20 +51,22 @@
 	seeds   []string
 	members []*machine
 
-	mutex   sync.Mutex
-	engines map[string]*engine
-	lives   int
-	// everyLife holds all incarnations of engines since the start of the run.
-	everyLife []*engine
+	mutex            sync.Mutex
+	engines          map[string]*engine
+	incarnationCount int
+	// allIncarnations holds all incarnations of engines since the start of the run.
+	allIncarnations []*engine
 	// plainVersion is the version of new engines of the plain service.
 	plainVersion string
-	// began is the start of the run; rough are the spans in which poison requests crashed engines.
-	began time.Time
-	rough []span
-	// isClosed prevents further starts of engines; failed is the error of the first failed start.
-	isClosed bool
-	failed   error
-	wanted   *document.Document
+	// startedAt is the start of the run; crashSpans are the spans in which poison requests crashed
+	// engines.
+	startedAt  time.Time
+	crashSpans []span
+	// isClosed prevents further starts of engines; firstError is the error of the first failed
+	// start.
+	isClosed   bool
+	firstError error
+	desired    *document.Document
 	// acknowledged is the highest acknowledged version of the configuration.
 	acknowledged uint64
 	// prepaid is the highest prepaid budget, in tokens, that was ever sent for each tenant.
@@ -86,9 +88,9 @@
 	if err := os.WriteFile(filepath.Join(options.Folder, "peer.key"), key, fileMode); err != nil {
 		return nil, err
 	}
-	for number := range controls + options.Entries {
-		one := &machine{name: fmt.Sprintf("entry-%d", number-controls), zone: zones[number%len(zones)], control: number < controls}
-		if one.control {
+	for number := range controlCount + options.Entries {
+		one := &machine{name: fmt.Sprintf("entry-%d", number-controlCount), zone: zones[number%len(zones)], isControl: number < controlCount}
+		if one.isControl {
 			one.name = fmt.Sprintf("control-%d", number)
 		}
 		one.host = fmt.Sprintf("127.%d.1.%d", firstLane+options.Lane, number+1)
@@ -96,15 +98,15 @@
 		if one.daemon = options.Daemon; options.Earlier != "" {
 			one.daemon = options.Earlier
 		}
-		if err := os.MkdirAll(one.folder, folderMode); err != nil {
+		if err := os.MkdirAll(one.folder, directoryMode); err != nil {
 			return nil, err
 		}
-		if one.control {
+		if one.isControl {
 			made.seeds = append(made.seeds, one.address(controlPort))
 		}
 		made.members = append(made.members, one)
 	}
-	made.wanted = firstConfiguration()
+	made.desired = firstConfiguration()
 	return made, nil
 }
 
@@ -125,7 +127,7 @@
 			{Name: servicePlain, MaxConnections: 200}, {Name: serviceModel, MaxConnections: 200, Slots: 64, CacheTokens: 1 << 20, EventTokens: eventTokens},
 		},
 	}
-	for number := range tenants {
+	for number := range tenantCount {
 		name := fmt.Sprintf("tenant-%d", number)
 		wanted.Tenants = append(wanted.Tenants, document.Tenant{Name: name, Keys: []string{keyPrefix + name}, Prepaid: firstPrepaid, HasPrepaid: true})
 	}
@@ -155,7 +157,7 @@
 		}
 	}
 	return f.waitFor(ctx, 20*time.Second, "the first configuration and ready entries", func() bool {
-		return f.order(ctx) && f.allReady()
+		return f.sendConfiguration(ctx) && f.allReady()
 	})
 }
 
@@ -168,60 +170,61 @@
 	if service == servicePlain {
 		version = f.plainVersion
 	}
-	return f.startAt(service, version, place, id, false)
+	return f.startEngineLocked(service, version, place, id, false)
 }
 
-// addVersion starts an engine of a version, which fails all plain calls if fails is set.
-func (f *fleet) addVersion(service, version string, place int, fails bool) error {
+// addEngineOfVersion starts an engine of a version, which fails all plain calls if fails is set.
+func (f *fleet) addEngineOfVersion(service, version string, place int, fails bool) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.startAt(service, version, place, "", fails)
+	return f.startEngineLocked(service, version, place, "", fails)
 }
 
-// startAt starts an engine. The caller holds the mutex.
-func (f *fleet) startAt(service, version string, place int, id string, fails bool) error {
+// startEngineLocked starts an engine. The caller holds the mutex.
+func (f *fleet) startEngineLocked(service, version string, place int, id string, fails bool) error {
 	if f.isClosed {
 		return nil
 	}
-	f.lives++
+	f.incarnationCount++
 	name := placeName(place)
 	if id == "" {
-		id = fmt.Sprintf("i-%d-%d", place, f.lives)
+		id = fmt.Sprintf("i-%d-%d", place, f.incarnationCount)
 	}
 	host := fmt.Sprintf("127.%d.2.%d", firstLane+f.lane, place+1)
 	started, err := startEngine(registry.Instance{
 		ID: id, Born: time.Now().UnixMilli(), Service: service, Address: net.JoinHostPort(host, fmt.Sprint(enginePort)),
 		Zone: zones[place%len(zones)], Version: version, Slots: 64,
-	}, f.wire, f.truth, fails, func(ended *engine, body string) { f.endBy(ended, place, body) })
+	}, f.wire, f.truth, fails, func(ended *engine, body string) { f.crashByPoison(ended, place, body) })
 	if err != nil {
 		return err
 	}
 	f.engines[name] = started
-	f.everyLife = append(f.everyLife, started)
+	f.allIncarnations = append(f.allIncarnations, started)
 	return nil
 }
 
-// beat sends the heartbeats of all engines, each to the first control node that accepts it.
-func (f *fleet) beat(ctx context.Context) {
+// sendHeartbeats sends the heartbeats of all engines, each to the first control node that accepts
+// it.
+func (f *fleet) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mutex.Lock()
-		var said []registry.Instance
+		var heartbeats []registry.Instance
 		for _, one := range f.engines {
-			said = append(said, one.heartbeat())
+			heartbeats = append(heartbeats, one.heartbeat())
 		}
 		f.mutex.Unlock()
-		for _, instance := range said {
+		for _, instance := range heartbeats {
 			path, body := f.wire.Heartbeat(instance)
 			go f.callControl(ctx, http.MethodPut, path, body)
 		}
-		pause.For(ctx, beatInterval)
+		pause.For(ctx, heartbeatInterval)
 	}
 }
 
-// callControl calls the control nodes in a random order until one responds with status 200.
+// callControl calls the control nodes in a random order deadline one responds with status 200.
 func (f *fleet) callControl(ctx context.Context, method, path string, body []byte) ([]byte, bool) {
-	for _, position := range rand.Perm(controls) {
-		answer, status := f.callOne(ctx, f.members[position], method, path, body)
+	for _, position := range rand.Perm(controlCount) {
+		answer, status := f.callControlNode(ctx, f.members[position], method, path, body)
 		if status == http.StatusOK {
 			return answer, true
 		}
@@ -229,7 +232,7 @@
 	return nil, false
 }
 
-func (f *fleet) callOne(ctx context.Context, one *machine, method, path string, body []byte) ([]byte, int) {
+func (f *fleet) callControlNode(ctx context.Context, one *machine, method, path string, body []byte) ([]byte, int) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+one.address(controlPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0
@@ -246,27 +249,28 @@
 	return answer, response.StatusCode
 }
 
-// change makes a new version of the configuration with more prepaid tokens for one tenant.
-func (f *fleet) change(number int) {
+// changeConfiguration makes a new version of the configuration with more prepaid tokens for one
+// tenant.
+func (f *fleet) changeConfiguration(number int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	changed := *f.wanted
+	changed := *f.desired
 	changed.Version += 1 + uint64(number%3)
 	changed.Tenants = append([]document.Tenant(nil), changed.Tenants...)
-	changed.Tenants[number%len(changed.Tenants)].Prepaid += topUp
-	f.wanted = &changed
+	changed.Tenants[number%len(changed.Tenants)].Prepaid += prepaidIncrement
+	f.desired = &changed
 }
 
-// order sends the newest configuration and reports whether it was acknowledged.
-func (f *fleet) order(ctx context.Context) bool {
+// sendConfiguration sends the newest configuration and reports whether it was acknowledged.
+func (f *fleet) sendConfiguration(ctx context.Context) bool {
 	f.mutex.Lock()
-	wanted := f.wanted
+	wanted := f.desired
 	for _, tenant := range wanted.Tenants {
 		f.prepaid[tenant.Name] = max(f.prepaid[tenant.Name], tenant.Prepaid)
 	}
 	f.mutex.Unlock()
 	path, body := f.wire.Configuration(wanted)
-	if _, taken := f.callControl(ctx, http.MethodPut, path, body); !taken {
+	if _, accepted := f.callControl(ctx, http.MethodPut, path, body); !accepted {
 		return false
 	}
 	f.mutex.Lock()
@@ -275,10 +279,10 @@
 	return true
 }
 
-// readBack reads the configuration and returns what is wrong with it, or "".
-func (f *fleet) readBack(ctx context.Context) string {
+// checkConfiguration reads the configuration and returns what is wrong with it, or "".
+func (f *fleet) checkConfiguration(ctx context.Context) string {
 	f.mutex.Lock()
-	wanted, acknowledged := f.wanted, f.acknowledged
+	wanted, acknowledged := f.desired, f.acknowledged
 	f.mutex.Unlock()
 	path, sent := f.wire.Configuration(wanted)
 	read, found := f.callControl(ctx, http.MethodGet, path, nil)
@@ -293,7 +297,7 @@
 
 func (f *fleet) allReady() bool {
 	for _, one := range f.members {
-		if !one.control && !f.isReady(one) {
+		if !one.isControl && !f.isReady(one) {
 			return false
 		}
 	}
@@ -310,29 +314,29 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// serves reports whether a machine is in service: an entry node is ready, a control node returns
-// the configuration.
-func (f *fleet) serves(ctx context.Context, one *machine) bool {
-	if !one.control {
+// isInService reports whether a machine is in service: an entry node is ready, a control node
+// returns the configuration.
+func (f *fleet) isInService(ctx context.Context, one *machine) bool {
+	if !one.isControl {
 		return f.isReady(one)
 	}
 	f.mutex.Lock()
-	wanted := f.wanted
+	wanted := f.desired
 	f.mutex.Unlock()
 	path, _ := f.wire.Configuration(wanted)
-	_, status := f.callOne(ctx, one, http.MethodGet, path, nil)
+	_, status := f.callControlNode(ctx, one, http.MethodGet, path, nil)
 	return status == http.StatusOK
 }
 
-func (f *fleet) waitFor(ctx context.Context, longest time.Duration, what string, holds func() bool) error {
-	until := time.Now().Add(longest)
-	for time.Now().Before(until) && ctx.Err() == nil {
-		if holds() {
+func (f *fleet) waitFor(ctx context.Context, timeout time.Duration, what string, condition func() bool) error {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		if condition() {
 			return nil
 		}
 		pause.For(ctx, 50*time.Millisecond)
 	}
-	return fmt.Errorf("timed out after %s waiting for %s", longest, what)
+	return fmt.Errorf("timed out after %s waiting for %s", timeout, what)
 }
 
 // close ends all processes, relays and engines of this run, and only by the handles that the run
@@ -352,11 +356,11 @@
 	}
 }
 
-// fail records the first failed start of an engine outside the fault series.
-func (f *fleet) fail(err error) {
+// recordError records the first failed start of an engine outside the fault series.
+func (f *fleet) recordError(err error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.failed == nil {
-		f.failed = err
+	if f.firstError == nil {
+		f.firstError = err
 	}
 }
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -13,10 +13,11 @@
 )
 
 const (
-	// ledgerPoll is the time between two reads of the accounts.
-	ledgerPoll = time.Second
-	// ledgerWait is the maximum time that the accounts may take to settle after the last call.
-	ledgerWait = 10 * time.Second
+	// ledgerPollInterval is the time between two reads of the accounts.
+	ledgerPollInterval = time.Second
+	// maximumLedgerWait is the maximum time that the accounts may take to settle after the last
+	// call.
+	maximumLedgerWait = 10 * time.Second
 )
 
 // ledgerEntry compares what the control nodes charge a tenant with what its callers received, in
@@ -25,23 +26,23 @@
 	tenant string
 	limit  uint64
 	// settled is charged finally, outstanding is held by nodes, got was received by the callers.
-	settled, outstanding, got uint64
-	// endedUnheard is the part of settled that is charged for incarnations of entry nodes that
+	settled, outstanding, received uint64
+	// crashedUnreported is the part of settled that is charged for incarnations of entry nodes that
 	// crashed without a final report.
-	endedUnheard int64
+	crashedUnreported int64
 }
 
-// distance is the number of tokens charged beyond what the callers received, as a fraction of the
+// overcharge is the number of tokens charged beyond what the callers received, as a fraction of the
 // limit. It is negative if they received more.
-func (e ledgerEntry) distance() float64 {
-	return (float64(e.settled) - float64(e.got)) / float64(max(1, e.limit))
+func (e ledgerEntry) overcharge() float64 {
+	return (float64(e.settled) - float64(e.received)) / float64(max(1, e.limit))
 }
 
 // checkLedger waits until the accounts have settled, and compares them with what callers received.
 func (r *run) checkLedger(ctx context.Context) {
 	entries := r.fleet.readLedger(ctx)
-	for until := time.Now().Add(ledgerWait); time.Now().Before(until); {
-		pause.For(ctx, ledgerPoll)
+	for until := time.Now().Add(maximumLedgerWait); time.Now().Before(until); {
+		pause.For(ctx, ledgerPollInterval)
 		next := r.fleet.readLedger(ctx)
 		hasSettled := len(next) > 0 && slices.Equal(next, entries)
 		entries = next
@@ -50,20 +51,20 @@
 		}
 	}
 	if len(entries) == 0 {
-		r.breaks("no control node returned the accounts within %s", ledgerWait)
+		r.violationf("no control node returned the accounts within %s", maximumLedgerWait)
 	}
-	r.judgeLedger(entries)
+	r.checkLedgerEntries(entries)
 }
 
-// judgeLedger checks that each token that callers received is charged or held.
-func (r *run) judgeLedger(entries []ledgerEntry) {
+// checkLedgerEntries checks that each token that callers received is charged or held.
+func (r *run) checkLedgerEntries(entries []ledgerEntry) {
 	for _, one := range entries {
-		r.note("ledger: %s got %d tokens of %d, charged %d (%d of it for incarnations without a final report), held by nodes %d: %.4f of the limit charged without delivery",
-			one.tenant, one.got, one.limit, one.settled, one.endedUnheard, one.outstanding, one.distance())
-		if one.got > one.settled+one.outstanding {
-			r.breaks("%s got %d tokens, of which only %d are charged or held", one.tenant, one.got, one.settled+one.outstanding)
+		r.reportf("ledger: %s got %d tokens of %d, charged %d (%d of it for incarnations without a final report), held by nodes %d: %.4f of the limit charged without delivery",
+			one.tenant, one.received, one.limit, one.settled, one.crashedUnreported, one.outstanding, one.overcharge())
+		if one.received > one.settled+one.outstanding {
+			r.violationf("%s got %d tokens, of which only %d are charged or held", one.tenant, one.received, one.settled+one.outstanding)
 		}
-		r.ledgerDistance = max(r.ledgerDistance, one.distance())
+		r.ledgerOvercharge = max(r.ledgerOvercharge, one.overcharge())
 	}
 }
 
@@ -73,7 +74,7 @@
 	var newest []ledgerEntry
 	newestSettled := uint64(0)
 	for _, one := range f.members {
-		if !one.control {
+		if !one.isControl {
 			continue
 		}
 		entries, settled := f.readAccounts(ctx, one)
@@ -96,7 +97,7 @@
 	for _, budget := range answer.Msg.GetBudgets() {
 		entries = append(entries, ledgerEntry{
 			tenant: budget.GetTenant(), limit: budget.GetLimit(), settled: budget.GetSettled(), outstanding: budget.GetOutstanding(),
-			endedUnheard: budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole(), got: f.truth.Tokens(budget.GetTenant()),
+			crashedUnreported: budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole(), received: f.truth.Tokens(budget.GetTenant()),
 		})
 		settled += budget.GetSettled()
 	}
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -12,69 +12,69 @@
 )
 
 const (
-	// limitStream numbers the random stream of rate limits.
-	limitStream = 4000
+	// limitRandomStream numbers the random stream of rate limits.
+	limitRandomStream = 4000
 	// A limit is in effect for a while, may change halfway, and the next ones follow after up to
 	// limitPause.
-	limitLeast, limitMost = 5 * time.Second, 9 * time.Second
-	limitPause            = 2 * time.Second
+	minimumLimitTime, maximumLimitTime = 5 * time.Second, 9 * time.Second
+	maximumLimitInterval               = 2 * time.Second
 )
 
 // engineLimit is the rate limit that an overloaded engine names.
 type engineLimit struct {
 	value string
-	// perSecond is the value in requests per second, if isReadable is set.
-	perSecond  float64
-	isReadable bool
+	// perSecond is the value in requests per second, if isValid is set.
+	perSecond float64
+	isValid   bool
 }
 
-// engineLimits are valid values, unreadableLimits are malformed ones.
+// validLimits are valid values of the rate limit, malformedLimits are malformed ones.
 var (
-	engineLimits     = []engineLimit{{"0", 0, true}, {"0.5", 0.5, true}, {"1", 1, true}, {"2.5", 2.5, true}, {"8", 8, true}}
-	unreadableLimits = []engineLimit{{value: ""}, {value: "many"}, {value: "-1"}, {value: "NaN"}}
+	validLimits     = []engineLimit{{"0", 0, true}, {"0.5", 0.5, true}, {"1", 1, true}, {"2.5", 2.5, true}, {"8", 8, true}}
+	malformedLimits = []engineLimit{{value: ""}, {value: "many"}, {value: "-1"}, {value: "NaN"}}
 )
 
 // limitRecord holds the rate limits that one incarnation of an engine named, and the requests that
 // it received.
 type limitRecord struct {
 	limitcheck.Record
-	// began is the start time of the incarnation.
-	began time.Time
-	// named is the current limit, if isNamed is set.
-	named   engineLimit
-	isNamed bool
+	// startedAt is the start time of the incarnation.
+	startedAt time.Time
+	// current is the current limit, if hasCurrent is set.
+	current    engineLimit
+	hasCurrent bool
 }
 
 // nameLimit makes the engine name a rate limit in its responses.
 func (e *engine) nameLimit(named engineLimit) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.limit.named, e.limit.isNamed = named, true
+	e.limit.current, e.limit.hasCurrent = named, true
 }
 
 // endLimit makes the engine stop naming a rate limit.
 func (e *engine) endLimit() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.limit.isNamed = false
-	e.limit.End(time.Since(e.limit.began))
+	e.limit.hasCurrent = false
+	e.limit.End(time.Since(e.limit.startedAt))
 }
 
-// noteArrival records a request, and writes the rate limit into the response header. One in two
+// recordArrival records a request, and writes the rate limit into the response header. One in two
 // failure responses omits it.
-func (e *engine) noteArrival(header http.Header, isFailure bool) {
+func (e *engine) recordArrival(header http.Header, isFailure bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	now := time.Since(e.limit.began)
+	now := time.Since(e.limit.startedAt)
 	e.limit.Arrive(now)
-	if !e.limit.isNamed || isFailure && rand.IntN(2) == 0 {
+	if !e.limit.hasCurrent || isFailure && rand.IntN(2) == 0 {
 		return
 	}
-	named := e.limit.named
+	named := e.limit.current
 	for name, values := range e.wire.LimitHeader(named.value) {
 		header[name] = values
 	}
-	if named.isReadable {
+	if named.isValid {
 		e.limit.Name(now, named.perSecond)
 	}
 }
@@ -83,9 +83,9 @@
 // faults are injected.
 func (r *run) limitEngines(faulty context.Context, random *rand.Rand) {
 	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(limitPause))))
+		pause.For(faulty, time.Duration(random.Int64N(int64(maximumLimitInterval))))
 		limited := r.fleet.drawEngines(random)
-		lasting := limitLeast + time.Duration(random.Int64N(int64(limitMost-limitLeast)))
+		lasting := minimumLimitTime + time.Duration(random.Int64N(int64(maximumLimitTime-minimumLimitTime)))
 		r.nameLimits(limited, random)
 		pause.For(faulty, lasting/2)
 		if random.IntN(2) == 0 {
@@ -100,11 +100,11 @@
 
 func (r *run) nameLimits(limited []*engine, random *rand.Rand) {
 	for _, one := range limited {
-		named := engineLimits[random.IntN(len(engineLimits))]
+		named := validLimits[random.IntN(len(validLimits))]
 		if random.IntN(8) == 0 {
-			named = unreadableLimits[random.IntN(len(unreadableLimits))]
+			named = malformedLimits[random.IntN(len(malformedLimits))]
 		}
-		r.note("engine %s names the limit %q", one.ID, named.value)
+		r.reportf("engine %s names the limit %q", one.ID, named.value)
 		one.nameLimit(named)
 	}
 }
@@ -129,24 +129,24 @@
 // checkLimits compares the requests that engines received with the rate limits that they named.
 func (r *run) checkLimits() {
 	r.fleet.mutex.Lock()
-	lives := slices.Clone(r.fleet.everyLife)
+	incarnations := slices.Clone(r.fleet.allIncarnations)
 	r.fleet.mutex.Unlock()
-	limited, arrived, room, worst := 0, 0, 0.0, limitcheck.Use{}
-	for _, one := range lives {
+	limited, arrived, allowed, worst := 0, 0, 0.0, limitcheck.Use{}
+	for _, one := range incarnations {
 		one.mutex.Lock()
-		use := one.limit.Use(time.Since(one.limit.began))
+		use := one.limit.Use(time.Since(one.limit.startedAt))
 		one.mutex.Unlock()
 		if use.Room == 0 && use.Arrived == 0 {
 			continue
 		}
-		limited, arrived, room = limited+1, arrived+use.Arrived, room+use.Room
+		limited, arrived, allowed = limited+1, arrived+use.Arrived, allowed+use.Room
 		if use.Arrived > 0 {
 			worst.Note(use.Got, use.Allowed)
 		}
 		if use.Got > use.Allowed {
-			r.breaks("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Got, limitcheck.Window, use.Allowed)
+			r.violationf("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Got, limitcheck.Window, use.Allowed)
 		}
 	}
-	r.note("%d engines with limits got %d requests where the limits allowed %.0f; the fullest %s: %d, allowed %d",
-		limited, arrived, room, limitcheck.Window, worst.Got, worst.Allowed)
+	r.reportf("%d engines with limits got %d requests where the limits allowed %.0f; the fullest %s: %d, allowed %d",
+		limited, arrived, allowed, limitcheck.Window, worst.Got, worst.Allowed)
 }
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// poisonBody is the prefix of the bodies of poison requests, which crash each engine that starts
-	// them.
-	poisonBody = "poison "
-	// poisonPause is the mean time between two arrivals of the same request.
-	poisonPause = 250 * time.Millisecond
+	// poisonBodyPrefix is the prefix of the bodies of poison requests, which crash each engine that
+	// starts them.
+	poisonBodyPrefix = "poison "
+	// meanPoisonInterval is the mean time between two arrivals of the same request.
+	meanPoisonInterval = 250 * time.Millisecond
 	// An engine crashes this long after it started such a request, as it did in the incident.
-	poisonLeast, poisonMost = 34 * time.Millisecond, 113 * time.Millisecond
+	minimumPoisonRun, maximumPoisonRun = 34 * time.Millisecond, 113 * time.Millisecond
 	// The engine restarts after this time.
-	restartLeast, restartMost = 500 * time.Millisecond, 2 * time.Second
-	// mostPoisonEnds is the maximum number of engines that one such request may crash in a run:
-	// three, and some more on each side of a partition and while no node can receive the others'
-	// crash reports. Without a quarantine a request crashes 20 and more engines in 20 s.
-	mostPoisonEnds = 12
+	minimumRestartDelay, maximumRestartDelay = 500 * time.Millisecond, 2 * time.Second
+	// maximumPoisonCrashes is the maximum number of engines that one such request may crash in a
+	// run: three, and some more on each side of a partition and while no node can receive the
+	// others' crash reports. Without a quarantine a request crashes 20 and more engines in 20 s.
+	maximumPoisonCrashes = 12
 )
 
 // poisonKinds are the routes on which poison requests arrive, one request each.
@@ -36,37 +36,39 @@
 func (c *callers) sendPoison(ctx context.Context, kind Kind, random *rand.Rand) {
 	var entries []*machine
 	for _, one := range c.fleet.members {
-		if !one.control {
+		if !one.isControl {
 			entries = append(entries, one)
 		}
 	}
 	for number := 0; ctx.Err() == nil; number++ {
 		entry := entries[random.IntN(len(entries))]
 		call := standin.Call{
-			ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + "tenant-0", Wait: callTimeout, Part: "part-0", TokensIn: 1, TokensOut: mostOut,
+			ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + "tenant-0", Wait: callTimeout, Part: "part-0", TokensIn: 1, TokensOut: maximumOutputTokens,
 		}
-		c.running.Go(func() { _, _ = c.sendBody(context.WithoutCancel(ctx), kind, entry, call, poisonBody+string(kind)) })
-		pause.For(ctx, time.Duration(random.Int64N(int64(2*poisonPause))))
+		c.running.Go(func() {
+			_, _ = c.sendBody(context.WithoutCancel(ctx), kind, entry, call, poisonBodyPrefix+string(kind))
+		})
+		pause.For(ctx, time.Duration(random.Int64N(int64(2*meanPoisonInterval))))
 	}
 }
 
-// endBy crashes an engine because of a request that it has started, and restarts it later, under
-// its id or under a new one.
-func (f *fleet) endBy(ended *engine, place int, body string) {
+// crashByPoison crashes an engine because of a request that it has started, and restarts it later,
+// under its id or under a new one.
+func (f *fleet) crashByPoison(ended *engine, place int, body string) {
 	name := placeName(place)
 	f.mutex.Lock()
 	isCurrent := f.engines[name] == ended
 	if isCurrent {
 		delete(f.engines, name)
 	}
-	down := restartLeast + time.Duration(f.random.Int64N(int64(restartMost-restartLeast)))
+	down := minimumRestartDelay + time.Duration(f.random.Int64N(int64(maximumRestartDelay-minimumRestartDelay)))
 	keepsID := f.random.IntN(2) == 0
 	f.mutex.Unlock()
 	if !isCurrent {
 		return
 	}
-	f.truth.endedBy(strings.TrimPrefix(body, poisonBody))
-	f.noteEnd(down)
+	f.truth.recordPoisonCrash(strings.TrimPrefix(body, poisonBodyPrefix))
+	f.recordCrash(down)
 	ended.crash()
 	time.AfterFunc(down, func() {
 		id := ""
@@ -74,42 +76,42 @@
 			id = ended.ID
 		}
 		if err := f.addEngine(ended.Service, place, id); err != nil {
-			f.fail(err)
+			f.recordError(err)
 		}
 	})
 }
 
-// noteEnd records the span of an engine's crash, which cuts all requests in flight there, as a
+// recordCrash records the span of an engine's crash, which cuts all requests in flight there, as a
 // crash by an injected fault does.
-func (f *fleet) noteEnd(down time.Duration) {
-	from := time.Since(f.began)
+func (f *fleet) recordCrash(down time.Duration) {
+	from := time.Since(f.startedAt)
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.rough = append(f.rough, span{from: from, until: from + down + roughMargin})
+	f.crashSpans = append(f.crashSpans, span{from: from, until: from + down + disruptionMargin})
 }
 
-// roughSpans returns the spans of the engines' crashes.
-func (f *fleet) roughSpans() []span {
+// copyCrashSpans returns the spans of the engines' crashes.
+func (f *fleet) copyCrashSpans() []span {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return slices.Clone(f.rough)
+	return slices.Clone(f.crashSpans)
 }
 
-// noteQuarantine records that all nodes run a build with a quarantine from now on. Crashes from
-// before don't count.
-func (r *run) noteQuarantine() {
+// recordQuarantineStart records that all nodes run a build with a quarantine from now on. Crashes
+// from before don't count.
+func (r *run) recordQuarantineStart() {
 	for _, kind := range poisonKinds {
-		r.endsBeforeQuarantine[kind] = r.fleet.truth.PoisonEnds(string(kind))
+		r.crashesBeforeQuarantine[kind] = r.fleet.truth.PoisonEnds(string(kind))
 	}
 }
 
 // checkPoison compares the number of engines that each request crashed with the bound.
 func (r *run) checkPoison() {
 	for _, kind := range poisonKinds {
-		ends := r.fleet.truth.PoisonEnds(string(kind)) - r.endsBeforeQuarantine[kind]
-		r.note("%d engines crashed by the %s request, %d more before all nodes had a quarantine", ends, kind, r.endsBeforeQuarantine[kind])
-		if ends > mostPoisonEnds {
-			r.breaks("%d engines crashed by one request (%s), allowed %d", ends, kind, mostPoisonEnds)
+		ends := r.fleet.truth.PoisonEnds(string(kind)) - r.crashesBeforeQuarantine[kind]
+		r.reportf("%d engines crashed by the %s request, %d more before all nodes had a quarantine", ends, kind, r.crashesBeforeQuarantine[kind])
+		if ends > maximumPoisonCrashes {
+			r.violationf("%d engines crashed by one request (%s), allowed %d", ends, kind, maximumPoisonCrashes)
 		}
 	}
 }
--- a/internal/lab/soak/process.go
+++ b/internal/lab/soak/process.go
@@ -33,12 +33,12 @@
 // machine is the host of one node: its address, its disk if it has one, and the process that runs
 // there.
 type machine struct {
-	name    string
-	host    string
-	zone    string
-	control bool
-	folder  string
-	relay   *relay
+	name      string
+	host      string
+	zone      string
+	isControl bool
+	folder    string
+	relay     *relay
 	// daemon is the program that starts here next. It is changed only while the machine is held.
 	daemon string
 
@@ -47,16 +47,16 @@
 	ended   chan struct{}
 	// epoch counts how often the process was started or resumed after a suspension.
 	epoch atomic.Int64
-	// stopping reports whether a planned stop was requested.
-	stopping bool
+	// isStopping reports whether a planned stop was requested.
+	isStopping bool
 }
 
 func (m *machine) address(port int) string { return net.JoinHostPort(m.host, strconv.Itoa(port)) }
 
-// settings writes the daemon's settings file.
-func (m *machine) settings(wire standin.Wire, seeds []string, firstStart bool) (string, error) {
+// writeSettings writes the daemon's settings file.
+func (m *machine) writeSettings(wire standin.Wire, seeds []string, firstStart bool) (string, error) {
 	role, listeners := "entry", fmt.Sprintf("callers = %q\nready = %q\n", m.address(callersPort), m.address(readyPort))
-	if m.control {
+	if m.isControl {
 		role = "control"
 		listeners = fmt.Sprintf("control = %q\n[control]\ndata_dir = %q\n", m.address(controlPort), filepath.Join(m.folder, "data"))
 	}
@@ -93,7 +93,7 @@
 
 // start runs the daemon and appends its log to the machine's.
 func (m *machine) start(wire standin.Wire, seeds []string, firstStart bool) error {
-	path, err := m.settings(wire, seeds, firstStart)
+	path, err := m.writeSettings(wire, seeds, firstStart)
 	if err != nil {
 		return err
 	}
@@ -116,7 +116,7 @@
 	}()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.command, m.ended, m.stopping = command, ended, false
+	m.command, m.ended, m.isStopping = command, ended, false
 	return nil
 }
 
@@ -127,13 +127,13 @@
 	if signal == syscall.SIGCONT {
 		m.epoch.Add(1)
 	}
-	if m.command != nil && m.runs() {
-		m.stopping = m.stopping || signal == syscall.SIGTERM
+	if m.command != nil && m.isRunning() {
+		m.isStopping = m.isStopping || signal == syscall.SIGTERM
 		_ = m.command.Process.Signal(signal)
 	}
 }
 
-func (m *machine) runs() bool {
+func (m *machine) isRunning() bool {
 	select {
 	case <-m.ended:
 		return false
@@ -146,11 +146,11 @@
 func (m *machine) kill() {
 	m.signal(syscall.SIGCONT)
 	m.signal(syscall.SIGKILL)
-	m.waitEnd(time.Minute)
+	m.waitForExit(time.Minute)
 }
 
-// waitEnd waits for the end of the process and reports whether it ended in time.
-func (m *machine) waitEnd(longest time.Duration) bool {
+// waitForExit waits for the end of the process and reports whether it ended in time.
+func (m *machine) waitForExit(timeout time.Duration) bool {
 	m.mutex.Lock()
 	ended := m.ended
 	m.mutex.Unlock()
@@ -160,10 +160,10 @@
 	select {
 	case <-ended:
 		return true
-	case <-time.After(longest):
+	case <-time.After(timeout):
 		return false
 	}
 }
 
-// wipe empties the disk of a machine whose process has ended.
-func (m *machine) wipe() error { return os.RemoveAll(filepath.Join(m.folder, "data")) }
+// wipeDisk empties the disk of a machine whose process has ended.
+func (m *machine) wipeDisk() error { return os.RemoveAll(filepath.Join(m.folder, "data")) }
--- a/internal/lab/soak/relay.go
+++ b/internal/lab/soak/relay.go
@@ -31,10 +31,10 @@
 }
 
 const (
-	slowPause = 60 * time.Millisecond
-	// silentPoll is the time between two checks whether held bytes may be forwarded.
-	silentPoll = 10 * time.Millisecond
-	pieceBytes = 32 << 10
+	slowDelay = 60 * time.Millisecond
+	// blockedPollInterval is the time between two checks whether held bytes may be forwarded.
+	blockedPollInterval = 10 * time.Millisecond
+	pieceBytes          = 32 << 10
 )
 
 // relay is a TCP proxy in front of one node's peer listener.
@@ -58,10 +58,10 @@
 
 func (r *relay) close() {
 	_ = r.listener.Close()
-	r.set(Resetting)
+	r.setMode(Resetting)
 }
 
-func (r *relay) set(mode RelayMode) {
+func (r *relay) setMode(mode RelayMode) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.mode = mode
@@ -81,7 +81,7 @@
 	_ = connection.Close()
 }
 
-func (r *relay) current() RelayMode {
+func (r *relay) currentMode() RelayMode {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.mode
@@ -98,7 +98,7 @@
 }
 
 func (r *relay) serve(outside net.Conn) {
-	if r.current() == Resetting {
+	if r.currentMode() == Resetting {
 		reset(outside)
 		return
 	}
@@ -111,8 +111,8 @@
 	r.open[outside], r.open[inside] = struct{}{}, struct{}{}
 	r.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { r.pass(inside, outside, true) })
-	both.Go(func() { r.pass(outside, inside, false) })
+	both.Go(func() { r.forward(inside, outside, true) })
+	both.Go(func() { r.forward(outside, inside, false) })
 	both.Wait()
 	r.mutex.Lock()
 	delete(r.open, outside)
@@ -120,17 +120,17 @@
 	r.mutex.Unlock()
 }
 
-// pass forwards bytes in one direction until either end closes.
-func (r *relay) pass(to, from net.Conn, towardsNode bool) {
+// forward forwards bytes in one direction until either end closes.
+func (r *relay) forward(to, from net.Conn, towardsNode bool) {
 	defer to.Close()
 	piece := make([]byte, pieceBytes)
 	for {
 		count, err := from.Read(piece)
-		for r.holds(towardsNode) {
-			time.Sleep(silentPoll)
+		for r.isBlocked(towardsNode) {
+			time.Sleep(blockedPollInterval)
 		}
-		if r.current() == Slow {
-			time.Sleep(slowPause)
+		if r.currentMode() == Slow {
+			time.Sleep(slowDelay)
 		}
 		if count > 0 {
 			if _, writeErr := to.Write(piece[:count]); writeErr != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (r *relay) holds(towardsNode bool) bool {
-	mode := r.current()
+func (r *relay) isBlocked(towardsNode bool) bool {
+	mode := r.currentMode()
 	return mode == Silent || mode == OneWay && towardsNode
 }
--- a/internal/lab/soak/rollout.go
+++ b/internal/lab/soak/rollout.go
@@ -15,58 +15,58 @@
 	// version of all engines.
 	oldVersion, newVersion = "v1", "v2"
 	// The new version's engines run at newPlaces places from firstNewPlace, after the others'.
-	firstNewPlace, newPlaces = 6, 3
-	rolloutDuration          = 8 * time.Second
-	// rolloutWait is the maximum wait for the end of the rollout: faults repeatedly stop or
+	firstNewPlace, newPlaceCount = 6, 3
+	rolloutDuration              = 8 * time.Second
+	// maximumRolloutWait is the maximum wait for the end of the rollout: faults repeatedly stop or
 	// partition the control nodes for seconds.
-	rolloutWait = 25 * time.Second
+	maximumRolloutWait = 25 * time.Second
 	// A bad version may get a tenth of the service's requests plus 50.
 	exposureShare, exposureSlack = 0.1, 50
-	// rolloutStream numbers the random stream of rollouts.
-	rolloutStream = 3000
+	// rolloutRandomStream numbers the random stream of rollouts.
+	rolloutRandomStream = 3000
 )
 
 // rollout orders a rollout of the plain service to a version that is good or bad by the seed, while
 // faults are injected, and ends the engines of the version that the outcome leaves unused.
 func (r *run) rollout(ctx context.Context, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, rolloutStream))
+	random := rand.New(rand.NewPCG(seed, rolloutRandomStream))
 	isBad := random.IntN(2) == 0
 	pause.For(ctx, time.Duration(random.Int64N(int64(2*time.Second))))
 	before := r.fleet.truth.RunsOf("")
-	if err := r.fleet.waitFor(ctx, rolloutWait, "a response to the order for a rollout", func() bool { return r.fleet.orderRollout(ctx) }); err != nil {
-		r.breaks("%v", err)
+	if err := r.fleet.waitFor(ctx, maximumRolloutWait, "a response to the order for a rollout", func() bool { return r.fleet.orderRollout(ctx) }); err != nil {
+		r.violationf("%v", err)
 		return
 	}
-	for place := firstNewPlace; place < firstNewPlace+newPlaces; place++ {
-		if err := r.fleet.addVersion(servicePlain, newVersion, place, isBad); err != nil {
-			r.breaks("%v", err)
+	for place := firstNewPlace; place < firstNewPlace+newPlaceCount; place++ {
+		if err := r.fleet.addEngineOfVersion(servicePlain, newVersion, place, isBad); err != nil {
+			r.violationf("%v", err)
 		}
 	}
 	state := standin.RolloutRunning
-	err := r.fleet.waitFor(ctx, rolloutWait, "the end of a rollout", func() bool {
+	err := r.fleet.waitFor(ctx, maximumRolloutWait, "the end of a rollout", func() bool {
 		state = r.fleet.rolloutState(ctx)
 		return state == standin.RolloutDone || state == standin.RolloutRolledBack
 	})
 	if err != nil {
-		r.breaks("%v", err)
+		r.violationf("%v", err)
 	}
 	all, toNew := r.fleet.truth.RunsOf("")-before, r.fleet.truth.RunsOf(newVersion)
-	r.note("rollout of a version that is bad %v: %s, %d of %d runs", isBad, state, toNew, all)
+	r.reportf("rollout of a version that is bad %v: %s, %d of %d runs", isBad, state, toNew, all)
 	switch {
 	case isBad && state == standin.RolloutDone:
-		r.breaks("a version whose responses all fail was rolled out")
+		r.violationf("a version whose responses all fail was rolled out")
 	case isBad && float64(toNew) > exposureShare*float64(all)+exposureSlack:
-		r.breaks("a bad version got %d of %d requests", toNew, all)
+		r.violationf("a bad version got %d of %d requests", toNew, all)
 	}
-	r.fleet.endVersion(state == standin.RolloutDone)
+	r.fleet.endUnusedVersion(state == standin.RolloutDone)
 }
 
 // orderRollout sends the order and reports whether it was acknowledged, as new or as already in
 // progress (409).
 func (f *fleet) orderRollout(ctx context.Context) bool {
 	path, body := f.wire.Rollout(servicePlain, newVersion, rolloutDuration)
-	for _, position := range rand.Perm(controls) {
-		_, status := f.callOne(ctx, f.members[position], http.MethodPost, path, body)
+	for _, position := range rand.Perm(controlCount) {
+		_, status := f.callControlNode(ctx, f.members[position], http.MethodPost, path, body)
 		if status == http.StatusOK || status == http.StatusConflict {
 			return true
 		}
@@ -83,9 +83,9 @@
 	return f.wire.ReadRollout(answer)
 }
 
-// endVersion ends the engines that get no more requests after the rollout, without a drain: the old
-// version's if it is done, else the new version's.
-func (f *fleet) endVersion(isDone bool) {
+// endUnusedVersion ends the engines that get no more requests after the rollout, without a drain:
+// the old version's if it is done, else the new version's.
+func (f *fleet) endUnusedVersion(isDone bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if isDone {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -56,8 +56,8 @@
 	Calls    int
 	Outcomes map[Outcome]int
 	Faults   int
-	// CutByStops counts calls that had run and were cut while a planned stop of their entry node was
-	// the only fault in progress.
+	// CutByStops counts calls that had run and were cut while a planned stop of their entry node
+	// was the only fault in progress.
 	CutByStops int
 	// LedgerDistance is the maximum over the tenants of what is charged beyond what the callers
 	// received, as a fraction of the limit.
@@ -67,39 +67,39 @@
 
 // run is the state of a run with one seed.
 type run struct {
-	fleet   *fleet
-	callers *callers
-	began   time.Time
-	// isUpgrade reports whether the machines are upgraded during the run.
-	isUpgrade bool
-	// endsBeforeQuarantine counts the engines that each request crashed before all nodes had a build
-	// with a quarantine.
-	endsBeforeQuarantine map[Kind]int
+	fleet     *fleet
+	callers   *callers
+	startedAt time.Time
+	// isUpgraded reports whether the machines are upgraded during the run.
+	isUpgraded bool
+	// crashesBeforeQuarantine counts the engines that each request crashed before all nodes had a
+	// build with a quarantine.
+	crashesBeforeQuarantine map[Kind]int
 
 	mutex      sync.Mutex
 	report     io.Writer
-	broken     []string
-	played     int
+	violations []string
+	injected   int
 	held       map[*machine]bool
 	diskLostAt time.Time
-	// rough are the spans in which a fault other than a planned stop was injected.
-	rough []span
-	// ledgerDistance is the maximum over the tenants.
-	ledgerDistance float64
+	// disruptiveSpans are the spans in which a fault other than a planned stop was injected.
+	disruptiveSpans []span
+	// ledgerOvercharge is the maximum over the tenants.
+	ledgerOvercharge float64
 }
 
 type span struct{ from, until time.Duration }
 
 const (
-	series       = 2
-	settleTime   = 3 * time.Second
-	recoverWait  = 15 * time.Second
-	roughMargin  = 2 * time.Second
-	leastServed  = 0.25
-	finalDown    = time.Second
-	recoveryTime = 4 * time.Second
-	// poisonStream numbers the first of the random streams of poison requests.
-	poisonStream = 1000
+	seriesCount         = 2
+	settleTime          = 3 * time.Second
+	maximumRecoveryWait = 15 * time.Second
+	disruptionMargin    = 2 * time.Second
+	minimumServedShare  = 0.25
+	finalDowntime       = time.Second
+	recoveryTime        = 4 * time.Second
+	// poisonRandomStream numbers the first of the random streams of poison requests.
+	poisonRandomStream = 1000
 )
 
 func placeName(place int) string { return fmt.Sprintf("place-%d", place) }
@@ -123,24 +123,24 @@
 	}
 	defer made.close()
 	began := time.Now()
-	made.began = began
-	r := &run{fleet: made, callers: newCallers(made, began), began: began, report: options.Report, held: map[*machine]bool{}, isUpgrade: options.Earlier != "", endsBeforeQuarantine: map[Kind]int{}}
-	r.note("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.Length)
+	made.startedAt = began
+	r := &run{fleet: made, callers: newCallers(made, began), startedAt: began, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.Earlier != "", crashesBeforeQuarantine: map[Kind]int{}}
+	r.reportf("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.Length)
 	background, stopBackground := context.WithCancel(ctx)
 	defer stopBackground()
-	go made.beat(background)
+	go made.sendHeartbeats(background)
 	if err := made.start(ctx); err != nil {
 		return Summary{}, err
 	}
-	r.note("all entry nodes are ready")
-	r.play(ctx, options)
+	r.reportf("all entry nodes are ready")
+	r.runFaults(ctx, options)
 	r.check(ctx)
 	return r.summarize()
 }
 
-// play sends calls while concurrent series inject faults, then kills all processes at the same time
-// and lets the fleet recover.
-func (r *run) play(ctx context.Context, options Options) {
+// runFaults sends calls while concurrent series inject faults, then kills all processes at the same
+// time and lets the fleet recover.
+func (r *run) runFaults(ctx context.Context, options Options) {
 	calling, stopCalling := context.WithCancel(ctx)
 	var called sync.WaitGroup
 	called.Go(func() { r.callers.run(calling, rand.New(rand.NewPCG(options.Seed, 2))) })
@@ -150,7 +150,7 @@
 			break
 		}
 		called.Go(func() {
-			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonStream+uint64(number))))
+			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonRandomStream+uint64(number))))
 		})
 	}
 	faulty, stopFaults := context.WithTimeout(ctx, options.Length)
@@ -161,59 +161,59 @@
 	}
 	if options.Earlier == "" && options.Length > 0 {
 		playing.Go(func() { r.rollout(ctx, options.Seed) })
-		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitStream))) })
-		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffStream))) })
+		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
+		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
 	}
-	for number := range series {
-		playing.Go(func() { r.playSeries(ctx, faulty, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
+	for number := range seriesCount {
+		playing.Go(func() { r.runFaultSeries(ctx, faulty, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
 	}
 	playing.Wait()
-	r.rougher(func() { r.bounceAll(ctx, finalDown, func(*machine) bool { return true }) })
-	r.noteRecovery(ctx)
+	r.injectDisruptive(func() { r.killAndRestartAll(ctx, finalDowntime, func(*machine) bool { return true }) })
+	r.checkRecovery(ctx)
 	stopCalling()
 	called.Wait()
 }
 
-func (r *run) playSeries(ctx, faulty context.Context, random *rand.Rand) {
+func (r *run) runFaultSeries(ctx, faulty context.Context, random *rand.Rand) {
 	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(2*faultPause))))
+		pause.For(faulty, time.Duration(random.Int64N(int64(2*meanFaultInterval))))
 		one := faults[random.IntN(len(faults))]
-		if r.isUpgrade && !isUpgradeFault(one.name) {
+		if r.isUpgraded && !isUpgradeFault(one.name) {
 			continue
 		}
-		r.note("fault %s", one.name)
+		r.reportf("fault %s", one.name)
 		if strings.HasPrefix(one.name, "planned_stop") || one.name == "configuration" || one.name == "drain_engine" {
-			one.play(ctx, r, random)
+			one.inject(ctx, r, random)
 		} else {
-			r.rougher(func() { one.play(ctx, r, random) })
+			r.injectDisruptive(func() { one.inject(ctx, r, random) })
 		}
 		r.mutex.Lock()
-		r.played++
+		r.injected++
 		r.mutex.Unlock()
 	}
 }
 
-// rougher injects a fault that may cut requests and records its span.
-func (r *run) rougher(play func()) {
-	from := time.Since(r.began)
-	play()
+// injectDisruptive injects a fault that may cut requests and records its span.
+func (r *run) injectDisruptive(inject func()) {
+	from := time.Since(r.startedAt)
+	inject()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.rough = append(r.rough, span{from: from, until: time.Since(r.began) + roughMargin})
+	r.disruptiveSpans = append(r.disruptiveSpans, span{from: from, until: time.Since(r.startedAt) + disruptionMargin})
 }
 
-// noteRecovery waits until entry nodes are ready again, and checks that calls are served.
-func (r *run) noteRecovery(ctx context.Context) {
-	err := r.fleet.waitFor(ctx, recoverWait, "ready entries after the last fault", r.fleet.allReady)
+// checkRecovery waits until entry nodes are ready again, and checks that calls are served.
+func (r *run) checkRecovery(ctx context.Context) {
+	err := r.fleet.waitFor(ctx, maximumRecoveryWait, "ready entries after the last fault", r.fleet.allReady)
 	if err != nil {
-		r.breaks("%v", err)
+		r.violationf("%v", err)
 	}
 	pause.For(ctx, recoveryTime)
-	from := time.Since(r.began)
+	from := time.Since(r.startedAt)
 	pause.For(ctx, settleTime)
 	served, sent := 0, 0
-	for _, one := range r.callers.all() {
-		if one.began < from || one.kind == Stream || one.kind == Resumable {
+	for _, one := range r.callers.snapshot() {
+		if one.startedAt < from || one.kind == Stream || one.kind == Resumable {
 			// The tenants of streams may have used up their tokens by then.
 			continue
 		}
@@ -222,89 +222,89 @@
 			served++
 		}
 	}
-	r.note("after the last fault %d of %d plain calls are served", served, sent)
-	if float64(served) < leastServed*float64(sent) || sent == 0 {
-		r.breaks("recovery: %d of %d plain calls are served", served, sent)
+	r.reportf("after the last fault %d of %d plain calls are served", served, sent)
+	if float64(served) < minimumServedShare*float64(sent) || sent == 0 {
+		r.violationf("recovery: %d of %d plain calls are served", served, sent)
 	}
 }
 
 // check runs all checks, and compares the configuration that the fleet returns with the one sent.
 func (r *run) check(ctx context.Context) {
-	r.judge()
+	r.checkCalls()
 	r.checkPoison()
 	r.checkLimits()
 	r.checkBackoff()
 	wrong := ""
-	if err := r.fleet.waitFor(ctx, recoverWait, "the configuration", func() bool {
-		wrong = r.fleet.readBack(ctx)
+	if err := r.fleet.waitFor(ctx, maximumRecoveryWait, "the configuration", func() bool {
+		wrong = r.fleet.checkConfiguration(ctx)
 		return wrong == ""
 	}); err != nil {
-		r.breaks("%v: %s", err, wrong)
+		r.violationf("%v: %s", err, wrong)
 	}
 	r.checkLedger(ctx)
 }
 
-// judge compares what callers saw with what engines ran.
-func (r *run) judge() {
-	for _, one := range r.callers.all() {
+// checkCalls compares what callers saw with what engines ran.
+func (r *run) checkCalls() {
+	for _, one := range r.callers.snapshot() {
 		runs := r.fleet.truth.Runs(one.id)
 		switch {
 		case one.outcome == Wrong:
-			r.breaks("call %s (%s) at %s got a wrong answer: %s", one.id, one.kind, one.entry.name, one.detail)
+			r.violationf("call %s (%s) at %s got a wrong answer: %s", one.id, one.kind, one.entry.name, one.detail)
 		case one.outcome == NotRun && runs > 0:
-			r.breaks("call %s (%s) at %s was refused with %s and ran %d times", one.id, one.kind, one.entry.name, one.detail, runs)
+			r.violationf("call %s (%s) at %s was refused with %s and ran %d times", one.id, one.kind, one.entry.name, one.detail, runs)
 		case runs > 1 && (one.kind == Once || one.kind == Stream):
-			r.breaks("call %s (%s) ran %d times", one.id, one.kind, runs)
+			r.violationf("call %s (%s) ran %d times", one.id, one.kind, runs)
 		}
 	}
 	for tenant, prepaid := range r.fleet.prepaid {
 		if used := r.fleet.truth.Tokens(tenant); used > prepaid {
-			r.breaks("%s got %d tokens of %d prepaid", tenant, used, prepaid)
+			r.violationf("%s got %d tokens of %d prepaid", tenant, used, prepaid)
 		}
 	}
 }
 
 func (r *run) summarize() (Summary, error) {
 	summary := Summary{Outcomes: map[Outcome]int{}}
-	for _, one := range r.callers.all() {
+	for _, one := range r.callers.snapshot() {
 		summary.Calls++
 		summary.Outcomes[one.outcome]++
-		if one.outcome == Cut && one.stopping && r.fleet.truth.Runs(one.id) > 0 && !r.isRough(one) {
+		if one.outcome == Cut && one.isStopping && r.fleet.truth.Runs(one.id) > 0 && !r.wasDisrupted(one) {
 			summary.CutByStops++
-			r.breaks("call %s (%s) was cut by the planned stop of %s: %s", one.id, one.kind, one.entry.name, one.detail)
+			r.violationf("call %s (%s) was cut by the planned stop of %s: %s", one.id, one.kind, one.entry.name, one.detail)
 		}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	summary.Faults, summary.Broken, summary.LedgerDistance = r.played, r.broken, r.ledgerDistance
-	if len(r.broken) > 0 {
-		return summary, fmt.Errorf("%w: %s", ErrBroken, strings.Join(r.broken, "; "))
+	summary.Faults, summary.Broken, summary.LedgerDistance = r.injected, r.violations, r.ledgerOvercharge
+	if len(r.violations) > 0 {
+		return summary, fmt.Errorf("%w: %s", ErrBroken, strings.Join(r.violations, "; "))
 	}
 	return summary, nil
 }
 
-// isRough reports whether a fault other than a planned stop was in progress near a call.
-func (r *run) isRough(one result) bool {
+// wasDisrupted reports whether a fault other than a planned stop was in progress near a call.
+func (r *run) wasDisrupted(one result) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, rough := range append(r.fleet.roughSpans(), r.rough...) {
-		if one.began <= rough.until && one.ended >= rough.from {
+	for _, disrupted := range append(r.fleet.copyCrashSpans(), r.disruptiveSpans...) {
+		if one.startedAt <= disrupted.until && one.endedAt >= disrupted.from {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *run) note(format string, arguments ...any) {
+func (r *run) reportf(format string, arguments ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, _ = fmt.Fprintf(r.report, "%8.3f  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, arguments...))
+	_, _ = fmt.Fprintf(r.report, "%8.3f  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-func (r *run) breaks(format string, arguments ...any) {
+func (r *run) violationf(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	r.note("BROKEN: %s", text)
+	r.reportf("BROKEN: %s", text)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.broken = append(r.broken, text)
+	r.violations = append(r.violations, text)
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -25,7 +25,7 @@
 
 // A short run of real processes with a fixed seed: overlapping series of faults, and all processes
 // killed at the end.
-func TestPromisesHoldForRealProcessesUnderFaults(t *testing.T) {
+func TestGuaranteesHoldForRealProcessesUnderFaults(t *testing.T) {
 	t.Parallel()
 	daemon := buildDaemon(t)
 	folder := t.TempDir()
--- a/internal/lab/soak/upgrade.go
+++ b/internal/lab/soak/upgrade.go
@@ -36,27 +36,27 @@
 }
 
 const (
-	// replacePause is the time between a machine's return to service and the next one's stop: a
+	// replaceInterval is the time between a machine's return to service and the next one's stop: a
 	// control node counts towards the quorum only after it holds the log again.
-	replacePause = time.Second
-	// replaceWait is the maximum wait for a replaced machine.
-	replaceWait = 15 * time.Second
-	// changePause is the time between the operator's changes during an upgrade.
-	changePause = 700 * time.Millisecond
+	replaceInterval = time.Second
+	// maximumReplaceWait is the maximum wait for a replaced machine.
+	maximumReplaceWait = 15 * time.Second
+	// changeInterval is the time between the operator's changes during an upgrade.
+	changeInterval = 700 * time.Millisecond
 	// servedWindow is the length of the windows whose calls are compared.
 	servedWindow = time.Second
 	// An upgrade may leave as many calls unserved as the same stops with a single build, plus these
 	// fractions for chance: a window contains about 40 plain calls, and where few fail one in ten
 	// of them is two standard deviations.
-	moreUnserved, moreUnservedInWindow = 0.02, 0.15
-	// upgradeStream numbers the random stream of upgrades.
-	upgradeStream = 2000
+	unservedTolerance, windowUnservedTolerance = 0.02, 0.15
+	// upgradeRandomStream numbers the random stream of upgrades.
+	upgradeRandomStream = 2000
 )
 
 // upgrade restarts all machines with the new build, one after the other, and then once more with
 // the same build, and compares the calls of the first round with the second's.
 func (r *run) upgrade(ctx context.Context, options Options) {
-	random := rand.New(rand.NewPCG(options.Seed, upgradeStream))
+	random := rand.New(rand.NewPCG(options.Seed, upgradeRandomStream))
 	changing, stopChanging := context.WithCancel(ctx)
 	changed := make(chan struct{})
 	go func() {
@@ -71,7 +71,7 @@
 	}
 	mixed := r.replaceAll(ctx, machines, options.Daemon, "upgrade")
 	if !options.EarlierHasQuarantine {
-		r.noteQuarantine()
+		r.recordQuarantineStart()
 	}
 	same := r.replaceAll(ctx, machines, options.Daemon, "restart")
 	stopChanging()
@@ -87,10 +87,10 @@
 	random.Shuffle(len(sorted), func(one, other int) { sorted[one], sorted[other] = sorted[other], sorted[one] })
 	if order != MixedOrder {
 		slices.SortStableFunc(sorted, func(one, other *machine) int {
-			if one.control == other.control {
+			if one.isControl == other.isControl {
 				return 0
 			}
-			if one.control == (order == ControlFirst) {
+			if one.isControl == (order == ControlFirst) {
 				return -1
 			}
 			return 1
@@ -102,26 +102,26 @@
 // replaceAll stops machines with SIGTERM, one after the other, and starts each with a build. It
 // returns the span of the round.
 func (r *run) replaceAll(ctx context.Context, machines []*machine, daemon, name string) span {
-	round := span{from: time.Since(r.began)}
+	round := span{from: time.Since(r.startedAt)}
 	for _, one := range machines {
 		for !r.hold(one) && ctx.Err() == nil {
-			pause.For(ctx, silentPoll)
+			pause.For(ctx, blockedPollInterval)
 		}
-		r.note("%s: planned stop of %s", name, one.name)
+		r.reportf("%s: planned stop of %s", name, one.name)
 		one.signal(syscall.SIGTERM)
-		if !one.waitEnd(stopGrace) {
-			r.note("%s did not exit within its grace period; killing it", one.name)
+		if !one.waitForExit(stopGrace) {
+			r.reportf("%s did not exit within its grace period; killing it", one.name)
 			one.kill()
 		}
 		one.daemon = daemon
-		r.startAgain(one)
+		r.restart(one)
 		r.release(one)
-		if err := r.fleet.waitFor(ctx, replaceWait, one.name+" in service", func() bool { return r.fleet.serves(ctx, one) }); err != nil {
-			r.breaks("%s: %v", name, err)
+		if err := r.fleet.waitFor(ctx, maximumReplaceWait, one.name+" in service", func() bool { return r.fleet.isInService(ctx, one) }); err != nil {
+			r.violationf("%s: %v", name, err)
 		}
-		pause.For(ctx, replacePause)
+		pause.For(ctx, replaceInterval)
 	}
-	round.until = time.Since(r.began)
+	round.until = time.Since(r.startedAt)
 	return round
 }
 
@@ -129,12 +129,12 @@
 // one.
 func (r *run) keepChanging(ctx context.Context) {
 	for number := 0; ctx.Err() == nil; number++ {
-		r.fleet.change(number)
-		err := r.fleet.waitFor(ctx, replaceWait, "an acknowledgement", func() bool { return r.fleet.order(ctx) })
+		r.fleet.changeConfiguration(number)
+		err := r.fleet.waitFor(ctx, maximumReplaceWait, "an acknowledgement", func() bool { return r.fleet.sendConfiguration(ctx) })
 		if err != nil && ctx.Err() == nil {
-			r.breaks("%v", err)
+			r.violationf("%v", err)
 		}
-		pause.For(ctx, changePause)
+		pause.For(ctx, changeInterval)
 	}
 }
 
@@ -142,33 +142,33 @@
 // up their tokens.
 type round struct {
 	sent, unserved int
-	// worst is the maximum fraction of unserved calls in any window.
-	worst float64
+	// worstWindow is the maximum fraction of unserved calls in any window.
+	worstWindow float64
 }
 
 func (r *run) countRound(during span) round {
 	var total round
 	windows := map[time.Duration]round{}
-	for _, one := range r.callers.all() {
-		if one.began < during.from || one.began > during.until || one.kind == Stream || one.kind == Resumable {
+	for _, one := range r.callers.snapshot() {
+		if one.startedAt < during.from || one.startedAt > during.until || one.kind == Stream || one.kind == Resumable {
 			continue
 		}
-		window := windows[one.began/servedWindow]
+		window := windows[one.startedAt/servedWindow]
 		window.sent++
 		total.sent++
 		if one.outcome != Whole {
 			window.unserved++
 			total.unserved++
 		}
-		windows[one.began/servedWindow] = window
+		windows[one.startedAt/servedWindow] = window
 	}
 	for _, window := range windows {
-		total.worst = max(total.worst, window.share())
+		total.worstWindow = max(total.worstWindow, window.unservedShare())
 	}
 	return total
 }
 
-func (r round) share() float64 {
+func (r round) unservedShare() float64 {
 	if r.sent == 0 {
 		return 0
 	}
@@ -176,18 +176,18 @@
 }
 
 func (r round) String() string {
-	return fmt.Sprintf("%d of %d plain calls unserved, at most %.3f of a second's", r.unserved, r.sent, r.worst)
+	return fmt.Sprintf("%d of %d plain calls unserved, at most %.3f of a second's", r.unserved, r.sent, r.worstWindow)
 }
 
 // compareRounds compares an upgrade with the same stops of one build.
 func (r *run) compareRounds(mixed, same span) {
 	upgraded, restarted := r.countRound(mixed), r.countRound(same)
-	r.note("upgrade: %s; restart of one build: %s", upgraded, restarted)
+	r.reportf("upgrade: %s; restart of one build: %s", upgraded, restarted)
 	if upgraded.sent == 0 || restarted.sent == 0 {
-		r.breaks("no plain calls during the upgrade or the restart")
+		r.violationf("no plain calls during the upgrade or the restart")
 	}
-	if upgraded.share() > restarted.share()+moreUnserved || upgraded.worst > restarted.worst+moreUnservedInWindow {
-		r.breaks("an upgrade serves worse than a restart of one build: %s; %s", upgraded, restarted)
+	if upgraded.unservedShare() > restarted.unservedShare()+unservedTolerance || upgraded.worstWindow > restarted.worstWindow+windowUnservedTolerance {
+		r.violationf("an upgrade serves worse than a restart of one build: %s; %s", upgraded, restarted)
 	}
 }
 
--- a/internal/lab/soak/upgrade_test.go
+++ b/internal/lab/soak/upgrade_test.go
@@ -37,11 +37,11 @@
 	return program
 }
 
-// Guards against an upgrade that refuses calls while nodes of two builds run together: no more calls
-// may be left unserved than when nodes of one build are restarted. Before messages were decoded by
-// their fields' names, the two builds could not read each other's hello, and one in five calls was
-// refused in the worst seconds.
-func TestFleetIsUpgradedWithoutAStop(t *testing.T) {
+// Guards against an upgrade that refuses calls while nodes of two builds run together: no more
+// calls may be left unserved than when nodes of one build are restarted. Before messages were
+// decoded by their fields' names, the two builds could not read each other's hello, and one in five
+// calls was refused in the worst seconds.
+func TestFleetIsUpgradedWithoutDowntime(t *testing.T) {
 	t.Parallel()
 	daemon, earlier := buildDaemon(t), buildEarlierDaemon(t, earliestBuild)
 	folder := t.TempDir()
