--- a/internal/lab/emulator/cache.go
+++ b/internal/lab/emulator/cache.go
@@ -7,11 +7,11 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// eventsKept bounds the cache events that can still be asked for.
+// eventsKept is the number of cache events that are kept for readers.
 const eventsKept = 8192
 
-// prefixCache is a bounded cache of prompt blocks that publishes what enters
-// and leaves it, late and with gaps.
+// prefixCache is a bounded LRU cache of prompt blocks. It publishes insertions and evictions as
+// events, with a lag and with gaps.
 type prefixCache struct {
 	options EngineOptions
 	order   *list.List
@@ -31,7 +31,7 @@
 
 func (c *prefixCache) length() int { return c.order.Len() }
 
-// use returns how many leading blocks of a prompt are cached, and caches all.
+// use returns how many leading blocks of a prompt are cached, and caches all of its blocks.
 func (c *prefixCache) use(prompt string) uint64 {
 	var hits uint64
 	missed := false
@@ -72,7 +72,7 @@
 	}
 }
 
-// since returns the events from a sequence on that are old enough to be seen.
+// since returns the events from a sequence number on that are older than the event lag.
 func (c *prefixCache) since(from uint64) engine.CacheEvents {
 	page := engine.CacheEvents{Next: from}
 	limit := time.Now().Add(-c.options.EventLag)
@@ -86,7 +86,7 @@
 	return page
 }
 
-// cached returns a prompt's blocks that are here.
+// cached returns a prompt's leading blocks that are in the cache.
 func (c *prefixCache) cached(prompt string) []uint64 {
 	var blocks []uint64
 	for _, block := range engine.PrefixBlocks(prompt) {
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	// bytesPerToken of the emulated tokenizer.
+	// bytesPerToken is the token size of the emulated tokenizer.
 	bytesPerToken = 4
 	// blockTokens is the size of a cached block in tokens.
 	blockTokens = engine.PrefixBlockBytes / bytesPerToken
-	// retainedRequests bounds the finished requests kept for resuming.
+	// retainedRequests is the maximum number of ended requests kept for resuming.
 	retainedRequests = 4096
-	// prefillChunk is the most prompt tokens of one sequence in one step.
+	// prefillChunk is the maximum number of prompt tokens that one step processes per sequence.
 	prefillChunk = 2048
 )
 
-// EngineOptions set up an Engine.
+// EngineOptions configure an Engine.
 type EngineOptions struct {
 	Name  string
 	Model string
-	// Capacity is how many sequences run in one batch; twice as many may wait.
+	// Capacity is the maximum number of sequences in a batch; twice as many may wait.
 	Capacity int
-	// StepBase, StepPerSequence and StepPerPrefillToken make up a step's time.
+	// A step takes StepBase, plus StepPerSequence for each running sequence, plus
+	// StepPerPrefillToken for each prompt token that it processes.
 	StepBase            time.Duration
 	StepPerSequence     time.Duration
 	StepPerPrefillToken time.Duration
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// EventLag delays cache events and load reports; EventGap is the share of
-	// cache events lost, as one in so many (0: none).
+	// EventLag delays cache events and load reports. One cache event in EventGap is lost; 0 loses
+	// none.
 	EventLag time.Duration
 	EventGap uint64
-	// ChecksFence: orders with a lower fence are refused.
+	// ChecksFence makes the engine refuse orders with a lower fence than the current order's.
 	ChecksFence bool
-	// LoadTime is how long an order takes with the weight store to itself.
+	// LoadTime is how long an order takes while no other engine loads from the weight store.
 	LoadTime time.Duration
 	Weights  *WeightStore
 	Truth    *Truth
 }
 
-// withDefaults fills in a mid-sized engine.
+// withDefaults sets missing options to those of a mid-sized engine.
 func (o EngineOptions) withDefaults() EngineOptions {
 	o.Capacity = cmp.Or(o.Capacity, 16)
 	o.StepBase = cmp.Or(o.StepBase, 8*time.Millisecond)
@@ -94,8 +95,8 @@
 
 	mutex     sync.Mutex
 	sequences map[string]*sequence
-	// waiting and running are in order of arrival; ended ones are forgotten
-	// oldest first.
+	// waiting and running are in order of arrival. finished holds the ids of ended requests; the
+	// oldest are dropped first.
 	waiting  []*sequence
 	running  []*sequence
 	finished []string
@@ -108,8 +109,8 @@
 	leaving  bool
 	// slowdown multiplies step times; 1 is healthy.
 	slowdown int
-	// pause is what it asks a node for whose request it turns away; 0 means that it takes
-	// requests. pauses are what it asked each node for, in time since pausesBegan.
+	// pause is the requested pause while the engine rejects requests; 0 if it accepts them. pauses
+	// records the pauses requested of each node, in time since pausesBegan.
 	pause       time.Duration
 	pauses      map[string]*pausecheck.Record
 	pausesBegan time.Time
@@ -152,7 +153,7 @@
 	}
 }
 
-// step plans the next batch and returns how long it takes, 0 if idle.
+// step plans the next batch and returns its duration, or 0 if the engine is idle.
 func (e *Engine) step() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -230,32 +231,32 @@
 	}
 }
 
-// CountTokens is the emulated tokenizer.
+// CountTokens returns the number of tokens of a text, as the emulated tokenizer counts them.
 func CountTokens(text string) uint64 {
 	return uint64((len(text) + bytesPerToken - 1) / bytesPerToken)
 }
 
-// OutputTokens is how many tokens a request's answer has: between half of its
-// bound and the whole, decided by its id.
+// OutputTokens returns the number of tokens in the response to a request: between half of its
+// maximum and the maximum, determined by the request's id.
 func OutputTokens(requestID string, maximum uint64) uint64 {
 	half := maximum / 2
 	return max(1, half+xxhash.Sum64String(requestID)%(maximum-half+1))
 }
 
-// TokenText is one token of a request's answer: it depends on the request's id
-// and the position only, so that a mixed-up answer is noticed.
+// TokenText returns one token of a response. It depends only on the request's id and the position,
+// so that a check detects a response that belongs to another request.
 func TokenText(requestID string, position uint64) string {
 	return fmt.Sprintf("%06x ", xxhash.Sum64String(fmt.Sprintf("%s#%d", requestID, position))&0xffffff)
 }
 
-// submitError is why a request was not taken.
+// submitError is the reason why the engine refused a request.
 type submitError struct {
 	code string
 }
 
 func (s *submitError) Error() string { return s.code }
 
-// submit takes a request; a known id joins the one that is there.
+// submit queues a request. If a request with the same id is known, it returns that one's sequence.
 func (e *Engine) submit(request engine.GenerateRequest) (*sequence, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -292,7 +293,8 @@
 	return e.sequences[requestID]
 }
 
-// cancel ends a request if it has not ended.
+// cancel cancels a request that has not ended. It returns the request's status and whether the
+// request is known.
 func (e *Engine) cancel(requestID string) (engine.RequestStatus, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -302,7 +304,7 @@
 	}
 	if !found.ended() {
 		if found.state == engine.StateQueued {
-			// Nothing of it was worked off.
+			// No token of the prompt was processed.
 			found.prompt = 0
 		} else {
 			found.prompt = found.prefilled
@@ -315,7 +317,7 @@
 	return found.status(), true
 }
 
-// noteLoad remembers the load now, to be reported with a lag.
+// noteLoad samples the current load, at most four times per event lag, to report it with that lag.
 func (e *Engine) noteLoad() {
 	now := time.Now()
 	if count := len(e.loads); count > 0 && now.Sub(e.loads[count-1].at) < e.options.EventLag/4 {
@@ -328,7 +330,7 @@
 	e.loads = append(e.loads, timedLoad{at: now, load: load})
 }
 
-// reportedLoad is the load as it was a lag ago.
+// reportedLoad returns the load as it was one event lag ago.
 func (e *Engine) reportedLoad() engine.Load {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -340,14 +342,14 @@
 	return e.loads[0].load
 }
 
-// SetLeaving makes the engine refuse new work.
+// SetLeaving makes the engine refuse new requests if leaving is set, and accept them otherwise.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.leaving = leaving
 }
 
-// SetPause has the engine turn new work away and ask its senders for a pause; 0 ends that.
+// SetPause makes the engine reject new requests and request a pause of their senders; 0 ends that.
 func (e *Engine) SetPause(pause time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -357,8 +359,8 @@
 	e.pause = pause
 }
 
-// InPause is the most that came from any one node in a pause that it had been asked for, and
-// how many pauses were asked for.
+// InPause returns the maximum number of requests that any node sent in a pause requested of it, and
+// the number of pauses requested.
 func (e *Engine) InPause() (most, pauses int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -368,8 +370,8 @@
 	return most, pauses
 }
 
-// notePaused notes a request of a node, and tells what pause it is asked for; 0 if its
-// request is taken.
+// notePaused records a request of a node, and returns the pause to request of the node; 0 if the
+// engine accepts the request.
 func (e *Engine) notePaused(node string) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -389,14 +391,15 @@
 	return e.pause
 }
 
-// SetSlowdown multiplies the time of each step.
+// SetSlowdown sets the factor by which each step takes longer; factors below 1 count as 1.
 func (e *Engine) SetSlowdown(factor int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.slowdown = max(1, factor)
 }
 
-// giveOrder starts an order, or refuses a lower fence if the engine checks.
+// giveOrder starts an order and reports whether the engine accepts it. An engine that checks fences
+// refuses an order with a lower fence.
 func (e *Engine) giveOrder(order engine.Order) (engine.OrderState, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -411,14 +414,14 @@
 	return e.orderState(), true
 }
 
-// orderState must be called with the mutex held.
+// orderState returns the state of the current order. The caller holds the mutex.
 func (e *Engine) orderState() engine.OrderState {
 	state := e.order
 	state.Loaded = state.Fence != 0 && !time.Now().Before(e.loadedAt)
 	return state
 }
 
-// Active is the number of requests waiting and running.
+// Active returns the number of waiting and running requests.
 func (e *Engine) Active() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -14,7 +14,7 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// maximumRequestBytes bounds what a stand-in reads.
+// maximumRequestBytes is the maximum request body that a stand-in reads.
 const maximumRequestBytes = 32 << 20
 
 // Handler serves the engine's HTTP interface.
@@ -71,8 +71,8 @@
 	e.stream(writer, request, found, offset)
 }
 
-// stream writes events from an offset until the request ends. A reader that
-// goes away does not end the request.
+// stream writes events from a token offset on until the request ends. A client that disconnects
+// does not cancel the request.
 func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, source *sequence, offset uint64) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(writer)
@@ -98,8 +98,7 @@
 	}
 }
 
-// nextEvent returns what there is beyond an offset, and a channel that closes
-// when there is more.
+// nextEvent returns the output beyond an offset, and a channel that closes when there is more.
 func (e *Engine) nextEvent(source *sequence, offset uint64) (engine.Event, <-chan struct{}) {
 	e.mutex.Lock()
 	output, ended, usage, state, progress := source.output, source.ended(), source.usage(), source.state, source.progress
@@ -221,7 +220,7 @@
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// Plain is a plain service that answers any call and logs that it ran.
+// Plain is a plain service that responds to any call and records the run in the ground truth.
 type Plain struct {
 	Name  string
 	Truth *Truth
@@ -229,7 +228,7 @@
 	Delay time.Duration
 }
 
-// PlainReply is what a plain service answers.
+// PlainReply is the response of a plain service.
 type PlainReply struct {
 	Service   string `json:"service"`
 	Method    string `json:"method"`
@@ -242,7 +241,7 @@
 func (p *Plain) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maximumRequestBytes))
 	if err != nil {
-		// The call did not arrive whole, so it does not run.
+		// The call is incomplete, so it is not run.
 		refuse(writer, http.StatusBadRequest, "body_cut_short")
 		return
 	}
--- a/internal/lab/emulator/truth.go
+++ b/internal/lab/emulator/truth.go
@@ -1,7 +1,7 @@
 // Package emulator stands in for the systems that ravenway serves: model
-// engines that batch continuously, plain services, the platform's list of
-// machines and the weight store. Each keeps a log of what really ran, which
-// proofs compare with what was billed.
+// engines with continuous batching, plain services, the platform's list of
+// machines and the weight store. It keeps a ground truth log of what really ran,
+// which checks compare with what was billed.
 package emulator
 
 import (
@@ -10,15 +10,15 @@
 	"sync"
 )
 
-// TruthEvent is one thing that really happened at a back end.
+// TruthEvent is one run or order at a back end, as the back end recorded it.
 type TruthEvent struct {
 	Backend   string `json:"backend"`
 	RequestID string `json:"request_id"`
-	// Tenant is whom the caller of an engine named.
+	// Tenant is the tenant that the request to an engine names.
 	Tenant string `json:"tenant,omitempty"`
 	// Kind is "finished", "cancelled", "call" or "order".
 	Kind string `json:"kind"`
-	// Tokens is what an engine worked off: prompt and output.
+	// Tokens is the number of prompt and output tokens that an engine processed.
 	Tokens uint64 `json:"tokens,omitempty"`
 	// Method, Path and Body describe a plain call.
 	Method string `json:"method,omitempty"`
@@ -35,14 +35,14 @@
 	TruthOrder     = "order"
 )
 
-// Truth is the log of all back ends of an emulator.
+// Truth is the ground truth log of all back ends of an emulator.
 type Truth struct {
 	mutex  sync.Mutex
 	events []TruthEvent
 	writer io.Writer
 }
 
-// NewTruth makes a log; writer (may be nil) gets one JSON line an event.
+// NewTruth returns an empty log. It writes each event as a JSON line to writer, which may be nil.
 func NewTruth(writer io.Writer) *Truth { return &Truth{writer: writer} }
 
 // Add records an event.
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -5,16 +5,17 @@
 	"time"
 )
 
-// WeightStore is the rate-limited store that engines load from: loads that
-// overlap share its rate, so each waits for those before it.
+// WeightStore is the rate-limited store that engines load weights from. Concurrent loads run one
+// after the other at the full rate.
 type WeightStore struct {
 	mutex  sync.Mutex
 	freeAt time.Time
-	// waiting counts the loads that had to wait for another one.
+	// waiting counts the loads that had to wait for another load.
 	waiting int
 }
 
-// reserve returns how long a load takes from now. A nil store has no limit.
+// reserve queues a load that takes the time alone without others, and returns the time until its
+// end. A nil store has no limit.
 func (w *WeightStore) reserve(alone time.Duration) time.Duration {
 	if w == nil {
 		return alone
@@ -31,7 +32,7 @@
 	return w.freeAt.Sub(now)
 }
 
-// Waiting is the number of loads that had to wait for another one.
+// Waiting returns the number of loads that had to wait for another load.
 func (w *WeightStore) Waiting() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -22,27 +22,27 @@
 	PathBackends = "/lab/v1/backends/"
 )
 
-// DefaultPlatformLag is how late the platform's list is.
+// DefaultPlatformLag is the default of World.PlatformLag.
 const DefaultPlatformLag = time.Second
 
 // World emulates all back ends of a catalog, and the platform.
 type World struct {
 	Truth   *Truth
 	Weights *WeightStore
-	// PlatformLag is how late the list of machines is.
+	// PlatformLag is the delay until the platform's list shows that a machine leaves.
 	PlatformLag time.Duration
 
 	engines map[string]*Engine
 	names   []string
-	// handlers serve the back ends by their address.
+	// handlers are the back ends' handlers by address.
 	handlers map[string]http.Handler
 	mutex    sync.Mutex
 	leaving  map[string]time.Time
 	down     map[string]bool
 }
 
-// NewWorld emulates the back ends of a catalog document. Engine options that
-// the catalog does not give come from defaults.
+// NewWorld emulates the back ends of a catalog document. Engine options that the catalog does not
+// contain come from defaults.
 func NewWorld(document *ravenwayv1.CatalogDocument, defaults EngineOptions, truth *Truth) *World {
 	world := &World{
 		Truth: truth, Weights: &WeightStore{}, PlatformLag: DefaultPlatformLag, engines: map[string]*Engine{},
@@ -77,7 +77,7 @@
 	w.handlers[backend.GetAddress()] = w.unlessDown(name, w.engines[name].Handler())
 }
 
-// unlessDown cuts connections to a back end that is switched off.
+// unlessDown aborts the connections of requests to a back end that is switched off.
 func (w *World) unlessDown(name string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		w.mutex.Lock()
@@ -93,22 +93,22 @@
 // Engine returns an engine by its name, or nil.
 func (w *World) Engine(name string) *Engine { return w.engines[name] }
 
-// SetDown switches a back end off or on.
+// SetDown switches a back end off if down is set, and on otherwise.
 func (w *World) SetDown(name string, down bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.down[name] = down
 }
 
-// SetLeaving makes a back end leave: the platform's list says so after its lag,
-// and an engine refuses new work only after a grace of twice that.
+// SetLeaving marks a back end as leaving. The platform's list shows it after PlatformLag. It does
+// not make an engine refuse requests; Engine.SetLeaving does.
 func (w *World) SetLeaving(name string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.leaving[name] = time.Now()
 }
 
-// Handlers are the back ends' HTTP handlers by address.
+// Handlers returns the back ends' HTTP handlers by address.
 func (w *World) Handlers() map[string]http.Handler { return w.handlers }
 
 // RunEngines steps all engines until the context ends.
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// AdminHandler serves the platform's list, the truth log and the switches.
+// AdminHandler serves the platform's list, the ground truth log and the switches of back ends.
 func (w *World) AdminHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(platform.PathMachines, w.serveMachines).Methods(http.MethodGet)
@@ -169,7 +169,8 @@
 	writeJSON(writer, http.StatusOK, list)
 }
 
-// serveSwitch does one of leaving, down, up, slow (with ?factor=N).
+// serveSwitch applies one of the switches leaving, down, up and slow (with ?factor=N) to a back
+// end.
 func (w *World) serveSwitch(writer http.ResponseWriter, request *http.Request) {
 	name := mux.Vars(request)["name"]
 	if !slices.Contains(w.names, name) {
