--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -1,5 +1,5 @@
-// Package load sends an open-loop load of the users' mixes, checks every
-// answer, and measures what callers see.
+// Package load generates an open-loop load from a mix of requests, checks every
+// response, and measures what callers see.
 package load
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// Outcome is how one request ended for its caller.
+// Outcome is the result of one request as its caller saw it.
 type Outcome string
 
-// Outcomes.
+// Outcomes of requests.
 const (
-	// Whole: the whole and right answer.
+	// Whole: the expected response, complete.
 	Whole Outcome = "whole"
-	// Refused: a typed refusal that says that it was not run.
+	// Refused: a typed error with the guarantee that the request was not run.
 	Refused Outcome = "refused"
-	// Unknown: a typed error that does not say so.
+	// Unknown: an error without that guarantee; the request may have run.
 	Unknown Outcome = "unknown"
-	// Cut: the connection broke or the answer ended without its end mark.
+	// Cut: the connection broke or the response ended without its end marker.
 	Cut Outcome = "cut"
-	// Wrong: an answer that is not the request's own.
+	// Wrong: a complete response other than the expected one.
 	Wrong Outcome = "wrong"
 )
 
@@ -42,17 +42,17 @@
 	Key      string
 	Priority string
 	Deadline time.Duration
-	// Model, Prompt and MaxTokens are for completions.
+	// Model, Prompt and MaxTokens are set for completions.
 	Model     string
 	Prompt    string
 	MaxTokens uint64
-	// Method, Path and Body are for plain calls.
+	// Method, Path and Body are set for plain calls.
 	Method string
 	Path   string
 	Body   string
 }
 
-// Answer is what came of a request.
+// Answer is the result of a request.
 type Answer struct {
 	Outcome    Outcome
 	Code       caller.Code
@@ -64,7 +64,7 @@
 	Tokens           uint64
 	FirstToken       time.Duration
 	Total            time.Duration
-	// Gaps are the times between parts of the stream.
+	// Gaps are the times between consecutive parts of the stream.
 	Gaps   []time.Duration
 	Detail string
 }
@@ -74,7 +74,7 @@
 	HTTP *http.Client
 }
 
-// Send sends a request to an entry node and checks the answer.
+// Send sends a request to an entry node and checks the response.
 func (c *Client) Send(ctx context.Context, entry string, wanted Request) Answer {
 	started := time.Now()
 	answer := c.send(ctx, entry, wanted, started)
@@ -160,15 +160,15 @@
 	case err != nil:
 		answer.Outcome, answer.Detail = Cut, err.Error()
 	case reply.Path != wanted.Path || reply.Method != wanted.Method || reply.Bytes != len(wanted.Body):
-		answer.Outcome, answer.Detail = Wrong, fmt.Sprintf("asked %s %s, answered %+v", wanted.Method, wanted.Path, reply)
+		answer.Outcome, answer.Detail = Wrong, fmt.Sprintf("requested %s %s, received %+v", wanted.Method, wanted.Path, reply)
 	default:
 		answer.Outcome, answer.BackendRequestID = Whole, reply.RequestID
 	}
 	return answer
 }
 
-// readStream reads a streamed answer and checks each of its tokens: they depend
-// on the engine's id of the request, so another request's can't pass.
+// readStream reads a streamed response and checks each of its tokens. Tokens depend on the engine's
+// id of the request, so that tokens of another request don't pass.
 func readStream(answer Answer, response *http.Response, started time.Time) Answer {
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), 4<<20)
@@ -195,7 +195,7 @@
 			}
 		}
 	}
-	answer.Outcome, answer.Detail = Cut, "the stream ended without its end mark"
+	answer.Outcome, answer.Detail = Cut, "the stream ended without its end marker"
 	if err := lines.Err(); err != nil {
 		answer.Detail = err.Error()
 	}
@@ -226,7 +226,7 @@
 
 func checkText(answer Answer, text string, usage *caller.Usage) Answer {
 	if usage == nil {
-		answer.Outcome, answer.Detail = Wrong, "the answer has no usage"
+		answer.Outcome, answer.Detail = Wrong, "the response has no usage"
 		return answer
 	}
 	var expected strings.Builder
@@ -237,10 +237,10 @@
 	answer.Outcome = Whole
 	if text != expected.String() {
 		answer.Outcome = Wrong
-		answer.Detail = fmt.Sprintf("%d bytes instead of the %d of request %s", len(text), expected.Len(), answer.BackendRequestID)
+		answer.Detail = fmt.Sprintf("got %d bytes that differ from the %d expected bytes of request %s", len(text), expected.Len(), answer.BackendRequestID)
 	}
 	return answer
 }
 
-// ErrNoEntries says that there is no entry node to send to.
+// ErrNoEntries indicates that the options name no entry node.
 var ErrNoEntries = errors.New("load: no entry nodes")
--- a/internal/lab/load/mix.go
+++ b/internal/lab/load/mix.go
@@ -13,42 +13,41 @@
 
 // Kinds of requests.
 const (
-	// KindLong reads long documents, and can wait.
+	// KindLong is a completion with a long document in its prompt and batch priority.
 	KindLong Kind = "long"
-	// KindShort asks a short, urgent question.
+	// KindShort is a short completion with urgent priority.
 	KindShort Kind = "short"
-	// KindView fetches something from a plain service.
+	// KindView reads from a plain service.
 	KindView Kind = "view"
-	// KindAct changes something in a plain service, once.
+	// KindAct changes the state of a plain service; it must not run twice.
 	KindAct Kind = "act"
 )
 
-// Tenant is one sender of load.
+// Tenant is one source of load.
 type Tenant struct {
 	Name   string
 	APIKey string
-	// Share of the load relative to other tenants.
+	// Share is the tenant's part of the load relative to other tenants.
 	Share int
 }
 
-// Mix is a deployment's load.
+// Mix describes a deployment's load.
 type Mix struct {
 	Tenants []Tenant
 	Model   string
 	// PlainPrefix is the route of the plain service.
 	PlainPrefix string
-	// Shares of the kinds, in percent.
+	// Shares are the shares of the kinds in percent.
 	Shares map[Kind]int
-	// Documents are shared prefixes of long prompts: bundles that are read
-	// again and again.
+	// Documents are shared prefixes of long prompts, which many requests repeat.
 	Documents []string
 }
 
-// kindOrder fixes the order in which shares are drawn.
+// kindOrder fixes the order in which kinds are drawn, so that a seed always gives the same load.
 var kindOrder = []Kind{KindLong, KindShort, KindView, KindAct}
 
-// NewMix makes the users' mix: long reads of shared documents, short urgent
-// questions, and plain calls.
+// NewMix returns the default mix: long completions over shared documents, short urgent completions,
+// and plain calls.
 func NewMix(tenants []Tenant, model, plainPrefix string, random *rand.Rand) Mix {
 	mix := Mix{
 		Tenants: tenants, Model: model, PlainPrefix: plainPrefix,
@@ -68,7 +67,7 @@
 	return text.String()[:length]
 }
 
-// Draw makes the next request.
+// Draw returns a random request; number makes its idempotency key unique.
 func (m Mix) Draw(random *rand.Rand, number int) Request {
 	tenant := m.drawTenant(random)
 	drawn := Request{Tenant: tenant.Name, APIKey: tenant.APIKey, Key: fmt.Sprintf("load-%d-%x", number, random.Uint64()), Kind: m.drawKind(random)}
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// maximumMillis bounds the histograms.
+	// maximumMillis is the highest value of the histograms, in milliseconds.
 	maximumMillis = 10 * 60 * 1000
-	// maximumTries bounds the tries of one request.
+	// maximumTries is the maximum number of attempts at one request.
 	maximumTries = 6
 	retryPause   = 300 * time.Millisecond
 )
 
-// Options set up a run.
+// Options configure a run.
 type Options struct {
 	Entries []string
 	Mix     Mix
-	// Rate in requests a second; arrivals are a Poisson process that does not
-	// wait for answers.
+	// Rate is in requests per second. Arrivals are a Poisson process that does not wait for
+	// responses.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	Client   *Client
-	// Retry sends a request that was cut again, with its key, to another entry.
+	// Retry makes callers send a request that was cut again to another entry node, with the same
+	// idempotency key.
 	Retry bool
-	// WithoutKeys leaves the idempotency keys out.
+	// WithoutKeys omits the idempotency keys.
 	WithoutKeys bool
-	// Done is told each request's last answer; it may be nil.
+	// Done is called with each request, its last answer and the number of attempts; it may be nil.
 	Done func(Request, Answer, int)
 }
 
-// Report is what callers saw.
+// Report summarizes what callers saw.
 type Report struct {
 	Sent     int             `json:"sent"`
 	Outcomes map[Outcome]int `json:"outcomes"`
 	Codes    map[string]int  `json:"codes"`
-	// Retries are further tries after a cut; CutTries the tries that were cut.
+	// Retries counts further attempts after a failed one, CutTries the attempts that were cut.
 	Retries  int `json:"retries"`
 	CutTries int `json:"cut_tries"`
-	// Tokens told to callers of whole answers, by tenant.
+	// Tokens is the usage reported to callers in complete responses, by tenant.
 	Tokens map[string]uint64 `json:"tokens"`
 	// FirstToken and Gap are in milliseconds, by kind.
 	FirstToken map[Kind]Quantiles `json:"first_token_ms"`
@@ -56,7 +57,7 @@
 	Details    []string           `json:"details,omitempty"`
 }
 
-// Quantiles of a histogram.
+// Quantiles are quantiles of a histogram, in its unit, and the number of its values.
 type Quantiles struct {
 	P50   int64 `json:"p50"`
 	P95   int64 `json:"p95"`
@@ -64,7 +65,7 @@
 	Count int64 `json:"count"`
 }
 
-// collector gathers answers from many goroutines.
+// collector collects answers from many goroutines.
 type collector struct {
 	mutex      sync.Mutex
 	report     Report
@@ -72,10 +73,10 @@
 	gaps       map[Kind]*hdrhistogram.Histogram
 }
 
-// maximumDetails bounds the details kept of bad answers.
+// maximumDetails is the maximum number of details kept of failed requests.
 const maximumDetails = 20
 
-// Run sends the load and waits for all answers.
+// Run sends the load and waits for all responses.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if len(options.Entries) == 0 {
 		return Report{}, ErrNoEntries
@@ -104,7 +105,7 @@
 	return gathered.finish(), ctx.Err()
 }
 
-// send tries a request until it has an end, like a caller that retries.
+// send sends a request until its outcome is final, as a caller that retries does.
 func (c *collector) send(ctx context.Context, options Options, wanted Request, first int) {
 	var answer Answer
 	tries := 0
@@ -179,7 +180,7 @@
 	return result
 }
 
-// String is the report as text.
+// String returns the report as text.
 func (r Report) String() string {
 	var text strings.Builder
 	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut tries %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutTries)
