--- a/internal/lab/labcli/backoff.go
+++ b/internal/lab/labcli/backoff.go
@@ -22,20 +22,20 @@
 
 func backoffCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
-		Name: "backoff", Usage: "simulate the ways to keep the pauses that engines ask for and tell what became of them",
+		Name: "backoff", Usage: "simulate policies for the pauses that engines request and print their results",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs of each case"},
 			&cli.IntSliceFlag{Name: "nodes", Value: []int{8, 60}, Usage: "entry nodes of the fleets"},
-			&cli.FloatSliceFlag{Name: "pause", Value: []float64{0.5, 3, 30}, Usage: "pauses that engines ask for, in seconds"},
-			&cli.StringSliceFlag{Name: "scenario", Usage: "which engines ask for pauses: third, zone, all or wave (default: each of them)"},
-			&cli.FloatFlag{Name: "load", Value: 0.6, Usage: "load as a share of what the engines bear"},
-			&cli.StringSliceFlag{Name: "only", Usage: "some of the ways"},
-			&cli.FloatFlag{Name: "spread", Value: backoff.DefaultReturn.Spread, Usage: "part of a pause over which nodes come back"},
-			&cli.IntFlag{Name: "trials", Value: backoff.DefaultReturn.FirstTrials, Usage: "requests that may be unanswered right after a pause"},
-			&cli.IntFlag{Name: "full", Value: backoff.DefaultReturn.FullTrials, Usage: "such requests from which an engine counts as back"},
-			&cli.DurationFlag{Name: "longest", Value: backoff.DefaultReturn.LongestTrials, Usage: "time after which it counts as back anyway"},
-			&cli.BoolFlag{Name: "full-engines-ask", Usage: "engines that are full ask for a pause too"},
-			&cli.BoolFlag{Name: "faults", Usage: "nodes start again, stand still, are suspended and cut off"},
+			&cli.FloatSliceFlag{Name: "pause", Value: []float64{0.5, 3, 30}, Usage: "pauses that engines request, in seconds"},
+			&cli.StringSliceFlag{Name: "scenario", Usage: "which engines request pauses: third, zone, all or wave (default: each of them)"},
+			&cli.FloatFlag{Name: "load", Value: 0.6, Usage: "load as a share of the engines' capacity"},
+			&cli.StringSliceFlag{Name: "only", Usage: "only these policies"},
+			&cli.FloatFlag{Name: "spread", Value: backoff.DefaultReturn.Spread, Usage: "part of a pause over which nodes resume at random times"},
+			&cli.IntFlag{Name: "trials", Value: backoff.DefaultReturn.FirstTrials, Usage: "requests that may be in flight right after a pause"},
+			&cli.IntFlag{Name: "full", Value: backoff.DefaultReturn.FullTrials, Usage: "number of such requests from which an engine counts as recovered"},
+			&cli.DurationFlag{Name: "longest", Value: backoff.DefaultReturn.LongestTrials, Usage: "time after which it counts as recovered in any case"},
+			&cli.BoolFlag{Name: "full-engines-ask", Usage: "engines that are full request a pause too"},
+			&cli.BoolFlag{Name: "faults", Usage: "nodes restart, stall, are suspended and partitioned"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			policies, err := choose("only", command.StringSlice("only"), backoffPolicies)
@@ -53,14 +53,14 @@
 
 var errBackoffArguments = errors.New("--seeds, --nodes, --pause and --load must be above 0")
 
-// printBackoffs plays each way to keep pauses over some seeds and prints what became of it.
+// printBackoffs simulates each policy for pauses over some seeds and prints the results.
 func printBackoffs(out io.Writer, command *cli.Command, scenarios []simulate.BackoffScenario, policies []simulate.BackoffPolicy) error {
 	seeds, load := command.Int("seeds"), command.Float("load")
 	if seeds < 1 || load <= 0 {
 		return errBackoffArguments
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "nodes\tpause\tscenario\tway\tin a pause\tbroken\tburst\tasked\tagain\tin time\trefused\tfull use")
+	fmt.Fprintln(table, "nodes\tpause\tscenario\tpolicy\tin a pause\tbroken\tburst\tpauses\tafter recovery\tin time\trefused\tfull use")
 	for _, nodes := range command.IntSlice("nodes") {
 		for _, pause := range command.FloatSlice("pause") {
 			if nodes < 1 || pause <= 0 {
--- a/internal/lab/labcli/choices.go
+++ b/internal/lab/labcli/choices.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// choose returns what is named of all choices of a flag; all of them if nothing is.
+// choose returns the named choices of a flag, or all choices if none is named.
 func choose[Choice ~string](flag string, named []string, all []Choice) ([]Choice, error) {
 	if len(named) == 0 {
 		return all, nil
@@ -13,7 +13,7 @@
 	chosen := make([]Choice, 0, len(named))
 	for _, name := range named {
 		if !slices.Contains(all, Choice(name)) {
-			return nil, fmt.Errorf("--%s: there is no %q, only %q", flag, name, all)
+			return nil, fmt.Errorf("--%s: unknown value %q; known values are %q", flag, name, all)
 		}
 		chosen = append(chosen, Choice(name))
 	}
--- a/internal/lab/labcli/choices_test.go
+++ b/internal/lab/labcli/choices_test.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/lab/simulate"
 )
 
-// Guards against tables of a way or a scenario that there isn't.
+// Guards against an empty table for a policy or a scenario that does not exist.
 func TestUnknownChoicesAreRefused(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"backoff", "--only", "none"},
@@ -22,7 +22,7 @@
 			command = limitsCommand(io.Discard)
 		}
 		err := command.Run(context.Background(), append(arguments, "--seeds", "1", "--nodes", "1"))
-		assert.ErrorContains(t, err, `there is no "none", only [`, "%q", arguments)
+		assert.ErrorContains(t, err, `unknown value "none"; known values are [`, "%q", arguments)
 	}
 }
 
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -26,8 +26,7 @@
 	"github.com/ravenway/ravenway/internal/operatorcli"
 )
 
-// Command is the whole command line. The soak's stand-ins speak the wire
-// interface.
+// Command returns the whole command line. The soak's stand-ins use the wire interface.
 func Command(out io.Writer, wire standin.Wire) *cli.Command {
 	planFlag := &cli.StringFlag{Name: "deployment", Value: "zameen-haq", Usage: "zameen-haq or drukwacht"}
 	return &cli.Command{
@@ -37,12 +36,12 @@
 			{Name: "generate", Usage: "write a deployment's settings, keys and catalog", ArgsUsage: "FOLDER", Flags: []cli.Flag{planFlag}, Action: generate},
 			{Name: "emulate", Usage: "emulate the back ends of a catalog and the platform", ArgsUsage: "CATALOG",
 				Flags: []cli.Flag{
-					&cli.StringFlag{Name: "admin", Required: true, Usage: "host:port of the platform's list, the truth log and the switches"},
-					&cli.StringFlag{Name: "truth", Usage: "file that gets one line for each thing that ran"},
+					&cli.StringFlag{Name: "admin", Required: true, Usage: "host:port of the platform's list, the ground truth log and the switches"},
+					&cli.StringFlag{Name: "truth", Usage: "file for the ground truth log, one line for each run or order"},
 				}, Action: emulate},
 			{Name: "load", Usage: "send a deployment's mix and report what callers see",
 				Flags: []cli.Flag{planFlag,
-					&cli.Float64Flag{Name: "rate", Value: 40, Usage: "requests a second"},
+					&cli.Float64Flag{Name: "rate", Value: 40, Usage: "requests per second"},
 					&cli.DurationFlag{Name: "duration", Value: 10 * time.Second},
 					&cli.Uint64Flag{Name: "seed", Value: 1},
 					&cli.BoolFlag{Name: "retry", Usage: "send cut requests again through another entry node"},
@@ -57,8 +56,8 @@
 					return runSimulations(out, command.String("only"), command.Uint64("first"), command.Uint64("seeds"))
 				}},
 			soakCommand(out, wire),
-			{Name: "rollouts", Usage: "simulate rollouts of good and bad versions and tell what became of them",
-				Flags: []cli.Flag{&cli.IntFlag{Name: "seeds", Value: 100, Usage: "rollouts of each kind of version beside each fault"}},
+			{Name: "rollouts", Usage: "simulate rollouts of good and bad versions and print their results",
+				Flags: []cli.Flag{&cli.IntFlag{Name: "seeds", Value: 100, Usage: "rollouts of each kind of version with each fault"}},
 				Action: func(_ context.Context, command *cli.Command) error {
 					if command.Int("seeds") < 1 {
 						return fmt.Errorf("--seeds must be above 0")
@@ -67,13 +66,13 @@
 				}},
 			limitsCommand(out),
 			backoffCommand(out),
-			{Name: "losses", Usage: "tell from nodes' logs where requests were refused, late or broken off", ArgsUsage: "LOG... (- for the standard input)",
+			{Name: "losses", Usage: "report from nodes' logs where requests were refused, late or broken off", ArgsUsage: "LOG... (- for the standard input)",
 				Flags: []cli.Flag{&cli.DurationFlag{Name: "step", Value: 2 * time.Second, Usage: "length of a step of the time line"}},
 				Action: func(_ context.Context, command *cli.Command) error {
 					return printLosses(out, command.Args().Slice(), command.Duration("step"))
 				}},
-			{Name: "versions", Usage: "tell from nodes' logs when each version of the configuration was in force where", ArgsUsage: "LOG... (- for the standard input)",
-				Flags: []cli.Flag{&cli.DurationFlag{Name: "limit", Value: 20 * time.Second, Usage: "a node that is later than this was off"}},
+			{Name: "versions", Usage: "report from nodes' logs when each version of the configuration was in effect on which nodes", ArgsUsage: "LOG... (- for the standard input)",
+				Flags: []cli.Flag{&cli.DurationFlag{Name: "limit", Value: 20 * time.Second, Usage: "a node that applies a version later than this counts as off"}},
 				Action: func(_ context.Context, command *cli.Command) error {
 					return printVersions(out, command.Args().Slice(), command.Duration("limit"))
 				}},
@@ -89,10 +88,10 @@
 	return deployment.ByName(command.String("deployment"))
 }
 
-// printReport reads nodes' logs and prints what a report tells of them.
+// printReport reads nodes' logs and prints a report on them.
 func printReport[Report interface{ Print(out io.Writer) error }](out io.Writer, paths []string, read func([]logs.Line) (Report, error)) error {
 	if len(paths) == 0 {
-		return fmt.Errorf("the logs of one or more nodes are needed")
+		return fmt.Errorf("no log file given; name the logs of one or more nodes")
 	}
 	lines, err := logs.Read(paths)
 	if err != nil {
@@ -150,7 +149,7 @@
 	if path := command.String("truth"); path != "" {
 		file, err := os.Create(path)
 		if err != nil {
-			return fmt.Errorf("creating the truth log: %w", err)
+			return fmt.Errorf("creating the ground truth log: %w", err)
 		}
 		defer file.Close()
 		writer = file
@@ -161,12 +160,12 @@
 	return world.Serve(ctx, command.String("admin"))
 }
 
-// NewLoadClient makes a client with room for many connections.
+// NewLoadClient returns a client that keeps up to 256 idle connections to each entry node.
 func NewLoadClient() *load.Client {
 	return &load.Client{HTTP: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256, DisableCompression: true}}}
 }
 
-// MixOf is a deployment's mix.
+// MixOf returns a deployment's mix. Large tenants send five times the load of others.
 func MixOf(plan deployment.Plan, seed uint64) load.Mix {
 	var tenants []load.Tenant
 	for _, name := range plan.TenantNames() {
@@ -212,7 +211,7 @@
 	return nil
 }
 
-// fetchTruth reads an emulator's truth log.
+// fetchTruth reads an emulator's ground truth log.
 func fetchTruth(ctx context.Context, admin string) ([]emulator.TruthEvent, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+emulator.PathTruth, nil)
 	if err != nil {
@@ -220,12 +219,12 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, fmt.Errorf("reading the truth log: %w", err)
+		return nil, fmt.Errorf("reading the ground truth log: %w", err)
 	}
 	defer response.Body.Close()
 	var events []emulator.TruthEvent
 	if err := json.NewDecoder(response.Body).Decode(&events); err != nil {
-		return nil, fmt.Errorf("reading the truth log: %w", err)
+		return nil, fmt.Errorf("reading the ground truth log: %w", err)
 	}
 	return events, nil
 }
--- a/internal/lab/labcli/limits.go
+++ b/internal/lab/labcli/limits.go
@@ -15,19 +15,19 @@
 	"github.com/ravenway/ravenway/internal/lab/simulate"
 )
 
-// limitRates are the limits that engines name in the table, in requests a second.
+// limitRates are the rate limits that engines name in the simulations, in requests per second.
 var limitRates = []float64{0.1, 1, 5, 50}
 
 var limitPolicies = []simulate.LimitPolicy{simulate.EachForItself, simulate.EqualParts, simulate.FewSenders, simulate.HolderPermits}
 
 func limitsCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
-		Name: "limits", Usage: "simulate the ways to keep the limits that engines name and tell what became of them",
+		Name: "limits", Usage: "simulate policies for the rate limits that engines name and print their results",
 		Flags: []cli.Flag{
 			&cli.IntFlag{Name: "seeds", Value: 10, Usage: "runs of each case"},
 			&cli.IntSliceFlag{Name: "nodes", Value: []int{8, 60}, Usage: "entry nodes of the fleets"},
-			&cli.StringSliceFlag{Name: "only", Usage: "some of the ways"},
-			&cli.BoolFlag{Name: "unsettled", Usage: "engines change and end their limits, start again and fail; words between nodes come late or never"},
+			&cli.StringSliceFlag{Name: "only", Usage: "only these policies"},
+			&cli.BoolFlag{Name: "unsettled", Usage: "engines change and end their limits, restart and fail; updates between nodes are delayed or lost"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
 			policies, err := choose("only", command.StringSlice("only"), limitPolicies)
@@ -41,13 +41,13 @@
 
 var errLimitArguments = errors.New("--seeds and --nodes must be above 0")
 
-// printLimits plays each way to keep limits over some seeds and prints what became of it.
+// printLimits simulates each policy for rate limits over some seeds and prints the results.
 func printLimits(out io.Writer, nodes []int, seeds int, policies []simulate.LimitPolicy, isUnsettled bool) error {
 	if seeds < 1 {
 		return errLimitArguments
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "nodes\tlimit\tfaults\ttraffic\tway\tworst 4 s\tallowed\tbroken\tused\tbytes/s/node\tmessages/s/node\twait, 0.99")
+	fmt.Fprintln(table, "nodes\tlimit\tfaults\ttraffic\tpolicy\tworst 4 s\tallowed\tbroken\tused\tbytes/s/node\tmessages/s/node\twait, 0.99")
 	for _, count := range nodes {
 		if count < 1 {
 			return errLimitArguments
@@ -95,7 +95,7 @@
 		options.Policy, worst, results[0].Allowed, broken, seeds, used, float64(bytes)/perNode, float64(messages)/perNode, longest.Round(time.Millisecond))
 }
 
-// eachSeed runs seeds side by side.
+// eachSeed runs seeds concurrently, on half of the processors, and returns their results in order.
 func eachSeed[Result any](seeds int, run func(seed uint64) Result) []Result {
 	results := make([]Result, seeds)
 	places := make(chan struct{}, max(1, runtime.NumCPU()/2))
--- a/internal/lab/labcli/prove.go
+++ b/internal/lab/labcli/prove.go
@@ -13,7 +13,7 @@
 	"github.com/ravenway/ravenway/internal/lab/simulate"
 )
 
-// simulations are the mechanisms that run over many seeds.
+// simulations are the simulations of mechanisms, by the name that --only takes.
 var simulations = map[string]func(seed uint64) *simulate.World{
 	"consensus": func(seed uint64) *simulate.World { return simulate.RunConsensus(seed, simulate.NoDefect) },
 	"upgrades":  func(seed uint64) *simulate.World { return simulate.RunUpgrade(seed, simulate.UpgradeNoDefect) },
@@ -37,7 +37,7 @@
 	},
 }
 
-// lostLives runs seeds of lost lives with some options.
+// lostLives returns a simulation of incarnations that crash without a final report.
 func lostLives(options simulate.LostLivesOptions) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		one := options
@@ -46,8 +46,8 @@
 	}
 }
 
-// backoffOf runs a seed of engines that ask for pauses beside faults: in turn all scenarios,
-// and pauses of all lengths.
+// backoffOf simulates engines that request pauses, with faults. Consecutive seeds go through all
+// scenarios and lengths of pauses.
 func backoffOf(seed uint64) *simulate.World {
 	scenarios := []simulate.BackoffScenario{simulate.ThirdIll, simulate.ZoneIll, simulate.AllIll, simulate.Wave}
 	pauses := []time.Duration{500 * time.Millisecond, 3 * time.Second, 30 * time.Second}
@@ -57,8 +57,8 @@
 	}).World
 }
 
-// limitsOf runs seeds of limits beside faults: of all rates, and one in three of one-sided
-// traffic.
+// limitsOf returns a simulation of rate limits with faults. Consecutive seeds go through all rates,
+// and one in three has one-sided traffic.
 func limitsOf(isUnsettled bool) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		return simulate.RunLimits(simulate.LimitOptions{
@@ -68,7 +68,7 @@
 	}
 }
 
-// runSimulations runs seeds side by side and prints each broken one.
+// runSimulations runs seeds concurrently and prints each one that broke an invariant.
 func runSimulations(out io.Writer, only string, first, seeds uint64) error {
 	names := make([]string, 0, len(simulations))
 	for name := range simulations {
@@ -78,7 +78,7 @@
 	}
 	sort.Strings(names)
 	if len(names) == 0 {
-		return fmt.Errorf("there is no simulation %q", only)
+		return fmt.Errorf("unknown simulation %q", only)
 	}
 	broken := 0
 	for _, name := range names {
--- a/internal/lab/labcli/rollouts.go
+++ b/internal/lab/labcli/rollouts.go
@@ -12,13 +12,13 @@
 )
 
 const (
-	// What the users allow a bad version: a part of the requests and some more, and none
-	// sent later than a time after its 50th bad answer.
+	// A bad version may get exposureShare of the requests plus exposureSlack, and no request later
+	// than rollbackWithin after its 50th bad response.
 	exposureShare, exposureSlack = 0.1, 50
 	rollbackWithin               = 5 * time.Second
 )
 
-// rolloutKinds are versions that are good, or bad in some way.
+// rolloutKinds are a good version and versions with different defects.
 var rolloutKinds = []struct {
 	name string
 	harm simulate.Harm
@@ -30,14 +30,14 @@
 	{"0.1 of one route of five", simulate.Harm{Failing: 0.1, OneRoute: true}}, {"0.5 of one route of five", simulate.Harm{Failing: 0.5, OneRoute: true}},
 	{"0.2 under load", simulate.Harm{Failing: 0.2, UnderLoad: true}},
 	{"2 times slower", simulate.Harm{Slow: 1, SlowBy: 2}}, {"4 times slower", simulate.Harm{Slow: 1, SlowBy: 4}}, {"8 times slower", simulate.Harm{Slow: 1, SlowBy: 8}},
-	{"0.3 of answers 4 times slower", simulate.Harm{Slow: 0.3, SlowBy: 4}}, {"one route 3 times slower", simulate.Harm{Slow: 1, SlowBy: 3, OneRoute: true}},
+	{"0.3 of responses 4 times slower", simulate.Harm{Slow: 0.3, SlowBy: 4}}, {"one route 3 times slower", simulate.Harm{Slow: 1, SlowBy: 3, OneRoute: true}},
 }
 
-// printRollouts plays each kind of version with each fault over some seeds, and prints what
-// became of them.
+// printRollouts simulates each kind of version with each fault over some seeds and prints the
+// results.
 func printRollouts(out io.Writer, seeds int) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "version\tbeside\trolled back\tverdict after, median\tat most\tbad answers, median\tat most\texposed too much\ttoo late")
+	fmt.Fprintln(table, "version\tfault\trolled back\tdecision after, median\tmaximum\tbad responses, median\tmaximum\toverexposed\ttoo late")
 	for _, kind := range rolloutKinds {
 		for _, fault := range simulate.RolloutFaults() {
 			sum := sumRollouts(simulate.RunRollouts(kind.harm, fault, seeds), kind.harm != simulate.Harm{})
@@ -48,7 +48,8 @@
 	return table.Flush()
 }
 
-// rolloutSum sums up the runs of one kind.
+// rolloutSum aggregates the runs of one kind. exposed and late count the runs that broke the two
+// limits of a bad version.
 type rolloutSum struct {
 	rolledBack, exposed, late int
 	verdicts                  []time.Duration
@@ -73,7 +74,7 @@
 	return sum
 }
 
-// middle is the median of some values.
+// middle returns the median of some values.
 func middle[Value time.Duration | int](values []Value) Value {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
--- a/internal/lab/labcli/soak.go
+++ b/internal/lab/labcli/soak.go
@@ -16,22 +16,22 @@
 	"github.com/ravenway/ravenway/internal/lab/standin"
 )
 
-// soakCommand runs the real daemons under faults from outside.
+// soakCommand runs the real daemons while faults are injected from outside.
 func soakCommand(out io.Writer, wire standin.Wire) *cli.Command {
 	return &cli.Command{
-		Name: "soak", Usage: "run the real daemons as processes under faults from outside, and check the promises",
+		Name: "soak", Usage: "run the real daemons as processes, inject faults from outside, and check the guarantees",
 		Flags: []cli.Flag{
 			&cli.StringFlag{Name: "daemon", Value: "bin/ravenwayd", Usage: "the daemon's program"},
 			&cli.StringFlag{Name: "earlier", Usage: "the daemon of an earlier build: the fleet starts on it and is upgraded to --daemon, one machine after the other"},
-			&cli.BoolFlag{Name: "earlier-has-quarantine", Usage: "the earlier build holds requests that end their engines in quarantine"},
-			&cli.BoolFlag{Name: "going-back", Usage: "half of the machines are given the earlier build again before the upgrade goes on"},
-			&cli.StringFlag{Name: "order", Value: "all", Usage: "order of the upgrade: control (first), entry (first), mixed, or all of them by turns"},
+			&cli.BoolFlag{Name: "earlier-has-quarantine", Usage: "the earlier build quarantines requests that crash their engines"},
+			&cli.BoolFlag{Name: "going-back", Usage: "half of the machines return to the earlier build before the upgrade continues"},
+			&cli.StringFlag{Name: "order", Value: "all", Usage: "order of the upgrade: control (first), entry (first), mixed, or all (one after the other by seed)"},
 			&cli.Uint64Flag{Name: "first", Value: 1, Usage: "first seed"},
 			&cli.Uint64Flag{Name: "seeds", Value: 1, Usage: "number of seeds"},
 			&cli.IntFlag{Name: "entries", Value: 4, Usage: "entry nodes; there are always three control nodes"},
-			&cli.DurationFlag{Name: "length", Value: 20 * time.Second, Usage: "how long faults are played; 0s for none"},
-			&cli.IntFlag{Name: "lanes", Value: 1, Usage: "runs side by side"},
-			&cli.IntFlag{Name: "first-lane", Usage: "first lane's number: commands side by side need other lanes, each a range of loopback addresses"},
+			&cli.DurationFlag{Name: "length", Value: 20 * time.Second, Usage: "how long faults are injected; 0s for none"},
+			&cli.IntFlag{Name: "lanes", Value: 1, Usage: "number of concurrent runs"},
+			&cli.IntFlag{Name: "first-lane", Usage: "number of the first lane: concurrent commands need different lanes, each a range of loopback addresses"},
 			&cli.StringFlag{Name: "keep", Usage: "folder that keeps the report and the logs of each seed"},
 		},
 		Action: func(ctx context.Context, command *cli.Command) error { return runSoak(ctx, out, wire, command) },
@@ -48,7 +48,7 @@
 			for seed := range seeds {
 				summary, err := soakSeed(ctx, wire, command, seed, command.Int("first-lane")+lane)
 				mutex.Lock()
-				fmt.Fprintf(out, "seed %d: %d calls %v, %d faults, %d cut by planned stops, charged in vain at most %.4f of a limit, error %v\n",
+				fmt.Fprintf(out, "seed %d: %d calls %v, %d faults, %d cut by planned stops, charged without delivery at most %.4f of a limit, error %v\n",
 					seed, summary.Calls, summary.Outcomes, summary.Faults, summary.CutByStops, summary.LedgerDistance, err)
 				if err != nil {
 					failed = append(failed, fmt.Errorf("seed %d: %w", seed, err))
@@ -89,7 +89,7 @@
 	})
 }
 
-// orderOf is the order of a seed's upgrade.
+// orderOf returns the order of a seed's upgrade.
 func orderOf(name string, seed uint64) (soak.Order, error) {
 	if name == "all" {
 		orders := soak.Orders()
--- a/internal/lab/labcli/verify.go
+++ b/internal/lab/labcli/verify.go
@@ -18,7 +18,8 @@
 
 const verifyPoll = 500 * time.Millisecond
 
-// comparison is what was billed and what ran, by tenant, in tokens.
+// comparison holds what was billed and what ran, by tenant, in tokens, and the plain calls that
+// ran.
 type comparison struct {
 	billed map[string]uint64
 	ran    map[string]uint64
@@ -41,8 +42,8 @@
 	return true
 }
 
-// verify compares the ledger with the truth, tenant by tenant, until they are
-// equal or patience ends.
+// verify compares the ledger with the ground truth, tenant by tenant, until they are equal or the
+// maximum wait ends.
 func verify(ctx context.Context, out io.Writer, command *cli.Command) error {
 	plan, err := planOf(command)
 	if err != nil {
@@ -100,7 +101,7 @@
 
 func (c comparison) print(out io.Writer, plan deployment.Plan) error {
 	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(writer, "TENANT\tLIMIT\tBILLED\tENGINES' TRUTH\t")
+	fmt.Fprintln(writer, "TENANT\tLIMIT\tBILLED\tRUN BY ENGINES\t")
 	wrong := 0
 	for _, tenant := range plan.TenantNames() {
 		mark := "equal"
@@ -115,9 +116,9 @@
 		fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%s\n", tenant, c.limits[tenant], c.billed[tenant], c.ran[tenant], mark)
 	}
 	_ = writer.Flush()
-	fmt.Fprintf(out, "plain calls run: %d; calls that may not be repeated run twice: %d\n", c.calls, len(c.twice))
+	fmt.Fprintf(out, "plain calls run: %d; calls that must not be repeated but ran twice: %d\n", c.calls, len(c.twice))
 	if wrong > 0 || len(c.twice) > 0 {
-		return fmt.Errorf("%d tenants' bills are wrong, %d calls ran twice", wrong, len(c.twice))
+		return fmt.Errorf("%d tenants have wrong bills, %d calls ran twice", wrong, len(c.twice))
 	}
 	return nil
 }
