--- a/internal/lab/deployment/deployment.go
+++ b/internal/lab/deployment/deployment.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// portsPerNode is the distance between two daemons' ports.
+	// portsPerNode is the distance between the base ports of two daemons.
 	portsPerNode = 10
 	controlNodes = 3
 )
@@ -26,7 +26,7 @@
 type Plan struct {
 	Name  string
 	Zones []string
-	// NodesPerZone in the order of Zones.
+	// NodesPerZone are the numbers of nodes, in the order of Zones.
 	NodesPerZone []int
 	EngineName   string
 	Engines      int
@@ -36,14 +36,14 @@
 	PlainPrefix  string
 	Model        string
 	Tenants      int
-	// Limit of each tenant's budget, in tokens; large tenants have ten times it.
+	// Limit is the limit of each tenant's budget, in tokens. Large tenants get ten times as much.
 	Limit    uint64
 	BasePort int
-	// BackendPort is the first back end's port; 0 means BasePort + 500.
+	// BackendPort is the port of the first back end; 0 means BasePort + 500.
 	BackendPort int
 }
 
-// ZameenHaq is the first user's deployment at today's size.
+// ZameenHaq returns the plan of the first user's deployment at its present size.
 func ZameenHaq() Plan {
 	return Plan{
 		Name: "zameen-haq", Zones: []string{"lhr-a", "lhr-b", "lhr-c"}, NodesPerZone: []int{3, 3, 2},
@@ -52,7 +52,7 @@
 	}
 }
 
-// Drukwacht is the second user's deployment at today's size.
+// Drukwacht returns the plan of the second user's deployment at its present size.
 func Drukwacht() Plan {
 	return Plan{
 		Name: "drukwacht", Zones: []string{"hall-a", "hall-b", "hall-c"}, NodesPerZone: []int{3, 2, 2},
@@ -61,14 +61,14 @@
 	}
 }
 
-// ByName returns a plan, or an error that names the ones there are.
+// ByName returns the plan with a name, or an error that lists the known names.
 func ByName(name string) (Plan, error) {
 	for _, plan := range []Plan{ZameenHaq(), Drukwacht()} {
 		if plan.Name == name {
 			return plan, nil
 		}
 	}
-	return Plan{}, fmt.Errorf("deployment %q is none of zameen-haq, drukwacht", name)
+	return Plan{}, fmt.Errorf("unknown deployment %q; known deployments are zameen-haq and drukwacht", name)
 }
 
 // Node is one daemon of a plan.
@@ -79,7 +79,7 @@
 	Port    int
 }
 
-// Address returns one of the node's addresses.
+// Address returns the address of the node's listener at an offset from its port.
 func (n Node) Address(offset int) string { return fmt.Sprintf("127.0.0.1:%d", n.Port+offset) }
 
 // Offsets of a node's listeners from its port.
@@ -90,7 +90,8 @@
 	HealthPort    = 4
 )
 
-// Nodes lists the daemons. The first of each zone holds a replica.
+// Nodes lists the daemons. The first node of each of the first three zones is a control node and
+// holds a replica of the log.
 func (p Plan) Nodes() []Node {
 	var nodes []Node
 	for position, zone := range p.Zones {
@@ -104,7 +105,8 @@
 	return nodes
 }
 
-// AdminAddress is where the emulator serves the platform's list and its truth.
+// AdminAddress returns the address at which the emulator serves the platform's list and the ground
+// truth.
 func (p Plan) AdminAddress() string { return fmt.Sprintf("127.0.0.1:%d", p.BasePort+900) }
 
 // TenantNames lists the tenants; the first three are large.
@@ -116,10 +118,10 @@
 	return names
 }
 
-// largeTenants are the first ones.
+// largeTenants is the number of large tenants, which come first.
 const largeTenants = 3
 
-// IsLarge tells whether a tenant is one of the few large ones.
+// IsLarge reports whether a tenant is one of the large ones.
 func (p Plan) IsLarge(name string) bool {
 	for _, large := range p.TenantNames()[:min(largeTenants, p.Tenants)] {
 		if name == large {
@@ -129,7 +131,7 @@
 	return false
 }
 
-// TenantLimit is a tenant's prepaid limit, in tokens.
+// TenantLimit returns a tenant's prepaid limit, in tokens.
 func (p Plan) TenantLimit(name string) uint64 {
 	if p.IsLarge(name) {
 		return 10 * p.Limit
@@ -137,13 +139,13 @@
 	return p.Limit
 }
 
-// APIKey is a tenant's key in the demo. Real keys are random.
+// APIKey returns a tenant's key in the demo, which is predictable. Real keys are random.
 func (p Plan) APIKey(tenant string) string { return "demo-key-" + p.Name + "-" + tenant }
 
-// BudgetName is a tenant's budget.
+// BudgetName returns the name of a tenant's budget.
 func BudgetName(tenant string) string { return tenant + "-prepaid" }
 
-// Catalog is the deployment's catalog.
+// Catalog returns the deployment's catalog.
 func (p Plan) Catalog() *ravenwayv1.CatalogDocument {
 	document := &ravenwayv1.CatalogDocument{
 		Services: []*ravenwayv1.Service{
@@ -179,7 +181,7 @@
 	}
 }
 
-// Settings is one daemon's settings file.
+// Settings returns the content of one daemon's settings file.
 func (p Plan) Settings(node Node, folder string) string {
 	var text strings.Builder
 	roles := `["entry"]`
