--- a/internal/lab/limitcheck/limitcheck.go
+++ b/internal/lab/limitcheck/limitcheck.go
@@ -1,27 +1,30 @@
-// Package limitcheck holds what is promised to an engine that names a limit of requests a
-// second, for the tests, simulations and the soak that count from the engine's side.
+// Package limitcheck defines the guarantee for an engine that names a rate limit in requests per
+// second, and checks it. Tests, simulations and the soak use it to count requests on the engine's
+// side.
 package limitcheck
 
 import "time"
 
 const (
-	// Contact is when all nodes in touch keep a limit after the first answer that named it.
+	// Contact is the time after the first response that named a limit, from which on all nodes that
+	// can reach each other respect it.
 	Contact = 3 * time.Second
 	// Window is the span in which requests are counted.
 	Window = 4 * time.Second
-	// In any Window an engine may get tolerance times what its limit allows, and slack
-	// requests more.
+	// In any Window an engine may receive tolerance times the requests of its limit, plus slack
+	// requests.
 	tolerance = 1.5
 	slack     = 5
 )
 
-// Allowed is the most that may come in any Window to an engine with a limit.
+// Allowed returns the maximum number of requests that an engine with a limit may receive in any
+// Window.
 func Allowed(perSecond float64) int { return int(tolerance*perSecond*Window.Seconds()) + slack }
 
-// Most is the highest number of some arrivals, in order, in any Window.
+// Most returns the maximum number of arrivals, which are sorted, in any Window.
 func Most(arrivals []time.Duration) int { return MostWithin(arrivals, Window) }
 
-// MostWithin is the highest number of some arrivals, in order, in any span of a length.
+// MostWithin returns the maximum number of arrivals, which are sorted, in any span of a length.
 func MostWithin(arrivals []time.Duration, length time.Duration) int {
 	most, first := 0, 0
 	for last := range arrivals {
--- a/internal/lab/limitcheck/limitcheck_test.go
+++ b/internal/lab/limitcheck/limitcheck_test.go
@@ -22,6 +22,6 @@
 		}
 		return arrivals
 	}
-	assert.Equal(t, Most(seconds(0, 4, 8, 12)), 2, "a window holds both of its ends")
+	assert.Equal(t, Most(seconds(0, 4, 8, 12)), 2, "a window includes both of its ends")
 	assert.Equal(t, Most(seconds(0, 3.9, 4.1, 5, 7.8, 12)), 4)
 }
--- a/internal/lab/limitcheck/record.go
+++ b/internal/lab/limitcheck/record.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// Record is what one life of an engine named as its limit, and what it got. Times are those
-// since a moment of the caller's, in order.
+// Record holds the rate limits that one incarnation of an engine named, and the requests that it
+// received. Times are since an origin that the caller chooses; they must not decrease.
 type Record struct {
 	steps    []step
 	arrivals []time.Duration
 }
 
-// step is a limit from the first answer that told of it; without isNamed there is none.
+// step is a change of the limit, from the first response that named it. Without isNamed there is no
+// limit from then on.
 type step struct {
 	at        time.Duration
 	isNamed   bool
 	perSecond float64
 }
 
-// Arrive notes a request.
+// Arrive records a request.
 func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// Name notes an answer that names a limit.
+// Name records a response that names a limit, in requests per second.
 func (r *Record) Name(at time.Duration, perSecond float64) {
 	last := len(r.steps) - 1
 	if last < 0 || !r.steps[last].isNamed || r.steps[last].perSecond != perSecond {
@@ -30,31 +31,33 @@
 	}
 }
 
-// End notes that answers name no limit from now on.
+// End records that responses name no limit from now on.
 func (r *Record) End(at time.Duration) {
 	if len(r.steps) > 0 {
 		r.steps = append(r.steps, step{at: at})
 	}
 }
 
-// Use is the fullest Window of an engine's limits.
+// Use summarizes the requests that an engine received under its limits. Got and Allowed describe
+// the Window that was fullest in relation to its limit.
 type Use struct {
-	// Got is what came in it, Allowed what may come.
+	// Got is the number of requests received in that window, Allowed the number allowed.
 	Got, Allowed int
-	// Arrived is what came in all while nodes had to keep a limit, Room what the limits had
-	// room for.
+	// Arrived is the number of requests while nodes had to respect a limit, Room the number that
+	// the limits allowed in that time.
 	Arrived int
 	Room    float64
 }
 
-// Note notes a window in which some requests came and some were allowed.
+// Note records a window with its requests received and allowed, if it is fuller than the last one
+// recorded.
 func (u *Use) Note(got, allowed int) {
 	if u.Allowed == 0 || got*u.Allowed > u.Got*allowed {
 		u.Got, u.Allowed = got, allowed
 	}
 }
 
-// Use judges the windows that lie between a limit's first answer and Contact, and its end.
+// Use evaluates the windows of each limit between Contact after its first response and its end.
 func (r *Record) Use(end time.Duration) Use {
 	use := Use{}
 	for position, one := range r.steps {
@@ -72,7 +75,7 @@
 	return use
 }
 
-// judge judges the windows of one limit with its changes.
+// judge evaluates the windows of one limit with its changes.
 func (r *Record) judge(use *Use, steps []step, from, until time.Duration) {
 	for first, begin := range r.arrivals {
 		if begin < from || begin > until {
@@ -99,7 +102,7 @@
 	}
 }
 
-// highestRate is the highest of the limits that were named in a span.
+// highestRate returns the highest limit that was in effect within a span.
 func highestRate(steps []step, from, until time.Duration) float64 {
 	highest := 0.0
 	for position, one := range steps {
--- a/internal/lab/limitcheck/record_test.go
+++ b/internal/lab/limitcheck/record_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// arrivals notes some requests in each tenth of a second of a span.
+// arrivals records each requests in every tenth of a second of a span.
 func arrivals(record *Record, from, until time.Duration, each int) {
 	for at := from; at < until; at += 100 * time.Millisecond {
 		for range each {
@@ -25,14 +25,14 @@
 	record.End(10 * time.Second)
 	arrivals(record, 10*time.Second+1, 20*time.Second, 5)
 	use := record.Use(20 * time.Second)
-	// A window holds both of its ends.
+	// A window includes both of its ends.
 	assert.Equal(t, use.Got, 41)
 	assert.Equal(t, use.Allowed, Allowed(1))
 	assert.Equal(t, use.Arrived, 60)
 	assert.Equal(t, use.Room, 6.0)
 }
 
-// A limit of 2 a second allows 17 requests in 4 s, once it was named for 3 s.
+// A limit of 2 requests per second allows 17 requests in 4 s, from 3 s after it was first named.
 func TestCheckNoticesAnEngineThatGetsMoreThanItsLimit(t *testing.T) {
 	record := Record{steps: []step{{isNamed: true, perSecond: 2}, {at: 20 * time.Second}}}
 	add := func(from time.Duration, count int) {
@@ -49,7 +49,7 @@
 	record.arrivals = nil
 	add(8*time.Second, 18)
 	assert.Equal(t, record.Use(time.Minute).Got, 18)
-	// Lowered from 20, which allows 125 until the word of it has come.
+	// Lowered from 20, which allows 125 requests until the nodes had time to receive the update.
 	record.steps = []step{{isNamed: true, perSecond: 20}, {at: 7 * time.Second, isNamed: true, perSecond: 2}}
 	assert.Equal(t, record.Use(time.Minute).Allowed, 125)
 	record.arrivals = nil
