--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -1,6 +1,6 @@
-// Package losses tells from nodes' logs where requests were lost: what was
-// refused, late or broken off, when, for which tenant and route and why, and how
-// the tenants' prepaid tokens stood at that moment.
+// Package losses reports from nodes' logs where requests were lost: which ones
+// were refused, late or broken off, when, for which tenant and route and why, and
+// the state of the tenants' prepaid budgets at that time.
 package losses
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// reason says what became of a request that was not served in time.
+// reason is the reason why a request was not served in time.
 type reason string
 
 const (
@@ -24,23 +24,23 @@
 	broken    reason = "broken off"
 )
 
-// kind is what losses are summed up by.
+// kind is the key by which losses are aggregated.
 type kind struct {
 	reason reason
 	route  string
 }
 
-// sum is what is known of the losses of one kind.
+// sum aggregates the losses of one kind.
 type sum struct {
 	count int
-	// tokenWait is the time that the requests waited for tokens.
+	// tokenWait is the total time that the requests waited for tokens.
 	tokenWait time.Duration
 	// held are the times from the arrival of each refused request to its refusal.
 	held []time.Duration
 }
 
-// heldPart is the time within which a part of the refused requests had their
-// refusal, 0 if there are none.
+// heldPart returns the quantile of the times from arrival to refusal, 0 if there are none. part is
+// between 0 and 1.
 func (s *sum) heldPart(part float64) time.Duration {
 	if len(s.held) == 0 {
 		return 0
@@ -49,7 +49,7 @@
 	return sorted[int(part*float64(len(sorted)-1))]
 }
 
-// heldSum is the time that the requests were kept waiting in all.
+// heldSum returns the total time from arrival to refusal.
 func (s *sum) heldSum() time.Duration {
 	total := time.Duration(0)
 	for _, one := range s.held {
@@ -58,33 +58,33 @@
 	return total
 }
 
-// standing is how one tenant's tokens stood at a moment.
+// standing is the state of one tenant's budget at a time, in tokens.
 type standing struct {
 	limit, spent, held, left, forfeited int64
 }
 
-// moment is one step of the time line.
+// moment aggregates the losses in one step of the time line.
 type moment struct {
 	losses  map[reason]int
 	tenants map[string]int
-	// held is the time that refused requests were kept waiting.
+	// held is the total time from arrival to refusal of the refused requests.
 	held time.Duration
-	// accounts is the last standing of each tenant at its end.
+	// accounts is the state of each tenant's budget at the end of the step.
 	accounts map[string]standing
 }
 
-// Report is what the logs tell.
+// Report aggregates the losses found in logs.
 type Report struct {
 	first   time.Time
 	step    time.Duration
 	kinds   map[kind]*sum
 	moments map[int]*moment
 	tenants map[string]map[reason]int
-	// served, late and leftOut are sums of the nodes' summaries.
+	// served, late and leftOut are totals over the nodes' summary lines.
 	served, late, leftOut int64
 }
 
-// Read sums up the lines of nodes' logs by steps of time.
+// Read aggregates the lines of nodes' logs by steps of time.
 func Read(lines []logs.Line, step time.Duration) (*Report, error) {
 	sorted, err := logs.InOrder(lines)
 	if err != nil {
@@ -200,7 +200,7 @@
 }
 
 func (r *Report) printKinds(out io.Writer) {
-	fmt.Fprintln(out, "reason\troute\tlines\tmean wait for tokens\tkept waiting before the refusal: in all\tmedian\t99 in 100")
+	fmt.Fprintln(out, "reason\troute\tlines\tmean wait for tokens\ttime until the refusal: total\tmedian\t99 in 100")
 	kinds := slices.SortedFunc(maps.Keys(r.kinds), func(a, b kind) int {
 		return cmp.Or(cmp.Compare(r.kinds[b].count, r.kinds[a].count), cmp.Compare(a.reason, b.reason), cmp.Compare(a.route, b.route))
 	})
@@ -214,7 +214,7 @@
 }
 
 func (r *Report) printTenants(out io.Writer) {
-	fmt.Fprintln(out, "tenant\tlines\tmost for\tlimit\tspent\theld by nodes\tleft at the root\tforfeited")
+	fmt.Fprintln(out, "tenant\tlines\tmost frequent reason\tlimit\tspent\theld by nodes\tleft at the root\tforfeited")
 	last := r.lastAccounts()
 	for _, tenant := range slices.Sorted(maps.Keys(r.tenants)) {
 		total, most, mostCount := 0, reason(""), 0
@@ -238,8 +238,7 @@
 	return accounts
 }
 
-// String gives the columns of an account: the limit in tokens, the rest in parts
-// of it.
+// String returns the columns of a budget: the limit in tokens, the others as fractions of it.
 func (s standing) String() string {
 	if s.limit == 0 {
 		return "-\t\t\t\t"
@@ -249,7 +248,7 @@
 }
 
 func (r *Report) printMoments(out io.Writer) {
-	fmt.Fprintln(out, "from\tlosses\tkept waiting before refusals\tmost hit tenant\tall limits\tspent\theld by nodes\tleft at the root\tforfeited")
+	fmt.Fprintln(out, "from\tlosses\ttime until refusals\tmost affected tenant\tall limits\tspent\theld by nodes\tleft at the root\tforfeited")
 	for _, place := range slices.Sorted(maps.Keys(r.moments)) {
 		at := r.moments[place]
 		var all standing
