--- a/internal/lab/pausecheck/pausecheck.go
+++ b/internal/lab/pausecheck/pausecheck.go
@@ -1,45 +1,49 @@
-// Package pausecheck holds what is promised to an engine that asks a node for a pause or
-// tells it that it leaves, for the tests, simulations and the soak that count from the
-// engine's side.
+// Package pausecheck defines the guarantee for an engine that requests a pause of a node or
+// announces its shutdown to it, and checks it. Tests, simulations and the soak use it to count
+// requests on the engine's side.
 package pausecheck
 
 import "time"
 
 const (
-	// Contact is when a node keeps a pause after the answer that asked for it.
+	// Contact is the time after the response that requested a pause, from which on the node
+	// respects it.
 	Contact = 500 * time.Millisecond
-	// Allowed is the most that may come from that node between Contact and the pause's end.
+	// Allowed is the maximum number of requests that the node may send between Contact and the end
+	// of the pause.
 	Allowed = 2
-	// Drain is when a node sends nothing more to an engine after an answer that said that
-	// the engine leaves.
+	// Drain is the time after a response that announced the engine's shutdown, from which on the
+	// node sends it no more requests.
 	Drain = 2 * time.Second
 )
 
-// Record is what one life of an engine asked one node for, and what it got from it. Times
-// are those since a moment of the caller's, in order.
+// Record holds the pauses that one incarnation of an engine requested of one node, and the requests
+// that it received from it. Times are since an origin that the caller chooses; they must not
+// decrease.
 type Record struct {
 	pauses   []pause
 	arrivals []time.Duration
-	// leftAt is when the node was first told that the engine leaves, if hasLeft is set.
+	// leftAt is the time of the first response to the node that announced the shutdown, if hasLeft
+	// is set.
 	leftAt  time.Duration
 	hasLeft bool
 }
 
-// pause is asked for at a time.
+// pause is a pause of a length, requested at a time.
 type pause struct{ at, lasting time.Duration }
 
-// Arrive notes a request of the node.
+// Arrive records a request of the node.
 func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// Ask notes an answer that asks the node for a pause.
+// Ask records a response that requests a pause of the node.
 func (r *Record) Ask(at, lasting time.Duration) {
 	r.pauses = append(r.pauses, pause{at: at, lasting: lasting})
 }
 
-// Pauses is how often the node was asked for one.
+// Pauses returns the number of pauses that were requested of the node.
 func (r *Record) Pauses() int { return len(r.pauses) }
 
-// Most is the highest number of requests that came in any one of the pauses.
+// Most returns the maximum number of requests that arrived in any of the pauses.
 func (r *Record) Most() int {
 	most := 0
 	for _, one := range r.pauses {
@@ -48,7 +52,8 @@
 	return most
 }
 
-// Offsets are how long after the answer that asked for a pause requests came in it.
+// Offsets returns, for each request that arrived in a pause, the time since the response that
+// requested the pause.
 func (r *Record) Offsets() []time.Duration {
 	var offsets []time.Duration
 	for _, one := range r.pauses {
@@ -57,7 +62,7 @@
 	return offsets
 }
 
-// within returns the offsets of the requests that came in a pause.
+// within returns the offsets of the requests that arrived in a pause.
 func (r *Record) within(one pause) []time.Duration {
 	var offsets []time.Duration
 	for _, arrival := range r.arrivals {
@@ -68,15 +73,15 @@
 	return offsets
 }
 
-// Leave notes an answer that tells the node that the engine leaves.
+// Leave records a response to the node that announces the engine's shutdown.
 func (r *Record) Leave(at time.Duration) {
 	if !r.hasLeft {
 		r.leftAt, r.hasLeft = at, true
 	}
 }
 
-// AfterLeaving is the number of requests that came later than Drain after the node was told
-// that the engine leaves, and whether it was told.
+// AfterLeaving returns the number of requests that arrived later than Drain after the announcement
+// of the engine's shutdown, and whether there was an announcement.
 func (r *Record) AfterLeaving() (late int, wasTold bool) {
 	if !r.hasLeft {
 		return 0, false
