--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -1,5 +1,5 @@
-// Package standin is what the lab's stand-ins for callers, engines and operators
-// must say on a wire interface to meet real daemons.
+// Package standin defines the messages that the lab's stand-ins for callers, engines and operators
+// exchange with real daemons, independently of the wire interface.
 package standin
 
 import (
@@ -10,37 +10,37 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// Wire is what the stand-ins must say on one wire interface, the other side of
+// Wire encodes and decodes the stand-ins' messages on one wire interface. It is the counterpart of
 // gateway.Dialect.
 type Wire interface {
-	// Name is the interface's name in the settings of a daemon.
+	// Name returns the interface's name in the settings of a daemon.
 	Name() string
 	// CallerHeader returns the headers of a caller's request.
 	CallerHeader(call Call) http.Header
-	// ReadRequest reads what an engine was sent.
+	// ReadRequest reads the header of a request to an engine.
 	ReadRequest(header http.Header) EngineRequest
-	// AnswerHeader returns the headers of an engine's answer.
+	// AnswerHeader returns the headers of an engine's response.
 	AnswerHeader(request, instance string, notRun bool) http.Header
-	// LimitHeader returns the headers by which an engine's answer names a limit.
+	// LimitHeader returns the headers by which an engine's response names a rate limit.
 	LimitHeader(value string) http.Header
-	// PauseHeader returns those by which a refusal asks for a pause, LeavingHeader those by
-	// which any answer says that its engine leaves.
+	// PauseHeader returns the headers by which a rejection requests a pause, LeavingHeader those by
+	// which any response announces that its engine shuts down.
 	PauseHeader(lasting time.Duration) http.Header
 	LeavingHeader() http.Header
 	// Heartbeat returns the path and the body of an instance's heartbeat.
 	Heartbeat(instance registry.Instance) (path string, body []byte)
-	// Configuration returns the path and the body of an operator's order.
+	// Configuration returns the path and the body of an operator's order for a configuration.
 	Configuration(wanted *document.Document) (path string, body []byte)
-	// Rollout returns the path and the body of an operator's order for a rollout, RolloutPath
-	// where its state is read, and ReadRollout reads that.
+	// Rollout returns the path and the body of an operator's order for a rollout. RolloutPath
+	// returns the path at which its state is read, and ReadRollout decodes that state.
 	Rollout(service, version string, duration time.Duration) (path string, body []byte)
 	RolloutPath(service string) string
 	ReadRollout(body []byte) RolloutState
-	// ReadyPath is where an entry node tells whether it wants callers.
+	// ReadyPath returns the path at which an entry node reports whether it is ready for callers.
 	ReadyPath() string
 }
 
-// RolloutState is what an operator is told of a rollout; "" if that can't be read.
+// RolloutState is the state of a rollout as an operator sees it; "" if it can't be decoded.
 type RolloutState string
 
 // States of a rollout.
@@ -55,18 +55,18 @@
 	ID   string
 	Key  string
 	Wait time.Duration
-	// TokensIn and TokensOut are the prompt and the most that is generated; 0
-	// for a plain call. Part is the shared part of the prompt.
+	// TokensIn and TokensOut are the tokens of the prompt and the maximum number of generated
+	// tokens; 0 for a plain call. Part is the id of the shared part of the prompt.
 	TokensIn, TokensOut uint64
 	Part                string
 }
 
-// EngineRequest is what an engine reads of a request.
+// EngineRequest is a request as an engine reads it.
 type EngineRequest struct {
 	ID       string
 	Tenant   string
 	Instance string
 	TokensIn uint64
-	// After is the number of the event after which a stream goes on.
+	// After is the number of the event after which a stream is resumed.
 	After int
 }
