--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -1,6 +1,6 @@
 // Package wire is the lab's own wire interface between callers, ravenway and
-// engine stand-ins: the least that a gateway.Dialect must say. Tests of the
-// forwarding and of whole fleets speak it.
+// engine stand-ins: a minimal gateway.Dialect. Tests of the forwarding and of
+// whole fleets use it.
 package wire
 
 import (
@@ -28,17 +28,17 @@
 	HeaderTokens   = "Lab-Tokens"
 	HeaderPart     = "Lab-Part"
 	HeaderAfter    = "Lab-After"
-	// HeaderRateLimit is the requests a second that an engine takes from all nodes
-	// together.
+	// HeaderRateLimit is the rate limit of an engine for all nodes together, in requests per
+	// second.
 	HeaderRateLimit = "Lab-Rate-Limit"
-	// HeaderPause is how long an engine that turns a request away wants none from the node,
-	// in seconds.
+	// HeaderPause is the pause that an engine requests of the node as it rejects a request, in
+	// seconds.
 	HeaderPause = "Lab-Pause"
-	// HeaderLeaving says that an engine leaves.
+	// HeaderLeaving announces that an engine shuts down.
 	HeaderLeaving = "Lab-Leaving"
 )
 
-// ReadyPath is where an entry node says whether it is ready.
+// ReadyPath is the path at which an entry node reports whether it is ready.
 const ReadyPath = "/ready"
 
 // Dialect implements gateway.Dialect.
@@ -99,7 +99,8 @@
 	return forward.IsHTTPAnswerHeader(name) || slices.Contains([]string{HeaderRequest, HeaderNotRun, HeaderRateLimit, HeaderPause, HeaderLeaving}, name)
 }
 
-// ControlHandler implements gateway.Dialect: the lab calls gateway.Control.
+// ControlHandler implements gateway.Dialect. It serves nothing: the lab calls gateway.Control
+// directly.
 func (Dialect) ControlHandler(gateway.Control) http.Handler { return http.NotFoundHandler() }
 
 // ReadyHandler implements gateway.Dialect.
