--- a/internal/lab/emulator/cache.go
+++ b/internal/lab/emulator/cache.go
@@ -7,17 +7,17 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// eventsKept is the number of cache events that are kept for readers.
-const eventsKept = 8192
+// maximumCacheEvents is the number of cache events that are kept for readers.
+const maximumCacheEvents = 8192
 
 // prefixCache is a bounded LRU cache of prompt blocks. It publishes insertions and evictions as
 // events, with a lag and with gaps.
 type prefixCache struct {
-	options EngineOptions
-	order   *list.List
-	blocks  map[uint64]*list.Element
-	events  []timedEvent
-	next    uint64
+	options      EngineOptions
+	order        *list.List
+	blocks       map[uint64]*list.Element
+	events       []timedEvent
+	nextSequence uint64
 }
 
 type timedEvent struct {
@@ -26,13 +26,14 @@
 }
 
 func newPrefixCache(options EngineOptions) *prefixCache {
-	return &prefixCache{options: options, order: list.New(), blocks: map[uint64]*list.Element{}, next: 1}
+	return &prefixCache{options: options, order: list.New(), blocks: map[uint64]*list.Element{}, nextSequence: 1}
 }
 
 func (c *prefixCache) length() int { return c.order.Len() }
 
-// use returns how many leading blocks of a prompt are cached, and caches all of its blocks.
-func (c *prefixCache) use(prompt string) uint64 {
+// lookupAndInsert returns how many leading blocks of a prompt are cached, and caches all of its
+// blocks.
+func (c *prefixCache) lookupAndInsert(prompt string) uint64 {
 	var hits uint64
 	missed := false
 	for _, block := range engine.PrefixBlocks(prompt) {
@@ -61,19 +62,19 @@
 }
 
 func (c *prefixCache) publish(event engine.CacheEvent) {
-	event.Sequence = c.next
-	c.next++
+	event.Sequence = c.nextSequence
+	c.nextSequence++
 	if c.options.EventGap > 0 && event.Sequence%c.options.EventGap == 0 {
 		return
 	}
 	c.events = append(c.events, timedEvent{at: time.Now(), event: event})
-	if len(c.events) > eventsKept {
-		c.events = c.events[len(c.events)-eventsKept:]
+	if len(c.events) > maximumCacheEvents {
+		c.events = c.events[len(c.events)-maximumCacheEvents:]
 	}
 }
 
-// since returns the events from a sequence number on that are older than the event lag.
-func (c *prefixCache) since(from uint64) engine.CacheEvents {
+// eventsSince returns the events from a sequence number on that are older than the event lag.
+func (c *prefixCache) eventsSince(from uint64) engine.CacheEvents {
 	page := engine.CacheEvents{Next: from}
 	limit := time.Now().Add(-c.options.EventLag)
 	for _, one := range c.events {
@@ -86,8 +87,8 @@
 	return page
 }
 
-// cached returns a prompt's leading blocks that are in the cache.
-func (c *prefixCache) cached(prompt string) []uint64 {
+// cachedBlocks returns a prompt's leading blocks that are in the cache.
+func (c *prefixCache) cachedBlocks(prompt string) []uint64 {
 	var blocks []uint64
 	for _, block := range engine.PrefixBlocks(prompt) {
 		if _, found := c.blocks[block]; !found {
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -19,8 +19,8 @@
 	bytesPerToken = 4
 	// blockTokens is the size of a cached block in tokens.
 	blockTokens = engine.PrefixBlockBytes / bytesPerToken
-	// retainedRequests is the maximum number of ended requests kept for resuming.
-	retainedRequests = 4096
+	// maximumRetainedRequests is the maximum number of ended requests kept for resuming.
+	maximumRetainedRequests = 4096
 	// prefillChunk is the maximum number of prompt tokens that one step processes per sequence.
 	prefillChunk = 2048
 )
@@ -64,24 +64,24 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	request   engine.GenerateRequest
-	state     engine.RequestState
-	arrived   uint64
-	prompt    uint64
-	cached    uint64
-	prefilled uint64
-	output    uint64
-	target    uint64
+	request         engine.GenerateRequest
+	state           engine.RequestState
+	arrival         uint64
+	promptTokens    uint64
+	cachedTokens    uint64
+	prefilledTokens uint64
+	outputTokens    uint64
+	targetTokens    uint64
 	// progress is closed and replaced at each change.
 	progress chan struct{}
 }
 
-func (s *sequence) ended() bool {
+func (s *sequence) hasEnded() bool {
 	return s.state == engine.StateFinished || s.state == engine.StateCancelled
 }
 
 func (s *sequence) usage() engine.Usage {
-	return engine.Usage{Prompt: s.prompt, Cached: s.cached, Completion: s.output}
+	return engine.Usage{Prompt: s.promptTokens, Cached: s.cachedTokens, Completion: s.outputTokens}
 }
 
 func (s *sequence) status() engine.RequestStatus {
@@ -95,25 +95,25 @@
 
 	mutex     sync.Mutex
 	sequences map[string]*sequence
-	// waiting and running are in order of arrival. finished holds the ids of ended requests; the
+	// waiting and running are in order of arrival. endedIDs holds the ids of ended requests; the
 	// oldest are dropped first.
-	waiting  []*sequence
-	running  []*sequence
-	finished []string
-	arrivals uint64
-	wake     chan struct{}
-	cache    *prefixCache
-	loads    []timedLoad
-	order    engine.OrderState
-	loadedAt time.Time
-	leaving  bool
+	waiting   []*sequence
+	running   []*sequence
+	endedIDs  []string
+	arrivals  uint64
+	wake      chan struct{}
+	cache     *prefixCache
+	loads     []timedLoad
+	order     engine.OrderState
+	loadedAt  time.Time
+	isLeaving bool
 	// slowdown multiplies step times; 1 is healthy.
 	slowdown int
 	// pause is the requested pause while the engine rejects requests; 0 if it accepts them. pauses
-	// records the pauses requested of each node, in time since pausesBegan.
-	pause       time.Duration
-	pauses      map[string]*pausecheck.Record
-	pausesBegan time.Time
+	// records the pauses requested of each node, in time since pausesStartedAt.
+	pause           time.Duration
+	pauses          map[string]*pausecheck.Record
+	pausesStartedAt time.Time
 }
 
 type timedLoad struct {
@@ -133,7 +133,7 @@
 // Run steps the engine until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	for {
-		duration := e.step()
+		duration := e.planStep()
 		if duration == 0 {
 			select {
 			case <-ctx.Done():
@@ -148,17 +148,17 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-			e.complete()
+			e.completeStep()
 		}
 	}
 }
 
-// step plans the next batch and returns its duration, or 0 if the engine is idle.
-func (e *Engine) step() time.Duration {
+// planStep plans the next batch and returns its duration, or 0 if the engine is idle.
+func (e *Engine) planStep() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.admit()
-	e.noteLoad()
+	e.sampleLoad()
 	if len(e.running) == 0 {
 		return 0
 	}
@@ -170,28 +170,28 @@
 }
 
 func (s *sequence) nextPrefill() uint64 {
-	return min(s.prompt-s.prefilled, prefillChunk)
+	return min(s.promptTokens-s.prefilledTokens, prefillChunk)
 }
 
-// complete applies the step that was planned.
-func (e *Engine) complete() {
+// completeStep applies the step that was planned.
+func (e *Engine) completeStep() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, one := range e.running {
 		if chunk := one.nextPrefill(); chunk > 0 {
-			one.prefilled += chunk
+			one.prefilledTokens += chunk
 		} else {
-			one.output++
+			one.outputTokens++
 		}
-		if one.prefilled == one.prompt && one.output >= one.target {
-			e.end(one, engine.StateFinished)
+		if one.prefilledTokens == one.promptTokens && one.outputTokens >= one.targetTokens {
+			e.endSequence(one, engine.StateFinished)
 		}
-		one.announce()
+		one.signalProgress()
 	}
-	e.running = slices.DeleteFunc(e.running, (*sequence).ended)
+	e.running = slices.DeleteFunc(e.running, (*sequence).hasEnded)
 }
 
-func (s *sequence) announce() {
+func (s *sequence) signalProgress() {
 	close(s.progress)
 	s.progress = make(chan struct{})
 }
@@ -202,19 +202,19 @@
 		if a.request.Priority != b.request.Priority {
 			return cmp.Compare(b.request.Priority, a.request.Priority)
 		}
-		return cmp.Compare(a.arrived, b.arrived)
+		return cmp.Compare(a.arrival, b.arrival)
 	})
 	for len(e.waiting) > 0 && len(e.running) < e.options.Capacity {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		next.state = engine.StateRunning
-		next.cached = min(e.cache.use(next.request.Prompt)*blockTokens, next.prompt)
-		next.prefilled = next.cached
+		next.cachedTokens = min(e.cache.lookupAndInsert(next.request.Prompt)*blockTokens, next.promptTokens)
+		next.prefilledTokens = next.cachedTokens
 		e.running = append(e.running, next)
 	}
 }
 
-func (e *Engine) end(ended *sequence, state engine.RequestState) {
+func (e *Engine) endSequence(ended *sequence, state engine.RequestState) {
 	ended.state = state
 	kind := TruthFinished
 	if state == engine.StateCancelled {
@@ -224,10 +224,10 @@
 		Backend: e.options.Name, RequestID: ended.request.RequestID, Tenant: ended.request.Tenant,
 		Kind: kind, Tokens: ended.usage().Total(),
 	})
-	e.finished = append(e.finished, ended.request.RequestID)
-	if len(e.finished) > retainedRequests {
-		delete(e.sequences, e.finished[0])
-		e.finished = e.finished[1:]
+	e.endedIDs = append(e.endedIDs, ended.request.RequestID)
+	if len(e.endedIDs) > maximumRetainedRequests {
+		delete(e.sequences, e.endedIDs[0])
+		e.endedIDs = e.endedIDs[1:]
 	}
 }
 
@@ -260,24 +260,24 @@
 func (e *Engine) submit(request engine.GenerateRequest) (*sequence, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if known := e.sequences[request.RequestID]; known != nil {
-		return known, nil
+	if existing := e.sequences[request.RequestID]; existing != nil {
+		return existing, nil
 	}
-	if e.leaving {
+	if e.isLeaving {
 		return nil, &submitError{code: "leaving"}
 	}
 	if len(e.waiting) >= 2*e.options.Capacity {
 		return nil, &submitError{code: "overloaded"}
 	}
 	e.arrivals++
-	taken := &sequence{
-		request: request, state: engine.StateQueued, arrived: e.arrivals, prompt: CountTokens(request.Prompt),
-		target: OutputTokens(request.RequestID, request.MaxTokens), progress: make(chan struct{}),
+	queued := &sequence{
+		request: request, state: engine.StateQueued, arrival: e.arrivals, promptTokens: CountTokens(request.Prompt),
+		targetTokens: OutputTokens(request.RequestID, request.MaxTokens), progress: make(chan struct{}),
 	}
-	e.sequences[request.RequestID] = taken
-	e.waiting = append(e.waiting, taken)
+	e.sequences[request.RequestID] = queued
+	e.waiting = append(e.waiting, queued)
 	e.wakeUp()
-	return taken, nil
+	return queued, nil
 }
 
 func (e *Engine) wakeUp() {
@@ -302,29 +302,30 @@
 	if found == nil {
 		return engine.RequestStatus{}, false
 	}
-	if !found.ended() {
+	if !found.hasEnded() {
 		if found.state == engine.StateQueued {
 			// No token of the prompt was processed.
-			found.prompt = 0
+			found.promptTokens = 0
 		} else {
-			found.prompt = found.prefilled
+			found.promptTokens = found.prefilledTokens
 		}
-		e.end(found, engine.StateCancelled)
-		found.announce()
-		e.waiting = slices.DeleteFunc(e.waiting, (*sequence).ended)
-		e.running = slices.DeleteFunc(e.running, (*sequence).ended)
+		e.endSequence(found, engine.StateCancelled)
+		found.signalProgress()
+		e.waiting = slices.DeleteFunc(e.waiting, (*sequence).hasEnded)
+		e.running = slices.DeleteFunc(e.running, (*sequence).hasEnded)
 	}
 	return found.status(), true
 }
 
-// noteLoad samples the current load, at most four times per event lag, to report it with that lag.
-func (e *Engine) noteLoad() {
+// sampleLoad samples the current load, at most four times per event lag, to report it with that
+// lag.
+func (e *Engine) sampleLoad() {
 	now := time.Now()
 	if count := len(e.loads); count > 0 && now.Sub(e.loads[count-1].at) < e.options.EventLag/4 {
 		return
 	}
 	load := engine.Load{
-		Running: len(e.running), Queued: len(e.waiting), Capacity: e.options.Capacity, Leaving: e.leaving,
+		Running: len(e.running), Queued: len(e.waiting), Capacity: e.options.Capacity, Leaving: e.isLeaving,
 		AtMillis: now.UnixMilli(), Model: e.options.Model, CacheUsed: uint64(e.cache.length() * blockTokens),
 	}
 	e.loads = append(e.loads, timedLoad{at: now, load: load})
@@ -334,7 +335,7 @@
 func (e *Engine) reportedLoad() engine.Load {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.noteLoad()
+	e.sampleLoad()
 	limit := time.Now().Add(-e.options.EventLag)
 	for len(e.loads) > 1 && !e.loads[1].at.After(limit) {
 		e.loads = e.loads[1:]
@@ -346,7 +347,7 @@
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.leaving = leaving
+	e.isLeaving = leaving
 }
 
 // SetPause makes the engine reject new requests and request a pause of their senders; 0 ends that.
@@ -354,25 +355,25 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.pauses == nil {
-		e.pauses, e.pausesBegan = map[string]*pausecheck.Record{}, time.Now()
+		e.pauses, e.pausesStartedAt = map[string]*pausecheck.Record{}, time.Now()
 	}
 	e.pause = pause
 }
 
 // InPause returns the maximum number of requests that any node sent in a pause requested of it, and
 // the number of pauses requested.
-func (e *Engine) InPause() (most, pauses int) {
+func (e *Engine) InPause() (maximum, pauses int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, record := range e.pauses {
-		most, pauses = max(most, record.Most()), pauses+record.Pauses()
+		maximum, pauses = max(maximum, record.Most()), pauses+record.Pauses()
 	}
-	return most, pauses
+	return maximum, pauses
 }
 
-// notePaused records a request of a node, and returns the pause to request of the node; 0 if the
-// engine accepts the request.
-func (e *Engine) notePaused(node string) time.Duration {
+// recordAndPause records a request of a node, and returns the pause to request of the node; 0 if
+// the engine accepts the request.
+func (e *Engine) recordAndPause(node string) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.pauses == nil {
@@ -383,7 +384,7 @@
 		record = &pausecheck.Record{}
 		e.pauses[node] = record
 	}
-	now := time.Since(e.pausesBegan)
+	now := time.Since(e.pausesStartedAt)
 	record.Arrive(now)
 	if e.pause > 0 {
 		record.Ask(now, e.pause)
@@ -398,9 +399,9 @@
 	e.slowdown = max(1, factor)
 }
 
-// giveOrder starts an order and reports whether the engine accepts it. An engine that checks fences
-// refuses an order with a lower fence.
-func (e *Engine) giveOrder(order engine.Order) (engine.OrderState, bool) {
+// acceptOrder starts an order and reports whether the engine accepts it. An engine that checks
+// fences refuses an order with a lower fence.
+func (e *Engine) acceptOrder(order engine.Order) (engine.OrderState, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.options.ChecksFence && order.Fence < e.order.Fence {
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -43,18 +43,18 @@
 		refuse(writer, http.StatusBadRequest, "bad_request")
 		return
 	}
-	if pause := e.notePaused(request.RemoteAddr); pause > 0 {
+	if pause := e.recordAndPause(request.RemoteAddr); pause > 0 {
 		writer.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', -1, 64))
 		refuse(writer, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
-	taken, err := e.submit(generate)
+	queued, err := e.submit(generate)
 	if err != nil {
 		writer.Header().Set("Retry-After", "1")
 		refuse(writer, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	e.stream(writer, request, taken, 0)
+	e.stream(writer, request, queued, 0)
 }
 
 func (e *Engine) handleResume(writer http.ResponseWriter, request *http.Request) {
@@ -101,7 +101,7 @@
 // nextEvent returns the output beyond an offset, and a channel that closes when there is more.
 func (e *Engine) nextEvent(source *sequence, offset uint64) (engine.Event, <-chan struct{}) {
 	e.mutex.Lock()
-	output, ended, usage, state, progress := source.output, source.ended(), source.usage(), source.state, source.progress
+	output, ended, usage, state, progress := source.outputTokens, source.hasEnded(), source.usage(), source.state, source.progress
 	e.mutex.Unlock()
 	event := engine.Event{RequestID: source.request.RequestID, Offset: offset}
 	if output > offset {
@@ -162,7 +162,7 @@
 		return
 	}
 	e.mutex.Lock()
-	page := e.cache.since(from)
+	page := e.cache.eventsSince(from)
 	e.mutex.Unlock()
 	writeJSON(writer, http.StatusOK, page)
 }
@@ -172,8 +172,8 @@
 	if !readJSON(writer, request, &order) {
 		return
 	}
-	state, taken := e.giveOrder(order)
-	if !taken {
+	state, isAccepted := e.acceptOrder(order)
+	if !isAccepted {
 		refuse(writer, http.StatusConflict, "fenced")
 		return
 	}
@@ -200,7 +200,7 @@
 		return
 	}
 	e.mutex.Lock()
-	blocks := e.cache.cached(count.Prompt)
+	blocks := e.cache.cachedBlocks(count.Prompt)
 	e.mutex.Unlock()
 	writeJSON(writer, http.StatusOK, engine.KVBlocks{Blocks: blocks})
 }
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -10,25 +10,25 @@
 type WeightStore struct {
 	mutex  sync.Mutex
 	freeAt time.Time
-	// waiting counts the loads that had to wait for another load.
-	waiting int
+	// delayedLoads counts the loads that had to wait for another load.
+	delayedLoads int
 }
 
-// reserve queues a load that takes the time alone without others, and returns the time until its
+// reserve queues a load that takes duration if no other load runs, and returns the time until its
 // end. A nil store has no limit.
-func (w *WeightStore) reserve(alone time.Duration) time.Duration {
+func (w *WeightStore) reserve(duration time.Duration) time.Duration {
 	if w == nil {
-		return alone
+		return duration
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := time.Now()
 	if w.freeAt.After(now) {
-		w.waiting++
+		w.delayedLoads++
 	} else {
 		w.freeAt = now
 	}
-	w.freeAt = w.freeAt.Add(alone)
+	w.freeAt = w.freeAt.Add(duration)
 	return w.freeAt.Sub(now)
 }
 
@@ -36,5 +36,5 @@
 func (w *WeightStore) Waiting() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.waiting
+	return w.delayedLoads
 }
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -35,10 +35,10 @@
 	engines map[string]*Engine
 	names   []string
 	// handlers are the back ends' handlers by address.
-	handlers map[string]http.Handler
-	mutex    sync.Mutex
-	leaving  map[string]time.Time
-	down     map[string]bool
+	handlers     map[string]http.Handler
+	mutex        sync.Mutex
+	leavingSince map[string]time.Time
+	isDown       map[string]bool
 }
 
 // NewWorld emulates the back ends of a catalog document. Engine options that the catalog does not
@@ -46,19 +46,19 @@
 func NewWorld(document *ravenwayv1.CatalogDocument, defaults EngineOptions, truth *Truth) *World {
 	world := &World{
 		Truth: truth, Weights: &WeightStore{}, PlatformLag: DefaultPlatformLag, engines: map[string]*Engine{},
-		handlers: map[string]http.Handler{}, leaving: map[string]time.Time{}, down: map[string]bool{},
+		handlers: map[string]http.Handler{}, leavingSince: map[string]time.Time{}, isDown: map[string]bool{},
 	}
 	services := map[string]*ravenwayv1.Service{}
 	for _, service := range document.GetServices() {
 		services[service.GetName()] = service
 	}
 	for _, backend := range document.GetBackends() {
-		world.add(backend, services[backend.GetService()], defaults)
+		world.addBackend(backend, services[backend.GetService()], defaults)
 	}
 	return world
 }
 
-func (w *World) add(backend *ravenwayv1.Backend, service *ravenwayv1.Service, defaults EngineOptions) {
+func (w *World) addBackend(backend *ravenwayv1.Backend, service *ravenwayv1.Service, defaults EngineOptions) {
 	name := backend.GetName()
 	w.names = append(w.names, name)
 	if service.GetKind() != ravenwayv1.ServiceKind_SERVICE_KIND_ENGINE {
@@ -81,7 +81,7 @@
 func (w *World) unlessDown(name string, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		w.mutex.Lock()
-		down := w.down[name]
+		down := w.isDown[name]
 		w.mutex.Unlock()
 		if down {
 			panic(http.ErrAbortHandler)
@@ -97,7 +97,7 @@
 func (w *World) SetDown(name string, down bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.down[name] = down
+	w.isDown[name] = down
 }
 
 // SetLeaving marks a back end as leaving. The platform's list shows it after PlatformLag. It does
@@ -105,7 +105,7 @@
 func (w *World) SetLeaving(name string) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.leaving[name] = time.Now()
+	w.leavingSince[name] = time.Now()
 }
 
 // Handlers returns the back ends' HTTP handlers by address.
@@ -161,7 +161,7 @@
 	list := platform.List{}
 	for _, name := range w.names {
 		state := platform.MachineLive
-		if at, leaving := w.leaving[name]; leaving && time.Since(at) >= w.PlatformLag {
+		if at, leaving := w.leavingSince[name]; leaving && time.Since(at) >= w.PlatformLag {
 			state = platform.MachineLeaving
 		}
 		list.Machines = append(list.Machines, platform.Machine{Name: name, State: state})
