--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -189,7 +189,7 @@
 				answer.Gaps = append(answer.Gaps, now.Sub(last))
 			}
 			last = now
-			if failed := readPart(payload, &text, &usage); failed != nil {
+			if failed := decodePart(payload, &text, &usage); failed != nil {
 				answer.Outcome, answer.Code, answer.Detail = Unknown, failed.Code, failed.Message
 				return answer
 			}
@@ -202,7 +202,7 @@
 	return answer
 }
 
-func readPart(payload string, text *strings.Builder, usage **caller.Usage) *caller.ErrorDetail {
+func decodePart(payload string, text *strings.Builder, usage **caller.Usage) *caller.ErrorDetail {
 	var part struct {
 		caller.Completion
 		Error *caller.ErrorDetail `json:"error"`
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -17,9 +17,9 @@
 const (
 	// maximumMillis is the highest value of the histograms, in milliseconds.
 	maximumMillis = 10 * 60 * 1000
-	// maximumTries is the maximum number of attempts at one request.
-	maximumTries = 6
-	retryPause   = 300 * time.Millisecond
+	// maximumAttempts is the maximum number of attempts at one request.
+	maximumAttempts = 6
+	retryDelay      = 300 * time.Millisecond
 )
 
 // Options configure a run.
@@ -82,16 +82,16 @@
 		return Report{}, ErrNoEntries
 	}
 	random := rand.New(rand.NewPCG(options.Seed, 0xda942042e4dd58b5))
-	gathered := &collector{
+	collected := &collector{
 		report:     Report{Outcomes: map[Outcome]int{}, Codes: map[string]int{}, Tokens: map[string]uint64{}},
 		firstToken: map[Kind]*hdrhistogram.Histogram{}, gaps: map[Kind]*hdrhistogram.Histogram{},
 	}
 	var sending sync.WaitGroup
 	started := time.Now()
-	due := time.Duration(0)
+	nextArrival := time.Duration(0)
 	for number := 0; ; number++ {
-		due += time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second))
-		if due >= options.Duration || !pause.For(ctx, time.Until(started.Add(due))) {
+		nextArrival += time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second))
+		if nextArrival >= options.Duration || !pause.For(ctx, time.Until(started.Add(nextArrival))) {
 			break
 		}
 		drawn := options.Mix.Draw(random, number)
@@ -99,34 +99,34 @@
 			drawn.Key = ""
 		}
 		first := random.IntN(len(options.Entries))
-		sending.Go(func() { gathered.send(ctx, options, drawn, first) })
+		sending.Go(func() { collected.send(ctx, options, drawn, first) })
 	}
 	sending.Wait()
-	return gathered.finish(), ctx.Err()
+	return collected.finalReport(), ctx.Err()
 }
 
 // send sends a request until its outcome is final, as a caller that retries does.
 func (c *collector) send(ctx context.Context, options Options, wanted Request, first int) {
 	var answer Answer
-	tries := 0
-	for tries < maximumTries {
-		answer = options.Client.Send(ctx, options.Entries[(first+tries)%len(options.Entries)], wanted)
-		tries++
+	attempts := 0
+	for attempts < maximumAttempts {
+		answer = options.Client.Send(ctx, options.Entries[(first+attempts)%len(options.Entries)], wanted)
+		attempts++
 		if answer.Outcome != Cut && answer.Code != "in_progress" && answer.Code != "outcome_unknown" {
 			break
 		}
-		if !options.Retry || wanted.Key == "" || !pause.For(ctx, retryPause) {
+		if !options.Retry || wanted.Key == "" || !pause.For(ctx, retryDelay) {
 			break
 		}
-		c.noteCut(answer)
+		c.recordRetry(answer)
 	}
-	c.add(wanted, answer, tries)
+	c.recordAnswer(wanted, answer, attempts)
 	if options.Done != nil {
-		options.Done(wanted, answer, tries)
+		options.Done(wanted, answer, attempts)
 	}
 }
 
-func (c *collector) noteCut(answer Answer) {
+func (c *collector) recordRetry(answer Answer) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if answer.Outcome == Cut {
@@ -135,7 +135,7 @@
 	c.report.Retries++
 }
 
-func (c *collector) add(wanted Request, answer Answer, tries int) {
+func (c *collector) recordAnswer(wanted Request, answer Answer, attempts int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.report.Sent++
@@ -145,31 +145,31 @@
 	}
 	if answer.Outcome != Whole {
 		if answer.Outcome != Refused && len(c.report.Details) < maximumDetails {
-			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d tries: %s %s", wanted.Kind, answer.Outcome, tries, answer.Code, answer.Detail))
+			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d attempts: %s %s", wanted.Kind, answer.Outcome, attempts, answer.Code, answer.Detail))
 		}
 		return
 	}
 	c.report.Tokens[wanted.Tenant] += answer.Tokens
-	record(c.firstToken, wanted.Kind, answer.FirstToken)
+	recordValue(c.firstToken, wanted.Kind, answer.FirstToken)
 	for _, gap := range answer.Gaps {
-		record(c.gaps, wanted.Kind, gap)
+		recordValue(c.gaps, wanted.Kind, gap)
 	}
 }
 
-func record(histograms map[Kind]*hdrhistogram.Histogram, kind Kind, value time.Duration) {
+func recordValue(histograms map[Kind]*hdrhistogram.Histogram, kind Kind, value time.Duration) {
 	if histograms[kind] == nil {
 		histograms[kind] = hdrhistogram.New(1, maximumMillis, 3)
 	}
 	_ = histograms[kind].RecordValue(max(1, value.Milliseconds()))
 }
 
-func (c *collector) finish() Report {
-	c.report.FirstToken = quantiles(c.firstToken)
-	c.report.Gap = quantiles(c.gaps)
+func (c *collector) finalReport() Report {
+	c.report.FirstToken = quantilesOf(c.firstToken)
+	c.report.Gap = quantilesOf(c.gaps)
 	return c.report
 }
 
-func quantiles(histograms map[Kind]*hdrhistogram.Histogram) map[Kind]Quantiles {
+func quantilesOf(histograms map[Kind]*hdrhistogram.Histogram) map[Kind]Quantiles {
 	result := map[Kind]Quantiles{}
 	for kind, histogram := range histograms {
 		result[kind] = Quantiles{
@@ -183,7 +183,7 @@
 // String returns the report as text.
 func (r Report) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut tries %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutTries)
+	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut attempts %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutTries)
 	kinds := make([]string, 0, len(r.FirstToken))
 	for kind := range r.FirstToken {
 		kinds = append(kinds, string(kind))
