--- a/internal/lab/labcli/backoff.go
+++ b/internal/lab/labcli/backoff.go
@@ -38,11 +38,11 @@
 			&cli.BoolFlag{Name: "faults", Usage: "nodes restart, stall, are suspended and partitioned"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
-			policies, err := choose("only", command.StringSlice("only"), backoffPolicies)
+			policies, err := selectChoices("only", command.StringSlice("only"), backoffPolicies)
 			if err != nil {
 				return err
 			}
-			scenarios, err := choose("scenario", command.StringSlice("scenario"), backoffScenarios)
+			scenarios, err := selectChoices("scenario", command.StringSlice("scenario"), backoffScenarios)
 			if err != nil {
 				return err
 			}
@@ -87,7 +87,7 @@
 }
 
 func printBackoffCase(table io.Writer, options simulate.BackoffOptions, seeds int) {
-	results := eachSeed(seeds, func(seed uint64) simulate.BackoffResult {
+	results := runEachSeed(seeds, func(seed uint64) simulate.BackoffResult {
 		one := options
 		one.Seed = seed
 		return simulate.RunBackoff(one)
--- a/internal/lab/labcli/choices.go
+++ b/internal/lab/labcli/choices.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// choose returns the named choices of a flag, or all choices if none is named.
-func choose[Choice ~string](flag string, named []string, all []Choice) ([]Choice, error) {
+// selectChoices returns the named choices of a flag, or all choices if none is named.
+func selectChoices[Choice ~string](flag string, named []string, all []Choice) ([]Choice, error) {
 	if len(named) == 0 {
 		return all, nil
 	}
--- a/internal/lab/labcli/choices_test.go
+++ b/internal/lab/labcli/choices_test.go
@@ -27,10 +27,10 @@
 }
 
 func TestChoicesAreThoseNamedOrAll(t *testing.T) {
-	chosen, err := choose("only", nil, limitPolicies)
+	chosen, err := selectChoices("only", nil, limitPolicies)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, chosen, limitPolicies)
-	chosen, err = choose("only", []string{string(simulate.FewSenders)}, limitPolicies)
+	chosen, err = selectChoices("only", []string{string(simulate.FewSenders)}, limitPolicies)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, chosen, []simulate.LimitPolicy{simulate.FewSenders})
 }
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func planOf(command *cli.Command) (deployment.Plan, error) {
+func selectedPlan(command *cli.Command) (deployment.Plan, error) {
 	return deployment.ByName(command.String("deployment"))
 }
 
@@ -119,7 +119,7 @@
 }
 
 func generate(_ context.Context, command *cli.Command) error {
-	plan, err := planOf(command)
+	plan, err := selectedPlan(command)
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 }
 
 func runLoad(ctx context.Context, out io.Writer, command *cli.Command) error {
-	plan, err := planOf(command)
+	plan, err := selectedPlan(command)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/labcli/limits.go
+++ b/internal/lab/labcli/limits.go
@@ -30,7 +30,7 @@
 			&cli.BoolFlag{Name: "unsettled", Usage: "engines change and end their limits, restart and fail; updates between nodes are delayed or lost"},
 		},
 		Action: func(_ context.Context, command *cli.Command) error {
-			policies, err := choose("only", command.StringSlice("only"), limitPolicies)
+			policies, err := selectChoices("only", command.StringSlice("only"), limitPolicies)
 			if err != nil {
 				return err
 			}
@@ -70,7 +70,7 @@
 }
 
 func printLimitCase(table io.Writer, options simulate.LimitOptions, seeds int) {
-	results := eachSeed(seeds, func(seed uint64) simulate.LimitResult {
+	results := runEachSeed(seeds, func(seed uint64) simulate.LimitResult {
 		one := options
 		one.Seed = seed
 		return simulate.RunLimits(one)
@@ -95,8 +95,9 @@
 		options.Policy, worst, results[0].Allowed, broken, seeds, used, float64(bytes)/perNode, float64(messages)/perNode, longest.Round(time.Millisecond))
 }
 
-// eachSeed runs seeds concurrently, on half of the processors, and returns their results in order.
-func eachSeed[Result any](seeds int, run func(seed uint64) Result) []Result {
+// runEachSeed runs seeds concurrently, on half of the processors, and returns their results in
+// order.
+func runEachSeed[Result any](seeds int, run func(seed uint64) Result) []Result {
 	results := make([]Result, seeds)
 	places := make(chan struct{}, max(1, runtime.NumCPU()/2))
 	var running sync.WaitGroup
--- a/internal/lab/labcli/rollouts.go
+++ b/internal/lab/labcli/rollouts.go
@@ -42,7 +42,7 @@
 		for _, fault := range simulate.RolloutFaults() {
 			sum := sumRollouts(simulate.RunRollouts(kind.harm, fault, seeds), kind.harm != simulate.Harm{})
 			fmt.Fprintf(table, "%s\t%s\t%d of %d\t%s\t%s\t%d\t%d\t%d\t%d\n", kind.name, fault, sum.rolledBack, seeds,
-				middle(sum.verdicts), slices.Max(sum.verdicts), middle(sum.badAnswers), slices.Max(sum.badAnswers), sum.exposed, sum.late)
+				median(sum.decisionTimes), slices.Max(sum.decisionTimes), median(sum.badResponses), slices.Max(sum.badResponses), sum.overexposed, sum.late)
 		}
 	}
 	return table.Flush()
@@ -51,9 +51,9 @@
 // rolloutSum aggregates the runs of one kind. exposed and late count the runs that broke the two
 // limits of a bad version.
 type rolloutSum struct {
-	rolledBack, exposed, late int
-	verdicts                  []time.Duration
-	badAnswers                []int
+	rolledBack, overexposed, late int
+	decisionTimes                 []time.Duration
+	badResponses                  []int
 }
 
 func sumRollouts(results []simulate.RolloutResult, isBad bool) rolloutSum {
@@ -63,19 +63,19 @@
 			sum.rolledBack++
 		}
 		if isBad && float64(one.ToNew) > exposureShare*float64(one.Requests)+exposureSlack {
-			sum.exposed++
+			sum.overexposed++
 		}
 		if one.Fiftieth > 0 && one.LastToNew > one.Fiftieth+rollbackWithin {
 			sum.late++
 		}
-		sum.verdicts = append(sum.verdicts, one.VerdictAt.Round(10*time.Millisecond))
-		sum.badAnswers = append(sum.badAnswers, one.BadAnswers)
+		sum.decisionTimes = append(sum.decisionTimes, one.VerdictAt.Round(10*time.Millisecond))
+		sum.badResponses = append(sum.badResponses, one.BadAnswers)
 	}
 	return sum
 }
 
-// middle returns the median of some values.
-func middle[Value time.Duration | int](values []Value) Value {
+// median returns the median of some values.
+func median[Value time.Duration | int](values []Value) Value {
 	sorted := slices.Sorted(slices.Values(values))
 	return sorted[len(sorted)/2]
 }
--- a/internal/lab/labcli/prove.go
+++ b/internal/lab/labcli/simulations.go
@@ -21,24 +21,24 @@
 	"budgets": func(seed uint64) *simulate.World {
 		return simulate.RunBudgets(simulate.BudgetOptions{Seed: seed, Limit: 400_000, TopUp: 200_000, Faults: true, Rate: 25}).World
 	},
-	"lost-lives":      lostLives(simulate.LostLivesOptions{}),
-	"suspended-lives": lostLives(simulate.LostLivesOptions{Suspended: true}),
-	"pooled-lives":    lostLives(simulate.LostLivesOptions{Pooled: true}),
+	"lost-lives":      simulateLostIncarnations(simulate.LostLivesOptions{}),
+	"suspended-lives": simulateLostIncarnations(simulate.LostLivesOptions{Suspended: true}),
+	"pooled-lives":    simulateLostIncarnations(simulate.LostLivesOptions{Pooled: true}),
 	"poison": func(seed uint64) *simulate.World {
 		return simulate.RunPoison(simulate.PoisonOptions{
 			Seed: seed, Policy: simulate.WeighEndsUncarried, Poison: 1 + int(seed%2), Failures: seed%3 == 0, Popular: seed%3 == 0, Hidden: seed%5 == 0,
 		}).World
 	},
-	"backoff":          backoffOf,
-	"rate-limits":      limitsOf(false),
-	"unsettled-limits": limitsOf(true),
+	"backoff":          simulateBackoff,
+	"rate-limits":      simulateLimits(false),
+	"unsettled-limits": simulateLimits(true),
 	"tight-budgets": func(seed uint64) *simulate.World {
 		return simulate.RunBudgets(simulate.BudgetOptions{Seed: seed, Limit: 2000, Faults: true, Tight: true, Rate: 10}).World
 	},
 }
 
-// lostLives returns a simulation of incarnations that crash without a final report.
-func lostLives(options simulate.LostLivesOptions) func(seed uint64) *simulate.World {
+// simulateLostIncarnations returns a simulation of incarnations that crash without a final report.
+func simulateLostIncarnations(options simulate.LostLivesOptions) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		one := options
 		one.Seed = seed
@@ -46,9 +46,9 @@
 	}
 }
 
-// backoffOf simulates engines that request pauses, with faults. Consecutive seeds go through all
-// scenarios and lengths of pauses.
-func backoffOf(seed uint64) *simulate.World {
+// simulateBackoff simulates engines that request pauses, with faults. Consecutive seeds go through
+// all scenarios and lengths of pauses.
+func simulateBackoff(seed uint64) *simulate.World {
 	scenarios := []simulate.BackoffScenario{simulate.ThirdIll, simulate.ZoneIll, simulate.AllIll, simulate.Wave}
 	pauses := []time.Duration{500 * time.Millisecond, 3 * time.Second, 30 * time.Second}
 	return simulate.RunBackoff(simulate.BackoffOptions{
@@ -57,9 +57,9 @@
 	}).World
 }
 
-// limitsOf returns a simulation of rate limits with faults. Consecutive seeds go through all rates,
-// and one in three has one-sided traffic.
-func limitsOf(isUnsettled bool) func(seed uint64) *simulate.World {
+// simulateLimits returns a simulation of rate limits with faults. Consecutive seeds go through all
+// rates, and one in three has one-sided traffic.
+func simulateLimits(isUnsettled bool) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		return simulate.RunLimits(simulate.LimitOptions{
 			Seed: seed, Policy: simulate.HolderPermits, Nodes: 8, PerSecond: limitRates[seed%uint64(len(limitRates))], IsOneSided: seed%3 == 0,
@@ -94,10 +94,10 @@
 	var mutex sync.Mutex
 	faults := map[string]int{}
 	checks, broken := 0, 0
-	var lanes sync.WaitGroup
+	var workers sync.WaitGroup
 	next := first
 	for range runtime.NumCPU() {
-		lanes.Go(func() {
+		workers.Go(func() {
 			for {
 				mutex.Lock()
 				seed := next
@@ -120,7 +120,7 @@
 			}
 		})
 	}
-	lanes.Wait()
+	workers.Wait()
 	var kinds []string
 	for kind, count := range faults {
 		kinds = append(kinds, fmt.Sprintf("%s %d", kind, count))
--- a/internal/lab/labcli/soak.go
+++ b/internal/lab/labcli/soak.go
@@ -67,7 +67,7 @@
 }
 
 func soakSeed(ctx context.Context, wire standin.Wire, command *cli.Command, seed uint64, lane int) (soak.Summary, error) {
-	order, err := orderOf(command.String("order"), seed)
+	order, err := upgradeOrder(command.String("order"), seed)
 	if err != nil {
 		return soak.Summary{}, err
 	}
@@ -89,8 +89,8 @@
 	})
 }
 
-// orderOf returns the order of a seed's upgrade.
-func orderOf(name string, seed uint64) (soak.Order, error) {
+// upgradeOrder returns the order of a seed's upgrade.
+func upgradeOrder(name string, seed uint64) (soak.Order, error) {
 	if name == "all" {
 		orders := soak.Orders()
 		return orders[seed%uint64(len(orders))], nil
--- a/internal/lab/labcli/verify.go
+++ b/internal/lab/labcli/verify.go
@@ -16,19 +16,19 @@
 	"github.com/ravenway/ravenway/internal/operatorcli"
 )
 
-const verifyPoll = 500 * time.Millisecond
+const verifyInterval = 500 * time.Millisecond
 
 // comparison holds what was billed and what ran, by tenant, in tokens, and the plain calls that
 // ran.
 type comparison struct {
-	billed map[string]uint64
-	ran    map[string]uint64
-	limits map[string]uint64
-	calls  int
-	twice  []string
+	billed     map[string]uint64
+	ran        map[string]uint64
+	limits     map[string]uint64
+	plainCalls int
+	ranTwice   []string
 }
 
-func (c comparison) equal() bool {
+func (c comparison) isEqual() bool {
 	for tenant, ran := range c.ran {
 		if c.billed[tenant] != ran {
 			return false
@@ -45,7 +45,7 @@
 // verify compares the ledger with the ground truth, tenant by tenant, until they are equal or the
 // maximum wait ends.
 func verify(ctx context.Context, out io.Writer, command *cli.Command) error {
-	plan, err := planOf(command)
+	plan, err := selectedPlan(command)
 	if err != nil {
 		return err
 	}
@@ -55,10 +55,10 @@
 		if err != nil {
 			return err
 		}
-		if compared.equal() || time.Now().After(deadline) {
+		if compared.isEqual() || time.Now().After(deadline) {
 			return compared.print(out, plan)
 		}
-		time.Sleep(verifyPoll)
+		time.Sleep(verifyInterval)
 	}
 }
 
@@ -74,7 +74,7 @@
 		case emulator.TruthFinished, emulator.TruthCancelled:
 			compared.ran[event.Tenant] += event.Tokens
 		case emulator.TruthCall:
-			compared.calls++
+			compared.plainCalls++
 			if event.Method == "POST" {
 				calls[event.Body]++
 			}
@@ -82,7 +82,7 @@
 	}
 	for body, count := range calls {
 		if count > 1 {
-			compared.twice = append(compared.twice, fmt.Sprintf("%q ran %d times", body, count))
+			compared.ranTwice = append(compared.ranTwice, fmt.Sprintf("%q ran %d times", body, count))
 		}
 	}
 	client := operatorcli.NewClient(plan.Nodes()[0].Address(deployment.OperatorsPort), operatorcli.TokenFromEnvironment())
@@ -116,9 +116,9 @@
 		fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%s\n", tenant, c.limits[tenant], c.billed[tenant], c.ran[tenant], mark)
 	}
 	_ = writer.Flush()
-	fmt.Fprintf(out, "plain calls run: %d; calls that must not be repeated but ran twice: %d\n", c.calls, len(c.twice))
-	if wrong > 0 || len(c.twice) > 0 {
-		return fmt.Errorf("%d tenants have wrong bills, %d calls ran twice", wrong, len(c.twice))
+	fmt.Fprintf(out, "plain calls run: %d; calls that must not be repeated but ran twice: %d\n", c.plainCalls, len(c.ranTwice))
+	if wrong > 0 || len(c.ranTwice) > 0 {
+		return fmt.Errorf("%d tenants have wrong bills, %d calls ran twice", wrong, len(c.ranTwice))
 	}
 	return nil
 }
