--- a/internal/lab/deployment/deployment.go
+++ b/internal/lab/deployment/deployment.go
@@ -18,8 +18,8 @@
 
 const (
 	// portsPerNode is the distance between the base ports of two daemons.
-	portsPerNode = 10
-	controlNodes = 3
+	portsPerNode        = 10
+	maximumControlNodes = 3
 )
 
 // Plan describes a deployment.
@@ -97,7 +97,7 @@
 	for position, zone := range p.Zones {
 		for number := range p.NodesPerZone[position] {
 			nodes = append(nodes, Node{
-				Name: fmt.Sprintf("%s-%d", zone, number+1), Zone: zone, Control: number == 0 && position < controlNodes,
+				Name: fmt.Sprintf("%s-%d", zone, number+1), Zone: zone, Control: number == 0 && position < maximumControlNodes,
 				Port: p.BasePort + portsPerNode*len(nodes),
 			})
 		}
@@ -118,12 +118,12 @@
 	return names
 }
 
-// largeTenants is the number of large tenants, which come first.
-const largeTenants = 3
+// largeTenantCount is the number of large tenants, which come first.
+const largeTenantCount = 3
 
 // IsLarge reports whether a tenant is one of the large ones.
 func (p Plan) IsLarge(name string) bool {
-	for _, large := range p.TenantNames()[:min(largeTenants, p.Tenants)] {
+	for _, large := range p.TenantNames()[:min(largeTenantCount, p.Tenants)] {
 		if name == large {
 			return true
 		}
