--- a/internal/lab/limitcheck/limitcheck.go
+++ b/internal/lab/limitcheck/limitcheck.go
@@ -13,25 +13,27 @@
 	Window = 4 * time.Second
 	// In any Window an engine may receive tolerance times the requests of its limit, plus slack
 	// requests.
-	tolerance = 1.5
-	slack     = 5
+	allowedFactor = 1.5
+	allowedExtra  = 5
 )
 
 // Allowed returns the maximum number of requests that an engine with a limit may receive in any
 // Window.
-func Allowed(perSecond float64) int { return int(tolerance*perSecond*Window.Seconds()) + slack }
+func Allowed(perSecond float64) int {
+	return int(allowedFactor*perSecond*Window.Seconds()) + allowedExtra
+}
 
 // Most returns the maximum number of arrivals, which are sorted, in any Window.
 func Most(arrivals []time.Duration) int { return MostWithin(arrivals, Window) }
 
 // MostWithin returns the maximum number of arrivals, which are sorted, in any span of a length.
 func MostWithin(arrivals []time.Duration, length time.Duration) int {
-	most, first := 0, 0
+	maximum, first := 0, 0
 	for last := range arrivals {
 		for arrivals[last]-arrivals[first] > length {
 			first++
 		}
-		most = max(most, last-first+1)
+		maximum = max(maximum, last-first+1)
 	}
-	return most
+	return maximum
 }
--- a/internal/lab/limitcheck/limitcheck_test.go
+++ b/internal/lab/limitcheck/limitcheck_test.go
@@ -7,13 +7,13 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestAllowedIsOneAndAHalfTimesTheLimitAndFive(t *testing.T) {
+func TestAllowedIsOneAndAHalfTimesTheLimitPlusFive(t *testing.T) {
 	for perSecond, allowed := range map[float64]int{0: 5, 0.1: 5, 1: 11, 4: 29, 50: 305} {
 		assert.Equal(t, Allowed(perSecond), allowed)
 	}
 }
 
-func TestFullestWindowIsFoundWhereverItBegins(t *testing.T) {
+func TestFullestWindowIsFoundAtAnyStart(t *testing.T) {
 	assert.Equal(t, Most(nil), 0)
 	seconds := func(moments ...float64) []time.Duration {
 		var arrivals []time.Duration
--- a/internal/lab/limitcheck/record.go
+++ b/internal/lab/limitcheck/record.go
@@ -8,15 +8,15 @@
 // Record holds the rate limits that one incarnation of an engine named, and the requests that it
 // received. Times are since an origin that the caller chooses; they must not decrease.
 type Record struct {
-	steps    []step
+	changes  []limitChange
 	arrivals []time.Duration
 }
 
-// step is a change of the limit, from the first response that named it. Without isNamed there is no
-// limit from then on.
-type step struct {
-	at        time.Duration
-	isNamed   bool
+// limitChange is a change of the limit, from the first response that named it. Without hasLimit
+// there is no limit from then on.
+type limitChange struct {
+	startedAt time.Duration
+	hasLimit  bool
 	perSecond float64
 }
 
@@ -25,16 +25,16 @@
 
 // Name records a response that names a limit, in requests per second.
 func (r *Record) Name(at time.Duration, perSecond float64) {
-	last := len(r.steps) - 1
-	if last < 0 || !r.steps[last].isNamed || r.steps[last].perSecond != perSecond {
-		r.steps = append(r.steps, step{at: at, isNamed: true, perSecond: perSecond})
+	last := len(r.changes) - 1
+	if last < 0 || !r.changes[last].hasLimit || r.changes[last].perSecond != perSecond {
+		r.changes = append(r.changes, limitChange{startedAt: at, hasLimit: true, perSecond: perSecond})
 	}
 }
 
 // End records that responses name no limit from now on.
 func (r *Record) End(at time.Duration) {
-	if len(r.steps) > 0 {
-		r.steps = append(r.steps, step{at: at})
+	if len(r.changes) > 0 {
+		r.changes = append(r.changes, limitChange{startedAt: at})
 	}
 }
 
@@ -60,23 +60,23 @@
 // Use evaluates the windows of each limit between Contact after its first response and its end.
 func (r *Record) Use(end time.Duration) Use {
 	use := Use{}
-	for position, one := range r.steps {
-		if !one.isNamed || position > 0 && r.steps[position-1].isNamed {
+	for position, one := range r.changes {
+		if !one.hasLimit || position > 0 && r.changes[position-1].hasLimit {
 			continue
 		}
 		until := end
-		following := r.steps[position:]
-		if place := slices.IndexFunc(following, func(one step) bool { return !one.isNamed }); place >= 0 {
-			until = following[place].at
+		following := r.changes[position:]
+		if place := slices.IndexFunc(following, func(one limitChange) bool { return !one.hasLimit }); place >= 0 {
+			until = following[place].startedAt
 			following = following[:place]
 		}
-		r.judge(&use, following, one.at+Contact, until)
+		r.evaluate(&use, following, one.startedAt+Contact, until)
 	}
 	return use
 }
 
-// judge evaluates the windows of one limit with its changes.
-func (r *Record) judge(use *Use, steps []step, from, until time.Duration) {
+// evaluate evaluates the windows of one limit with its changes.
+func (r *Record) evaluate(use *Use, changes []limitChange, from, until time.Duration) {
 	for first, begin := range r.arrivals {
 		if begin < from || begin > until {
 			continue
@@ -89,25 +89,25 @@
 			}
 			count++
 		}
-		use.Note(count, Allowed(highestRate(steps, begin-Contact, begin+Window)))
+		use.Note(count, Allowed(highestRate(changes, begin-Contact, begin+Window)))
 	}
-	for position, one := range steps {
-		ended := until
-		if position+1 < len(steps) {
-			ended = steps[position+1].at
+	for position, one := range changes {
+		end := until
+		if position+1 < len(changes) {
+			end = changes[position+1].startedAt
 		}
-		if began := max(one.at, from); began < ended {
-			use.Room += one.perSecond * (ended - began).Seconds()
+		if start := max(one.startedAt, from); start < end {
+			use.Room += one.perSecond * (end - start).Seconds()
 		}
 	}
 }
 
 // highestRate returns the highest limit that was in effect within a span.
-func highestRate(steps []step, from, until time.Duration) float64 {
+func highestRate(changes []limitChange, from, until time.Duration) float64 {
 	highest := 0.0
-	for position, one := range steps {
-		isOver := position+1 < len(steps) && steps[position+1].at < from
-		if !isOver && one.at <= until {
+	for position, one := range changes {
+		hasEnded := position+1 < len(changes) && changes[position+1].startedAt < from
+		if !hasEnded && one.startedAt <= until {
 			highest = max(highest, one.perSecond)
 		}
 	}
--- a/internal/lab/limitcheck/record_test.go
+++ b/internal/lab/limitcheck/record_test.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func TestRequestsCountFromContactAfterTheFirstAnswerToTheLimitsEnd(t *testing.T) {
+func TestRequestsCountFromTheReactionTimeToTheEndOfTheLimit(t *testing.T) {
 	record := &Record{}
 	record.Name(time.Second, 1)
 	record.Name(2*time.Second, 1)
@@ -33,8 +33,8 @@
 }
 
 // A limit of 2 requests per second allows 17 requests in 4 s, from 3 s after it was first named.
-func TestCheckNoticesAnEngineThatGetsMoreThanItsLimit(t *testing.T) {
-	record := Record{steps: []step{{isNamed: true, perSecond: 2}, {at: 20 * time.Second}}}
+func TestCheckDetectsAnEngineThatReceivesMoreThanItsLimit(t *testing.T) {
+	record := Record{changes: []limitChange{{hasLimit: true, perSecond: 2}, {startedAt: 20 * time.Second}}}
 	add := func(from time.Duration, count int) {
 		for number := range count {
 			record.Arrive(from + time.Duration(number)*time.Millisecond)
@@ -50,14 +50,14 @@
 	add(8*time.Second, 18)
 	assert.Equal(t, record.Use(time.Minute).Got, 18)
 	// Lowered from 20, which allows 125 requests until the nodes had time to receive the update.
-	record.steps = []step{{isNamed: true, perSecond: 20}, {at: 7 * time.Second, isNamed: true, perSecond: 2}}
+	record.changes = []limitChange{{hasLimit: true, perSecond: 20}, {startedAt: 7 * time.Second, hasLimit: true, perSecond: 2}}
 	assert.Equal(t, record.Use(time.Minute).Allowed, 125)
 	record.arrivals = nil
 	add(11*time.Second, 18)
 	assert.Equal(t, record.Use(time.Minute).Allowed, 17)
 }
 
-func TestEngineThatNamesNothingHasNothingToKeep(t *testing.T) {
+func TestEngineWithoutALimitIsNotChecked(t *testing.T) {
 	record := &Record{}
 	arrivals(record, 0, 10*time.Second, 9)
 	record.End(10 * time.Second)
