--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -20,68 +20,68 @@
 
 const (
 	lateFirst reason = "late: first event"
-	latePause reason = "late: pause"
-	broken    reason = "broken off"
+	lateGap   reason = "late: pause"
+	brokenOff reason = "broken off"
 )
 
-// kind is the key by which losses are aggregated.
-type kind struct {
+// lossKey is the key by which losses are aggregated.
+type lossKey struct {
 	reason reason
 	route  string
 }
 
-// sum aggregates the losses of one kind.
-type sum struct {
+// lossTotal aggregates the losses with one key.
+type lossTotal struct {
 	count int
 	// tokenWait is the total time that the requests waited for tokens.
 	tokenWait time.Duration
-	// held are the times from the arrival of each refused request to its refusal.
-	held []time.Duration
+	// refusalTimes are the times from the arrival of each refused request to its refusal.
+	refusalTimes []time.Duration
 }
 
-// heldPart returns the quantile of the times from arrival to refusal, 0 if there are none. part is
-// between 0 and 1.
-func (s *sum) heldPart(part float64) time.Duration {
-	if len(s.held) == 0 {
+// refusalQuantile returns the quantile of the times from arrival to refusal, 0 if there are none.
+// quantile is between 0 and 1.
+func (s *lossTotal) refusalQuantile(quantile float64) time.Duration {
+	if len(s.refusalTimes) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(s.held))
-	return sorted[int(part*float64(len(sorted)-1))]
+	sorted := slices.Sorted(slices.Values(s.refusalTimes))
+	return sorted[int(quantile*float64(len(sorted)-1))]
 }
 
-// heldSum returns the total time from arrival to refusal.
-func (s *sum) heldSum() time.Duration {
+// totalRefusalTime returns the total time from arrival to refusal.
+func (s *lossTotal) totalRefusalTime() time.Duration {
 	total := time.Duration(0)
-	for _, one := range s.held {
+	for _, one := range s.refusalTimes {
 		total += one
 	}
 	return total
 }
 
-// standing is the state of one tenant's budget at a time, in tokens.
-type standing struct {
+// budgetStatus is the state of one tenant's budget at a time, in tokens.
+type budgetStatus struct {
 	limit, spent, held, left, forfeited int64
 }
 
-// moment aggregates the losses in one step of the time line.
-type moment struct {
+// timeStep aggregates the losses in one step of the time line.
+type timeStep struct {
 	losses  map[reason]int
 	tenants map[string]int
-	// held is the total time from arrival to refusal of the refused requests.
-	held time.Duration
-	// accounts is the state of each tenant's budget at the end of the step.
-	accounts map[string]standing
+	// refusalTime is the total time from arrival to refusal of the refused requests.
+	refusalTime time.Duration
+	// budgets is the state of each tenant's budget at the end of the step.
+	budgets map[string]budgetStatus
 }
 
 // Report aggregates the losses found in logs.
 type Report struct {
-	first   time.Time
-	step    time.Duration
-	kinds   map[kind]*sum
-	moments map[int]*moment
-	tenants map[string]map[reason]int
-	// served, late and leftOut are totals over the nodes' summary lines.
-	served, late, leftOut int64
+	startedAt  time.Time
+	stepLength time.Duration
+	totals     map[lossKey]*lossTotal
+	steps      map[int]*timeStep
+	tenants    map[string]map[reason]int
+	// served, late and droppedLines are totals over the nodes' summary lines.
+	served, late, droppedLines int64
 }
 
 // Read aggregates the lines of nodes' logs by steps of time.
@@ -91,28 +91,28 @@
 		return nil, err
 	}
 	report := &Report{
-		first: sorted[0].At, step: step, kinds: map[kind]*sum{}, moments: map[int]*moment{}, tenants: map[string]map[reason]int{},
+		startedAt: sorted[0].At, stepLength: step, totals: map[lossKey]*lossTotal{}, steps: map[int]*timeStep{}, tenants: map[string]map[reason]int{},
 	}
-	accounts := map[string]standing{}
+	budgets := map[string]budgetStatus{}
 	for _, line := range sorted {
-		report.take(line, accounts)
+		report.addLine(line, budgets)
 	}
 	return report, nil
 }
 
-func (r *Report) take(line logs.Line, accounts map[string]standing) {
+func (r *Report) addLine(line logs.Line, budgets map[string]budgetStatus) {
 	switch line.Fields["event"] {
 	case "refused":
-		r.lose(line, refusalReason(line), accounts)
+		r.addLoss(line, refusalReason(line), budgets)
 	case "late":
-		r.lose(line, latenessReason(line), accounts)
+		r.addLoss(line, latenessReason(line), budgets)
 	case "account":
-		if read, valid := readStanding(line); valid {
-			accounts[line.Fields["tenant"]] = read
-			maps.Copy(r.momentOf(line).accounts, accounts)
+		if read, valid := readBudgetStatus(line); valid {
+			budgets[line.Fields["tenant"]] = read
+			maps.Copy(r.stepOf(line).budgets, budgets)
 		}
 	case "summary":
-		for field, total := range map[string]*int64{"served": &r.served, "late": &r.late, "lines_left_out": &r.leftOut} {
+		for field, total := range map[string]*int64{"served": &r.served, "late": &r.late, "lines_left_out": &r.droppedLines} {
 			if number, valid := line.Number(field); valid {
 				*total += number
 			}
@@ -123,7 +123,7 @@
 func refusalReason(line logs.Line) reason {
 	switch name := line.Fields["reason"]; name {
 	case "broken_stream":
-		return broken
+		return brokenOff
 	default:
 		return reason("refused: " + name)
 	}
@@ -135,54 +135,54 @@
 	if knownFirst && knownObjective && first > objective {
 		return lateFirst
 	}
-	return latePause
+	return lateGap
 }
 
-func readStanding(line logs.Line) (standing, bool) {
-	var read standing
+func readBudgetStatus(line logs.Line) (budgetStatus, bool) {
+	var read budgetStatus
 	for field, value := range map[string]*int64{
 		"limit": &read.limit, "spent": &read.spent, "outstanding": &read.held, "left": &read.left, "forfeited": &read.forfeited,
 	} {
 		number, valid := line.Number(field)
 		if !valid {
-			return standing{}, false
+			return budgetStatus{}, false
 		}
 		*value = number
 	}
 	return read, true
 }
 
-func (r *Report) momentOf(line logs.Line) *moment {
-	place := int(line.At.Sub(r.first) / r.step)
-	found := r.moments[place]
+func (r *Report) stepOf(line logs.Line) *timeStep {
+	place := int(line.At.Sub(r.startedAt) / r.stepLength)
+	found := r.steps[place]
 	if found == nil {
-		found = &moment{losses: map[reason]int{}, tenants: map[string]int{}, accounts: map[string]standing{}}
-		r.moments[place] = found
+		found = &timeStep{losses: map[reason]int{}, tenants: map[string]int{}, budgets: map[string]budgetStatus{}}
+		r.steps[place] = found
 	}
 	return found
 }
 
-func (r *Report) lose(line logs.Line, why reason, accounts map[string]standing) {
-	of := kind{reason: why, route: line.Fields["route"]}
-	total := r.kinds[of]
+func (r *Report) addLoss(line logs.Line, why reason, budgets map[string]budgetStatus) {
+	key := lossKey{reason: why, route: line.Fields["route"]}
+	total := r.totals[key]
 	if total == nil {
-		total = &sum{}
-		r.kinds[of] = total
+		total = &lossTotal{}
+		r.totals[key] = total
 	}
 	total.count++
 	if wait, known := line.Number("token_wait_ms"); known {
 		total.tokenWait += time.Duration(wait) * time.Millisecond
 	}
-	at := r.momentOf(line)
+	step := r.stepOf(line)
 	if elapsed, known := line.Number("elapsed_ms"); known && line.Fields["event"] == "refused" {
-		held := time.Duration(elapsed) * time.Millisecond
-		total.held = append(total.held, held)
-		at.held += held
+		refusalTime := time.Duration(elapsed) * time.Millisecond
+		total.refusalTimes = append(total.refusalTimes, refusalTime)
+		step.refusalTime += refusalTime
 	}
-	at.losses[why]++
-	maps.Copy(at.accounts, accounts)
+	step.losses[why]++
+	maps.Copy(step.budgets, budgets)
 	tenant := line.Fields["tenant"]
-	at.tenants[tenant]++
+	step.tenants[tenant]++
 	if r.tenants[tenant] == nil {
 		r.tenants[tenant] = map[reason]int{}
 	}
@@ -192,67 +192,67 @@
 // Print writes the report.
 func (r *Report) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(table, "served %d, late %d of them; %d lines were left out by the nodes' bounds\n\n", r.served, r.late, r.leftOut)
-	r.printKinds(table)
+	fmt.Fprintf(table, "served %d, late %d of them; %d lines were left out by the nodes' bounds\n\n", r.served, r.late, r.droppedLines)
+	r.printTotals(table)
 	r.printTenants(table)
-	r.printMoments(table)
+	r.printSteps(table)
 	return table.Flush()
 }
 
-func (r *Report) printKinds(out io.Writer) {
+func (r *Report) printTotals(out io.Writer) {
 	fmt.Fprintln(out, "reason\troute\tlines\tmean wait for tokens\ttime until the refusal: total\tmedian\t99 in 100")
-	kinds := slices.SortedFunc(maps.Keys(r.kinds), func(a, b kind) int {
-		return cmp.Or(cmp.Compare(r.kinds[b].count, r.kinds[a].count), cmp.Compare(a.reason, b.reason), cmp.Compare(a.route, b.route))
+	keys := slices.SortedFunc(maps.Keys(r.totals), func(a, b lossKey) int {
+		return cmp.Or(cmp.Compare(r.totals[b].count, r.totals[a].count), cmp.Compare(a.reason, b.reason), cmp.Compare(a.route, b.route))
 	})
-	for _, one := range kinds {
-		total := r.kinds[one]
+	for _, one := range keys {
+		total := r.totals[one]
 		wait := (total.tokenWait / time.Duration(total.count)).Round(time.Millisecond)
 		fmt.Fprintf(out, "%s\t%s\t%d\t%v\t%v\t%v\t%v\n", one.reason, one.route, total.count, wait,
-			total.heldSum(), total.heldPart(0.5), total.heldPart(0.99))
+			total.totalRefusalTime(), total.refusalQuantile(0.5), total.refusalQuantile(0.99))
 	}
 	fmt.Fprintln(out)
 }
 
 func (r *Report) printTenants(out io.Writer) {
 	fmt.Fprintln(out, "tenant\tlines\tmost frequent reason\tlimit\tspent\theld by nodes\tleft at the root\tforfeited")
-	last := r.lastAccounts()
+	last := r.lastBudgets()
 	for _, tenant := range slices.Sorted(maps.Keys(r.tenants)) {
-		total, most, mostCount := 0, reason(""), 0
+		total, mostFrequent, highestCount := 0, reason(""), 0
 		for _, why := range slices.Sorted(maps.Keys(r.tenants[tenant])) {
 			count := r.tenants[tenant][why]
 			total += count
-			if count > mostCount {
-				most, mostCount = why, count
+			if count > highestCount {
+				mostFrequent, highestCount = why, count
 			}
 		}
-		fmt.Fprintf(out, "%s\t%d\t%s (%d)\t%s\n", cmp.Or(tenant, "-"), total, most, mostCount, last[tenant])
+		fmt.Fprintf(out, "%s\t%d\t%s (%d)\t%s\n", cmp.Or(tenant, "-"), total, mostFrequent, highestCount, last[tenant])
 	}
 	fmt.Fprintln(out)
 }
 
-func (r *Report) lastAccounts() map[string]standing {
-	accounts := map[string]standing{}
-	for _, place := range slices.Sorted(maps.Keys(r.moments)) {
-		maps.Copy(accounts, r.moments[place].accounts)
+func (r *Report) lastBudgets() map[string]budgetStatus {
+	budgets := map[string]budgetStatus{}
+	for _, place := range slices.Sorted(maps.Keys(r.steps)) {
+		maps.Copy(budgets, r.steps[place].budgets)
 	}
-	return accounts
+	return budgets
 }
 
 // String returns the columns of a budget: the limit in tokens, the others as fractions of it.
-func (s standing) String() string {
+func (s budgetStatus) String() string {
 	if s.limit == 0 {
 		return "-\t\t\t\t"
 	}
-	part := func(tokens int64) float64 { return float64(tokens) / float64(s.limit) }
-	return fmt.Sprintf("%d\t%.3f\t%.3f\t%.3f\t%.3f", s.limit, part(s.spent), part(s.held), part(s.left), part(s.forfeited))
+	fraction := func(tokens int64) float64 { return float64(tokens) / float64(s.limit) }
+	return fmt.Sprintf("%d\t%.3f\t%.3f\t%.3f\t%.3f", s.limit, fraction(s.spent), fraction(s.held), fraction(s.left), fraction(s.forfeited))
 }
 
-func (r *Report) printMoments(out io.Writer) {
+func (r *Report) printSteps(out io.Writer) {
 	fmt.Fprintln(out, "from\tlosses\ttime until refusals\tmost affected tenant\tall limits\tspent\theld by nodes\tleft at the root\tforfeited")
-	for _, place := range slices.Sorted(maps.Keys(r.moments)) {
-		at := r.moments[place]
-		var all standing
-		for _, one := range at.accounts {
+	for _, place := range slices.Sorted(maps.Keys(r.steps)) {
+		step := r.steps[place]
+		var all budgetStatus
+		for _, one := range step.budgets {
 			all.limit += one.limit
 			all.spent += one.spent
 			all.held += one.held
@@ -260,13 +260,13 @@
 			all.forfeited += one.forfeited
 		}
 		reasons := ""
-		for _, why := range slices.Sorted(maps.Keys(at.losses)) {
-			reasons += fmt.Sprintf("%s %d; ", why, at.losses[why])
+		for _, why := range slices.Sorted(maps.Keys(step.losses)) {
+			reasons += fmt.Sprintf("%s %d; ", why, step.losses[why])
 		}
 		if reasons == "" {
 			continue
 		}
-		most := slices.MaxFunc(slices.Sorted(maps.Keys(at.tenants)), func(a, b string) int { return cmp.Compare(at.tenants[a], at.tenants[b]) })
-		fmt.Fprintf(out, "%v\t%s\t%v\t%s (%d)\t%s\n", time.Duration(place)*r.step, reasons, at.held, cmp.Or(most, "-"), at.tenants[most], all)
+		mostAffected := slices.MaxFunc(slices.Sorted(maps.Keys(step.tenants)), func(a, b string) int { return cmp.Compare(step.tenants[a], step.tenants[b]) })
+		fmt.Fprintf(out, "%v\t%s\t%v\t%s (%d)\t%s\n", time.Duration(place)*r.stepLength, reasons, step.refusalTime, cmp.Or(mostAffected, "-"), step.tenants[mostAffected], all)
 	}
 }
--- a/internal/lab/losses/losses_test.go
+++ b/internal/lab/losses/losses_test.go
@@ -20,7 +20,7 @@
 time=2026-12-02T10:00:04.000Z event=summary served=12 late=2 lines_left_out=3
 `
 
-func TestLossesAreToldByReasonTenantAndMoment(t *testing.T) {
+func TestLossesAreReportedByReasonTenantAndTime(t *testing.T) {
 	var lines []logs.Line
 	for text := range strings.Lines(sample) {
 		line, valid := logs.Parse(text)
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestLogsWithoutLinesAreAnError(t *testing.T) {
+func TestEmptyLogsAreAnError(t *testing.T) {
 	_, err := Read(nil, time.Second)
 	assert.ErrorContains(t, err, "no line")
 }
