--- a/internal/lab/pausecheck/pausecheck.go
+++ b/internal/lab/pausecheck/pausecheck.go
@@ -23,21 +23,21 @@
 type Record struct {
 	pauses   []pause
 	arrivals []time.Duration
-	// leftAt is the time of the first response to the node that announced the shutdown, if hasLeft
-	// is set.
-	leftAt  time.Duration
-	hasLeft bool
+	// shutdownAt is the time of the first response to the node that announced the shutdown, if
+	// hasShutdown is set.
+	shutdownAt  time.Duration
+	hasShutdown bool
 }
 
 // pause is a pause of a length, requested at a time.
-type pause struct{ at, lasting time.Duration }
+type pause struct{ startedAt, length time.Duration }
 
 // Arrive records a request of the node.
 func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
 // Ask records a response that requests a pause of the node.
 func (r *Record) Ask(at, lasting time.Duration) {
-	r.pauses = append(r.pauses, pause{at: at, lasting: lasting})
+	r.pauses = append(r.pauses, pause{startedAt: at, length: lasting})
 }
 
 // Pauses returns the number of pauses that were requested of the node.
@@ -45,11 +45,11 @@
 
 // Most returns the maximum number of requests that arrived in any of the pauses.
 func (r *Record) Most() int {
-	most := 0
+	maximum := 0
 	for _, one := range r.pauses {
-		most = max(most, len(r.within(one)))
+		maximum = max(maximum, len(r.offsetsWithin(one)))
 	}
-	return most
+	return maximum
 }
 
 // Offsets returns, for each request that arrived in a pause, the time since the response that
@@ -57,17 +57,17 @@
 func (r *Record) Offsets() []time.Duration {
 	var offsets []time.Duration
 	for _, one := range r.pauses {
-		offsets = append(offsets, r.within(one)...)
+		offsets = append(offsets, r.offsetsWithin(one)...)
 	}
 	return offsets
 }
 
-// within returns the offsets of the requests that arrived in a pause.
-func (r *Record) within(one pause) []time.Duration {
+// offsetsWithin returns the offsets of the requests that arrived in a pause.
+func (r *Record) offsetsWithin(one pause) []time.Duration {
 	var offsets []time.Duration
 	for _, arrival := range r.arrivals {
-		if arrival > one.at+Contact && arrival < one.at+one.lasting {
-			offsets = append(offsets, arrival-one.at)
+		if arrival > one.startedAt+Contact && arrival < one.startedAt+one.length {
+			offsets = append(offsets, arrival-one.startedAt)
 		}
 	}
 	return offsets
@@ -75,19 +75,19 @@
 
 // Leave records a response to the node that announces the engine's shutdown.
 func (r *Record) Leave(at time.Duration) {
-	if !r.hasLeft {
-		r.leftAt, r.hasLeft = at, true
+	if !r.hasShutdown {
+		r.shutdownAt, r.hasShutdown = at, true
 	}
 }
 
 // AfterLeaving returns the number of requests that arrived later than Drain after the announcement
 // of the engine's shutdown, and whether there was an announcement.
-func (r *Record) AfterLeaving() (late int, wasTold bool) {
-	if !r.hasLeft {
+func (r *Record) AfterLeaving() (late int, wasAnnounced bool) {
+	if !r.hasShutdown {
 		return 0, false
 	}
 	for _, arrival := range r.arrivals {
-		if arrival > r.leftAt+Drain {
+		if arrival > r.shutdownAt+Drain {
 			late++
 		}
 	}
--- a/internal/lab/pausecheck/pausecheck_test.go
+++ b/internal/lab/pausecheck/pausecheck_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestRequestsCountFromHalfASecondAfterTheAnswerToThePausesEnd(t *testing.T) {
+func TestRequestsCountFromHalfASecondAfterTheResponseToTheEndOfThePause(t *testing.T) {
 	record := &Record{}
 	record.Ask(10*time.Second, 3*time.Second)
 	for _, at := range []time.Duration{9 * time.Second, 10*time.Second + Contact, 11 * time.Second, 12 * time.Second, 13 * time.Second, 14 * time.Second} {
@@ -18,7 +18,7 @@
 	assert.DeepEqual(t, record.Offsets(), []time.Duration{time.Second, 2 * time.Second})
 }
 
-func TestEachAnswerBeginsAPauseOfItsOwn(t *testing.T) {
+func TestEachResponseStartsASeparatePause(t *testing.T) {
 	record := &Record{}
 	record.Ask(0, 3*time.Second)
 	record.Ask(2*time.Second, 3*time.Second)
@@ -30,7 +30,7 @@
 	assert.Equal(t, record.Most(), 3)
 }
 
-func TestPauseShorterThanContactBindsNobody(t *testing.T) {
+func TestPauseShorterThanTheReactionTimeBindsNoNode(t *testing.T) {
 	record := &Record{}
 	record.Ask(0, Contact)
 	for at := range 10 {
@@ -39,15 +39,15 @@
 	assert.Equal(t, record.Most(), 0)
 }
 
-func TestRequestsCountFromTheDrainTimeAfterTheFirstAnswerThatSaysLeaving(t *testing.T) {
+func TestRequestsCountFromTheDrainTimeAfterTheFirstShutdownAnnouncement(t *testing.T) {
 	record := &Record{}
 	record.Arrive(5 * time.Second)
-	_, wasTold := record.AfterLeaving()
-	assert.Assert(t, !wasTold)
+	_, wasAnnounced := record.AfterLeaving()
+	assert.Assert(t, !wasAnnounced)
 	record.Leave(time.Second)
 	record.Leave(4 * time.Second)
 	record.Arrive(3 * time.Second)
-	late, wasTold := record.AfterLeaving()
-	assert.Assert(t, wasTold)
+	late, wasAnnounced := record.AfterLeaving()
+	assert.Assert(t, wasAnnounced)
 	assert.Equal(t, late, 1, "the one at 5 s")
 }
