--- a/internal/lab/deployment/deployment.go
+++ b/internal/lab/deployment/deployment.go
@@ -27,15 +27,15 @@
 	Name  string
 	Zones []string
 	// NodesPerZone are the numbers of nodes, in the order of Zones.
-	NodesPerZone []int
-	EngineName   string
-	Engines      int
-	EngineSlots  uint32
-	PlainName    string
-	Plains       int
-	PlainPrefix  string
-	Model        string
-	Tenants      int
+	NodesPerZone  []int
+	EngineName    string
+	Engines       int
+	EngineSlots   uint32
+	PlainName     string
+	PlainBackends int
+	PlainPrefix   string
+	Model         string
+	Tenants       int
 	// Limit is the limit of each tenant's budget, in tokens. Large tenants get ten times as much.
 	Limit    uint64
 	BasePort int
@@ -47,7 +47,7 @@
 func ZameenHaq() Plan {
 	return Plan{
 		Name: "zameen-haq", Zones: []string{"lhr-a", "lhr-b", "lhr-c"}, NodesPerZone: []int{3, 3, 2},
-		EngineName: "qalam-llm", Engines: 12, EngineSlots: 16, PlainName: "daftar-app", Plains: 3, PlainPrefix: "/daftar",
+		EngineName: "qalam-llm", Engines: 12, EngineSlots: 16, PlainName: "daftar-app", PlainBackends: 3, PlainPrefix: "/daftar",
 		Model: "qalam-1", Tenants: 10, Limit: 2_000_000, BasePort: 17100,
 	}
 }
@@ -56,7 +56,7 @@
 func Drukwacht() Plan {
 	return Plan{
 		Name: "drukwacht", Zones: []string{"hall-a", "hall-b", "hall-c"}, NodesPerZone: []int{3, 2, 2},
-		EngineName: "model-pool", Engines: 12, EngineSlots: 16, PlainName: "logger-portal", Plains: 3, PlainPrefix: "/portal",
+		EngineName: "model-pool", Engines: 12, EngineSlots: 16, PlainName: "logger-portal", PlainBackends: 3, PlainPrefix: "/portal",
 		Model: "transient-1", Tenants: 10, Limit: 500_000, BasePort: 18100,
 	}
 }
@@ -73,10 +73,10 @@
 
 // Node is one daemon of a plan.
 type Node struct {
-	Name    string
-	Zone    string
-	Control bool
-	Port    int
+	Name      string
+	Zone      string
+	IsControl bool
+	Port      int
 }
 
 // Address returns the address of the node's listener at an offset from its port.
@@ -97,7 +97,7 @@
 	for position, zone := range p.Zones {
 		for number := range p.NodesPerZone[position] {
 			nodes = append(nodes, Node{
-				Name: fmt.Sprintf("%s-%d", zone, number+1), Zone: zone, Control: number == 0 && position < maximumControlNodes,
+				Name: fmt.Sprintf("%s-%d", zone, number+1), Zone: zone, IsControl: number == 0 && position < maximumControlNodes,
 				Port: p.BasePort + portsPerNode*len(nodes),
 			})
 		}
@@ -168,7 +168,7 @@
 	for number := range p.Engines {
 		document.Backends = append(document.Backends, p.backend(p.EngineName, number, 0, p.EngineSlots))
 	}
-	for number := range p.Plains {
+	for number := range p.PlainBackends {
 		document.Backends = append(document.Backends, p.backend(p.PlainName, number, 100, 64))
 	}
 	return document
@@ -185,20 +185,20 @@
 func (p Plan) Settings(node Node, folder string) string {
 	var text strings.Builder
 	roles := `["entry"]`
-	if node.Control {
+	if node.IsControl {
 		roles = `["entry", "control"]`
 	}
 	fmt.Fprintf(&text, "[node]\nname = %q\nzone = %q\nroles = %s\n\n", node.Name, node.Zone, roles)
 	fmt.Fprintf(&text, "[listen]\ncallers = %q\noperators = %q\npeers = %q\nhealth = %q\n\n",
 		node.Address(CallersPort), node.Address(OperatorsPort), node.Address(PeersPort), node.Address(HealthPort))
-	if node.Control {
+	if node.IsControl {
 		bootstrap := node.Name == p.Nodes()[0].Name
 		fmt.Fprintf(&text, "[control]\ndata_dir = %q\nbootstrap = %v\n\n", filepath.Join(folder, node.Name), bootstrap)
 	}
 	fmt.Fprintf(&text, "[security]\npeer_key_file = %q\noperator_token_file = %q\n\n", filepath.Join(folder, "peer.key"), filepath.Join(folder, "operator.token"))
 	fmt.Fprintf(&text, "[platform]\nmachines_url = %q\n", "http://"+p.AdminAddress())
 	for _, peer := range p.Nodes() {
-		fmt.Fprintf(&text, "\n[[peers]]\nname = %q\nzone = %q\naddress = %q\ncontrol = %v\n", peer.Name, peer.Zone, peer.Address(PeersPort), peer.Control)
+		fmt.Fprintf(&text, "\n[[peers]]\nname = %q\nzone = %q\naddress = %q\ncontrol = %v\n", peer.Name, peer.Zone, peer.Address(PeersPort), peer.IsControl)
 	}
 	return text.String()
 }
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -47,7 +47,7 @@
 	// LoadTime is how long an order takes while no other engine loads from the weight store.
 	LoadTime time.Duration
 	Weights  *WeightStore
-	Truth    *Truth
+	Truth    *GroundTruth
 }
 
 // withDefaults sets missing options to those of a mid-sized engine.
@@ -216,11 +216,11 @@
 
 func (e *Engine) endSequence(ended *sequence, state engine.RequestState) {
 	ended.state = state
-	kind := TruthFinished
+	kind := EventFinished
 	if state == engine.StateCancelled {
-		kind = TruthCancelled
+		kind = EventCancelled
 	}
-	e.options.Truth.Add(TruthEvent{
+	e.options.Truth.Add(GroundTruthEvent{
 		Backend: e.options.Name, RequestID: ended.request.RequestID, Tenant: ended.request.Tenant,
 		Kind: kind, Tokens: ended.usage().Total(),
 	})
@@ -360,13 +360,13 @@
 	e.pause = pause
 }
 
-// InPause returns the maximum number of requests that any node sent in a pause requested of it, and
+// RequestsInPause returns the maximum number of requests that any node sent in a pause requested of it, and
 // the number of pauses requested.
-func (e *Engine) InPause() (maximum, pauses int) {
+func (e *Engine) RequestsInPause() (maximum, pauses int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, record := range e.pauses {
-		maximum, pauses = max(maximum, record.Most()), pauses+record.Pauses()
+		maximum, pauses = max(maximum, record.MaximumRequests()), pauses+record.PauseCount()
 	}
 	return maximum, pauses
 }
@@ -385,9 +385,9 @@
 		e.pauses[node] = record
 	}
 	now := time.Since(e.pausesStartedAt)
-	record.Arrive(now)
+	record.AddArrival(now)
 	if e.pause > 0 {
-		record.Ask(now, e.pause)
+		record.AddPause(now, e.pause)
 	}
 	return e.pause
 }
@@ -408,7 +408,7 @@
 		return e.order, false
 	}
 	if order.Fence != e.order.Fence {
-		e.options.Truth.Add(TruthEvent{Backend: e.options.Name, Kind: TruthOrder, Fence: order.Fence, Path: order.Kind + " " + order.Target})
+		e.options.Truth.Add(GroundTruthEvent{Backend: e.options.Name, Kind: EventOrder, Fence: order.Fence, Path: order.Kind + " " + order.Target})
 		e.order = engine.OrderState{Fence: order.Fence, Kind: order.Kind, Target: order.Target, Version: order.Version}
 		e.loadedAt = time.Now().Add(e.options.Weights.reserve(e.options.LoadTime))
 	}
@@ -422,8 +422,8 @@
 	return state
 }
 
-// Active returns the number of waiting and running requests.
-func (e *Engine) Active() int {
+// ActiveRequests returns the number of waiting and running requests.
+func (e *Engine) ActiveRequests() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.waiting) + len(e.running)
--- a/internal/lab/emulator/groundtruth.go
+++ b/internal/lab/emulator/groundtruth.go
@@ -10,8 +10,8 @@
 	"sync"
 )
 
-// TruthEvent is one run or order at a back end, as the back end recorded it.
-type TruthEvent struct {
+// GroundTruthEvent is one run or order at a back end, as the back end recorded it.
+type GroundTruthEvent struct {
 	Backend   string `json:"backend"`
 	RequestID string `json:"request_id"`
 	// Tenant is the tenant that the request to an engine names.
@@ -29,24 +29,24 @@
 
 // Kinds of truth events.
 const (
-	TruthFinished  = "finished"
-	TruthCancelled = "cancelled"
-	TruthCall      = "call"
-	TruthOrder     = "order"
+	EventFinished  = "finished"
+	EventCancelled = "cancelled"
+	EventCall      = "call"
+	EventOrder     = "order"
 )
 
-// Truth is the ground truth log of all back ends of an emulator.
-type Truth struct {
+// GroundTruth is the ground truth log of all back ends of an emulator.
+type GroundTruth struct {
 	mutex  sync.Mutex
-	events []TruthEvent
+	events []GroundTruthEvent
 	writer io.Writer
 }
 
-// NewTruth returns an empty log. It writes each event as a JSON line to writer, which may be nil.
-func NewTruth(writer io.Writer) *Truth { return &Truth{writer: writer} }
+// NewGroundTruth returns an empty log. It writes each event as a JSON line to writer, which may be nil.
+func NewGroundTruth(writer io.Writer) *GroundTruth { return &GroundTruth{writer: writer} }
 
 // Add records an event.
-func (t *Truth) Add(event TruthEvent) {
+func (t *GroundTruth) Add(event GroundTruthEvent) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.events = append(t.events, event)
@@ -59,8 +59,8 @@
 }
 
 // Events returns a copy of the log.
-func (t *Truth) Events() []TruthEvent {
+func (t *GroundTruth) Events() []GroundTruthEvent {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return append([]TruthEvent(nil), t.events...)
+	return append([]GroundTruthEvent(nil), t.events...)
 }
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -223,7 +223,7 @@
 // Plain is a plain service that responds to any call and records the run in the ground truth.
 type Plain struct {
 	Name  string
-	Truth *Truth
+	Truth *GroundTruth
 	// Delay is how long a call takes.
 	Delay time.Duration
 }
@@ -249,8 +249,8 @@
 		Service: p.Name, Method: request.Method, Path: request.URL.Path,
 		RequestID: request.Header.Get("Ravenway-Request-Id"), Bytes: len(body),
 	}
-	p.Truth.Add(TruthEvent{
-		Backend: p.Name, RequestID: reply.RequestID, Kind: TruthCall,
+	p.Truth.Add(GroundTruthEvent{
+		Backend: p.Name, RequestID: reply.RequestID, Kind: EventCall,
 		Method: reply.Method, Path: reply.Path, Body: string(body[:min(len(body), 256)]),
 	})
 	if p.Delay > 0 {
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -32,8 +32,8 @@
 	return w.freeAt.Sub(now)
 }
 
-// Waiting returns the number of loads that had to wait for another load.
-func (w *WeightStore) Waiting() int {
+// DelayedLoads returns the number of loads that had to wait for another load.
+func (w *WeightStore) DelayedLoads() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.delayedLoads
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -18,8 +18,8 @@
 
 // Paths of the emulator's own interface, for experiments.
 const (
-	PathTruth    = "/lab/v1/truth"
-	PathBackends = "/lab/v1/backends/"
+	PathGroundTruth = "/lab/v1/truth"
+	PathBackends    = "/lab/v1/backends/"
 )
 
 // DefaultPlatformLag is the default of World.PlatformLag.
@@ -27,7 +27,7 @@
 
 // World emulates all back ends of a catalog, and the platform.
 type World struct {
-	Truth   *Truth
+	Truth   *GroundTruth
 	Weights *WeightStore
 	// PlatformLag is the delay until the platform's list shows that a machine leaves.
 	PlatformLag time.Duration
@@ -43,7 +43,7 @@
 
 // NewWorld emulates the back ends of a catalog document. Engine options that the catalog does not
 // contain come from defaults.
-func NewWorld(document *ravenwayv1.CatalogDocument, defaults EngineOptions, truth *Truth) *World {
+func NewWorld(document *ravenwayv1.CatalogDocument, defaults EngineOptions, truth *GroundTruth) *World {
 	world := &World{
 		Truth: truth, Weights: &WeightStore{}, PlatformLag: DefaultPlatformLag, engines: map[string]*Engine{},
 		handlers: map[string]http.Handler{}, leavingSince: map[string]time.Time{}, isDown: map[string]bool{},
@@ -148,7 +148,7 @@
 func (w *World) AdminHandler() http.Handler {
 	router := mux.NewRouter()
 	router.HandleFunc(platform.PathMachines, w.serveMachines).Methods(http.MethodGet)
-	router.HandleFunc(PathTruth, func(writer http.ResponseWriter, _ *http.Request) {
+	router.HandleFunc(PathGroundTruth, func(writer http.ResponseWriter, _ *http.Request) {
 		writeJSON(writer, http.StatusOK, w.Truth.Events())
 	}).Methods(http.MethodGet)
 	router.HandleFunc(PathBackends+"{name}/{switch}", w.serveSwitch).Methods(http.MethodPost)
--- a/internal/lab/fleet/chaos.go
+++ b/internal/lab/fleet/chaos.go
@@ -117,7 +117,7 @@
 	f.Kill(name)
 	c.down = name
 	c.count("kill")
-	if f.machines[name].Control && repaired && c.random.IntN(2) == 0 {
+	if f.machines[name].IsControl && repaired && c.random.IntN(2) == 0 {
 		c.count("lost disk")
 		f.LoseDisk(name)
 	}
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -19,12 +19,12 @@
 
 type ledgerEntry struct {
 	request load.Request
-	answer  load.Answer
+	answer  load.Result
 	tries   int
 }
 
 // Note records one request's last answer.
-func (l *Ledger) Note(request load.Request, answer load.Answer, tries int) {
+func (l *Ledger) Note(request load.Request, answer load.Result, tries int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.entries = append(l.entries, ledgerEntry{request: request, answer: answer, tries: tries})
@@ -64,7 +64,7 @@
 	bodies := map[string]int{}
 	for _, event := range f.Emulator.Truth.Events() {
 		ran[event.RequestID]++
-		if event.Kind == emulator.TruthCall && event.Method == http.MethodPost {
+		if event.Kind == emulator.EventCall && event.Method == http.MethodPost {
 			bodies[event.Body]++
 		}
 	}
@@ -80,7 +80,7 @@
 		case load.Wrong:
 			return fmt.Errorf("request %s got a wrong answer: %s", entry.request.Key, entry.answer.Detail)
 		case load.Refused:
-			if entry.request.Kind == load.KindAct && bodies[entry.request.Body] > 0 && entry.tries == 1 {
+			if entry.request.Kind == load.KindWrite && bodies[entry.request.Body] > 0 && entry.tries == 1 {
 				return fmt.Errorf("request %s was refused as not run (%s), but it ran", entry.request.Key, entry.answer.Code)
 			}
 		}
@@ -101,7 +101,7 @@
 func (f *Fleet) runsByKey() map[string]runRange {
 	runs := map[string]runRange{}
 	for _, event := range f.Emulator.Truth.Events() {
-		if event.Kind != emulator.TruthFinished && event.Kind != emulator.TruthCancelled {
+		if event.Kind != emulator.EventFinished && event.Kind != emulator.EventCancelled {
 			continue
 		}
 		key := event.RequestID[:strings.LastIndex(event.RequestID, "-")]
--- a/internal/lab/fleet/failure_test.go
+++ b/internal/lab/fleet/failure_test.go
@@ -46,10 +46,10 @@
 			assert.NilError(t, f.Boot("lhr-a-2"))
 		})
 		t.Log(report)
-		assert.Assert(t, report.CutTries > 0, "no request was cut: the fault did not bite")
+		assert.Assert(t, report.CutAttempts > 0, "no request was cut: the fault did not bite")
 		// A node that has just started says so; the balancer asks /readyz.
 		starting := report.Codes[string(caller.CodeStarting)]
-		assert.Equal(t, report.Outcomes[load.Whole]+starting, report.Sent, "%s", report)
+		assert.Equal(t, report.Outcomes[load.Complete]+starting, report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 60*time.Second))
 	})
 }
@@ -68,7 +68,7 @@
 			cut = f.StopPlanned(context.Background(), "lhr-c-1")
 		})
 		assert.Equal(t, cut, int64(0))
-		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
+		assert.Equal(t, report.Outcomes[load.Complete], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 30*time.Second))
 	})
 }
@@ -84,7 +84,7 @@
 			f.Network.Heal()
 		})
 		t.Log(report)
-		assert.Assert(t, report.Outcomes[load.Whole] > report.Sent*7/10, "%s", report)
+		assert.Assert(t, report.Outcomes[load.Complete] > report.Sent*7/10, "%s", report)
 		assert.NilError(t, f.Check(ledger, 90*time.Second))
 	})
 }
@@ -117,8 +117,8 @@
 		stopped := f.Order[len(f.Order)-1]
 		var mutex sync.Mutex
 		var cut []string
-		note := func(wanted load.Request, answer load.Answer, _ int) {
-			if answer.Outcome == load.Whole || strings.Contains(answer.Detail, errNetworkDown.Error()) {
+		note := func(wanted load.Request, answer load.Result, _ int) {
+			if answer.Outcome == load.Complete || strings.Contains(answer.Detail, errNetworkDown.Error()) {
 				return
 			}
 			mutex.Lock()
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -61,7 +61,7 @@
 func New(plan deployment.Plan, random *rand.Rand, engines emulator.EngineOptions) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	made := &Fleet{
-		Plan: plan, Network: NewNetwork(), Emulator: emulator.NewWorld(plan.Catalog(), engines, emulator.NewTruth(nil)),
+		Plan: plan, Network: NewNetwork(), Emulator: emulator.NewWorld(plan.Catalog(), engines, emulator.NewGroundTruth(nil)),
 		Logger: zerolog.Nop(), machines: map[string]*Machine{}, ctx: ctx, cancel: cancel,
 		operators: map[string]ravenwayv1connect.OperatorServiceClient{}, DeadAfter: 8 * time.Second,
 	}
@@ -139,7 +139,7 @@
 
 func (f *Fleet) settings(of deployment.Node) *settings.Settings {
 	roles := []string{settings.RoleEntry}
-	if of.Control {
+	if of.IsControl {
 		roles = append(roles, settings.RoleControl)
 	}
 	loaded := &settings.Settings{
@@ -153,7 +153,7 @@
 	}
 	for _, other := range f.Plan.Nodes() {
 		loaded.Peers = append(loaded.Peers, settings.Peer{
-			Name: other.Name, Zone: other.Zone, Address: other.Address(deployment.PeersPort), Control: other.Control,
+			Name: other.Name, Zone: other.Zone, Address: other.Address(deployment.PeersPort), Control: other.IsControl,
 		})
 	}
 	return loaded
@@ -331,12 +331,12 @@
 func (f *Fleet) Repaired() bool {
 	controls := 0
 	for _, planned := range f.Plan.Nodes() {
-		if planned.Control {
+		if planned.IsControl {
 			controls++
 		}
 	}
 	for _, name := range f.Order {
-		if machine := f.machines[name]; machine.Control && machine.node.VotersIfLeading() == controls {
+		if machine := f.machines[name]; machine.IsControl && machine.node.VotersIfLeading() == controls {
 			return true
 		}
 	}
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -43,7 +43,7 @@
 			Client: f.LoadClient(), Done: ledger.Note,
 		})
 		assert.NilError(t, err)
-		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
+		assert.Equal(t, report.Outcomes[load.Complete], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 20*time.Second))
 	})
 }
--- a/internal/lab/fleet/orders_test.go
+++ b/internal/lab/fleet/orders_test.go
@@ -45,7 +45,7 @@
 func ordersGiven(f *Fleet, fence uint64) int {
 	count := 0
 	for _, event := range f.Emulator.Truth.Events() {
-		if event.Kind == emulator.TruthOrder && event.Fence == fence {
+		if event.Kind == emulator.EventOrder && event.Fence == fence {
 			count++
 		}
 	}
@@ -90,7 +90,7 @@
 			waitOrder(t, f, "lhr-b-1", fence, "done")
 			assert.Equal(t, ordersGiven(f, fence), 1)
 		}
-		assert.Assert(t, f.Emulator.Weights.Waiting() <= f.Plan.Engines/2, "%d loads waited in the store", f.Emulator.Weights.Waiting())
+		assert.Assert(t, f.Emulator.Weights.DelayedLoads() <= f.Plan.Engines/2, "%d loads waited in the store", f.Emulator.Weights.DelayedLoads())
 	})
 }
 
--- a/internal/lab/fleet/pause_test.go
+++ b/internal/lab/fleet/pause_test.go
@@ -41,13 +41,13 @@
 		t.Log(report)
 		asked := 0
 		for number, engine := range pausing {
-			most, pauses := engine.InPause()
+			most, pauses := engine.RequestsInPause()
 			asked += pauses
-			assert.Check(t, most <= pausecheck.Allowed, "engine %d got %d requests of a node in a pause", number, most)
+			assert.Check(t, most <= pausecheck.MaximumInPause, "engine %d got %d requests of a node in a pause", number, most)
 		}
 		t.Logf("%d pauses asked for", asked)
 		assert.Check(t, asked > 0)
-		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
+		assert.Equal(t, report.Outcomes[load.Complete], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 60*time.Second))
 	})
 }
--- a/internal/lab/fleet/promise_test.go
+++ b/internal/lab/fleet/promise_test.go
@@ -28,7 +28,7 @@
 // acknowledgement is a plain call that may not be repeated.
 func acknowledgement(f *Fleet, key string) load.Request {
 	return load.Request{
-		Kind: load.KindAct, Tenant: "tenant-04", APIKey: f.Plan.APIKey("tenant-04"), Key: key,
+		Kind: load.KindWrite, Tenant: "tenant-04", APIKey: f.Plan.APIKey("tenant-04"), Key: key,
 		Method: http.MethodPost, Path: f.Plan.PlainPrefix + "/acknowledge", Body: "alarm " + key,
 	}
 }
@@ -76,8 +76,8 @@
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-1"), draft(f, "same"))
 		again := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), draft(f, "same"))
-		assert.Equal(t, first.Outcome, load.Whole, first.Detail)
-		assert.Equal(t, again.Outcome, load.Whole, again.Detail)
+		assert.Equal(t, first.Outcome, load.Complete, first.Detail)
+		assert.Equal(t, again.Outcome, load.Complete, again.Detail)
 		assert.Equal(t, first.BackendRequestID, again.BackendRequestID)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
@@ -94,12 +94,12 @@
 // The retry comes while the first try still streams through another router.
 func TestRetryJoinsRequestInProgress(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		first := make(chan load.Answer, 1)
+		first := make(chan load.Result, 1)
 		go func() { first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "joined")) }()
 		time.Sleep(300 * time.Millisecond)
 		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), draft(f, "joined"))
-		assert.Equal(t, second.Outcome, load.Whole, second.Detail)
-		assert.Equal(t, (<-first).Outcome, load.Whole)
+		assert.Equal(t, second.Outcome, load.Complete, second.Detail)
+		assert.Equal(t, (<-first).Outcome, load.Complete)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
 		waitSettled(t, f, "tenant-04", tokens)
@@ -110,13 +110,13 @@
 // gets the whole answer, and the dead router's grant is reclaimed.
 func TestRetryAfterRouterDiedIsBilledOnceAndItsGrantComesBack(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		first := make(chan load.Answer, 1)
+		first := make(chan load.Result, 1)
 		go func() { first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "orphan")) }()
 		time.Sleep(300 * time.Millisecond)
 		f.Kill("lhr-a-2")
 		assert.Equal(t, (<-first).Outcome, load.Cut)
 		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), draft(f, "orphan"))
-		assert.Equal(t, second.Outcome, load.Whole, second.Detail)
+		assert.Equal(t, second.Outcome, load.Complete, second.Detail)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
 		waitSettled(t, f, "tenant-04", tokens)
@@ -132,7 +132,7 @@
 		// Fill the grants of both zones first, so that each can serve alone.
 		for _, name := range []string{"lhr-a-2", "lhr-c-2", "lhr-a-2", "lhr-c-2", "lhr-a-2", "lhr-c-2"} {
 			warmed++
-			assert.Equal(t, f.LoadClient().Send(context.Background(), f.Entry(name), draft(f, fmt.Sprint("warm-", warmed))).Outcome, load.Whole)
+			assert.Equal(t, f.LoadClient().Send(context.Background(), f.Entry(name), draft(f, fmt.Sprint("warm-", warmed))).Outcome, load.Complete)
 		}
 		_, warm := runsOf(f, "tenant-04")
 		f.CutZone("lhr-a")
@@ -140,8 +140,8 @@
 		time.Sleep(time.Second)
 		left := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "doubled"))
 		right := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), draft(f, "doubled"))
-		assert.Equal(t, left.Outcome, load.Whole, left.Detail)
-		assert.Equal(t, right.Outcome, load.Whole, right.Detail)
+		assert.Equal(t, left.Outcome, load.Complete, left.Detail)
+		assert.Equal(t, right.Outcome, load.Complete, right.Detail)
 		count, all := runsOf(f, "tenant-04")
 		assert.Equal(t, count, warmed+2, "the request did not run in both zones")
 		time.Sleep(15 * time.Second)
@@ -161,11 +161,11 @@
 		assert.Equal(t, inside.Outcome, load.Refused, inside.Detail)
 		assert.Equal(t, inside.Code, caller.CodeHoldersUnreached)
 		assert.Assert(t, inside.RetryAfter != "")
-		assert.Equal(t, outside.Outcome, load.Whole, outside.Detail)
+		assert.Equal(t, outside.Outcome, load.Complete, outside.Detail)
 		f.Network.Heal()
 		time.Sleep(8 * time.Second)
 		again := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), acknowledgement(f, "duty-officer"))
-		assert.Equal(t, again.Outcome, load.Whole, again.Detail)
+		assert.Equal(t, again.Outcome, load.Complete, again.Detail)
 		assert.Equal(t, callsWithBody(f, "alarm duty-officer"), 1)
 	})
 }
@@ -182,7 +182,7 @@
 					count++
 				}
 			}
-			return count + f.Emulator.Engine(leaving).Active()
+			return count + f.Emulator.Engine(leaving).ActiveRequests()
 		}
 		report, ledger := underLoad(t, f, load.Options{Rate: 60, Duration: 12 * time.Second, Seed: 5}, func() {
 			time.Sleep(5 * time.Second)
@@ -192,7 +192,7 @@
 		})
 		assert.Assert(t, before > 0, "the back end had no work to begin with")
 		assert.Equal(t, ranThere(), before)
-		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
+		assert.Equal(t, report.Outcomes[load.Complete], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 30*time.Second))
 	})
 }
--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -156,7 +156,7 @@
 	}
 	ctx, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	world := emulator.NewWorld(document, emulator.EngineOptions{EventGap: 50}, emulator.NewTruth(writer))
+	world := emulator.NewWorld(document, emulator.EngineOptions{EventGap: 50}, emulator.NewGroundTruth(writer))
 	return world.Serve(ctx, command.String("admin"))
 }
 
@@ -212,8 +212,8 @@
 }
 
 // fetchTruth reads an emulator's ground truth log.
-func fetchTruth(ctx context.Context, admin string) ([]emulator.TruthEvent, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+emulator.PathTruth, nil)
+func fetchTruth(ctx context.Context, admin string) ([]emulator.GroundTruthEvent, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+admin+emulator.PathGroundTruth, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -222,7 +222,7 @@
 		return nil, fmt.Errorf("reading the ground truth log: %w", err)
 	}
 	defer response.Body.Close()
-	var events []emulator.TruthEvent
+	var events []emulator.GroundTruthEvent
 	if err := json.NewDecoder(response.Body).Decode(&events); err != nil {
 		return nil, fmt.Errorf("reading the ground truth log: %w", err)
 	}
--- a/internal/lab/labcli/soak.go
+++ b/internal/lab/labcli/soak.go
@@ -49,7 +49,7 @@
 				summary, err := soakSeed(ctx, wire, command, seed, command.Int("first-lane")+lane)
 				mutex.Lock()
 				fmt.Fprintf(out, "seed %d: %d calls %v, %d faults, %d cut by planned stops, charged without delivery at most %.4f of a limit, error %v\n",
-					seed, summary.Calls, summary.Outcomes, summary.Faults, summary.CutByStops, summary.LedgerDistance, err)
+					seed, summary.Calls, summary.Outcomes, summary.Faults, summary.CutByStops, summary.LedgerOvercharge, err)
 				if err != nil {
 					failed = append(failed, fmt.Errorf("seed %d: %w", seed, err))
 				}
@@ -84,7 +84,7 @@
 	}
 	defer report.Close()
 	return soak.Run(ctx, soak.Options{
-		Daemon: command.String("daemon"), Earlier: command.String("earlier"), EarlierHasQuarantine: command.Bool("earlier-has-quarantine"), GoesBack: command.Bool("going-back"), Order: order, Wire: wire, Seed: seed, Entries: command.Int("entries"), Length: command.Duration("length"),
+		Daemon: command.String("daemon"), EarlierDaemon: command.String("earlier"), EarlierHasQuarantine: command.Bool("earlier-has-quarantine"), ReturnsToEarlier: command.Bool("going-back"), Order: order, Wire: wire, Seed: seed, Entries: command.Int("entries"), FaultDuration: command.Duration("length"),
 		Folder: folder, Lane: lane, Report: report,
 	})
 }
--- a/internal/lab/labcli/verify.go
+++ b/internal/lab/labcli/verify.go
@@ -71,9 +71,9 @@
 	calls := map[string]int{}
 	for _, event := range events {
 		switch event.Kind {
-		case emulator.TruthFinished, emulator.TruthCancelled:
+		case emulator.EventFinished, emulator.EventCancelled:
 			compared.ran[event.Tenant] += event.Tokens
-		case emulator.TruthCall:
+		case emulator.EventCall:
 			compared.plainCalls++
 			if event.Method == "POST" {
 				calls[event.Body]++
--- a/internal/lab/limitcheck/limitcheck.go
+++ b/internal/lab/limitcheck/limitcheck.go
@@ -6,9 +6,9 @@
 import "time"
 
 const (
-	// Contact is the time after the first response that named a limit, from which on all nodes that
+	// ReactionTime is the time after the first response that named a limit, from which on all nodes that
 	// can reach each other respect it.
-	Contact = 3 * time.Second
+	ReactionTime = 3 * time.Second
 	// Window is the span in which requests are counted.
 	Window = 4 * time.Second
 	// In any Window an engine may receive tolerance times the requests of its limit, plus slack
@@ -23,11 +23,11 @@
 	return int(allowedFactor*perSecond*Window.Seconds()) + allowedExtra
 }
 
-// Most returns the maximum number of arrivals, which are sorted, in any Window.
-func Most(arrivals []time.Duration) int { return MostWithin(arrivals, Window) }
+// MaximumInWindow returns the maximum number of arrivals, which are sorted, in any Window.
+func MaximumInWindow(arrivals []time.Duration) int { return MaximumWithin(arrivals, Window) }
 
-// MostWithin returns the maximum number of arrivals, which are sorted, in any span of a length.
-func MostWithin(arrivals []time.Duration, length time.Duration) int {
+// MaximumWithin returns the maximum number of arrivals, which are sorted, in any span of a length.
+func MaximumWithin(arrivals []time.Duration, length time.Duration) int {
 	maximum, first := 0, 0
 	for last := range arrivals {
 		for arrivals[last]-arrivals[first] > length {
--- a/internal/lab/limitcheck/limitcheck_test.go
+++ b/internal/lab/limitcheck/limitcheck_test.go
@@ -14,7 +14,7 @@
 }
 
 func TestFullestWindowIsFoundAtAnyStart(t *testing.T) {
-	assert.Equal(t, Most(nil), 0)
+	assert.Equal(t, MaximumInWindow(nil), 0)
 	seconds := func(moments ...float64) []time.Duration {
 		var arrivals []time.Duration
 		for _, moment := range moments {
@@ -22,6 +22,6 @@
 		}
 		return arrivals
 	}
-	assert.Equal(t, Most(seconds(0, 4, 8, 12)), 2, "a window includes both of its ends")
-	assert.Equal(t, Most(seconds(0, 3.9, 4.1, 5, 7.8, 12)), 4)
+	assert.Equal(t, MaximumInWindow(seconds(0, 4, 8, 12)), 2, "a window includes both of its ends")
+	assert.Equal(t, MaximumInWindow(seconds(0, 3.9, 4.1, 5, 7.8, 12)), 4)
 }
--- a/internal/lab/limitcheck/record.go
+++ b/internal/lab/limitcheck/record.go
@@ -20,46 +20,46 @@
 	perSecond float64
 }
 
-// Arrive records a request.
-func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
+// AddArrival records a request.
+func (r *Record) AddArrival(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// Name records a response that names a limit, in requests per second.
-func (r *Record) Name(at time.Duration, perSecond float64) {
+// AddLimit records a response that names a limit, in requests per second.
+func (r *Record) AddLimit(at time.Duration, perSecond float64) {
 	last := len(r.changes) - 1
 	if last < 0 || !r.changes[last].hasLimit || r.changes[last].perSecond != perSecond {
 		r.changes = append(r.changes, limitChange{startedAt: at, hasLimit: true, perSecond: perSecond})
 	}
 }
 
-// End records that responses name no limit from now on.
-func (r *Record) End(at time.Duration) {
+// EndLimit records that responses name no limit from now on.
+func (r *Record) EndLimit(at time.Duration) {
 	if len(r.changes) > 0 {
 		r.changes = append(r.changes, limitChange{startedAt: at})
 	}
 }
 
-// Use summarizes the requests that an engine received under its limits. Got and Allowed describe
+// Usage summarizes the requests that an engine received under its limits. Got and Allowed describe
 // the Window that was fullest in relation to its limit.
-type Use struct {
-	// Got is the number of requests received in that window, Allowed the number allowed.
-	Got, Allowed int
+type Usage struct {
+	// Received is the number of requests received in that window, Allowed the number allowed.
+	Received, Allowed int
 	// Arrived is the number of requests while nodes had to respect a limit, Room the number that
 	// the limits allowed in that time.
-	Arrived int
-	Room    float64
+	Arrived  int
+	Capacity float64
 }
 
-// Note records a window with its requests received and allowed, if it is fuller than the last one
+// AddWindow records a window with its requests received and allowed, if it is fuller than the last one
 // recorded.
-func (u *Use) Note(got, allowed int) {
-	if u.Allowed == 0 || got*u.Allowed > u.Got*allowed {
-		u.Got, u.Allowed = got, allowed
+func (u *Usage) AddWindow(got, allowed int) {
+	if u.Allowed == 0 || got*u.Allowed > u.Received*allowed {
+		u.Received, u.Allowed = got, allowed
 	}
 }
 
-// Use evaluates the windows of each limit between Contact after its first response and its end.
-func (r *Record) Use(end time.Duration) Use {
-	use := Use{}
+// Usage evaluates the windows of each limit between Contact after its first response and its end.
+func (r *Record) Usage(end time.Duration) Usage {
+	use := Usage{}
 	for position, one := range r.changes {
 		if !one.hasLimit || position > 0 && r.changes[position-1].hasLimit {
 			continue
@@ -70,13 +70,13 @@
 			until = following[place].startedAt
 			following = following[:place]
 		}
-		r.evaluate(&use, following, one.startedAt+Contact, until)
+		r.evaluate(&use, following, one.startedAt+ReactionTime, until)
 	}
 	return use
 }
 
 // evaluate evaluates the windows of one limit with its changes.
-func (r *Record) evaluate(use *Use, changes []limitChange, from, until time.Duration) {
+func (r *Record) evaluate(use *Usage, changes []limitChange, from, until time.Duration) {
 	for first, begin := range r.arrivals {
 		if begin < from || begin > until {
 			continue
@@ -89,7 +89,7 @@
 			}
 			count++
 		}
-		use.Note(count, Allowed(highestRate(changes, begin-Contact, begin+Window)))
+		use.AddWindow(count, Allowed(highestRate(changes, begin-ReactionTime, begin+Window)))
 	}
 	for position, one := range changes {
 		end := until
@@ -97,7 +97,7 @@
 			end = changes[position+1].startedAt
 		}
 		if start := max(one.startedAt, from); start < end {
-			use.Room += one.perSecond * (end - start).Seconds()
+			use.Capacity += one.perSecond * (end - start).Seconds()
 		}
 	}
 }
--- a/internal/lab/limitcheck/record_test.go
+++ b/internal/lab/limitcheck/record_test.go
@@ -11,25 +11,25 @@
 func arrivals(record *Record, from, until time.Duration, each int) {
 	for at := from; at < until; at += 100 * time.Millisecond {
 		for range each {
-			record.Arrive(at)
+			record.AddArrival(at)
 		}
 	}
 }
 
 func TestRequestsCountFromTheReactionTimeToTheEndOfTheLimit(t *testing.T) {
 	record := &Record{}
-	record.Name(time.Second, 1)
-	record.Name(2*time.Second, 1)
-	arrivals(record, time.Second, time.Second+Contact, 5)
-	arrivals(record, time.Second+Contact, 10*time.Second, 1)
-	record.End(10 * time.Second)
+	record.AddLimit(time.Second, 1)
+	record.AddLimit(2*time.Second, 1)
+	arrivals(record, time.Second, time.Second+ReactionTime, 5)
+	arrivals(record, time.Second+ReactionTime, 10*time.Second, 1)
+	record.EndLimit(10 * time.Second)
 	arrivals(record, 10*time.Second+1, 20*time.Second, 5)
-	use := record.Use(20 * time.Second)
+	use := record.Usage(20 * time.Second)
 	// A window includes both of its ends.
-	assert.Equal(t, use.Got, 41)
+	assert.Equal(t, use.Received, 41)
 	assert.Equal(t, use.Allowed, Allowed(1))
 	assert.Equal(t, use.Arrived, 60)
-	assert.Equal(t, use.Room, 6.0)
+	assert.Equal(t, use.Capacity, 6.0)
 }
 
 // A limit of 2 requests per second allows 17 requests in 4 s, from 3 s after it was first named.
@@ -37,29 +37,29 @@
 	record := Record{changes: []limitChange{{hasLimit: true, perSecond: 2}, {startedAt: 20 * time.Second}}}
 	add := func(from time.Duration, count int) {
 		for number := range count {
-			record.Arrive(from + time.Duration(number)*time.Millisecond)
+			record.AddArrival(from + time.Duration(number)*time.Millisecond)
 		}
 	}
 	add(time.Second, 50)
 	add(8*time.Second, 17)
 	add(21*time.Second, 50)
-	use := record.Use(time.Minute)
-	assert.Equal(t, use.Got, 17)
+	use := record.Usage(time.Minute)
+	assert.Equal(t, use.Received, 17)
 	assert.Equal(t, use.Allowed, 17)
 	record.arrivals = nil
 	add(8*time.Second, 18)
-	assert.Equal(t, record.Use(time.Minute).Got, 18)
+	assert.Equal(t, record.Usage(time.Minute).Received, 18)
 	// Lowered from 20, which allows 125 requests until the nodes had time to receive the update.
 	record.changes = []limitChange{{hasLimit: true, perSecond: 20}, {startedAt: 7 * time.Second, hasLimit: true, perSecond: 2}}
-	assert.Equal(t, record.Use(time.Minute).Allowed, 125)
+	assert.Equal(t, record.Usage(time.Minute).Allowed, 125)
 	record.arrivals = nil
 	add(11*time.Second, 18)
-	assert.Equal(t, record.Use(time.Minute).Allowed, 17)
+	assert.Equal(t, record.Usage(time.Minute).Allowed, 17)
 }
 
 func TestEngineWithoutALimitIsNotChecked(t *testing.T) {
 	record := &Record{}
 	arrivals(record, 0, 10*time.Second, 9)
-	record.End(10 * time.Second)
-	assert.Equal(t, record.Use(20*time.Second), Use{})
+	record.EndLimit(10 * time.Second)
+	assert.Equal(t, record.Usage(20*time.Second), Usage{})
 }
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -22,8 +22,8 @@
 
 // Outcomes of requests.
 const (
-	// Whole: the expected response, complete.
-	Whole Outcome = "whole"
+	// Complete: the expected response, complete.
+	Complete Outcome = "whole"
 	// Refused: a typed error with the guarantee that the request was not run.
 	Refused Outcome = "refused"
 	// Unknown: an error without that guarantee; the request may have run.
@@ -52,8 +52,8 @@
 	Body   string
 }
 
-// Answer is the result of a request.
-type Answer struct {
+// Result is the result of a request.
+type Result struct {
 	Outcome    Outcome
 	Code       caller.Code
 	NotRun     bool
@@ -75,24 +75,24 @@
 }
 
 // Send sends a request to an entry node and checks the response.
-func (c *Client) Send(ctx context.Context, entry string, wanted Request) Answer {
+func (c *Client) Send(ctx context.Context, entry string, wanted Request) Result {
 	started := time.Now()
 	answer := c.send(ctx, entry, wanted, started)
 	answer.Total = time.Since(started)
 	return answer
 }
 
-func (c *Client) send(ctx context.Context, entry string, wanted Request, started time.Time) Answer {
+func (c *Client) send(ctx context.Context, entry string, wanted Request, started time.Time) Result {
 	httpRequest, err := buildRequest(ctx, entry, wanted)
 	if err != nil {
-		return Answer{Outcome: Cut, Detail: err.Error()}
+		return Result{Outcome: Cut, Detail: err.Error()}
 	}
 	response, err := c.HTTP.Do(httpRequest)
 	if err != nil {
-		return Answer{Outcome: Cut, Detail: err.Error()}
+		return Result{Outcome: Cut, Detail: err.Error()}
 	}
 	defer response.Body.Close()
-	answer := Answer{
+	answer := Result{
 		RequestID:        response.Header.Get(caller.HeaderRequestID),
 		BackendRequestID: response.Header.Get(caller.HeaderBackendRequestID),
 		RetryAfter:       response.Header.Get("Retry-After"),
@@ -139,7 +139,7 @@
 	}
 }
 
-func readError(answer Answer, response *http.Response) Answer {
+func readError(answer Result, response *http.Response) Result {
 	var body caller.ErrorBody
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
 		answer.Outcome, answer.Detail = Unknown, fmt.Sprintf("status %d without a typed error", response.StatusCode)
@@ -152,7 +152,7 @@
 	return answer
 }
 
-func readPlain(answer Answer, response *http.Response, wanted Request, started time.Time) Answer {
+func readPlain(answer Result, response *http.Response, wanted Request, started time.Time) Result {
 	var reply emulator.PlainReply
 	err := json.NewDecoder(response.Body).Decode(&reply)
 	answer.FirstToken = time.Since(started)
@@ -162,14 +162,14 @@
 	case reply.Path != wanted.Path || reply.Method != wanted.Method || reply.Bytes != len(wanted.Body):
 		answer.Outcome, answer.Detail = Wrong, fmt.Sprintf("requested %s %s, received %+v", wanted.Method, wanted.Path, reply)
 	default:
-		answer.Outcome, answer.BackendRequestID = Whole, reply.RequestID
+		answer.Outcome, answer.BackendRequestID = Complete, reply.RequestID
 	}
 	return answer
 }
 
 // readStream reads a streamed response and checks each of its tokens. Tokens depend on the engine's
 // id of the request, so that tokens of another request don't pass.
-func readStream(answer Answer, response *http.Response, started time.Time) Answer {
+func readStream(answer Result, response *http.Response, started time.Time) Result {
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), 4<<20)
 	var text strings.Builder
@@ -224,7 +224,7 @@
 	return nil
 }
 
-func checkText(answer Answer, text string, usage *caller.Usage) Answer {
+func checkText(answer Result, text string, usage *caller.Usage) Result {
 	if usage == nil {
 		answer.Outcome, answer.Detail = Wrong, "the response has no usage"
 		return answer
@@ -234,7 +234,7 @@
 		expected.WriteString(emulator.TokenText(answer.BackendRequestID, position))
 	}
 	answer.Tokens = usage.TotalTokens
-	answer.Outcome = Whole
+	answer.Outcome = Complete
 	if text != expected.String() {
 		answer.Outcome = Wrong
 		answer.Detail = fmt.Sprintf("got %d bytes that differ from the %d expected bytes of request %s", len(text), expected.Len(), answer.BackendRequestID)
--- a/internal/lab/load/mix.go
+++ b/internal/lab/load/mix.go
@@ -17,10 +17,10 @@
 	KindLong Kind = "long"
 	// KindShort is a short completion with urgent priority.
 	KindShort Kind = "short"
-	// KindView reads from a plain service.
-	KindView Kind = "view"
-	// KindAct changes the state of a plain service; it must not run twice.
-	KindAct Kind = "act"
+	// KindRead reads from a plain service.
+	KindRead Kind = "view"
+	// KindWrite changes the state of a plain service; it must not run twice.
+	KindWrite Kind = "act"
 )
 
 // Tenant is one source of load.
@@ -44,14 +44,14 @@
 }
 
 // kindOrder fixes the order in which kinds are drawn, so that a seed always gives the same load.
-var kindOrder = []Kind{KindLong, KindShort, KindView, KindAct}
+var kindOrder = []Kind{KindLong, KindShort, KindRead, KindWrite}
 
 // NewMix returns the default mix: long completions over shared documents, short urgent completions,
 // and plain calls.
 func NewMix(tenants []Tenant, model, plainPrefix string, random *rand.Rand) Mix {
 	mix := Mix{
 		Tenants: tenants, Model: model, PlainPrefix: plainPrefix,
-		Shares: map[Kind]int{KindLong: 20, KindShort: 40, KindView: 30, KindAct: 10},
+		Shares: map[Kind]int{KindLong: 20, KindShort: 40, KindRead: 30, KindWrite: 10},
 	}
 	for range 20 {
 		mix.Documents = append(mix.Documents, randomText(random, 2048+random.IntN(4096)))
@@ -80,9 +80,9 @@
 		drawn.Model, drawn.Priority, drawn.Deadline = m.Model, "urgent", 20*time.Second
 		drawn.Prompt = randomText(random, 100+random.IntN(200))
 		drawn.MaxTokens = 16 + random.Uint64N(32)
-	case KindView:
+	case KindRead:
 		drawn.Method, drawn.Path = http.MethodGet, fmt.Sprintf("%s/case/%d", m.PlainPrefix, random.IntN(1000))
-	case KindAct:
+	case KindWrite:
 		drawn.Method, drawn.Path = http.MethodPost, m.PlainPrefix+"/acknowledge"
 		drawn.Body = randomText(random, 64)
 	}
@@ -110,5 +110,5 @@
 			return kind
 		}
 	}
-	return KindView
+	return KindRead
 }
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -38,7 +38,7 @@
 	// WithoutKeys omits the idempotency keys.
 	WithoutKeys bool
 	// Done is called with each request, its last answer and the number of attempts; it may be nil.
-	Done func(Request, Answer, int)
+	Done func(Request, Result, int)
 }
 
 // Report summarizes what callers saw.
@@ -47,8 +47,8 @@
 	Outcomes map[Outcome]int `json:"outcomes"`
 	Codes    map[string]int  `json:"codes"`
 	// Retries counts further attempts after a failed one, CutTries the attempts that were cut.
-	Retries  int `json:"retries"`
-	CutTries int `json:"cut_tries"`
+	Retries     int `json:"retries"`
+	CutAttempts int `json:"cut_tries"`
 	// Tokens is the usage reported to callers in complete responses, by tenant.
 	Tokens map[string]uint64 `json:"tokens"`
 	// FirstToken and Gap are in milliseconds, by kind.
@@ -107,7 +107,7 @@
 
 // send sends a request until its outcome is final, as a caller that retries does.
 func (c *collector) send(ctx context.Context, options Options, wanted Request, first int) {
-	var answer Answer
+	var answer Result
 	attempts := 0
 	for attempts < maximumAttempts {
 		answer = options.Client.Send(ctx, options.Entries[(first+attempts)%len(options.Entries)], wanted)
@@ -126,16 +126,16 @@
 	}
 }
 
-func (c *collector) recordRetry(answer Answer) {
+func (c *collector) recordRetry(answer Result) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if answer.Outcome == Cut {
-		c.report.CutTries++
+		c.report.CutAttempts++
 	}
 	c.report.Retries++
 }
 
-func (c *collector) recordAnswer(wanted Request, answer Answer, attempts int) {
+func (c *collector) recordAnswer(wanted Request, answer Result, attempts int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.report.Sent++
@@ -143,7 +143,7 @@
 	if answer.Code != "" {
 		c.report.Codes[string(answer.Code)]++
 	}
-	if answer.Outcome != Whole {
+	if answer.Outcome != Complete {
 		if answer.Outcome != Refused && len(c.report.Details) < maximumDetails {
 			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d attempts: %s %s", wanted.Kind, answer.Outcome, attempts, answer.Code, answer.Detail))
 		}
@@ -183,7 +183,7 @@
 // String returns the report as text.
 func (r Report) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut attempts %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutTries)
+	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut attempts %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutAttempts)
 	kinds := make([]string, 0, len(r.FirstToken))
 	for kind := range r.FirstToken {
 		kinds = append(kinds, string(kind))
--- a/internal/lab/openfleet/engine.go
+++ b/internal/lab/openfleet/engine.go
@@ -58,7 +58,7 @@
 	defer t.mutex.Unlock()
 	now := time.Since(t.began)
 	t.arrivals[instance] = append(t.arrivals[instance], now)
-	t.pausesOf(instance, node).Arrive(now)
+	t.pausesOf(instance, node).AddArrival(now)
 }
 
 func (t *Truth) pausesOf(instance, node string) *pausecheck.Record {
@@ -72,13 +72,13 @@
 func (t *Truth) askForPause(instance, node string, lasting time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.pausesOf(instance, node).Ask(time.Since(t.began), lasting)
+	t.pausesOf(instance, node).AddPause(time.Since(t.began), lasting)
 }
 
 func (t *Truth) leave(instance, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.pausesOf(instance, node).Leave(time.Since(t.began))
+	t.pausesOf(instance, node).AddShutdown(time.Since(t.began))
 }
 
 // AfterLeaving is what an instance got from a node after it had told it that it leaves, and
@@ -86,7 +86,7 @@
 func (t *Truth) AfterLeaving(instance, node string) (late int, wasTold bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.pausesOf(instance, node).AfterLeaving()
+	return t.pausesOf(instance, node).AfterShutdown()
 }
 
 // InPause is the most that an instance got from a node in a pause that it had asked it for,
@@ -95,7 +95,7 @@
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	record := t.pausesOf(instance, node)
-	return record.Most(), record.Pauses()
+	return record.MaximumRequests(), record.PauseCount()
 }
 
 // Arrivals returns when requests came to an instance, in order.
--- a/internal/lab/openfleet/pauses_test.go
+++ b/internal/lab/openfleet/pauses_test.go
@@ -31,7 +31,7 @@
 		for _, node := range l.Names(false) {
 			most, pauses := l.Truth.InPause(engine.ID, node)
 			asked, worst = asked+pauses, max(worst, most)
-			assert.Check(t, most <= pausecheck.Allowed, "%s got %d requests from %s in a pause", engine.ID, most, node)
+			assert.Check(t, most <= pausecheck.MaximumInPause, "%s got %d requests from %s in a pause", engine.ID, most, node)
 		}
 	}
 	t.Logf("%d pauses asked for, at most %d requests of a node in one", asked, worst)
--- a/internal/lab/openfleet/ratelimit_test.go
+++ b/internal/lab/openfleet/ratelimit_test.go
@@ -135,7 +135,7 @@
 // assertWithinLimit checks an engine that named a limit at a time.
 func (l *limited) assertWithinLimit(t *testing.T, engine *Engine, perSecond float64, named time.Duration) {
 	t.Helper()
-	most, allowed := limitcheck.Most(l.arrivalsAt(engine, named+limitcheck.Contact)), limitcheck.Allowed(perSecond)
+	most, allowed := limitcheck.MaximumInWindow(l.arrivalsAt(engine, named+limitcheck.ReactionTime)), limitcheck.Allowed(perSecond)
 	t.Logf("%s: %d in 4 s at most, %d allowed", engine.ID, most, allowed)
 	assert.Check(t, most <= allowed, "%s got %d requests in %s, allowed %d", engine.ID, most, limitcheck.Window, allowed)
 }
@@ -357,8 +357,8 @@
 					}
 				}
 				for _, engine := range others {
-					arrivals := l.arrivalsAt(engine, named+limitcheck.Contact)
-					got = append(got, limitcheck.Most(arrivals))
+					arrivals := l.arrivalsAt(engine, named+limitcheck.ReactionTime)
+					got = append(got, limitcheck.MaximumInWindow(arrivals))
 					total += len(arrivals)
 				}
 				mean := float64(total) / float64(len(others)) * limitcheck.Window.Seconds() / 7
--- a/internal/lab/pausecheck/pausecheck.go
+++ b/internal/lab/pausecheck/pausecheck.go
@@ -6,15 +6,15 @@
 import "time"
 
 const (
-	// Contact is the time after the response that requested a pause, from which on the node
+	// ReactionTime is the time after the response that requested a pause, from which on the node
 	// respects it.
-	Contact = 500 * time.Millisecond
-	// Allowed is the maximum number of requests that the node may send between Contact and the end
+	ReactionTime = 500 * time.Millisecond
+	// MaximumInPause is the maximum number of requests that the node may send between Contact and the end
 	// of the pause.
-	Allowed = 2
-	// Drain is the time after a response that announced the engine's shutdown, from which on the
+	MaximumInPause = 2
+	// DrainTime is the time after a response that announced the engine's shutdown, from which on the
 	// node sends it no more requests.
-	Drain = 2 * time.Second
+	DrainTime = 2 * time.Second
 )
 
 // Record holds the pauses that one incarnation of an engine requested of one node, and the requests
@@ -32,19 +32,19 @@
 // pause is a pause of a length, requested at a time.
 type pause struct{ startedAt, length time.Duration }
 
-// Arrive records a request of the node.
-func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
+// AddArrival records a request of the node.
+func (r *Record) AddArrival(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// Ask records a response that requests a pause of the node.
-func (r *Record) Ask(at, lasting time.Duration) {
+// AddPause records a response that requests a pause of the node.
+func (r *Record) AddPause(at, lasting time.Duration) {
 	r.pauses = append(r.pauses, pause{startedAt: at, length: lasting})
 }
 
-// Pauses returns the number of pauses that were requested of the node.
-func (r *Record) Pauses() int { return len(r.pauses) }
+// PauseCount returns the number of pauses that were requested of the node.
+func (r *Record) PauseCount() int { return len(r.pauses) }
 
-// Most returns the maximum number of requests that arrived in any of the pauses.
-func (r *Record) Most() int {
+// MaximumRequests returns the maximum number of requests that arrived in any of the pauses.
+func (r *Record) MaximumRequests() int {
 	maximum := 0
 	for _, one := range r.pauses {
 		maximum = max(maximum, len(r.offsetsWithin(one)))
@@ -66,28 +66,28 @@
 func (r *Record) offsetsWithin(one pause) []time.Duration {
 	var offsets []time.Duration
 	for _, arrival := range r.arrivals {
-		if arrival > one.startedAt+Contact && arrival < one.startedAt+one.length {
+		if arrival > one.startedAt+ReactionTime && arrival < one.startedAt+one.length {
 			offsets = append(offsets, arrival-one.startedAt)
 		}
 	}
 	return offsets
 }
 
-// Leave records a response to the node that announces the engine's shutdown.
-func (r *Record) Leave(at time.Duration) {
+// AddShutdown records a response to the node that announces the engine's shutdown.
+func (r *Record) AddShutdown(at time.Duration) {
 	if !r.hasShutdown {
 		r.shutdownAt, r.hasShutdown = at, true
 	}
 }
 
-// AfterLeaving returns the number of requests that arrived later than Drain after the announcement
+// AfterShutdown returns the number of requests that arrived later than Drain after the announcement
 // of the engine's shutdown, and whether there was an announcement.
-func (r *Record) AfterLeaving() (late int, wasAnnounced bool) {
+func (r *Record) AfterShutdown() (late int, wasAnnounced bool) {
 	if !r.hasShutdown {
 		return 0, false
 	}
 	for _, arrival := range r.arrivals {
-		if arrival > r.shutdownAt+Drain {
+		if arrival > r.shutdownAt+DrainTime {
 			late++
 		}
 	}
--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -242,22 +242,22 @@
 	fair := w.perSecond() / float64(len(w.order)) * backoffBurstWindow.Seconds()
 	for _, engine := range w.order {
 		for _, record := range engine.records {
-			w.result.InPause = max(w.result.InPause, record.Most())
+			w.result.InPause = max(w.result.InPause, record.MaximumRequests())
 		}
 		wellFrom := engine.illFrom + engine.illFor
 		if engine.illFor == 0 {
 			continue
 		}
 		well := slices.DeleteFunc(slices.Clone(engine.arrivals), func(at time.Duration) bool { return at < wellFrom })
-		w.result.Burst = max(w.result.Burst, float64(limitcheck.MostWithin(well, backoffBurstWindow))/fair)
+		w.result.Burst = max(w.result.Burst, float64(limitcheck.MaximumWithin(well, backoffBurstWindow))/fair)
 		w.result.FullUse = max(w.result.FullUse, w.fullUse(well, wellFrom))
 	}
 	if w.options.Policy == PausesIgnored {
 		return
 	}
 	var broken error
-	if w.result.InPause > pausecheck.Allowed {
-		broken = fmt.Errorf("%d requests of a node came in a pause, allowed %d", w.result.InPause, pausecheck.Allowed)
+	if w.result.InPause > pausecheck.MaximumInPause {
+		broken = fmt.Errorf("%d requests of a node came in a pause, allowed %d", w.result.InPause, pausecheck.MaximumInPause)
 	}
 	w.Check(broken)
 }
--- a/internal/lab/simulate/backoff_test.go
+++ b/internal/lab/simulate/backoff_test.go
@@ -57,7 +57,7 @@
 func TestPausesThatNobodyKeepsAreNoticed(t *testing.T) {
 	t.Parallel()
 	result := runBackoff(PausesIgnored, ThirdIll, 3*time.Second, func(*BackoffOptions) {})
-	assert.Assert(t, result.InPause > pausecheck.Allowed, "%d", result.InPause)
+	assert.Assert(t, result.InPause > pausecheck.MaximumInPause, "%d", result.InPause)
 }
 
 // Guards against nodes that come back all at once as the pauses of all engines end, and have
--- a/internal/lab/simulate/backoffnode.go
+++ b/internal/lab/simulate/backoffnode.go
@@ -113,11 +113,11 @@
 	way, writtenAt := w.Between(500*time.Microsecond, 3*time.Millisecond), n.now()
 	w.After(way, func() {
 		engine.arrivals = append(engine.arrivals, w.Now)
-		engine.records[n].Arrive(w.Now)
+		engine.records[n].AddArrival(w.Now)
 		if engine.isIll(w.Now) || engine.running == backoffSlots && engine.queued == backoffQueue {
 			asks := engine.isIll(w.Now) || w.options.AsksWhenFull
 			if asks && n.process == process && !n.isCut {
-				engine.records[n].Ask(w.Now, w.options.Pause)
+				engine.records[n].AddPause(w.Now, w.options.Pause)
 				w.noteAsked(engine)
 			}
 			n.after(way, func() { n.turnedAway(call, choice, asks) })
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -138,7 +138,7 @@
 		w.engines = append(w.engines, engine)
 		w.After(limitWarmUp, func() {
 			engine.isNamed = true
-			engine.record().Name(w.Now, engine.perSecond)
+			engine.record().AddLimit(w.Now, engine.perSecond)
 			if options.IsUnsettled {
 				w.unsettle(engine)
 			}
@@ -494,21 +494,21 @@
 
 // judge holds what each life of each engine got against its limits.
 func (w *limitWorld) judge() {
-	fullest := limitcheck.Use{}
+	fullest := limitcheck.Usage{}
 	for _, engine := range w.engines {
 		for _, record := range engine.records {
-			use := record.Use(w.Now)
+			use := record.Usage(w.Now)
 			w.result.Got += use.Arrived
-			w.result.Room += use.Room
+			w.result.Room += use.Capacity
 			if use.Arrived > 0 {
-				fullest.Note(use.Got, use.Allowed)
+				fullest.AddWindow(use.Received, use.Allowed)
 			}
-			if use.Got > use.Allowed {
-				w.Check(fmt.Errorf("an engine got %d requests in %s, its limit allowed %d", use.Got, limitcheck.Window, use.Allowed))
+			if use.Received > use.Allowed {
+				w.Check(fmt.Errorf("an engine got %d requests in %s, its limit allowed %d", use.Received, limitcheck.Window, use.Allowed))
 			}
 		}
 	}
-	w.result.Worst, w.result.Allowed = fullest.Got, fullest.Allowed
+	w.result.Worst, w.result.Allowed = fullest.Received, fullest.Allowed
 }
 
 // LongestWait is the wait of which the given part of the requests with a permit had none
--- a/internal/lab/simulate/ratelimitengine.go
+++ b/internal/lab/simulate/ratelimitengine.go
@@ -36,7 +36,7 @@
 // begin begins a life of the engine, and ends the one before.
 func (e *limitEngine) begin(now time.Duration) {
 	if len(e.records) > 0 {
-		e.record().End(now)
+		e.record().EndLimit(now)
 	}
 	e.life.Born++
 	e.isNamed = false
@@ -48,7 +48,7 @@
 // answer takes a request of a node at a time and returns what its answer says of the limit.
 func (w *limitWorld) answer(engine *limitEngine, from *limitNode, at time.Duration) ratelimit.Said {
 	if !w.isExcused(from) {
-		engine.record().Arrive(at)
+		engine.record().AddArrival(at)
 	}
 	switch {
 	case w.options.IsUnsettled && w.Chance(bareFailures):
@@ -56,14 +56,14 @@
 	case !engine.isNamed:
 		return ratelimit.Said{}
 	}
-	engine.record().Name(at, engine.perSecond)
+	engine.record().AddLimit(at, engine.perSecond)
 	return ratelimit.Said{IsNamed: true, PerSecond: engine.perSecond}
 }
 
 // isExcused tells that a node's requests don't count now: it has just started, or stood still,
 // and what came to it meanwhile goes out before it can hear of a limit.
 func (w *limitWorld) isExcused(node *limitNode) bool {
-	return w.options.IsUnsettled && w.Now-node.clock.runsSince() < limitcheck.Contact
+	return w.options.IsUnsettled && w.Now-node.clock.runsSince() < limitcheck.ReactionTime
 }
 
 // unsettle has an engine change its limit, name none for a while, or start again.
@@ -77,7 +77,7 @@
 		func() {
 			w.Fault("limit_ended")
 			engine.isNamed = false
-			engine.record().End(w.Now)
+			engine.record().EndLimit(w.Now)
 			w.nameLater(engine)
 		},
 		func() {
--- a/internal/lab/soak/backoff.go
+++ b/internal/lab/soak/backoff.go
@@ -81,7 +81,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now, record := time.Since(e.limit.startedAt), e.backoff.senderRecord(sender)
-	record.Arrive(now)
+	record.AddArrival(now)
 	add := func(more http.Header) {
 		for name, values := range more {
 			header[name] = values
@@ -92,13 +92,13 @@
 	}
 	if e.backoff.isShuttingDown {
 		add(e.wire.LeavingHeader())
-		record.Leave(now)
+		record.AddShutdown(now)
 	}
 	if e.backoff.pause == 0 {
 		return false
 	}
 	add(e.wire.PauseHeader(e.backoff.pause))
-	record.Ask(now, e.backoff.pause)
+	record.AddPause(now, e.backoff.pause)
 	return true
 }
 
@@ -172,15 +172,15 @@
 	for _, one := range incarnations {
 		one.mutex.Lock()
 		for sender, record := range one.backoff.senders {
-			maximum := record.Most()
-			pauses, worst = pauses+record.Pauses(), max(worst, maximum)
+			maximum := record.MaximumRequests()
+			pauses, worst = pauses+record.PauseCount(), max(worst, maximum)
 			if maximum > 0 {
 				r.reportf("engine %s got requests of %s in a pause, %v after it had requested it", one.ID, sender, record.Offsets())
 			}
-			if maximum > pausecheck.Allowed {
-				r.violationf("engine %s got %d requests of %s in a pause, allowed %d", one.ID, maximum, sender, pausecheck.Allowed)
+			if maximum > pausecheck.MaximumInPause {
+				r.violationf("engine %s got %d requests of %s in a pause, allowed %d", one.ID, maximum, sender, pausecheck.MaximumInPause)
 			}
-			after, wasAnnounced := record.AfterLeaving()
+			after, wasAnnounced := record.AfterShutdown()
 			if wasAnnounced {
 				announced++
 			}
@@ -191,5 +191,5 @@
 		one.mutex.Unlock()
 	}
 	r.reportf("%d pauses requested, at most %d requests of a node in one, allowed %d; %d times a node received the announcement of a shutdown, %d requests came later than %s after it",
-		pauses, worst, pausecheck.Allowed, announced, late, pausecheck.Drain)
+		pauses, worst, pausecheck.MaximumInPause, announced, late, pausecheck.DrainTime)
 }
--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -32,8 +32,8 @@
 
 // Outcomes of calls.
 const (
-	// Whole: the expected response, complete.
-	Whole Outcome = "whole"
+	// Complete: the expected response, complete.
+	Complete Outcome = "whole"
 	// NotRun: refused with the guarantee that the request has not run.
 	NotRun Outcome = "not_run"
 	// Failed: any other status; the request may have run.
@@ -98,7 +98,7 @@
 	for number := 0; ctx.Err() == nil; number++ {
 		kind, entry := kinds[random.IntN(len(kinds))], entries[random.IntN(len(entries))]
 		tenant := fmt.Sprintf("tenant-%d", random.IntN(tenantCount))
-		call := standin.Call{ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + tenant, Wait: callTimeout, Part: "part-" + strconv.Itoa(random.IntN(20))}
+		call := standin.Call{ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + tenant, MaximumWait: callTimeout, PromptPart: "part-" + strconv.Itoa(random.IntN(20))}
 		if kind == Stream || kind == Resumable {
 			call.TokensIn, call.TokensOut = 1+uint64(random.IntN(maximumPromptTokens)), maximumOutputTokens
 		}
@@ -116,7 +116,7 @@
 // call sends one call and classifies its response.
 func (c *callers) call(kind Kind, entry *machine, call standin.Call) result {
 	ended := result{id: call.ID, kind: kind, entry: entry, startedAt: time.Since(c.startedAt)}
-	ctx, cancel := context.WithTimeout(context.Background(), call.Wait)
+	ctx, cancel := context.WithTimeout(context.Background(), call.MaximumWait)
 	defer cancel()
 	ended.outcome, ended.detail = c.send(ctx, kind, entry, call)
 	ended.endedAt = time.Since(c.startedAt)
@@ -164,7 +164,7 @@
 	if string(received) != plainBody(call.ID) {
 		return Wrong, fmt.Sprintf("%.80q", received)
 	}
-	return Whole, ""
+	return Complete, ""
 }
 
 // readStream compares a stream with the expected one, and counts its events.
@@ -181,7 +181,7 @@
 	case err != nil && strings.HasPrefix(expected.String(), read.String()):
 		return Cut, err.Error(), events
 	case err == nil && read.String() == expected.String():
-		return Whole, "", events
+		return Complete, "", events
 	}
 	return Wrong, fmt.Sprintf("error %v after %.200q", err, read.String()), events
 }
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -32,7 +32,7 @@
 func TestChecksDetectViolatedGuarantees(t *testing.T) {
 	for want, prepare := range map[string]func() *run{
 		"got a wrong answer":  func() *run { return runWithResults(result{id: "x", kind: Safe, outcome: Wrong}) },
-		"ran 2 times":         func() *run { return withTwoRuns(runWithResults(result{id: "x", kind: Once, outcome: Whole})) },
+		"ran 2 times":         func() *run { return withTwoRuns(runWithResults(result{id: "x", kind: Once, outcome: Complete})) },
 		"was refused with":    func() *run { return withTwoRuns(runWithResults(result{id: "x", kind: Safe, outcome: NotRun})) },
 		"tokens of 5 prepaid": runWithOverspentBudget,
 		"only 7 are charged or held": func() *run {
@@ -47,7 +47,7 @@
 		r := prepare()
 		r.checkCalls()
 		_, err := r.summarize()
-		assert.Assert(t, errors.Is(err, ErrBroken) && strings.Contains(err.Error(), want), "%q: %v", want, err)
+		assert.Assert(t, errors.Is(err, ErrGuaranteeViolated) && strings.Contains(err.Error(), want), "%q: %v", want, err)
 	}
 	r := runWithResults(result{id: "x", kind: Resumable, outcome: Cut, isStopping: true, startedAt: time.Second, endedAt: 2 * time.Second})
 	r.disruptiveSpans = []span{{from: 0, until: 1500 * time.Millisecond}}
@@ -77,7 +77,7 @@
 		whole.WriteString(eventText("x", number))
 	}
 	for text, want := range map[string]Outcome{
-		whole.String(): Whole, whole.String()[:20]: Wrong, whole.String() + eventText("x", 1): Wrong, "": Wrong,
+		whole.String(): Complete, whole.String()[:20]: Wrong, whole.String() + eventText("x", 1): Wrong, "": Wrong,
 	} {
 		got, _, _ := readStream(strings.NewReader(text), "x")
 		assert.Equal(t, got, want, "%q", text)
@@ -120,10 +120,10 @@
 		return err == nil
 	}
 	assert.Assert(t, echoes(5*time.Second))
-	for _, mode := range []RelayMode{Silent, OneWay} {
+	for _, mode := range []RelayMode{Blocking, BlockingInbound} {
 		relay.setMode(mode)
 		assert.Assert(t, !echoes(200*time.Millisecond), "%s", mode)
-		relay.setMode(Passing)
+		relay.setMode(Forwarding)
 		// The delayed byte is delivered now, and the next one too.
 		_ = connection.SetReadDeadline(time.Now().Add(5 * time.Second))
 		_, err := io.ReadFull(connection, make([]byte, 1))
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -24,9 +24,9 @@
 	plainDuration = 15 * time.Millisecond
 )
 
-// Truth records what the engines really ran and what the callers received, independently of the
+// GroundTruth records what the engines really ran and what the callers received, independently of the
 // system under test.
-type Truth struct {
+type GroundTruth struct {
 	mutex sync.Mutex
 	runs  map[string]int
 	// plainRuns counts the runs of plain calls by the version of the engine.
@@ -40,43 +40,43 @@
 	senders senders
 }
 
-func newTruth() *Truth {
-	return &Truth{runs: map[string]int{}, plainRuns: map[string]int{}, tokens: map[string]uint64{}, poisonCrashes: map[string]int{}, senders: senders{machines: map[string]*machine{}}}
+func newTruth() *GroundTruth {
+	return &GroundTruth{runs: map[string]int{}, plainRuns: map[string]int{}, tokens: map[string]uint64{}, poisonCrashes: map[string]int{}, senders: senders{machines: map[string]*machine{}}}
 }
 
-func (t *Truth) recordPoisonCrash(request string) {
+func (t *GroundTruth) recordPoisonCrash(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.poisonCrashes[request]++
 }
 
-// PoisonEnds returns how many engines a request has crashed.
-func (t *Truth) PoisonEnds(request string) int {
+// PoisonCrashes returns how many engines a request has crashed.
+func (t *GroundTruth) PoisonCrashes(request string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.poisonCrashes[request]
 }
 
-func (t *Truth) recordRun(request standin.EngineRequest) {
+func (t *GroundTruth) recordRun(request standin.EngineRequest) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.runs[request.ID]++
 }
 
-func (t *Truth) recordDelivery(tenant string, tokens uint64) {
+func (t *GroundTruth) recordDelivery(tenant string, tokens uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tokens[tenant] += tokens
 }
 
-func (t *Truth) recordPlainRun(version string) {
+func (t *GroundTruth) recordPlainRun(version string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.plainRuns[version]++
 }
 
-// RunsOf returns the number of runs of plain calls on engines of a version; "" means all versions.
-func (t *Truth) RunsOf(version string) int {
+// PlainRuns returns the number of runs of plain calls on engines of a version; "" means all versions.
+func (t *GroundTruth) PlainRuns(version string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	total := 0
@@ -89,14 +89,14 @@
 }
 
 // Runs returns how often a request ran.
-func (t *Truth) Runs(request string) int {
+func (t *GroundTruth) Runs(request string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.runs[request]
 }
 
-// Tokens returns the number of tokens that a tenant's callers received.
-func (t *Truth) Tokens(tenant string) uint64 {
+// DeliveredTokens returns the number of tokens that a tenant's callers received.
+func (t *GroundTruth) DeliveredTokens(tenant string) uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.tokens[tenant]
@@ -106,7 +106,7 @@
 type engine struct {
 	registry.Instance
 	wire   standin.Wire
-	truth  *Truth
+	truth  *GroundTruth
 	server *http.Server
 	mutex  sync.Mutex
 	state  registry.State
@@ -122,7 +122,7 @@
 
 // startEngine starts an engine that listens on the instance's address. If failsPlainCalls is set,
 // it fails each plain call.
-func startEngine(instance registry.Instance, wire standin.Wire, truth *Truth, failsPlainCalls bool, crashByPoison func(*engine, string)) (*engine, error) {
+func startEngine(instance registry.Instance, wire standin.Wire, truth *GroundTruth, failsPlainCalls bool, crashByPoison func(*engine, string)) (*engine, error) {
 	listener, err := net.Listen("tcp", instance.Address)
 	if err != nil {
 		return nil, fmt.Errorf("starting engine %s: %w", instance.ID, err)
@@ -160,7 +160,7 @@
 	body, _ := io.ReadAll(incoming.Body)
 	request := e.wire.ReadRequest(incoming.Header)
 	isHere := request.Instance == e.ID
-	for name, values := range e.wire.AnswerHeader(request.ID, e.ID, !isHere) {
+	for name, values := range e.wire.ResponseHeader(request.ID, e.ID, !isHere) {
 		writer.Header()[name] = values
 	}
 	if !isHere {
@@ -205,7 +205,7 @@
 
 func (e *engine) stream(writer http.ResponseWriter, incoming *http.Request, request standin.EngineRequest) {
 	writer.Header().Set("Content-Type", "text/event-stream")
-	for number := request.After + 1; number <= streamEvents; number++ {
+	for number := request.LastEvent + 1; number <= streamEvents; number++ {
 		select {
 		case <-time.After(eventInterval):
 		case <-incoming.Context().Done():
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -58,15 +58,15 @@
 		r.reportf("relay of %s: %s", one.name, mode)
 		one.relay.setMode(mode)
 		pause.For(ctx, randomFaultDuration(random))
-		one.relay.setMode(Passing)
+		one.relay.setMode(Forwarding)
 	}},
 	{"cut_core", func(ctx context.Context, r *run, random *rand.Rand) {
 		for _, one := range r.fleet.members[:controlCount] {
-			one.relay.setMode(Silent)
+			one.relay.setMode(Blocking)
 		}
 		pause.For(ctx, 2*randomFaultDuration(random))
 		for _, one := range r.fleet.members[:controlCount] {
-			one.relay.setMode(Passing)
+			one.relay.setMode(Forwarding)
 		}
 	}},
 	{"crash_engine", func(ctx context.Context, r *run, random *rand.Rand) {
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -46,7 +46,7 @@
 	lane    int
 	wire    standin.Wire
 	random  *rand.Rand
-	truth   *Truth
+	truth   *GroundTruth
 	client  *http.Client
 	seeds   []string
 	members []*machine
@@ -95,8 +95,8 @@
 		}
 		one.host = fmt.Sprintf("127.%d.1.%d", firstLane+options.Lane, number+1)
 		one.folder = filepath.Join(options.Folder, one.name)
-		if one.daemon = options.Daemon; options.Earlier != "" {
-			one.daemon = options.Earlier
+		if one.daemon = options.Daemon; options.EarlierDaemon != "" {
+			one.daemon = options.EarlierDaemon
 		}
 		if err := os.MkdirAll(one.folder, directoryMode); err != nil {
 			return nil, err
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -97,7 +97,7 @@
 	for _, budget := range answer.Msg.GetBudgets() {
 		entries = append(entries, ledgerEntry{
 			tenant: budget.GetTenant(), limit: budget.GetLimit(), settled: budget.GetSettled(), outstanding: budget.GetOutstanding(),
-			crashedUnreported: budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole(), received: f.truth.Tokens(budget.GetTenant()),
+			crashedUnreported: budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole(), received: f.truth.DeliveredTokens(budget.GetTenant()),
 		})
 		settled += budget.GetSettled()
 	}
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -57,7 +57,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.limit.hasCurrent = false
-	e.limit.End(time.Since(e.limit.startedAt))
+	e.limit.EndLimit(time.Since(e.limit.startedAt))
 }
 
 // recordArrival records a request, and writes the rate limit into the response header. One in two
@@ -66,7 +66,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	now := time.Since(e.limit.startedAt)
-	e.limit.Arrive(now)
+	e.limit.AddArrival(now)
 	if !e.limit.hasCurrent || isFailure && rand.IntN(2) == 0 {
 		return
 	}
@@ -75,7 +75,7 @@
 		header[name] = values
 	}
 	if named.isValid {
-		e.limit.Name(now, named.perSecond)
+		e.limit.AddLimit(now, named.perSecond)
 	}
 }
 
@@ -131,22 +131,22 @@
 	r.fleet.mutex.Lock()
 	incarnations := slices.Clone(r.fleet.allIncarnations)
 	r.fleet.mutex.Unlock()
-	limited, arrived, allowed, worst := 0, 0, 0.0, limitcheck.Use{}
+	limited, arrived, allowed, worst := 0, 0, 0.0, limitcheck.Usage{}
 	for _, one := range incarnations {
 		one.mutex.Lock()
-		use := one.limit.Use(time.Since(one.limit.startedAt))
+		use := one.limit.Usage(time.Since(one.limit.startedAt))
 		one.mutex.Unlock()
-		if use.Room == 0 && use.Arrived == 0 {
+		if use.Capacity == 0 && use.Arrived == 0 {
 			continue
 		}
-		limited, arrived, allowed = limited+1, arrived+use.Arrived, allowed+use.Room
+		limited, arrived, allowed = limited+1, arrived+use.Arrived, allowed+use.Capacity
 		if use.Arrived > 0 {
-			worst.Note(use.Got, use.Allowed)
+			worst.AddWindow(use.Received, use.Allowed)
 		}
-		if use.Got > use.Allowed {
-			r.violationf("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Got, limitcheck.Window, use.Allowed)
+		if use.Received > use.Allowed {
+			r.violationf("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Received, limitcheck.Window, use.Allowed)
 		}
 	}
 	r.reportf("%d engines with limits got %d requests where the limits allowed %.0f; the fullest %s: %d, allowed %d",
-		limited, arrived, allowed, limitcheck.Window, worst.Got, worst.Allowed)
+		limited, arrived, allowed, limitcheck.Window, worst.Received, worst.Allowed)
 }
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -43,7 +43,7 @@
 	for number := 0; ctx.Err() == nil; number++ {
 		entry := entries[random.IntN(len(entries))]
 		call := standin.Call{
-			ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + "tenant-0", Wait: callTimeout, Part: "part-0", TokensIn: 1, TokensOut: maximumOutputTokens,
+			ID: fmt.Sprintf("%08x%08x", random.Uint32(), number), Key: keyPrefix + "tenant-0", MaximumWait: callTimeout, PromptPart: "part-0", TokensIn: 1, TokensOut: maximumOutputTokens,
 		}
 		c.running.Go(func() {
 			_, _ = c.sendBody(context.WithoutCancel(ctx), kind, entry, call, poisonBodyPrefix+string(kind))
@@ -101,14 +101,14 @@
 // from before don't count.
 func (r *run) recordQuarantineStart() {
 	for _, kind := range poisonKinds {
-		r.crashesBeforeQuarantine[kind] = r.fleet.truth.PoisonEnds(string(kind))
+		r.crashesBeforeQuarantine[kind] = r.fleet.truth.PoisonCrashes(string(kind))
 	}
 }
 
 // checkPoison compares the number of engines that each request crashed with the bound.
 func (r *run) checkPoison() {
 	for _, kind := range poisonKinds {
-		ends := r.fleet.truth.PoisonEnds(string(kind)) - r.crashesBeforeQuarantine[kind]
+		ends := r.fleet.truth.PoisonCrashes(string(kind)) - r.crashesBeforeQuarantine[kind]
 		r.reportf("%d engines crashed by the %s request, %d more before all nodes had a quarantine", ends, kind, r.crashesBeforeQuarantine[kind])
 		if ends > maximumPoisonCrashes {
 			r.violationf("%d engines crashed by one request (%s), allowed %d", ends, kind, maximumPoisonCrashes)
--- a/internal/lab/soak/relay.go
+++ b/internal/lab/soak/relay.go
@@ -13,14 +13,14 @@
 
 // Modes of a relay.
 const (
-	// Passing forwards everything.
-	Passing RelayMode = iota
-	// Slow delays each piece by slowPause.
-	Slow
-	// Silent forwards nothing in either direction and keeps the connections open.
-	Silent
-	// OneWay forwards only what the node sends, and nothing towards it.
-	OneWay
+	// Forwarding forwards everything.
+	Forwarding RelayMode = iota
+	// Delaying delays each piece by slowPause.
+	Delaying
+	// Blocking forwards nothing in either direction and keeps the connections open.
+	Blocking
+	// BlockingInbound forwards only what the node sends, and nothing towards it.
+	BlockingInbound
 	// Resetting resets all connections and accepts no new ones.
 	Resetting
 )
@@ -129,7 +129,7 @@
 		for r.isBlocked(towardsNode) {
 			time.Sleep(blockedPollInterval)
 		}
-		if r.currentMode() == Slow {
+		if r.currentMode() == Delaying {
 			time.Sleep(slowDelay)
 		}
 		if count > 0 {
@@ -148,5 +148,5 @@
 
 func (r *relay) isBlocked(towardsNode bool) bool {
 	mode := r.currentMode()
-	return mode == Silent || mode == OneWay && towardsNode
+	return mode == Blocking || mode == BlockingInbound && towardsNode
 }
--- a/internal/lab/soak/rollout.go
+++ b/internal/lab/soak/rollout.go
@@ -32,7 +32,7 @@
 	random := rand.New(rand.NewPCG(seed, rolloutRandomStream))
 	isBad := random.IntN(2) == 0
 	pause.For(ctx, time.Duration(random.Int64N(int64(2*time.Second))))
-	before := r.fleet.truth.RunsOf("")
+	before := r.fleet.truth.PlainRuns("")
 	if err := r.fleet.waitFor(ctx, maximumRolloutWait, "a response to the order for a rollout", func() bool { return r.fleet.orderRollout(ctx) }); err != nil {
 		r.violationf("%v", err)
 		return
@@ -50,7 +50,7 @@
 	if err != nil {
 		r.violationf("%v", err)
 	}
-	all, toNew := r.fleet.truth.RunsOf("")-before, r.fleet.truth.RunsOf(newVersion)
+	all, toNew := r.fleet.truth.PlainRuns("")-before, r.fleet.truth.PlainRuns(newVersion)
 	r.reportf("rollout of a version that is bad %v: %s, %d of %d runs", isBad, state, toNew, all)
 	switch {
 	case isBad && state == standin.RolloutDone:
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -23,23 +23,23 @@
 type Options struct {
 	// Daemon is the program of ravenwayd.
 	Daemon string
-	// Earlier is the program of an earlier build. If it is set, the fleet starts on that build and
+	// EarlierDaemon is the program of an earlier build. If it is set, the fleet starts on that build and
 	// is upgraded to Daemon while faults are injected; "" means no upgrade.
-	Earlier string
+	EarlierDaemon string
 	// EarlierHasQuarantine reports whether the earlier build quarantines requests that crash their
 	// engines.
 	EarlierHasQuarantine bool
-	// GoesBack makes half of the machines return to the earlier build before the upgrade
+	// ReturnsToEarlier makes half of the machines return to the earlier build before the upgrade
 	// continues.
-	GoesBack bool
+	ReturnsToEarlier bool
 	// Order is the order in which an upgrade replaces the machines.
 	Order Order
 	Wire  standin.Wire
 	Seed  uint64
 	// Entries is the number of entry nodes; there are always three control nodes.
 	Entries int
-	// Length is how long faults are injected.
-	Length time.Duration
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
 	// Folder is an empty folder for settings, disks and logs.
 	Folder string
 	// Lane separates the loopback addresses of concurrent runs.
@@ -48,8 +48,8 @@
 	Report io.Writer
 }
 
-// ErrBroken indicates that a guarantee was violated.
-var ErrBroken = errors.New("soak: a guarantee was violated")
+// ErrGuaranteeViolated indicates that a guarantee was violated.
+var ErrGuaranteeViolated = errors.New("soak: a guarantee was violated")
 
 // Summary is the result of a run.
 type Summary struct {
@@ -59,10 +59,10 @@
 	// CutByStops counts calls that had run and were cut while a planned stop of their entry node
 	// was the only fault in progress.
 	CutByStops int
-	// LedgerDistance is the maximum over the tenants of what is charged beyond what the callers
+	// LedgerOvercharge is the maximum over the tenants of what is charged beyond what the callers
 	// received, as a fraction of the limit.
-	LedgerDistance float64
-	Broken         []string
+	LedgerOvercharge float64
+	Violations       []string
 }
 
 // run is the state of a run with one seed.
@@ -109,7 +109,7 @@
 	if options.Report == nil {
 		options.Report = io.Discard
 	}
-	for _, program := range []string{options.Daemon, options.Earlier} {
+	for _, program := range []string{options.Daemon, options.EarlierDaemon} {
 		if program == "" {
 			continue
 		}
@@ -124,8 +124,8 @@
 	defer made.close()
 	began := time.Now()
 	made.startedAt = began
-	r := &run{fleet: made, callers: newCallers(made, began), startedAt: began, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.Earlier != "", crashesBeforeQuarantine: map[Kind]int{}}
-	r.reportf("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.Length)
+	r := &run{fleet: made, callers: newCallers(made, began), startedAt: began, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.EarlierDaemon != "", crashesBeforeQuarantine: map[Kind]int{}}
+	r.reportf("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.FaultDuration)
 	background, stopBackground := context.WithCancel(ctx)
 	defer stopBackground()
 	go made.sendHeartbeats(background)
@@ -145,7 +145,7 @@
 	var called sync.WaitGroup
 	called.Go(func() { r.callers.run(calling, rand.New(rand.NewPCG(options.Seed, 2))) })
 	for number, kind := range poisonKinds {
-		if options.Length == 0 {
+		if options.FaultDuration == 0 {
 			// Without faults engines don't crash either.
 			break
 		}
@@ -153,13 +153,13 @@
 			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonRandomStream+uint64(number))))
 		})
 	}
-	faulty, stopFaults := context.WithTimeout(ctx, options.Length)
+	faulty, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
 	defer stopFaults()
 	var playing sync.WaitGroup
-	if options.Earlier != "" {
+	if options.EarlierDaemon != "" {
 		playing.Go(func() { r.upgrade(ctx, options) })
 	}
-	if options.Earlier == "" && options.Length > 0 {
+	if options.EarlierDaemon == "" && options.FaultDuration > 0 {
 		playing.Go(func() { r.rollout(ctx, options.Seed) })
 		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
 		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
@@ -218,7 +218,7 @@
 			continue
 		}
 		sent++
-		if one.outcome == Whole {
+		if one.outcome == Complete {
 			served++
 		}
 	}
@@ -258,7 +258,7 @@
 		}
 	}
 	for tenant, prepaid := range r.fleet.prepaid {
-		if used := r.fleet.truth.Tokens(tenant); used > prepaid {
+		if used := r.fleet.truth.DeliveredTokens(tenant); used > prepaid {
 			r.violationf("%s got %d tokens of %d prepaid", tenant, used, prepaid)
 		}
 	}
@@ -276,9 +276,9 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	summary.Faults, summary.Broken, summary.LedgerDistance = r.injected, r.violations, r.ledgerOvercharge
+	summary.Faults, summary.Violations, summary.LedgerOvercharge = r.injected, r.violations, r.ledgerOvercharge
 	if len(r.violations) > 0 {
-		return summary, fmt.Errorf("%w: %s", ErrBroken, strings.Join(r.violations, "; "))
+		return summary, fmt.Errorf("%w: %s", ErrGuaranteeViolated, strings.Join(r.violations, "; "))
 	}
 	return summary, nil
 }
--- a/internal/lab/soak/soak_test.go
+++ b/internal/lab/soak/soak_test.go
@@ -33,11 +33,11 @@
 	assert.NilError(t, err)
 	defer report.Close()
 	summary, err := soak.Run(t.Context(), soak.Options{
-		Daemon: daemon, Wire: platform.StandIn{}, Seed: 3, Entries: 3, Length: 6 * time.Second, Folder: folder, Lane: 80, Report: report,
+		Daemon: daemon, Wire: platform.StandIn{}, Seed: 3, Entries: 3, FaultDuration: 6 * time.Second, Folder: folder, Lane: 80, Report: report,
 	})
 	timeline, _ := os.ReadFile(report.Name())
 	assert.NilError(t, err, "%s", timeline)
 	assert.Assert(t, summary.Faults > 0 && summary.Calls > 200, "%+v", summary)
-	assert.Assert(t, summary.Outcomes[soak.Whole] > summary.Calls/4, "%+v", summary)
+	assert.Assert(t, summary.Outcomes[soak.Complete] > summary.Calls/4, "%+v", summary)
 	assert.Assert(t, strings.Contains(string(timeline), "kill 6 processes at the same time"), "%s", timeline)
 }
--- a/internal/lab/soak/upgrade.go
+++ b/internal/lab/soak/upgrade.go
@@ -64,10 +64,10 @@
 		r.keepChanging(changing)
 	}()
 	machines := inOrder(r.fleet.members, options.Order, random)
-	if options.GoesBack {
+	if options.ReturnsToEarlier {
 		half := machines[:len(machines)/2]
 		r.replaceAll(ctx, half, options.Daemon, "first half of the upgrade")
-		r.replaceAll(ctx, half, options.Earlier, "going back")
+		r.replaceAll(ctx, half, options.EarlierDaemon, "going back")
 	}
 	mixed := r.replaceAll(ctx, machines, options.Daemon, "upgrade")
 	if !options.EarlierHasQuarantine {
@@ -76,7 +76,7 @@
 	same := r.replaceAll(ctx, machines, options.Daemon, "restart")
 	stopChanging()
 	<-changed
-	if options.Length == 0 {
+	if options.FaultDuration == 0 {
 		r.compareRounds(mixed, same)
 	}
 }
@@ -156,7 +156,7 @@
 		window := windows[one.startedAt/servedWindow]
 		window.sent++
 		total.sent++
-		if one.outcome != Whole {
+		if one.outcome != Complete {
 			window.unserved++
 			total.unserved++
 		}
--- a/internal/lab/soak/upgrade_test.go
+++ b/internal/lab/soak/upgrade_test.go
@@ -49,10 +49,10 @@
 	assert.NilError(t, err)
 	defer report.Close()
 	summary, err := soak.Run(t.Context(), soak.Options{
-		Daemon: daemon, Earlier: earlier, Order: soak.MixedOrder, Wire: platform.StandIn{}, Seed: 5, Entries: 3, Folder: folder, Lane: 82, Report: report,
+		Daemon: daemon, EarlierDaemon: earlier, Order: soak.MixedOrder, Wire: platform.StandIn{}, Seed: 5, Entries: 3, Folder: folder, Lane: 82, Report: report,
 	})
 	timeline, _ := os.ReadFile(report.Name())
 	assert.NilError(t, err, "%s", timeline)
-	assert.Assert(t, summary.Calls > 500 && summary.Outcomes[soak.Whole] > summary.Calls*3/4, "%+v", summary)
+	assert.Assert(t, summary.Calls > 500 && summary.Outcomes[soak.Complete] > summary.Calls*3/4, "%+v", summary)
 	assert.Equal(t, strings.Count(string(timeline), "upgrade: planned stop of"), 6, "%s", timeline)
 }
--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -19,8 +19,8 @@
 	CallerHeader(call Call) http.Header
 	// ReadRequest reads the header of a request to an engine.
 	ReadRequest(header http.Header) EngineRequest
-	// AnswerHeader returns the headers of an engine's response.
-	AnswerHeader(request, instance string, notRun bool) http.Header
+	// ResponseHeader returns the headers of an engine's response.
+	ResponseHeader(request, instance string, notRun bool) http.Header
 	// LimitHeader returns the headers by which an engine's response names a rate limit.
 	LimitHeader(value string) http.Header
 	// PauseHeader returns the headers by which a rejection requests a pause, LeavingHeader those by
@@ -52,13 +52,13 @@
 
 // Call is one request of a caller.
 type Call struct {
-	ID   string
-	Key  string
-	Wait time.Duration
+	ID          string
+	Key         string
+	MaximumWait time.Duration
 	// TokensIn and TokensOut are the tokens of the prompt and the maximum number of generated
 	// tokens; 0 for a plain call. Part is the id of the shared part of the prompt.
 	TokensIn, TokensOut uint64
-	Part                string
+	PromptPart          string
 }
 
 // EngineRequest is a request as an engine reads it.
@@ -67,6 +67,6 @@
 	Tenant   string
 	Instance string
 	TokensIn uint64
-	// After is the number of the event after which a stream is resumed.
-	After int
+	// LastEvent is the number of the event after which a stream is resumed.
+	LastEvent int
 }
