--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -360,8 +360,8 @@
 	e.pause = pause
 }
 
-// RequestsInPause returns the maximum number of requests that any node sent in a pause requested of it, and
-// the number of pauses requested.
+// RequestsInPause returns the maximum number of requests that any node sent in a pause requested of
+// it, and the number of pauses requested.
 func (e *Engine) RequestsInPause() (maximum, pauses int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/emulator/groundtruth.go
+++ b/internal/lab/emulator/groundtruth.go
@@ -27,7 +27,7 @@
 	Fence  uint64 `json:"fence,omitempty"`
 }
 
-// Kinds of truth events.
+// Kinds of ground truth events.
 const (
 	EventFinished  = "finished"
 	EventCancelled = "cancelled"
@@ -42,7 +42,8 @@
 	writer io.Writer
 }
 
-// NewGroundTruth returns an empty log. It writes each event as a JSON line to writer, which may be nil.
+// NewGroundTruth returns an empty log. It writes each event as a JSON line to writer, which may be
+// nil.
 func NewGroundTruth(writer io.Writer) *GroundTruth { return &GroundTruth{writer: writer} }
 
 // Add records an event.
--- a/internal/lab/labcli/verify.go
+++ b/internal/lab/labcli/verify.go
@@ -86,11 +86,11 @@
 		}
 	}
 	client := operatorcli.NewClient(plan.Nodes()[0].Address(deployment.OperatorsPort), operatorcli.TokenFromEnvironment())
-	answer, err := client.GetBudgets(ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
+	response, err := client.GetBudgets(ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
 	if err != nil {
 		return compared, fmt.Errorf("reading the budgets: %w", err)
 	}
-	for _, budget := range answer.Msg.GetBudgets() {
+	for _, budget := range response.Msg.GetBudgets() {
 		if budget.GetSettled() > 0 {
 			compared.billed[budget.GetTenant()] += budget.GetSettled()
 		}
--- a/internal/lab/limitcheck/limitcheck.go
+++ b/internal/lab/limitcheck/limitcheck.go
@@ -6,8 +6,8 @@
 import "time"
 
 const (
-	// ReactionTime is the time after the first response that named a limit, from which on all nodes that
-	// can reach each other respect it.
+	// ReactionTime is the time after the first response that named a limit, from which on all nodes
+	// that can reach each other respect it.
 	ReactionTime = 3 * time.Second
 	// Window is the span in which requests are counted.
 	Window = 4 * time.Second
--- a/internal/lab/limitcheck/record.go
+++ b/internal/lab/limitcheck/record.go
@@ -43,21 +43,22 @@
 type Usage struct {
 	// Received is the number of requests received in that window, Allowed the number allowed.
 	Received, Allowed int
-	// Arrived is the number of requests while nodes had to respect a limit, Room the number that
-	// the limits allowed in that time.
+	// Arrived is the number of requests while nodes had to respect a limit, Capacity the number
+	// that the limits allowed in that time.
 	Arrived  int
 	Capacity float64
 }
 
-// AddWindow records a window with its requests received and allowed, if it is fuller than the last one
-// recorded.
+// AddWindow records a window with its requests received and allowed, if it is fuller than the last
+// one recorded.
 func (u *Usage) AddWindow(got, allowed int) {
 	if u.Allowed == 0 || got*u.Allowed > u.Received*allowed {
 		u.Received, u.Allowed = got, allowed
 	}
 }
 
-// Usage evaluates the windows of each limit between Contact after its first response and its end.
+// Usage evaluates the windows of each limit between ReactionTime after its first response and its
+// end.
 func (r *Record) Usage(end time.Duration) Usage {
 	use := Usage{}
 	for position, one := range r.changes {
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -77,9 +77,9 @@
 // Send sends a request to an entry node and checks the response.
 func (c *Client) Send(ctx context.Context, entry string, wanted Request) Result {
 	started := time.Now()
-	answer := c.send(ctx, entry, wanted, started)
-	answer.Total = time.Since(started)
-	return answer
+	result := c.send(ctx, entry, wanted, started)
+	result.Total = time.Since(started)
+	return result
 }
 
 func (c *Client) send(ctx context.Context, entry string, wanted Request, started time.Time) Result {
@@ -92,18 +92,18 @@
 		return Result{Outcome: Cut, Detail: err.Error()}
 	}
 	defer response.Body.Close()
-	answer := Result{
+	result := Result{
 		RequestID:        response.Header.Get(caller.HeaderRequestID),
 		BackendRequestID: response.Header.Get(caller.HeaderBackendRequestID),
 		RetryAfter:       response.Header.Get("Retry-After"),
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return readError(answer, response)
+		return readError(result, response)
 	}
 	if wanted.Model == "" {
-		return readPlain(answer, response, wanted, started)
+		return readPlain(result, response, wanted, started)
 	}
-	return readStream(answer, response, started)
+	return readStream(result, response, started)
 }
 
 func buildRequest(ctx context.Context, entry string, wanted Request) (*http.Request, error) {
@@ -139,37 +139,37 @@
 	}
 }
 
-func readError(answer Result, response *http.Response) Result {
+func readError(result Result, response *http.Response) Result {
 	var body caller.ErrorBody
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
-		answer.Outcome, answer.Detail = Unknown, fmt.Sprintf("status %d without a typed error", response.StatusCode)
-		return answer
+		result.Outcome, result.Detail = Unknown, fmt.Sprintf("status %d without a typed error", response.StatusCode)
+		return result
 	}
-	answer.Outcome, answer.Code, answer.NotRun, answer.Detail = Unknown, body.Error.Code, body.Error.NotRun, body.Error.Message
-	if answer.NotRun {
-		answer.Outcome = Refused
+	result.Outcome, result.Code, result.NotRun, result.Detail = Unknown, body.Error.Code, body.Error.NotRun, body.Error.Message
+	if result.NotRun {
+		result.Outcome = Refused
 	}
-	return answer
+	return result
 }
 
-func readPlain(answer Result, response *http.Response, wanted Request, started time.Time) Result {
+func readPlain(result Result, response *http.Response, wanted Request, started time.Time) Result {
 	var reply emulator.PlainReply
 	err := json.NewDecoder(response.Body).Decode(&reply)
-	answer.FirstToken = time.Since(started)
+	result.FirstToken = time.Since(started)
 	switch {
 	case err != nil:
-		answer.Outcome, answer.Detail = Cut, err.Error()
+		result.Outcome, result.Detail = Cut, err.Error()
 	case reply.Path != wanted.Path || reply.Method != wanted.Method || reply.Bytes != len(wanted.Body):
-		answer.Outcome, answer.Detail = Wrong, fmt.Sprintf("requested %s %s, received %+v", wanted.Method, wanted.Path, reply)
+		result.Outcome, result.Detail = Wrong, fmt.Sprintf("requested %s %s, received %+v", wanted.Method, wanted.Path, reply)
 	default:
-		answer.Outcome, answer.BackendRequestID = Complete, reply.RequestID
+		result.Outcome, result.BackendRequestID = Complete, reply.RequestID
 	}
-	return answer
+	return result
 }
 
 // readStream reads a streamed response and checks each of its tokens. Tokens depend on the engine's
 // id of the request, so that tokens of another request don't pass.
-func readStream(answer Result, response *http.Response, started time.Time) Result {
+func readStream(result Result, response *http.Response, started time.Time) Result {
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), 4<<20)
 	var text strings.Builder
@@ -180,26 +180,26 @@
 		switch {
 		case !isData:
 		case payload == "[DONE]":
-			return checkText(answer, text.String(), usage)
+			return checkText(result, text.String(), usage)
 		default:
 			now := time.Now()
-			if answer.FirstToken == 0 {
-				answer.FirstToken = now.Sub(started)
+			if result.FirstToken == 0 {
+				result.FirstToken = now.Sub(started)
 			} else {
-				answer.Gaps = append(answer.Gaps, now.Sub(last))
+				result.Gaps = append(result.Gaps, now.Sub(last))
 			}
 			last = now
 			if failed := decodePart(payload, &text, &usage); failed != nil {
-				answer.Outcome, answer.Code, answer.Detail = Unknown, failed.Code, failed.Message
-				return answer
+				result.Outcome, result.Code, result.Detail = Unknown, failed.Code, failed.Message
+				return result
 			}
 		}
 	}
-	answer.Outcome, answer.Detail = Cut, "the stream ended without its end marker"
+	result.Outcome, result.Detail = Cut, "the stream ended without its end marker"
 	if err := lines.Err(); err != nil {
-		answer.Detail = err.Error()
+		result.Detail = err.Error()
 	}
-	return answer
+	return result
 }
 
 func decodePart(payload string, text *strings.Builder, usage **caller.Usage) *caller.ErrorDetail {
@@ -224,22 +224,22 @@
 	return nil
 }
 
-func checkText(answer Result, text string, usage *caller.Usage) Result {
+func checkText(result Result, text string, usage *caller.Usage) Result {
 	if usage == nil {
-		answer.Outcome, answer.Detail = Wrong, "the response has no usage"
-		return answer
+		result.Outcome, result.Detail = Wrong, "the response has no usage"
+		return result
 	}
 	var expected strings.Builder
 	for position := range usage.CompletionTokens {
-		expected.WriteString(emulator.TokenText(answer.BackendRequestID, position))
+		expected.WriteString(emulator.TokenText(result.BackendRequestID, position))
 	}
-	answer.Tokens = usage.TotalTokens
-	answer.Outcome = Complete
+	result.Tokens = usage.TotalTokens
+	result.Outcome = Complete
 	if text != expected.String() {
-		answer.Outcome = Wrong
-		answer.Detail = fmt.Sprintf("got %d bytes that differ from the %d expected bytes of request %s", len(text), expected.Len(), answer.BackendRequestID)
+		result.Outcome = Wrong
+		result.Detail = fmt.Sprintf("got %d bytes that differ from the %d expected bytes of request %s", len(text), expected.Len(), result.BackendRequestID)
 	}
-	return answer
+	return result
 }
 
 // ErrNoEntries indicates that the options name no entry node.
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -37,7 +37,7 @@
 	Retry bool
 	// WithoutKeys omits the idempotency keys.
 	WithoutKeys bool
-	// Done is called with each request, its last answer and the number of attempts; it may be nil.
+	// Done is called with each request, its last result and the number of attempts; it may be nil.
 	Done func(Request, Result, int)
 }
 
@@ -65,7 +65,7 @@
 	Count int64 `json:"count"`
 }
 
-// collector collects answers from many goroutines.
+// collector collects results from many goroutines.
 type collector struct {
 	mutex      sync.Mutex
 	report     Report
@@ -107,51 +107,51 @@
 
 // send sends a request until its outcome is final, as a caller that retries does.
 func (c *collector) send(ctx context.Context, options Options, wanted Request, first int) {
-	var answer Result
+	var result Result
 	attempts := 0
 	for attempts < maximumAttempts {
-		answer = options.Client.Send(ctx, options.Entries[(first+attempts)%len(options.Entries)], wanted)
+		result = options.Client.Send(ctx, options.Entries[(first+attempts)%len(options.Entries)], wanted)
 		attempts++
-		if answer.Outcome != Cut && answer.Code != "in_progress" && answer.Code != "outcome_unknown" {
+		if result.Outcome != Cut && result.Code != "in_progress" && result.Code != "outcome_unknown" {
 			break
 		}
 		if !options.Retry || wanted.Key == "" || !pause.For(ctx, retryDelay) {
 			break
 		}
-		c.recordRetry(answer)
+		c.recordRetry(result)
 	}
-	c.recordAnswer(wanted, answer, attempts)
+	c.recordResult(wanted, result, attempts)
 	if options.Done != nil {
-		options.Done(wanted, answer, attempts)
+		options.Done(wanted, result, attempts)
 	}
 }
 
-func (c *collector) recordRetry(answer Result) {
+func (c *collector) recordRetry(result Result) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if answer.Outcome == Cut {
+	if result.Outcome == Cut {
 		c.report.CutAttempts++
 	}
 	c.report.Retries++
 }
 
-func (c *collector) recordAnswer(wanted Request, answer Result, attempts int) {
+func (c *collector) recordResult(wanted Request, result Result, attempts int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.report.Sent++
-	c.report.Outcomes[answer.Outcome]++
-	if answer.Code != "" {
-		c.report.Codes[string(answer.Code)]++
+	c.report.Outcomes[result.Outcome]++
+	if result.Code != "" {
+		c.report.Codes[string(result.Code)]++
 	}
-	if answer.Outcome != Complete {
-		if answer.Outcome != Refused && len(c.report.Details) < maximumDetails {
-			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d attempts: %s %s", wanted.Kind, answer.Outcome, attempts, answer.Code, answer.Detail))
+	if result.Outcome != Complete {
+		if result.Outcome != Refused && len(c.report.Details) < maximumDetails {
+			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d attempts: %s %s", wanted.Kind, result.Outcome, attempts, result.Code, result.Detail))
 		}
 		return
 	}
-	c.report.Tokens[wanted.Tenant] += answer.Tokens
-	recordValue(c.firstToken, wanted.Kind, answer.FirstToken)
-	for _, gap := range answer.Gaps {
+	c.report.Tokens[wanted.Tenant] += result.Tokens
+	recordValue(c.firstToken, wanted.Kind, result.FirstToken)
+	for _, gap := range result.Gaps {
 		recordValue(c.gaps, wanted.Kind, gap)
 	}
 }
--- a/internal/lab/pausecheck/pausecheck.go
+++ b/internal/lab/pausecheck/pausecheck.go
@@ -9,11 +9,11 @@
 	// ReactionTime is the time after the response that requested a pause, from which on the node
 	// respects it.
 	ReactionTime = 500 * time.Millisecond
-	// MaximumInPause is the maximum number of requests that the node may send between Contact and the end
-	// of the pause.
+	// MaximumInPause is the maximum number of requests that the node may send between ReactionTime
+	// and the end of the pause.
 	MaximumInPause = 2
-	// DrainTime is the time after a response that announced the engine's shutdown, from which on the
-	// node sends it no more requests.
+	// DrainTime is the time after a response that announced the engine's shutdown, from which on
+	// the node sends it no more requests.
 	DrainTime = 2 * time.Second
 )
 
@@ -80,8 +80,8 @@
 	}
 }
 
-// AfterShutdown returns the number of requests that arrived later than Drain after the announcement
-// of the engine's shutdown, and whether there was an announcement.
+// AfterShutdown returns the number of requests that arrived later than DrainTime after the
+// announcement of the engine's shutdown, and whether there was an announcement.
 func (r *Record) AfterShutdown() (late int, wasAnnounced bool) {
 	if !r.hasShutdown {
 		return 0, false
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -24,8 +24,8 @@
 	plainDuration = 15 * time.Millisecond
 )
 
-// GroundTruth records what the engines really ran and what the callers received, independently of the
-// system under test.
+// GroundTruth records what the engines really ran and what the callers received, independently of
+// the system under test.
 type GroundTruth struct {
 	mutex sync.Mutex
 	runs  map[string]int
@@ -75,7 +75,8 @@
 	t.plainRuns[version]++
 }
 
-// PlainRuns returns the number of runs of plain calls on engines of a version; "" means all versions.
+// PlainRuns returns the number of runs of plain calls on engines of a version; "" means all
+// versions.
 func (t *GroundTruth) PlainRuns(version string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -224,9 +224,9 @@
 // callControl calls the control nodes in a random order deadline one responds with status 200.
 func (f *fleet) callControl(ctx context.Context, method, path string, body []byte) ([]byte, bool) {
 	for _, position := range rand.Perm(controlCount) {
-		answer, status := f.callControlNode(ctx, f.members[position], method, path, body)
+		received, status := f.callControlNode(ctx, f.members[position], method, path, body)
 		if status == http.StatusOK {
-			return answer, true
+			return received, true
 		}
 	}
 	return nil, false
@@ -242,11 +242,11 @@
 		return nil, 0
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	received, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, 0
 	}
-	return answer, response.StatusCode
+	return received, response.StatusCode
 }
 
 // changeConfiguration makes a new version of the configuration with more prepaid tokens for one
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -90,11 +90,11 @@
 	ctx, cancel := context.WithTimeout(ctx, controlWait)
 	defer cancel()
 	client := ravenwayv1connect.NewOperatorServiceClient(f.client, "http://"+one.address(operatorsPort))
-	answer, err := client.GetBudgets(ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
+	response, err := client.GetBudgets(ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
 	if err != nil {
 		return nil, 0
 	}
-	for _, budget := range answer.Msg.GetBudgets() {
+	for _, budget := range response.Msg.GetBudgets() {
 		entries = append(entries, ledgerEntry{
 			tenant: budget.GetTenant(), limit: budget.GetLimit(), settled: budget.GetSettled(), outstanding: budget.GetOutstanding(),
 			crashedUnreported: budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole(), received: f.truth.DeliveredTokens(budget.GetTenant()),
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -108,10 +108,10 @@
 // checkPoison compares the number of engines that each request crashed with the bound.
 func (r *run) checkPoison() {
 	for _, kind := range poisonKinds {
-		ends := r.fleet.truth.PoisonCrashes(string(kind)) - r.crashesBeforeQuarantine[kind]
-		r.reportf("%d engines crashed by the %s request, %d more before all nodes had a quarantine", ends, kind, r.crashesBeforeQuarantine[kind])
-		if ends > maximumPoisonCrashes {
-			r.violationf("%d engines crashed by one request (%s), allowed %d", ends, kind, maximumPoisonCrashes)
+		crashes := r.fleet.truth.PoisonCrashes(string(kind)) - r.crashesBeforeQuarantine[kind]
+		r.reportf("%d engines crashed by the %s request, %d more before all nodes had a quarantine", crashes, kind, r.crashesBeforeQuarantine[kind])
+		if crashes > maximumPoisonCrashes {
+			r.violationf("%d engines crashed by one request (%s), allowed %d", crashes, kind, maximumPoisonCrashes)
 		}
 	}
 }
--- a/internal/lab/soak/rollout.go
+++ b/internal/lab/soak/rollout.go
@@ -76,11 +76,11 @@
 
 // rolloutState reads the state of the rollout; "" if no control node returns it.
 func (f *fleet) rolloutState(ctx context.Context) standin.RolloutState {
-	answer, found := f.callControl(ctx, http.MethodGet, f.wire.RolloutPath(servicePlain), nil)
+	response, found := f.callControl(ctx, http.MethodGet, f.wire.RolloutPath(servicePlain), nil)
 	if !found {
 		return ""
 	}
-	return f.wire.ReadRollout(answer)
+	return f.wire.ReadRollout(response)
 }
 
 // endUnusedVersion ends the engines that get no more requests after the rollout, without a drain:
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -23,8 +23,8 @@
 type Options struct {
 	// Daemon is the program of ravenwayd.
 	Daemon string
-	// EarlierDaemon is the program of an earlier build. If it is set, the fleet starts on that build and
-	// is upgraded to Daemon while faults are injected; "" means no upgrade.
+	// EarlierDaemon is the program of an earlier build. If it is set, the fleet starts on that
+	// build and is upgraded to Daemon while faults are injected; "" means no upgrade.
 	EarlierDaemon string
 	// EarlierHasQuarantine reports whether the earlier build quarantines requests that crash their
 	// engines.
