--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	// bytesPerToken of the emulated tokenizer.
+	// bytesPerToken is the token size of the emulated tokenizer.
 	bytesPerToken = 4
 	// blockTokens is the size of a cached block in tokens.
 	blockTokens = engine.PrefixBlockBytes / bytesPerToken
-	// retainedRequests bounds the finished requests kept for resuming.
-	retainedRequests = 4096
-	// prefillChunk is the most prompt tokens of one sequence in one step.
+	// maximumRetainedRequests is the maximum number of ended requests kept for resuming.
+	maximumRetainedRequests = 4096
+	// prefillChunk is the maximum number of prompt tokens that one step processes per sequence.
 	prefillChunk = 2048
 )
 
-// EngineOptions set up an Engine.
+// EngineOptions configure an Engine.
 type EngineOptions struct {
 	Name  string
 	Model string
-	// Capacity is how many sequences run in one batch; twice as many may wait.
+	// Capacity is the maximum number of sequences in a batch; twice as many may wait.
 	Capacity int
-	// StepBase, StepPerSequence and StepPerPrefillToken make up a step's time.
+	// A step takes StepBase, plus StepPerSequence for each running sequence, plus
+	// StepPerPrefillToken for each prompt token that it processes.
 	StepBase            time.Duration
 	StepPerSequence     time.Duration
 	StepPerPrefillToken time.Duration
-	// CacheBlocks bounds the prefix cache.
+	// CacheBlocks is the capacity of the prefix cache in blocks.
 	CacheBlocks int
-	// EventLag delays cache events and load reports; EventGap is the share of
-	// cache events lost, as one in so many (0: none).
+	// EventLag delays cache events and load reports. One cache event in EventGap is lost; 0 loses
+	// none.
 	EventLag time.Duration
 	EventGap uint64
-	// ChecksFence: orders with a lower fence are refused.
+	// ChecksFence makes the engine refuse orders with a lower fence than the current order's.
 	ChecksFence bool
-	// LoadTime is how long an order takes with the weight store to itself.
+	// LoadTime is how long an order takes while no other engine loads from the weight store.
 	LoadTime time.Duration
 	Weights  *WeightStore
-	Truth    *Truth
+	Truth    *GroundTruth
 }
 
-// withDefaults fills in a mid-sized engine.
+// withDefaults sets missing options to those of a mid-sized engine.
 func (o EngineOptions) withDefaults() EngineOptions {
 	o.Capacity = cmp.Or(o.Capacity, 16)
 	o.StepBase = cmp.Or(o.StepBase, 8*time.Millisecond)
@@ -63,24 +64,24 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	request   engine.GenerateRequest
-	state     engine.RequestState
-	arrived   uint64
-	prompt    uint64
-	cached    uint64
-	prefilled uint64
-	output    uint64
-	target    uint64
+	request         engine.GenerateRequest
+	state           engine.RequestState
+	arrival         uint64
+	promptTokens    uint64
+	cachedTokens    uint64
+	prefilledTokens uint64
+	outputTokens    uint64
+	targetTokens    uint64
 	// progress is closed and replaced at each change.
 	progress chan struct{}
 }
 
-func (s *sequence) ended() bool {
+func (s *sequence) hasEnded() bool {
 	return s.state == engine.StateFinished || s.state == engine.StateCancelled
 }
 
 func (s *sequence) usage() engine.Usage {
-	return engine.Usage{Prompt: s.prompt, Cached: s.cached, Completion: s.output}
+	return engine.Usage{Prompt: s.promptTokens, Cached: s.cachedTokens, Completion: s.outputTokens}
 }
 
 func (s *sequence) status() engine.RequestStatus {
@@ -94,25 +95,25 @@
 
 	mutex     sync.Mutex
 	sequences map[string]*sequence
-	// waiting and running are in order of arrival; ended ones are forgotten
-	// oldest first.
-	waiting  []*sequence
-	running  []*sequence
-	finished []string
-	arrivals uint64
-	wake     chan struct{}
-	cache    *prefixCache
-	loads    []timedLoad
-	order    engine.OrderState
-	loadedAt time.Time
-	leaving  bool
+	// waiting and running are in order of arrival. endedIDs holds the ids of ended requests; the
+	// oldest are dropped first.
+	waiting   []*sequence
+	running   []*sequence
+	endedIDs  []string
+	arrivals  uint64
+	wake      chan struct{}
+	cache     *prefixCache
+	loads     []timedLoad
+	order     engine.OrderState
+	loadedAt  time.Time
+	isLeaving bool
 	// slowdown multiplies step times; 1 is healthy.
 	slowdown int
-	// pause is what it asks a node for whose request it turns away; 0 means that it takes
-	// requests. pauses are what it asked each node for, in time since pausesBegan.
-	pause       time.Duration
-	pauses      map[string]*pausecheck.Record
-	pausesBegan time.Time
+	// pause is the requested pause while the engine rejects requests; 0 if it accepts them. pauses
+	// records the pauses requested of each node, in time since pausesStartedAt.
+	pause           time.Duration
+	pauses          map[string]*pausecheck.Record
+	pausesStartedAt time.Time
 }
 
 type timedLoad struct {
@@ -132,7 +133,7 @@
 // Run steps the engine until the context ends.
 func (e *Engine) Run(ctx context.Context) {
 	for {
-		duration := e.step()
+		duration := e.planStep()
 		if duration == 0 {
 			select {
 			case <-ctx.Done():
@@ -147,17 +148,17 @@
 			timer.Stop()
 			return
 		case <-timer.C:
-			e.complete()
+			e.completeStep()
 		}
 	}
 }
 
-// step plans the next batch and returns how long it takes, 0 if idle.
-func (e *Engine) step() time.Duration {
+// planStep plans the next batch and returns its duration, or 0 if the engine is idle.
+func (e *Engine) planStep() time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.admit()
-	e.noteLoad()
+	e.sampleLoad()
 	if len(e.running) == 0 {
 		return 0
 	}
@@ -169,28 +170,28 @@
 }
 
 func (s *sequence) nextPrefill() uint64 {
-	return min(s.prompt-s.prefilled, prefillChunk)
+	return min(s.promptTokens-s.prefilledTokens, prefillChunk)
 }
 
-// complete applies the step that was planned.
-func (e *Engine) complete() {
+// completeStep applies the step that was planned.
+func (e *Engine) completeStep() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, one := range e.running {
 		if chunk := one.nextPrefill(); chunk > 0 {
-			one.prefilled += chunk
+			one.prefilledTokens += chunk
 		} else {
-			one.output++
+			one.outputTokens++
 		}
-		if one.prefilled == one.prompt && one.output >= one.target {
-			e.end(one, engine.StateFinished)
+		if one.prefilledTokens == one.promptTokens && one.outputTokens >= one.targetTokens {
+			e.endSequence(one, engine.StateFinished)
 		}
-		one.announce()
+		one.signalProgress()
 	}
-	e.running = slices.DeleteFunc(e.running, (*sequence).ended)
+	e.running = slices.DeleteFunc(e.running, (*sequence).hasEnded)
 }
 
-func (s *sequence) announce() {
+func (s *sequence) signalProgress() {
 	close(s.progress)
 	s.progress = make(chan struct{})
 }
@@ -201,82 +202,82 @@
 		if a.request.Priority != b.request.Priority {
 			return cmp.Compare(b.request.Priority, a.request.Priority)
 		}
-		return cmp.Compare(a.arrived, b.arrived)
+		return cmp.Compare(a.arrival, b.arrival)
 	})
 	for len(e.waiting) > 0 && len(e.running) < e.options.Capacity {
 		next := e.waiting[0]
 		e.waiting = e.waiting[1:]
 		next.state = engine.StateRunning
-		next.cached = min(e.cache.use(next.request.Prompt)*blockTokens, next.prompt)
-		next.prefilled = next.cached
+		next.cachedTokens = min(e.cache.lookupAndInsert(next.request.Prompt)*blockTokens, next.promptTokens)
+		next.prefilledTokens = next.cachedTokens
 		e.running = append(e.running, next)
 	}
 }
 
-func (e *Engine) end(ended *sequence, state engine.RequestState) {
+func (e *Engine) endSequence(ended *sequence, state engine.RequestState) {
 	ended.state = state
-	kind := TruthFinished
+	kind := EventFinished
 	if state == engine.StateCancelled {
-		kind = TruthCancelled
+		kind = EventCancelled
 	}
-	e.options.Truth.Add(TruthEvent{
+	e.options.Truth.Add(GroundTruthEvent{
 		Backend: e.options.Name, RequestID: ended.request.RequestID, Tenant: ended.request.Tenant,
 		Kind: kind, Tokens: ended.usage().Total(),
 	})
-	e.finished = append(e.finished, ended.request.RequestID)
-	if len(e.finished) > retainedRequests {
-		delete(e.sequences, e.finished[0])
-		e.finished = e.finished[1:]
+	e.endedIDs = append(e.endedIDs, ended.request.RequestID)
+	if len(e.endedIDs) > maximumRetainedRequests {
+		delete(e.sequences, e.endedIDs[0])
+		e.endedIDs = e.endedIDs[1:]
 	}
 }
 
-// CountTokens is the emulated tokenizer.
+// CountTokens returns the number of tokens of a text, as the emulated tokenizer counts them.
 func CountTokens(text string) uint64 {
 	return uint64((len(text) + bytesPerToken - 1) / bytesPerToken)
 }
 
-// OutputTokens is how many tokens a request's answer has: between half of its
-// bound and the whole, decided by its id.
+// OutputTokens returns the number of tokens in the response to a request: between half of its
+// maximum and the maximum, determined by the request's id.
 func OutputTokens(requestID string, maximum uint64) uint64 {
 	half := maximum / 2
 	return max(1, half+xxhash.Sum64String(requestID)%(maximum-half+1))
 }
 
-// TokenText is one token of a request's answer: it depends on the request's id
-// and the position only, so that a mixed-up answer is noticed.
+// TokenText returns one token of a response. It depends only on the request's id and the position,
+// so that a check detects a response that belongs to another request.
 func TokenText(requestID string, position uint64) string {
 	return fmt.Sprintf("%06x ", xxhash.Sum64String(fmt.Sprintf("%s#%d", requestID, position))&0xffffff)
 }
 
-// submitError is why a request was not taken.
+// submitError is the reason why the engine refused a request.
 type submitError struct {
 	code string
 }
 
 func (s *submitError) Error() string { return s.code }
 
-// submit takes a request; a known id joins the one that is there.
+// submit queues a request. If a request with the same id is known, it returns that one's sequence.
 func (e *Engine) submit(request engine.GenerateRequest) (*sequence, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if known := e.sequences[request.RequestID]; known != nil {
-		return known, nil
+	if existing := e.sequences[request.RequestID]; existing != nil {
+		return existing, nil
 	}
-	if e.leaving {
+	if e.isLeaving {
 		return nil, &submitError{code: "leaving"}
 	}
 	if len(e.waiting) >= 2*e.options.Capacity {
 		return nil, &submitError{code: "overloaded"}
 	}
 	e.arrivals++
-	taken := &sequence{
-		request: request, state: engine.StateQueued, arrived: e.arrivals, prompt: CountTokens(request.Prompt),
-		target: OutputTokens(request.RequestID, request.MaxTokens), progress: make(chan struct{}),
+	queued := &sequence{
+		request: request, state: engine.StateQueued, arrival: e.arrivals, promptTokens: CountTokens(request.Prompt),
+		targetTokens: OutputTokens(request.RequestID, request.MaxTokens), progress: make(chan struct{}),
 	}
-	e.sequences[request.RequestID] = taken
-	e.waiting = append(e.waiting, taken)
+	e.sequences[request.RequestID] = queued
+	e.waiting = append(e.waiting, queued)
 	e.wakeUp()
-	return taken, nil
+	return queued, nil
 }
 
 func (e *Engine) wakeUp() {
@@ -292,7 +293,8 @@
 	return e.sequences[requestID]
 }
 
-// cancel ends a request if it has not ended.
+// cancel cancels a request that has not ended. It returns the request's status and whether the
+// request is known.
 func (e *Engine) cancel(requestID string) (engine.RequestStatus, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -300,39 +302,40 @@
 	if found == nil {
 		return engine.RequestStatus{}, false
 	}
-	if !found.ended() {
+	if !found.hasEnded() {
 		if found.state == engine.StateQueued {
-			// Nothing of it was worked off.
-			found.prompt = 0
+			// No token of the prompt was processed.
+			found.promptTokens = 0
 		} else {
-			found.prompt = found.prefilled
+			found.promptTokens = found.prefilledTokens
 		}
-		e.end(found, engine.StateCancelled)
-		found.announce()
-		e.waiting = slices.DeleteFunc(e.waiting, (*sequence).ended)
-		e.running = slices.DeleteFunc(e.running, (*sequence).ended)
+		e.endSequence(found, engine.StateCancelled)
+		found.signalProgress()
+		e.waiting = slices.DeleteFunc(e.waiting, (*sequence).hasEnded)
+		e.running = slices.DeleteFunc(e.running, (*sequence).hasEnded)
 	}
 	return found.status(), true
 }
 
-// noteLoad remembers the load now, to be reported with a lag.
-func (e *Engine) noteLoad() {
+// sampleLoad samples the current load, at most four times per event lag, to report it with that
+// lag.
+func (e *Engine) sampleLoad() {
 	now := time.Now()
 	if count := len(e.loads); count > 0 && now.Sub(e.loads[count-1].at) < e.options.EventLag/4 {
 		return
 	}
 	load := engine.Load{
-		Running: len(e.running), Queued: len(e.waiting), Capacity: e.options.Capacity, Leaving: e.leaving,
+		Running: len(e.running), Queued: len(e.waiting), Capacity: e.options.Capacity, Leaving: e.isLeaving,
 		AtMillis: now.UnixMilli(), Model: e.options.Model, CacheUsed: uint64(e.cache.length() * blockTokens),
 	}
 	e.loads = append(e.loads, timedLoad{at: now, load: load})
 }
 
-// reportedLoad is the load as it was a lag ago.
+// reportedLoad returns the load as it was one event lag ago.
 func (e *Engine) reportedLoad() engine.Load {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.noteLoad()
+	e.sampleLoad()
 	limit := time.Now().Add(-e.options.EventLag)
 	for len(e.loads) > 1 && !e.loads[1].at.After(limit) {
 		e.loads = e.loads[1:]
@@ -340,37 +343,37 @@
 	return e.loads[0].load
 }
 
-// SetLeaving makes the engine refuse new work.
+// SetLeaving makes the engine refuse new requests if leaving is set, and accept them otherwise.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.leaving = leaving
+	e.isLeaving = leaving
 }
 
-// SetPause has the engine turn new work away and ask its senders for a pause; 0 ends that.
+// SetPause makes the engine reject new requests and request a pause of their senders; 0 ends that.
 func (e *Engine) SetPause(pause time.Duration) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.pauses == nil {
-		e.pauses, e.pausesBegan = map[string]*pausecheck.Record{}, time.Now()
+		e.pauses, e.pausesStartedAt = map[string]*pausecheck.Record{}, time.Now()
 	}
 	e.pause = pause
 }
 
-// InPause is the most that came from any one node in a pause that it had been asked for, and
-// how many pauses were asked for.
-func (e *Engine) InPause() (most, pauses int) {
+// RequestsInPause returns the maximum number of requests that any node sent in a pause requested of
+// it, and the number of pauses requested.
+func (e *Engine) RequestsInPause() (maximum, pauses int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	for _, record := range e.pauses {
-		most, pauses = max(most, record.Most()), pauses+record.Pauses()
+		maximum, pauses = max(maximum, record.MaximumRequests()), pauses+record.PauseCount()
 	}
-	return most, pauses
+	return maximum, pauses
 }
 
-// notePaused notes a request of a node, and tells what pause it is asked for; 0 if its
-// request is taken.
-func (e *Engine) notePaused(node string) time.Duration {
+// recordAndPause records a request of a node, and returns the pause to request of the node; 0 if
+// the engine accepts the request.
+func (e *Engine) recordAndPause(node string) time.Duration {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.pauses == nil {
@@ -381,45 +384,46 @@
 		record = &pausecheck.Record{}
 		e.pauses[node] = record
 	}
-	now := time.Since(e.pausesBegan)
-	record.Arrive(now)
+	now := time.Since(e.pausesStartedAt)
+	record.AddArrival(now)
 	if e.pause > 0 {
-		record.Ask(now, e.pause)
+		record.AddPause(now, e.pause)
 	}
 	return e.pause
 }
 
-// SetSlowdown multiplies the time of each step.
+// SetSlowdown sets the factor by which each step takes longer; factors below 1 count as 1.
 func (e *Engine) SetSlowdown(factor int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.slowdown = max(1, factor)
 }
 
-// giveOrder starts an order, or refuses a lower fence if the engine checks.
-func (e *Engine) giveOrder(order engine.Order) (engine.OrderState, bool) {
+// acceptOrder starts an order and reports whether the engine accepts it. An engine that checks
+// fences refuses an order with a lower fence.
+func (e *Engine) acceptOrder(order engine.Order) (engine.OrderState, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if e.options.ChecksFence && order.Fence < e.order.Fence {
 		return e.order, false
 	}
 	if order.Fence != e.order.Fence {
-		e.options.Truth.Add(TruthEvent{Backend: e.options.Name, Kind: TruthOrder, Fence: order.Fence, Path: order.Kind + " " + order.Target})
+		e.options.Truth.Add(GroundTruthEvent{Backend: e.options.Name, Kind: EventOrder, Fence: order.Fence, Path: order.Kind + " " + order.Target})
 		e.order = engine.OrderState{Fence: order.Fence, Kind: order.Kind, Target: order.Target, Version: order.Version}
 		e.loadedAt = time.Now().Add(e.options.Weights.reserve(e.options.LoadTime))
 	}
 	return e.orderState(), true
 }
 
-// orderState must be called with the mutex held.
+// orderState returns the state of the current order. The caller holds the mutex.
 func (e *Engine) orderState() engine.OrderState {
 	state := e.order
 	state.Loaded = state.Fence != 0 && !time.Now().Before(e.loadedAt)
 	return state
 }
 
-// Active is the number of requests waiting and running.
-func (e *Engine) Active() int {
+// ActiveRequests returns the number of waiting and running requests.
+func (e *Engine) ActiveRequests() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return len(e.waiting) + len(e.running)
--- a/internal/lab/emulator/server.go
+++ b/internal/lab/emulator/server.go
@@ -14,7 +14,7 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// maximumRequestBytes bounds what a stand-in reads.
+// maximumRequestBytes is the maximum request body that a stand-in reads.
 const maximumRequestBytes = 32 << 20
 
 // Handler serves the engine's HTTP interface.
@@ -43,18 +43,18 @@
 		refuse(writer, http.StatusBadRequest, "bad_request")
 		return
 	}
-	if pause := e.notePaused(request.RemoteAddr); pause > 0 {
+	if pause := e.recordAndPause(request.RemoteAddr); pause > 0 {
 		writer.Header().Set("Retry-After", strconv.FormatFloat(pause.Seconds(), 'f', -1, 64))
 		refuse(writer, http.StatusServiceUnavailable, "overloaded")
 		return
 	}
-	taken, err := e.submit(generate)
+	queued, err := e.submit(generate)
 	if err != nil {
 		writer.Header().Set("Retry-After", "1")
 		refuse(writer, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	e.stream(writer, request, taken, 0)
+	e.stream(writer, request, queued, 0)
 }
 
 func (e *Engine) handleResume(writer http.ResponseWriter, request *http.Request) {
@@ -71,8 +71,8 @@
 	e.stream(writer, request, found, offset)
 }
 
-// stream writes events from an offset until the request ends. A reader that
-// goes away does not end the request.
+// stream writes events from a token offset on until the request ends. A client that disconnects
+// does not cancel the request.
 func (e *Engine) stream(writer http.ResponseWriter, request *http.Request, source *sequence, offset uint64) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	flusher := http.NewResponseController(writer)
@@ -98,11 +98,10 @@
 	}
 }
 
-// nextEvent returns what there is beyond an offset, and a channel that closes
-// when there is more.
+// nextEvent returns the output beyond an offset, and a channel that closes when there is more.
 func (e *Engine) nextEvent(source *sequence, offset uint64) (engine.Event, <-chan struct{}) {
 	e.mutex.Lock()
-	output, ended, usage, state, progress := source.output, source.ended(), source.usage(), source.state, source.progress
+	output, ended, usage, state, progress := source.outputTokens, source.hasEnded(), source.usage(), source.state, source.progress
 	e.mutex.Unlock()
 	event := engine.Event{RequestID: source.request.RequestID, Offset: offset}
 	if output > offset {
@@ -163,7 +162,7 @@
 		return
 	}
 	e.mutex.Lock()
-	page := e.cache.since(from)
+	page := e.cache.eventsSince(from)
 	e.mutex.Unlock()
 	writeJSON(writer, http.StatusOK, page)
 }
@@ -173,8 +172,8 @@
 	if !readJSON(writer, request, &order) {
 		return
 	}
-	state, taken := e.giveOrder(order)
-	if !taken {
+	state, isAccepted := e.acceptOrder(order)
+	if !isAccepted {
 		refuse(writer, http.StatusConflict, "fenced")
 		return
 	}
@@ -201,7 +200,7 @@
 		return
 	}
 	e.mutex.Lock()
-	blocks := e.cache.cached(count.Prompt)
+	blocks := e.cache.cachedBlocks(count.Prompt)
 	e.mutex.Unlock()
 	writeJSON(writer, http.StatusOK, engine.KVBlocks{Blocks: blocks})
 }
@@ -221,15 +220,15 @@
 	writeJSON(writer, http.StatusOK, struct{}{})
 }
 
-// Plain is a plain service that answers any call and logs that it ran.
+// Plain is a plain service that responds to any call and records the run in the ground truth.
 type Plain struct {
 	Name  string
-	Truth *Truth
+	Truth *GroundTruth
 	// Delay is how long a call takes.
 	Delay time.Duration
 }
 
-// PlainReply is what a plain service answers.
+// PlainReply is the response of a plain service.
 type PlainReply struct {
 	Service   string `json:"service"`
 	Method    string `json:"method"`
@@ -242,7 +241,7 @@
 func (p *Plain) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(request.Body, maximumRequestBytes))
 	if err != nil {
-		// The call did not arrive whole, so it does not run.
+		// The call is incomplete, so it is not run.
 		refuse(writer, http.StatusBadRequest, "body_cut_short")
 		return
 	}
@@ -250,8 +249,8 @@
 		Service: p.Name, Method: request.Method, Path: request.URL.Path,
 		RequestID: request.Header.Get("Ravenway-Request-Id"), Bytes: len(body),
 	}
-	p.Truth.Add(TruthEvent{
-		Backend: p.Name, RequestID: reply.RequestID, Kind: TruthCall,
+	p.Truth.Add(GroundTruthEvent{
+		Backend: p.Name, RequestID: reply.RequestID, Kind: EventCall,
 		Method: reply.Method, Path: reply.Path, Body: string(body[:min(len(body), 256)]),
 	})
 	if p.Delay > 0 {
--- a/internal/lab/emulator/weights.go
+++ b/internal/lab/emulator/weights.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// WeightStore is the rate-limited store that engines load from: loads that
-// overlap share its rate, so each waits for those before it.
+// WeightStore is the rate-limited store that engines load weights from. Concurrent loads run one
+// after the other at the full rate.
 type WeightStore struct {
 	mutex  sync.Mutex
 	freeAt time.Time
-	// waiting counts the loads that had to wait for another one.
-	waiting int
+	// delayedLoads counts the loads that had to wait for another load.
+	delayedLoads int
 }
 
-// reserve returns how long a load takes from now. A nil store has no limit.
-func (w *WeightStore) reserve(alone time.Duration) time.Duration {
+// reserve queues a load that takes duration if no other load runs, and returns the time until its
+// end. A nil store has no limit.
+func (w *WeightStore) reserve(duration time.Duration) time.Duration {
 	if w == nil {
-		return alone
+		return duration
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := time.Now()
 	if w.freeAt.After(now) {
-		w.waiting++
+		w.delayedLoads++
 	} else {
 		w.freeAt = now
 	}
-	w.freeAt = w.freeAt.Add(alone)
+	w.freeAt = w.freeAt.Add(duration)
 	return w.freeAt.Sub(now)
 }
 
-// Waiting is the number of loads that had to wait for another one.
-func (w *WeightStore) Waiting() int {
+// DelayedLoads returns the number of loads that had to wait for another load.
+func (w *WeightStore) DelayedLoads() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.waiting
+	return w.delayedLoads
 }
--- a/internal/lab/labcli/choices_test.go
+++ b/internal/lab/labcli/choices_test.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/lab/simulate"
 )
 
-// Guards against tables of a way or a scenario that there isn't.
+// Guards against an empty table for a policy or a scenario that does not exist.
 func TestUnknownChoicesAreRefused(t *testing.T) {
 	for _, arguments := range [][]string{
 		{"backoff", "--only", "none"},
@@ -22,15 +22,15 @@
 			command = limitsCommand(io.Discard)
 		}
 		err := command.Run(context.Background(), append(arguments, "--seeds", "1", "--nodes", "1"))
-		assert.ErrorContains(t, err, `there is no "none", only [`, "%q", arguments)
+		assert.ErrorContains(t, err, `unknown value "none"; known values are [`, "%q", arguments)
 	}
 }
 
 func TestChoicesAreThoseNamedOrAll(t *testing.T) {
-	chosen, err := choose("only", nil, limitPolicies)
+	chosen, err := selectChoices("only", nil, limitPolicies)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, chosen, limitPolicies)
-	chosen, err = choose("only", []string{string(simulate.FewSenders)}, limitPolicies)
+	chosen, err = selectChoices("only", []string{string(simulate.FewSenders)}, limitPolicies)
 	assert.NilError(t, err)
 	assert.DeepEqual(t, chosen, []simulate.LimitPolicy{simulate.FewSenders})
 }
--- a/internal/lab/labcli/verify.go
+++ b/internal/lab/labcli/verify.go
@@ -16,18 +16,19 @@
 	"github.com/ravenway/ravenway/internal/operatorcli"
 )
 
-const verifyPoll = 500 * time.Millisecond
+const verifyInterval = 500 * time.Millisecond
 
-// comparison is what was billed and what ran, by tenant, in tokens.
+// comparison holds what was billed and what ran, by tenant, in tokens, and the plain calls that
+// ran.
 type comparison struct {
-	billed map[string]uint64
-	ran    map[string]uint64
-	limits map[string]uint64
-	calls  int
-	twice  []string
+	billed     map[string]uint64
+	ran        map[string]uint64
+	limits     map[string]uint64
+	plainCalls int
+	ranTwice   []string
 }
 
-func (c comparison) equal() bool {
+func (c comparison) isEqual() bool {
 	for tenant, ran := range c.ran {
 		if c.billed[tenant] != ran {
 			return false
@@ -41,10 +42,10 @@
 	return true
 }
 
-// verify compares the ledger with the truth, tenant by tenant, until they are
-// equal or patience ends.
+// verify compares the ledger with the ground truth, tenant by tenant, until they are equal or the
+// maximum wait ends.
 func verify(ctx context.Context, out io.Writer, command *cli.Command) error {
-	plan, err := planOf(command)
+	plan, err := selectedPlan(command)
 	if err != nil {
 		return err
 	}
@@ -54,10 +55,10 @@
 		if err != nil {
 			return err
 		}
-		if compared.equal() || time.Now().After(deadline) {
+		if compared.isEqual() || time.Now().After(deadline) {
 			return compared.print(out, plan)
 		}
-		time.Sleep(verifyPoll)
+		time.Sleep(verifyInterval)
 	}
 }
 
@@ -70,10 +71,10 @@
 	calls := map[string]int{}
 	for _, event := range events {
 		switch event.Kind {
-		case emulator.TruthFinished, emulator.TruthCancelled:
+		case emulator.EventFinished, emulator.EventCancelled:
 			compared.ran[event.Tenant] += event.Tokens
-		case emulator.TruthCall:
-			compared.calls++
+		case emulator.EventCall:
+			compared.plainCalls++
 			if event.Method == "POST" {
 				calls[event.Body]++
 			}
@@ -81,15 +82,15 @@
 	}
 	for body, count := range calls {
 		if count > 1 {
-			compared.twice = append(compared.twice, fmt.Sprintf("%q ran %d times", body, count))
+			compared.ranTwice = append(compared.ranTwice, fmt.Sprintf("%q ran %d times", body, count))
 		}
 	}
 	client := operatorcli.NewClient(plan.Nodes()[0].Address(deployment.OperatorsPort), operatorcli.TokenFromEnvironment())
-	answer, err := client.GetBudgets(ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
+	response, err := client.GetBudgets(ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
 	if err != nil {
 		return compared, fmt.Errorf("reading the budgets: %w", err)
 	}
-	for _, budget := range answer.Msg.GetBudgets() {
+	for _, budget := range response.Msg.GetBudgets() {
 		if budget.GetSettled() > 0 {
 			compared.billed[budget.GetTenant()] += budget.GetSettled()
 		}
@@ -100,7 +101,7 @@
 
 func (c comparison) print(out io.Writer, plan deployment.Plan) error {
 	writer := tabwriter.NewWriter(out, 0, 4, 2, ' ', 0)
-	fmt.Fprintln(writer, "TENANT\tLIMIT\tBILLED\tENGINES' TRUTH\t")
+	fmt.Fprintln(writer, "TENANT\tLIMIT\tBILLED\tRUN BY ENGINES\t")
 	wrong := 0
 	for _, tenant := range plan.TenantNames() {
 		mark := "equal"
@@ -115,9 +116,9 @@
 		fmt.Fprintf(writer, "%s\t%d\t%d\t%d\t%s\n", tenant, c.limits[tenant], c.billed[tenant], c.ran[tenant], mark)
 	}
 	_ = writer.Flush()
-	fmt.Fprintf(out, "plain calls run: %d; calls that may not be repeated run twice: %d\n", c.calls, len(c.twice))
-	if wrong > 0 || len(c.twice) > 0 {
-		return fmt.Errorf("%d tenants' bills are wrong, %d calls ran twice", wrong, len(c.twice))
+	fmt.Fprintf(out, "plain calls run: %d; calls that must not be repeated but ran twice: %d\n", c.plainCalls, len(c.ranTwice))
+	if wrong > 0 || len(c.ranTwice) > 0 {
+		return fmt.Errorf("%d tenants have wrong bills, %d calls ran twice", wrong, len(c.ranTwice))
 	}
 	return nil
 }
--- a/internal/lab/limitcheck/record.go
+++ b/internal/lab/limitcheck/record.go
@@ -5,75 +5,79 @@
 	"time"
 )
 
-// Record is what one life of an engine named as its limit, and what it got. Times are those
-// since a moment of the caller's, in order.
+// Record holds the rate limits that one incarnation of an engine named, and the requests that it
+// received. Times are since an origin that the caller chooses; they must not decrease.
 type Record struct {
-	steps    []step
+	changes  []limitChange
 	arrivals []time.Duration
 }
 
-// step is a limit from the first answer that told of it; without isNamed there is none.
-type step struct {
-	at        time.Duration
-	isNamed   bool
+// limitChange is a change of the limit, from the first response that named it. Without hasLimit
+// there is no limit from then on.
+type limitChange struct {
+	startedAt time.Duration
+	hasLimit  bool
 	perSecond float64
 }
 
-// Arrive notes a request.
-func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
+// AddArrival records a request.
+func (r *Record) AddArrival(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// Name notes an answer that names a limit.
-func (r *Record) Name(at time.Duration, perSecond float64) {
-	last := len(r.steps) - 1
-	if last < 0 || !r.steps[last].isNamed || r.steps[last].perSecond != perSecond {
-		r.steps = append(r.steps, step{at: at, isNamed: true, perSecond: perSecond})
+// AddLimit records a response that names a limit, in requests per second.
+func (r *Record) AddLimit(at time.Duration, perSecond float64) {
+	last := len(r.changes) - 1
+	if last < 0 || !r.changes[last].hasLimit || r.changes[last].perSecond != perSecond {
+		r.changes = append(r.changes, limitChange{startedAt: at, hasLimit: true, perSecond: perSecond})
 	}
 }
 
-// End notes that answers name no limit from now on.
-func (r *Record) End(at time.Duration) {
-	if len(r.steps) > 0 {
-		r.steps = append(r.steps, step{at: at})
+// EndLimit records that responses name no limit from now on.
+func (r *Record) EndLimit(at time.Duration) {
+	if len(r.changes) > 0 {
+		r.changes = append(r.changes, limitChange{startedAt: at})
 	}
 }
 
-// Use is the fullest Window of an engine's limits.
-type Use struct {
-	// Got is what came in it, Allowed what may come.
-	Got, Allowed int
-	// Arrived is what came in all while nodes had to keep a limit, Room what the limits had
-	// room for.
-	Arrived int
-	Room    float64
+// Usage summarizes the requests that an engine received under its limits. Got and Allowed describe
+// the Window that was fullest in relation to its limit.
+type Usage struct {
+	// Received is the number of requests received in that window, Allowed the number allowed.
+	Received, Allowed int
+	// Arrived is the number of requests while nodes had to respect a limit, Capacity the number
+	// that the limits allowed in that time.
+	Arrived  int
+	Capacity float64
 }
 
-// Note notes a window in which some requests came and some were allowed.
-func (u *Use) Note(got, allowed int) {
-	if u.Allowed == 0 || got*u.Allowed > u.Got*allowed {
-		u.Got, u.Allowed = got, allowed
+// AddWindow records a window with its requests received and allowed, if it is fuller than the last
+// one recorded.
+func (u *Usage) AddWindow(got, allowed int) {
+	if u.Allowed == 0 || got*u.Allowed > u.Received*allowed {
+		u.Received, u.Allowed = got, allowed
 	}
 }
 
-// Use judges the windows that lie between a limit's first answer and Contact, and its end.
-func (r *Record) Use(end time.Duration) Use {
-	use := Use{}
-	for position, one := range r.steps {
-		if !one.isNamed || position > 0 && r.steps[position-1].isNamed {
+// Usage evaluates the windows of each limit between ReactionTime after its first response and its
+// end.
+func (r *Record) Usage(end time.Duration) Usage {
+	use := Usage{}
+	for position, one := range r.changes {
+		if !one.hasLimit || position > 0 && r.changes[position-1].hasLimit {
 			continue
 		}
 		until := end
-		following := r.steps[position:]
-		if place := slices.IndexFunc(following, func(one step) bool { return !one.isNamed }); place >= 0 {
-			until = following[place].at
+		following := r.changes[position:]
+		if place := slices.IndexFunc(following, func(one limitChange) bool { return !one.hasLimit }); place >= 0 {
+			until = following[place].startedAt
 			following = following[:place]
 		}
-		r.judge(&use, following, one.at+Contact, until)
+		r.evaluate(&use, following, one.startedAt+ReactionTime, until)
 	}
 	return use
 }
 
-// judge judges the windows of one limit with its changes.
-func (r *Record) judge(use *Use, steps []step, from, until time.Duration) {
+// evaluate evaluates the windows of one limit with its changes.
+func (r *Record) evaluate(use *Usage, changes []limitChange, from, until time.Duration) {
 	for first, begin := range r.arrivals {
 		if begin < from || begin > until {
 			continue
@@ -86,25 +90,25 @@
 			}
 			count++
 		}
-		use.Note(count, Allowed(highestRate(steps, begin-Contact, begin+Window)))
+		use.AddWindow(count, Allowed(highestRate(changes, begin-ReactionTime, begin+Window)))
 	}
-	for position, one := range steps {
-		ended := until
-		if position+1 < len(steps) {
-			ended = steps[position+1].at
+	for position, one := range changes {
+		end := until
+		if position+1 < len(changes) {
+			end = changes[position+1].startedAt
 		}
-		if began := max(one.at, from); began < ended {
-			use.Room += one.perSecond * (ended - began).Seconds()
+		if start := max(one.startedAt, from); start < end {
+			use.Capacity += one.perSecond * (end - start).Seconds()
 		}
 	}
 }
 
-// highestRate is the highest of the limits that were named in a span.
-func highestRate(steps []step, from, until time.Duration) float64 {
+// highestRate returns the highest limit that was in effect within a span.
+func highestRate(changes []limitChange, from, until time.Duration) float64 {
 	highest := 0.0
-	for position, one := range steps {
-		isOver := position+1 < len(steps) && steps[position+1].at < from
-		if !isOver && one.at <= until {
+	for position, one := range changes {
+		hasEnded := position+1 < len(changes) && changes[position+1].startedAt < from
+		if !hasEnded && one.startedAt <= until {
 			highest = max(highest, one.perSecond)
 		}
 	}
--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -1,5 +1,5 @@
-// Package load sends an open-loop load of the users' mixes, checks every
-// answer, and measures what callers see.
+// Package load generates an open-loop load from a mix of requests, checks every
+// response, and measures what callers see.
 package load
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// Outcome is how one request ended for its caller.
+// Outcome is the result of one request as its caller saw it.
 type Outcome string
 
-// Outcomes.
+// Outcomes of requests.
 const (
-	// Whole: the whole and right answer.
-	Whole Outcome = "whole"
-	// Refused: a typed refusal that says that it was not run.
+	// Complete: the expected response, complete.
+	Complete Outcome = "whole"
+	// Refused: a typed error with the guarantee that the request was not run.
 	Refused Outcome = "refused"
-	// Unknown: a typed error that does not say so.
+	// Unknown: an error without that guarantee; the request may have run.
 	Unknown Outcome = "unknown"
-	// Cut: the connection broke or the answer ended without its end mark.
+	// Cut: the connection broke or the response ended without its end marker.
 	Cut Outcome = "cut"
-	// Wrong: an answer that is not the request's own.
+	// Wrong: a complete response other than the expected one.
 	Wrong Outcome = "wrong"
 )
 
@@ -42,18 +42,18 @@
 	Key      string
 	Priority string
 	Deadline time.Duration
-	// Model, Prompt and MaxTokens are for completions.
+	// Model, Prompt and MaxTokens are set for completions.
 	Model     string
 	Prompt    string
 	MaxTokens uint64
-	// Method, Path and Body are for plain calls.
+	// Method, Path and Body are set for plain calls.
 	Method string
 	Path   string
 	Body   string
 }
 
-// Answer is what came of a request.
-type Answer struct {
+// Result is the result of a request.
+type Result struct {
 	Outcome    Outcome
 	Code       caller.Code
 	NotRun     bool
@@ -64,7 +64,7 @@
 	Tokens           uint64
 	FirstToken       time.Duration
 	Total            time.Duration
-	// Gaps are the times between parts of the stream.
+	// Gaps are the times between consecutive parts of the stream.
 	Gaps   []time.Duration
 	Detail string
 }
@@ -74,36 +74,36 @@
 	HTTP *http.Client
 }
 
-// Send sends a request to an entry node and checks the answer.
-func (c *Client) Send(ctx context.Context, entry string, wanted Request) Answer {
+// Send sends a request to an entry node and checks the response.
+func (c *Client) Send(ctx context.Context, entry string, wanted Request) Result {
 	started := time.Now()
-	answer := c.send(ctx, entry, wanted, started)
-	answer.Total = time.Since(started)
-	return answer
+	result := c.send(ctx, entry, wanted, started)
+	result.Total = time.Since(started)
+	return result
 }
 
-func (c *Client) send(ctx context.Context, entry string, wanted Request, started time.Time) Answer {
+func (c *Client) send(ctx context.Context, entry string, wanted Request, started time.Time) Result {
 	httpRequest, err := buildRequest(ctx, entry, wanted)
 	if err != nil {
-		return Answer{Outcome: Cut, Detail: err.Error()}
+		return Result{Outcome: Cut, Detail: err.Error()}
 	}
 	response, err := c.HTTP.Do(httpRequest)
 	if err != nil {
-		return Answer{Outcome: Cut, Detail: err.Error()}
+		return Result{Outcome: Cut, Detail: err.Error()}
 	}
 	defer response.Body.Close()
-	answer := Answer{
+	result := Result{
 		RequestID:        response.Header.Get(caller.HeaderRequestID),
 		BackendRequestID: response.Header.Get(caller.HeaderBackendRequestID),
 		RetryAfter:       response.Header.Get("Retry-After"),
 	}
 	if response.StatusCode >= http.StatusBadRequest {
-		return readError(answer, response)
+		return readError(result, response)
 	}
 	if wanted.Model == "" {
-		return readPlain(answer, response, wanted, started)
+		return readPlain(result, response, wanted, started)
 	}
-	return readStream(answer, response, started)
+	return readStream(result, response, started)
 }
 
 func buildRequest(ctx context.Context, entry string, wanted Request) (*http.Request, error) {
@@ -139,37 +139,37 @@
 	}
 }
 
-func readError(answer Answer, response *http.Response) Answer {
+func readError(result Result, response *http.Response) Result {
 	var body caller.ErrorBody
 	if err := json.NewDecoder(response.Body).Decode(&body); err != nil {
-		answer.Outcome, answer.Detail = Unknown, fmt.Sprintf("status %d without a typed error", response.StatusCode)
-		return answer
+		result.Outcome, result.Detail = Unknown, fmt.Sprintf("status %d without a typed error", response.StatusCode)
+		return result
 	}
-	answer.Outcome, answer.Code, answer.NotRun, answer.Detail = Unknown, body.Error.Code, body.Error.NotRun, body.Error.Message
-	if answer.NotRun {
-		answer.Outcome = Refused
+	result.Outcome, result.Code, result.NotRun, result.Detail = Unknown, body.Error.Code, body.Error.NotRun, body.Error.Message
+	if result.NotRun {
+		result.Outcome = Refused
 	}
-	return answer
+	return result
 }
 
-func readPlain(answer Answer, response *http.Response, wanted Request, started time.Time) Answer {
+func readPlain(result Result, response *http.Response, wanted Request, started time.Time) Result {
 	var reply emulator.PlainReply
 	err := json.NewDecoder(response.Body).Decode(&reply)
-	answer.FirstToken = time.Since(started)
+	result.FirstToken = time.Since(started)
 	switch {
 	case err != nil:
-		answer.Outcome, answer.Detail = Cut, err.Error()
+		result.Outcome, result.Detail = Cut, err.Error()
 	case reply.Path != wanted.Path || reply.Method != wanted.Method || reply.Bytes != len(wanted.Body):
-		answer.Outcome, answer.Detail = Wrong, fmt.Sprintf("asked %s %s, answered %+v", wanted.Method, wanted.Path, reply)
+		result.Outcome, result.Detail = Wrong, fmt.Sprintf("requested %s %s, received %+v", wanted.Method, wanted.Path, reply)
 	default:
-		answer.Outcome, answer.BackendRequestID = Whole, reply.RequestID
+		result.Outcome, result.BackendRequestID = Complete, reply.RequestID
 	}
-	return answer
+	return result
 }
 
-// readStream reads a streamed answer and checks each of its tokens: they depend
-// on the engine's id of the request, so another request's can't pass.
-func readStream(answer Answer, response *http.Response, started time.Time) Answer {
+// readStream reads a streamed response and checks each of its tokens. Tokens depend on the engine's
+// id of the request, so that tokens of another request don't pass.
+func readStream(result Result, response *http.Response, started time.Time) Result {
 	lines := bufio.NewScanner(response.Body)
 	lines.Buffer(make([]byte, 0, 64<<10), 4<<20)
 	var text strings.Builder
@@ -180,29 +180,29 @@
 		switch {
 		case !isData:
 		case payload == "[DONE]":
-			return checkText(answer, text.String(), usage)
+			return checkText(result, text.String(), usage)
 		default:
 			now := time.Now()
-			if answer.FirstToken == 0 {
-				answer.FirstToken = now.Sub(started)
+			if result.FirstToken == 0 {
+				result.FirstToken = now.Sub(started)
 			} else {
-				answer.Gaps = append(answer.Gaps, now.Sub(last))
+				result.Gaps = append(result.Gaps, now.Sub(last))
 			}
 			last = now
-			if failed := readPart(payload, &text, &usage); failed != nil {
-				answer.Outcome, answer.Code, answer.Detail = Unknown, failed.Code, failed.Message
-				return answer
+			if failed := decodePart(payload, &text, &usage); failed != nil {
+				result.Outcome, result.Code, result.Detail = Unknown, failed.Code, failed.Message
+				return result
 			}
 		}
 	}
-	answer.Outcome, answer.Detail = Cut, "the stream ended without its end mark"
+	result.Outcome, result.Detail = Cut, "the stream ended without its end marker"
 	if err := lines.Err(); err != nil {
-		answer.Detail = err.Error()
+		result.Detail = err.Error()
 	}
-	return answer
+	return result
 }
 
-func readPart(payload string, text *strings.Builder, usage **caller.Usage) *caller.ErrorDetail {
+func decodePart(payload string, text *strings.Builder, usage **caller.Usage) *caller.ErrorDetail {
 	var part struct {
 		caller.Completion
 		Error *caller.ErrorDetail `json:"error"`
@@ -224,23 +224,23 @@
 	return nil
 }
 
-func checkText(answer Answer, text string, usage *caller.Usage) Answer {
+func checkText(result Result, text string, usage *caller.Usage) Result {
 	if usage == nil {
-		answer.Outcome, answer.Detail = Wrong, "the answer has no usage"
-		return answer
+		result.Outcome, result.Detail = Wrong, "the response has no usage"
+		return result
 	}
 	var expected strings.Builder
 	for position := range usage.CompletionTokens {
-		expected.WriteString(emulator.TokenText(answer.BackendRequestID, position))
+		expected.WriteString(emulator.TokenText(result.BackendRequestID, position))
 	}
-	answer.Tokens = usage.TotalTokens
-	answer.Outcome = Whole
+	result.Tokens = usage.TotalTokens
+	result.Outcome = Complete
 	if text != expected.String() {
-		answer.Outcome = Wrong
-		answer.Detail = fmt.Sprintf("%d bytes instead of the %d of request %s", len(text), expected.Len(), answer.BackendRequestID)
+		result.Outcome = Wrong
+		result.Detail = fmt.Sprintf("got %d bytes that differ from the %d expected bytes of request %s", len(text), expected.Len(), result.BackendRequestID)
 	}
-	return answer
+	return result
 }
 
-// ErrNoEntries says that there is no entry node to send to.
+// ErrNoEntries indicates that the options name no entry node.
 var ErrNoEntries = errors.New("load: no entry nodes")
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -15,40 +15,41 @@
 )
 
 const (
-	// maximumMillis bounds the histograms.
+	// maximumMillis is the highest value of the histograms, in milliseconds.
 	maximumMillis = 10 * 60 * 1000
-	// maximumTries bounds the tries of one request.
-	maximumTries = 6
-	retryPause   = 300 * time.Millisecond
+	// maximumAttempts is the maximum number of attempts at one request.
+	maximumAttempts = 6
+	retryDelay      = 300 * time.Millisecond
 )
 
-// Options set up a run.
+// Options configure a run.
 type Options struct {
 	Entries []string
 	Mix     Mix
-	// Rate in requests a second; arrivals are a Poisson process that does not
-	// wait for answers.
+	// Rate is in requests per second. Arrivals are a Poisson process that does not wait for
+	// responses.
 	Rate     float64
 	Duration time.Duration
 	Seed     uint64
 	Client   *Client
-	// Retry sends a request that was cut again, with its key, to another entry.
+	// Retry makes callers send a request that was cut again to another entry node, with the same
+	// idempotency key.
 	Retry bool
-	// WithoutKeys leaves the idempotency keys out.
+	// WithoutKeys omits the idempotency keys.
 	WithoutKeys bool
-	// Done is told each request's last answer; it may be nil.
-	Done func(Request, Answer, int)
+	// Done is called with each request, its last result and the number of attempts; it may be nil.
+	Done func(Request, Result, int)
 }
 
-// Report is what callers saw.
+// Report summarizes what callers saw.
 type Report struct {
 	Sent     int             `json:"sent"`
 	Outcomes map[Outcome]int `json:"outcomes"`
 	Codes    map[string]int  `json:"codes"`
-	// Retries are further tries after a cut; CutTries the tries that were cut.
-	Retries  int `json:"retries"`
-	CutTries int `json:"cut_tries"`
-	// Tokens told to callers of whole answers, by tenant.
+	// Retries counts further attempts after a failed one, CutTries the attempts that were cut.
+	Retries     int `json:"retries"`
+	CutAttempts int `json:"cut_tries"`
+	// Tokens is the usage reported to callers in complete responses, by tenant.
 	Tokens map[string]uint64 `json:"tokens"`
 	// FirstToken and Gap are in milliseconds, by kind.
 	FirstToken map[Kind]Quantiles `json:"first_token_ms"`
@@ -56,7 +57,7 @@
 	Details    []string           `json:"details,omitempty"`
 }
 
-// Quantiles of a histogram.
+// Quantiles are quantiles of a histogram, in its unit, and the number of its values.
 type Quantiles struct {
 	P50   int64 `json:"p50"`
 	P95   int64 `json:"p95"`
@@ -64,7 +65,7 @@
 	Count int64 `json:"count"`
 }
 
-// collector gathers answers from many goroutines.
+// collector collects results from many goroutines.
 type collector struct {
 	mutex      sync.Mutex
 	report     Report
@@ -72,25 +73,25 @@
 	gaps       map[Kind]*hdrhistogram.Histogram
 }
 
-// maximumDetails bounds the details kept of bad answers.
+// maximumDetails is the maximum number of details kept of failed requests.
 const maximumDetails = 20
 
-// Run sends the load and waits for all answers.
+// Run sends the load and waits for all responses.
 func Run(ctx context.Context, options Options) (Report, error) {
 	if len(options.Entries) == 0 {
 		return Report{}, ErrNoEntries
 	}
 	random := rand.New(rand.NewPCG(options.Seed, 0xda942042e4dd58b5))
-	gathered := &collector{
+	collected := &collector{
 		report:     Report{Outcomes: map[Outcome]int{}, Codes: map[string]int{}, Tokens: map[string]uint64{}},
 		firstToken: map[Kind]*hdrhistogram.Histogram{}, gaps: map[Kind]*hdrhistogram.Histogram{},
 	}
 	var sending sync.WaitGroup
 	started := time.Now()
-	due := time.Duration(0)
+	nextArrival := time.Duration(0)
 	for number := 0; ; number++ {
-		due += time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second))
-		if due >= options.Duration || !pause.For(ctx, time.Until(started.Add(due))) {
+		nextArrival += time.Duration(random.ExpFloat64() / options.Rate * float64(time.Second))
+		if nextArrival >= options.Duration || !pause.For(ctx, time.Until(started.Add(nextArrival))) {
 			break
 		}
 		drawn := options.Mix.Draw(random, number)
@@ -98,77 +99,77 @@
 			drawn.Key = ""
 		}
 		first := random.IntN(len(options.Entries))
-		sending.Go(func() { gathered.send(ctx, options, drawn, first) })
+		sending.Go(func() { collected.send(ctx, options, drawn, first) })
 	}
 	sending.Wait()
-	return gathered.finish(), ctx.Err()
+	return collected.finalReport(), ctx.Err()
 }
 
-// send tries a request until it has an end, like a caller that retries.
+// send sends a request until its outcome is final, as a caller that retries does.
 func (c *collector) send(ctx context.Context, options Options, wanted Request, first int) {
-	var answer Answer
-	tries := 0
-	for tries < maximumTries {
-		answer = options.Client.Send(ctx, options.Entries[(first+tries)%len(options.Entries)], wanted)
-		tries++
-		if answer.Outcome != Cut && answer.Code != "in_progress" && answer.Code != "outcome_unknown" {
+	var result Result
+	attempts := 0
+	for attempts < maximumAttempts {
+		result = options.Client.Send(ctx, options.Entries[(first+attempts)%len(options.Entries)], wanted)
+		attempts++
+		if result.Outcome != Cut && result.Code != "in_progress" && result.Code != "outcome_unknown" {
 			break
 		}
-		if !options.Retry || wanted.Key == "" || !pause.For(ctx, retryPause) {
+		if !options.Retry || wanted.Key == "" || !pause.For(ctx, retryDelay) {
 			break
 		}
-		c.noteCut(answer)
+		c.recordRetry(result)
 	}
-	c.add(wanted, answer, tries)
+	c.recordResult(wanted, result, attempts)
 	if options.Done != nil {
-		options.Done(wanted, answer, tries)
+		options.Done(wanted, result, attempts)
 	}
 }
 
-func (c *collector) noteCut(answer Answer) {
+func (c *collector) recordRetry(result Result) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if answer.Outcome == Cut {
-		c.report.CutTries++
+	if result.Outcome == Cut {
+		c.report.CutAttempts++
 	}
 	c.report.Retries++
 }
 
-func (c *collector) add(wanted Request, answer Answer, tries int) {
+func (c *collector) recordResult(wanted Request, result Result, attempts int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.report.Sent++
-	c.report.Outcomes[answer.Outcome]++
-	if answer.Code != "" {
-		c.report.Codes[string(answer.Code)]++
+	c.report.Outcomes[result.Outcome]++
+	if result.Code != "" {
+		c.report.Codes[string(result.Code)]++
 	}
-	if answer.Outcome != Whole {
-		if answer.Outcome != Refused && len(c.report.Details) < maximumDetails {
-			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d tries: %s %s", wanted.Kind, answer.Outcome, tries, answer.Code, answer.Detail))
+	if result.Outcome != Complete {
+		if result.Outcome != Refused && len(c.report.Details) < maximumDetails {
+			c.report.Details = append(c.report.Details, fmt.Sprintf("%s %s after %d attempts: %s %s", wanted.Kind, result.Outcome, attempts, result.Code, result.Detail))
 		}
 		return
 	}
-	c.report.Tokens[wanted.Tenant] += answer.Tokens
-	record(c.firstToken, wanted.Kind, answer.FirstToken)
-	for _, gap := range answer.Gaps {
-		record(c.gaps, wanted.Kind, gap)
+	c.report.Tokens[wanted.Tenant] += result.Tokens
+	recordValue(c.firstToken, wanted.Kind, result.FirstToken)
+	for _, gap := range result.Gaps {
+		recordValue(c.gaps, wanted.Kind, gap)
 	}
 }
 
-func record(histograms map[Kind]*hdrhistogram.Histogram, kind Kind, value time.Duration) {
+func recordValue(histograms map[Kind]*hdrhistogram.Histogram, kind Kind, value time.Duration) {
 	if histograms[kind] == nil {
 		histograms[kind] = hdrhistogram.New(1, maximumMillis, 3)
 	}
 	_ = histograms[kind].RecordValue(max(1, value.Milliseconds()))
 }
 
-func (c *collector) finish() Report {
-	c.report.FirstToken = quantiles(c.firstToken)
-	c.report.Gap = quantiles(c.gaps)
+func (c *collector) finalReport() Report {
+	c.report.FirstToken = quantilesOf(c.firstToken)
+	c.report.Gap = quantilesOf(c.gaps)
 	return c.report
 }
 
-func quantiles(histograms map[Kind]*hdrhistogram.Histogram) map[Kind]Quantiles {
+func quantilesOf(histograms map[Kind]*hdrhistogram.Histogram) map[Kind]Quantiles {
 	result := map[Kind]Quantiles{}
 	for kind, histogram := range histograms {
 		result[kind] = Quantiles{
@@ -179,10 +180,10 @@
 	return result
 }
 
-// String is the report as text.
+// String returns the report as text.
 func (r Report) String() string {
 	var text strings.Builder
-	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut tries %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutTries)
+	fmt.Fprintf(&text, "sent %d, outcomes %v, codes %v, retries %d, cut attempts %d\n", r.Sent, r.Outcomes, r.Codes, r.Retries, r.CutAttempts)
 	kinds := make([]string, 0, len(r.FirstToken))
 	for kind := range r.FirstToken {
 		kinds = append(kinds, string(kind))
--- a/internal/lab/pausecheck/pausecheck.go
+++ b/internal/lab/pausecheck/pausecheck.go
@@ -1,88 +1,93 @@
-// Package pausecheck holds what is promised to an engine that asks a node for a pause or
-// tells it that it leaves, for the tests, simulations and the soak that count from the
-// engine's side.
+// Package pausecheck defines the guarantee for an engine that requests a pause of a node or
+// announces its shutdown to it, and checks it. Tests, simulations and the soak use it to count
+// requests on the engine's side.
 package pausecheck
 
 import "time"
 
 const (
-	// Contact is when a node keeps a pause after the answer that asked for it.
-	Contact = 500 * time.Millisecond
-	// Allowed is the most that may come from that node between Contact and the pause's end.
-	Allowed = 2
-	// Drain is when a node sends nothing more to an engine after an answer that said that
-	// the engine leaves.
-	Drain = 2 * time.Second
+	// ReactionTime is the time after the response that requested a pause, from which on the node
+	// respects it.
+	ReactionTime = 500 * time.Millisecond
+	// MaximumInPause is the maximum number of requests that the node may send between ReactionTime
+	// and the end of the pause.
+	MaximumInPause = 2
+	// DrainTime is the time after a response that announced the engine's shutdown, from which on
+	// the node sends it no more requests.
+	DrainTime = 2 * time.Second
 )
 
-// Record is what one life of an engine asked one node for, and what it got from it. Times
-// are those since a moment of the caller's, in order.
+// Record holds the pauses that one incarnation of an engine requested of one node, and the requests
+// that it received from it. Times are since an origin that the caller chooses; they must not
+// decrease.
 type Record struct {
 	pauses   []pause
 	arrivals []time.Duration
-	// leftAt is when the node was first told that the engine leaves, if hasLeft is set.
-	leftAt  time.Duration
-	hasLeft bool
+	// shutdownAt is the time of the first response to the node that announced the shutdown, if
+	// hasShutdown is set.
+	shutdownAt  time.Duration
+	hasShutdown bool
 }
 
-// pause is asked for at a time.
-type pause struct{ at, lasting time.Duration }
+// pause is a pause of a length, requested at a time.
+type pause struct{ startedAt, length time.Duration }
 
-// Arrive notes a request of the node.
-func (r *Record) Arrive(at time.Duration) { r.arrivals = append(r.arrivals, at) }
+// AddArrival records a request of the node.
+func (r *Record) AddArrival(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// Ask notes an answer that asks the node for a pause.
-func (r *Record) Ask(at, lasting time.Duration) {
-	r.pauses = append(r.pauses, pause{at: at, lasting: lasting})
+// AddPause records a response that requests a pause of the node.
+func (r *Record) AddPause(at, lasting time.Duration) {
+	r.pauses = append(r.pauses, pause{startedAt: at, length: lasting})
 }
 
-// Pauses is how often the node was asked for one.
-func (r *Record) Pauses() int { return len(r.pauses) }
+// PauseCount returns the number of pauses that were requested of the node.
+func (r *Record) PauseCount() int { return len(r.pauses) }
 
-// Most is the highest number of requests that came in any one of the pauses.
-func (r *Record) Most() int {
-	most := 0
+// MaximumRequests returns the maximum number of requests that arrived in any of the pauses.
+func (r *Record) MaximumRequests() int {
+	maximum := 0
 	for _, one := range r.pauses {
-		most = max(most, len(r.within(one)))
+		maximum = max(maximum, len(r.offsetsWithin(one)))
 	}
-	return most
+	return maximum
 }
 
-// Offsets are how long after the answer that asked for a pause requests came in it.
+// Offsets returns, for each request that arrived in a pause, the time since the response that
+// requested the pause.
 func (r *Record) Offsets() []time.Duration {
 	var offsets []time.Duration
 	for _, one := range r.pauses {
-		offsets = append(offsets, r.within(one)...)
+		offsets = append(offsets, r.offsetsWithin(one)...)
 	}
 	return offsets
 }
 
-// within returns the offsets of the requests that came in a pause.
-func (r *Record) within(one pause) []time.Duration {
+// offsetsWithin returns the offsets of the requests that arrived in a pause.
+func (r *Record) offsetsWithin(one pause) []time.Duration {
 	var offsets []time.Duration
 	for _, arrival := range r.arrivals {
-		if arrival > one.at+Contact && arrival < one.at+one.lasting {
-			offsets = append(offsets, arrival-one.at)
+		if arrival > one.startedAt+ReactionTime && arrival < one.startedAt+one.length {
+			offsets = append(offsets, arrival-one.startedAt)
 		}
 	}
 	return offsets
 }
 
-// Leave notes an answer that tells the node that the engine leaves.
-func (r *Record) Leave(at time.Duration) {
-	if !r.hasLeft {
-		r.leftAt, r.hasLeft = at, true
+// AddShutdown records a response to the node that announces the engine's shutdown.
+func (r *Record) AddShutdown(at time.Duration) {
+	if !r.hasShutdown {
+		r.shutdownAt, r.hasShutdown = at, true
 	}
 }
 
-// AfterLeaving is the number of requests that came later than Drain after the node was told
-// that the engine leaves, and whether it was told.
-func (r *Record) AfterLeaving() (late int, wasTold bool) {
-	if !r.hasLeft {
+// AfterShutdown returns the number of requests that arrived later than DrainTime after the
+// announcement of the engine's shutdown, and whether there was an announcement.
+func (r *Record) AfterShutdown() (late int, wasAnnounced bool) {
+	if !r.hasShutdown {
 		return 0, false
 	}
 	for _, arrival := range r.arrivals {
-		if arrival > r.leftAt+Drain {
+		if arrival > r.shutdownAt+DrainTime {
 			late++
 		}
 	}
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -19,63 +19,65 @@
 	// eventTokens is the number of tokens in an event of a stream.
 	eventTokens = 2
 	// streamEvents is the length of each stream.
-	streamEvents = 8
-	eventPause   = 40 * time.Millisecond
-	plainWork    = 15 * time.Millisecond
+	streamEvents  = 8
+	eventInterval = 40 * time.Millisecond
+	plainDuration = 15 * time.Millisecond
 )
 
-// Truth is what the engines ran and the callers got.
-type Truth struct {
+// GroundTruth records what the engines really ran and what the callers received, independently of
+// the system under test.
+type GroundTruth struct {
 	mutex sync.Mutex
 	runs  map[string]int
-	// plainRuns are the runs of plain calls by the version of their engines.
+	// plainRuns counts the runs of plain calls by the version of the engine.
 	plainRuns map[string]int
-	// tokens are what the callers of each tenant got: of a stream of which an event
-	// came, the prompt once and each event.
+	// tokens counts what the callers of each tenant received: for a stream of which at least one
+	// event arrived, the prompt once and each event.
 	tokens map[string]uint64
-	// poisonEnds are how many engines each request ended that does so.
-	poisonEnds map[string]int
-	// senders tells who sends each request to the engines.
+	// poisonCrashes counts the engines that each poison request crashed.
+	poisonCrashes map[string]int
+	// senders maps each request to the entry node that sends it.
 	senders senders
 }
 
-func newTruth() *Truth {
-	return &Truth{runs: map[string]int{}, plainRuns: map[string]int{}, tokens: map[string]uint64{}, poisonEnds: map[string]int{}, senders: senders{machines: map[string]*machine{}}}
+func newTruth() *GroundTruth {
+	return &GroundTruth{runs: map[string]int{}, plainRuns: map[string]int{}, tokens: map[string]uint64{}, poisonCrashes: map[string]int{}, senders: senders{machines: map[string]*machine{}}}
 }
 
-func (t *Truth) endedBy(request string) {
+func (t *GroundTruth) recordPoisonCrash(request string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.poisonEnds[request]++
+	t.poisonCrashes[request]++
 }
 
-// PoisonEnds returns how many engines a request has ended.
-func (t *Truth) PoisonEnds(request string) int {
+// PoisonCrashes returns how many engines a request has crashed.
+func (t *GroundTruth) PoisonCrashes(request string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.poisonEnds[request]
+	return t.poisonCrashes[request]
 }
 
-func (t *Truth) begin(request standin.EngineRequest) {
+func (t *GroundTruth) recordRun(request standin.EngineRequest) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.runs[request.ID]++
 }
 
-func (t *Truth) receive(tenant string, tokens uint64) {
+func (t *GroundTruth) recordDelivery(tenant string, tokens uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.tokens[tenant] += tokens
 }
 
-func (t *Truth) beginPlain(version string) {
+func (t *GroundTruth) recordPlainRun(version string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.plainRuns[version]++
 }
 
-// RunsOf returns the runs of plain calls at engines of a version; "" is any.
-func (t *Truth) RunsOf(version string) int {
+// PlainRuns returns the number of runs of plain calls on engines of a version; "" means all
+// versions.
+func (t *GroundTruth) PlainRuns(version string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	total := 0
@@ -88,50 +90,51 @@
 }
 
 // Runs returns how often a request ran.
-func (t *Truth) Runs(request string) int {
+func (t *GroundTruth) Runs(request string) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.runs[request]
 }
 
-// Tokens returns what a tenant's callers got.
-func (t *Truth) Tokens(tenant string) uint64 {
+// DeliveredTokens returns the number of tokens that a tenant's callers received.
+func (t *GroundTruth) DeliveredTokens(tenant string) uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.tokens[tenant]
 }
 
-// engine is one life of a stand-in for an engine.
+// engine is one incarnation of an engine stand-in.
 type engine struct {
 	registry.Instance
 	wire   standin.Wire
-	truth  *Truth
+	truth  *GroundTruth
 	server *http.Server
 	mutex  sync.Mutex
 	state  registry.State
-	// fails tells that it fails each plain call.
-	fails bool
-	// limit is what it names as its limit, and what it got.
+	// failsPlainCalls makes the engine fail each plain call.
+	failsPlainCalls bool
+	// limit holds the rate limits that the engine named, and the requests that it received.
 	limit limitRecord
-	// backoff is what it asks its senders for, and what it got.
+	// backoff holds the pauses that the engine requested, and the requests that it received.
 	backoff backoffRecord
-	// end ends the engine by the request with a body that it can't bear.
-	end func(ended *engine, body string)
+	// crashByPoison crashes the engine because of a poison request with this body.
+	crashByPoison func(ended *engine, body string)
 }
 
-// startEngine listens at an address and serves; fails tells that it fails each plain call.
-func startEngine(instance registry.Instance, wire standin.Wire, truth *Truth, fails bool, end func(*engine, string)) (*engine, error) {
+// startEngine starts an engine that listens on the instance's address. If failsPlainCalls is set,
+// it fails each plain call.
+func startEngine(instance registry.Instance, wire standin.Wire, truth *GroundTruth, failsPlainCalls bool, crashByPoison func(*engine, string)) (*engine, error) {
 	listener, err := net.Listen("tcp", instance.Address)
 	if err != nil {
 		return nil, fmt.Errorf("starting engine %s: %w", instance.ID, err)
 	}
-	made := &engine{Instance: instance, wire: wire, truth: truth, state: registry.Ready, fails: fails, end: end, limit: limitRecord{began: time.Now()}}
+	made := &engine{Instance: instance, wire: wire, truth: truth, state: registry.Ready, failsPlainCalls: failsPlainCalls, crashByPoison: crashByPoison, limit: limitRecord{startedAt: time.Now()}}
 	made.server = &http.Server{Handler: made}
 	go func() { _ = made.server.Serve(listener) }()
 	return made, nil
 }
 
-// crash ends the engine without a word.
+// crash ends the engine without a drain.
 func (e *engine) crash() {
 	e.endLimit()
 	_ = e.server.Close()
@@ -143,14 +146,14 @@
 	e.state = state
 }
 
-// heartbeat returns what the engine says of itself now.
+// heartbeat returns the engine's next heartbeat.
 func (e *engine) heartbeat() registry.Instance {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.Sequence++
-	said := e.Instance
-	said.State = e.state
-	return said
+	beat := e.Instance
+	beat.State = e.state
+	return beat
 }
 
 // ServeHTTP implements http.Handler.
@@ -158,54 +161,54 @@
 	body, _ := io.ReadAll(incoming.Body)
 	request := e.wire.ReadRequest(incoming.Header)
 	isHere := request.Instance == e.ID
-	for name, values := range e.wire.AnswerHeader(request.ID, e.ID, !isHere) {
+	for name, values := range e.wire.ResponseHeader(request.ID, e.ID, !isHere) {
 		writer.Header()[name] = values
 	}
 	if !isHere {
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if e.refuses(writer.Header(), request.ID) {
-		e.noteArrival(writer.Header(), true)
+	if e.recordAndReject(writer.Header(), request.ID) {
+		e.recordArrival(writer.Header(), true)
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	isFailure := e.fails && request.TokensIn == 0
-	e.noteArrival(writer.Header(), isFailure)
-	e.truth.begin(request)
-	if strings.HasPrefix(string(body), poisonBody) {
+	isFailure := e.failsPlainCalls && request.TokensIn == 0
+	e.recordArrival(writer.Header(), isFailure)
+	e.truth.recordRun(request)
+	if strings.HasPrefix(string(body), poisonBodyPrefix) {
 		writer.Header().Set("Content-Type", "text/event-stream")
 		writer.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(writer).Flush()
-		time.Sleep(poisonLeast + rand.N(poisonMost-poisonLeast))
-		e.end(e, string(body))
+		time.Sleep(minimumPoisonRun + rand.N(maximumPoisonRun-minimumPoisonRun))
+		e.crashByPoison(e, string(body))
 		panic(http.ErrAbortHandler)
 	}
 	if request.TokensIn > 0 {
 		e.stream(writer, incoming, request)
 		return
 	}
-	e.truth.beginPlain(e.Version)
-	time.Sleep(plainWork)
+	e.truth.recordPlainRun(e.Version)
+	time.Sleep(plainDuration)
 	if isFailure {
 		writer.WriteHeader(http.StatusInternalServerError)
 	}
 	_, _ = fmt.Fprint(writer, plainBody(request.ID))
 }
 
-// plainBody is the only right answer to a plain call.
+// plainBody is the expected response to a plain call.
 func plainBody(request string) string { return "answer to " + request }
 
-// eventText is the only right event of a stream at a place.
+// eventText is the expected event of a stream at a position, counted from 1.
 func eventText(request string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s/%d\n\n", number, request, number)
 }
 
 func (e *engine) stream(writer http.ResponseWriter, incoming *http.Request, request standin.EngineRequest) {
 	writer.Header().Set("Content-Type", "text/event-stream")
-	for number := request.After + 1; number <= streamEvents; number++ {
+	for number := request.LastEvent + 1; number <= streamEvents; number++ {
 		select {
-		case <-time.After(eventPause):
+		case <-time.After(eventInterval):
 		case <-incoming.Context().Done():
 			panic(http.ErrAbortHandler)
 		}
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -21,58 +21,60 @@
 )
 
 const (
-	serviceModel  = "model"
-	servicePlain  = "plain"
-	callHost      = "soak.example"
-	controls      = 3
-	beatInterval  = 400 * time.Millisecond
-	callTimeout   = 5 * time.Second
-	controlWait   = time.Second
-	tenants       = 3
-	firstPrepaid  = 40_000
-	topUp         = 15_000
-	fileMode      = 0o600
-	folderMode    = 0o700
-	peerKeyLength = 48
-	firstLane     = 10
+	serviceModel      = "model"
+	servicePlain      = "plain"
+	callHost          = "soak.example"
+	controlCount      = 3
+	heartbeatInterval = 400 * time.Millisecond
+	callTimeout       = 5 * time.Second
+	controlWait       = time.Second
+	tenantCount       = 3
+	firstPrepaid      = 40_000
+	prepaidIncrement  = 15_000
+	fileMode          = 0o600
+	directoryMode     = 0o700
+	peerKeyLength     = 48
+	firstLane         = 10
 )
 
 var zones = []string{"a", "b", "c"}
 
-// fleet is the whole deployment: machines, engines, and what the operator and
-// the engines know.
+// fleet is the whole deployment: machines, engines, and the state of the operator and of the
+// engines.
 type fleet struct {
-	// lane is the second number of the run's loopback addresses, from firstLane.
+	// lane is added to firstLane for the second number of the run's loopback addresses.
 	lane    int
 	wire    standin.Wire
 	random  *rand.Rand
-	truth   *Truth
+	truth   *GroundTruth
 	client  *http.Client
 	seeds   []string
 	members []*machine
 
-	mutex   sync.Mutex
-	engines map[string]*engine
-	lives   int
-	// everyLife are all lives of engines.
-	everyLife []*engine
-	// plainVersion is the version of the plain service's engines that start.
+	mutex            sync.Mutex
+	engines          map[string]*engine
+	incarnationCount int
+	// allIncarnations holds all incarnations of engines since the start of the run.
+	allIncarnations []*engine
+	// plainVersion is the version of new engines of the plain service.
 	plainVersion string
-	// began is when the run began, rough are the spans of engines' ends by requests.
-	began time.Time
-	rough []span
-	// isClosed tells that no engine may start any more, failed is the first that did not.
-	isClosed bool
-	failed   error
-	wanted   *document.Document
-	// acknowledged is the highest version that was acknowledged.
+	// startedAt is the start of the run; crashSpans are the spans in which poison requests crashed
+	// engines.
+	startedAt  time.Time
+	crashSpans []span
+	// isClosed prevents further starts of engines; firstError is the error of the first failed
+	// start.
+	isClosed   bool
+	firstError error
+	desired    *document.Document
+	// acknowledged is the highest acknowledged version of the configuration.
 	acknowledged uint64
-	// prepaid is the highest prepaid that each tenant was ever sent.
+	// prepaid is the highest prepaid budget, in tokens, that was ever sent for each tenant.
 	prepaid map[string]uint64
 }
 
-// newFleet writes the folders; nothing runs yet. The loopback addresses hold
-// the run's number, so that runs may stand side by side.
+// newFleet writes the folders and starts nothing. The loopback addresses contain the run's lane, so
+// that several runs can share a machine.
 func newFleet(options Options) (*fleet, error) {
 	made := &fleet{
 		lane: options.Lane, wire: options.Wire, random: rand.New(rand.NewPCG(options.Seed, 1)), truth: newTruth(),
@@ -86,25 +88,25 @@
 	if err := os.WriteFile(filepath.Join(options.Folder, "peer.key"), key, fileMode); err != nil {
 		return nil, err
 	}
-	for number := range controls + options.Entries {
-		one := &machine{name: fmt.Sprintf("entry-%d", number-controls), zone: zones[number%len(zones)], control: number < controls}
-		if one.control {
+	for number := range controlCount + options.Entries {
+		one := &machine{name: fmt.Sprintf("entry-%d", number-controlCount), zone: zones[number%len(zones)], isControl: number < controlCount}
+		if one.isControl {
 			one.name = fmt.Sprintf("control-%d", number)
 		}
 		one.host = fmt.Sprintf("127.%d.1.%d", firstLane+options.Lane, number+1)
 		one.folder = filepath.Join(options.Folder, one.name)
-		if one.daemon = options.Daemon; options.Earlier != "" {
-			one.daemon = options.Earlier
+		if one.daemon = options.Daemon; options.EarlierDaemon != "" {
+			one.daemon = options.EarlierDaemon
 		}
-		if err := os.MkdirAll(one.folder, folderMode); err != nil {
+		if err := os.MkdirAll(one.folder, directoryMode); err != nil {
 			return nil, err
 		}
-		if one.control {
+		if one.isControl {
 			made.seeds = append(made.seeds, one.address(controlPort))
 		}
 		made.members = append(made.members, one)
 	}
-	made.wanted = firstConfiguration()
+	made.desired = firstConfiguration()
 	return made, nil
 }
 
@@ -125,14 +127,14 @@
 			{Name: servicePlain, MaximumConnections: 200}, {Name: serviceModel, MaximumConnections: 200, Slots: 64, CacheTokens: 1 << 20, EventTokens: eventTokens},
 		},
 	}
-	for number := range tenants {
+	for number := range tenantCount {
 		name := fmt.Sprintf("tenant-%d", number)
 		wanted.Tenants = append(wanted.Tenants, document.Tenant{Name: name, Keys: []string{keyPrefix + name}, Prepaid: firstPrepaid, HasPrepaid: true})
 	}
 	return wanted
 }
 
-// start opens the relays, starts all daemons, and takes the first configuration.
+// start opens the relays, starts all daemons and engines, and sends the first configuration.
 func (f *fleet) start(ctx context.Context) error {
 	for _, one := range f.members {
 		var err error
@@ -155,12 +157,12 @@
 		}
 	}
 	return f.waitFor(ctx, 20*time.Second, "the first configuration and ready entries", func() bool {
-		return f.order(ctx) && f.allReady()
+		return f.sendConfiguration(ctx) && f.allReady()
 	})
 }
 
-// addEngine starts a new life of an engine at a place, under an id that it had, or under
-// a new one if that is "".
+// addEngine starts a new incarnation of an engine at a place, under a given instance id, or under a
+// newly generated one if id is "".
 func (f *fleet) addEngine(service string, place int, id string) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -168,69 +170,69 @@
 	if service == servicePlain {
 		version = f.plainVersion
 	}
-	return f.startAt(service, version, place, id, false)
+	return f.startEngineLocked(service, version, place, id, false)
 }
 
-// addVersion starts an engine of a version that maybe fails all plain calls.
-func (f *fleet) addVersion(service, version string, place int, fails bool) error {
+// addEngineOfVersion starts an engine of a version, which fails all plain calls if fails is set.
+func (f *fleet) addEngineOfVersion(service, version string, place int, fails bool) error {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return f.startAt(service, version, place, "", fails)
+	return f.startEngineLocked(service, version, place, "", fails)
 }
 
-// startAt starts an engine. The caller holds the mutex.
-func (f *fleet) startAt(service, version string, place int, id string, fails bool) error {
+// startEngineLocked starts an engine. The caller holds the mutex.
+func (f *fleet) startEngineLocked(service, version string, place int, id string, fails bool) error {
 	if f.isClosed {
 		return nil
 	}
-	f.lives++
+	f.incarnationCount++
 	name := placeName(place)
 	if id == "" {
-		id = fmt.Sprintf("i-%d-%d", place, f.lives)
+		id = fmt.Sprintf("i-%d-%d", place, f.incarnationCount)
 	}
 	host := fmt.Sprintf("127.%d.2.%d", firstLane+f.lane, place+1)
 	started, err := startEngine(registry.Instance{
 		ID: id, StartedAt: time.Now().UnixMilli(), Service: service, Address: net.JoinHostPort(host, fmt.Sprint(enginePort)),
 		Zone: zones[place%len(zones)], Version: version, Slots: 64,
-	}, f.wire, f.truth, fails, func(ended *engine, body string) { f.endBy(ended, place, body) })
+	}, f.wire, f.truth, fails, func(ended *engine, body string) { f.crashByPoison(ended, place, body) })
 	if err != nil {
 		return err
 	}
 	f.engines[name] = started
-	f.everyLife = append(f.everyLife, started)
+	f.allIncarnations = append(f.allIncarnations, started)
 	return nil
 }
 
-// beat sends the heartbeats of all engines, each to the first control node
-// that takes it.
-func (f *fleet) beat(ctx context.Context) {
+// sendHeartbeats sends the heartbeats of all engines, each to the first control node that accepts
+// it.
+func (f *fleet) sendHeartbeats(ctx context.Context) {
 	for ctx.Err() == nil {
 		f.mutex.Lock()
-		var said []registry.Instance
+		var heartbeats []registry.Instance
 		for _, one := range f.engines {
-			said = append(said, one.heartbeat())
+			heartbeats = append(heartbeats, one.heartbeat())
 		}
 		f.mutex.Unlock()
-		for _, instance := range said {
+		for _, instance := range heartbeats {
 			path, body := f.wire.Heartbeat(instance)
 			go f.callControl(ctx, http.MethodPut, path, body)
 		}
-		pause.For(ctx, beatInterval)
+		pause.For(ctx, heartbeatInterval)
 	}
 }
 
-// callControl calls control nodes in a random order until one answers well.
+// callControl calls the control nodes in a random order deadline one responds with status 200.
 func (f *fleet) callControl(ctx context.Context, method, path string, body []byte) ([]byte, bool) {
-	for _, position := range rand.Perm(controls) {
-		answer, status := f.callOne(ctx, f.members[position], method, path, body)
+	for _, position := range rand.Perm(controlCount) {
+		received, status := f.callControlNode(ctx, f.members[position], method, path, body)
 		if status == http.StatusOK {
-			return answer, true
+			return received, true
 		}
 	}
 	return nil, false
 }
 
-func (f *fleet) callOne(ctx context.Context, one *machine, method, path string, body []byte) ([]byte, int) {
+func (f *fleet) callControlNode(ctx context.Context, one *machine, method, path string, body []byte) ([]byte, int) {
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+one.address(controlPort)+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, 0
@@ -240,34 +242,35 @@
 		return nil, 0
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
+	received, err := io.ReadAll(response.Body)
 	if err != nil {
 		return nil, 0
 	}
-	return answer, response.StatusCode
+	return received, response.StatusCode
 }
 
-// change makes a new version: more prepaid tokens for one tenant.
-func (f *fleet) change(number int) {
+// changeConfiguration makes a new version of the configuration with more prepaid tokens for one
+// tenant.
+func (f *fleet) changeConfiguration(number int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	changed := *f.wanted
+	changed := *f.desired
 	changed.Version += 1 + uint64(number%3)
 	changed.Tenants = append([]document.Tenant(nil), changed.Tenants...)
-	changed.Tenants[number%len(changed.Tenants)].Prepaid += topUp
-	f.wanted = &changed
+	changed.Tenants[number%len(changed.Tenants)].Prepaid += prepaidIncrement
+	f.desired = &changed
 }
 
-// order sends the newest configuration and tells whether it was acknowledged.
-func (f *fleet) order(ctx context.Context) bool {
+// sendConfiguration sends the newest configuration and reports whether it was acknowledged.
+func (f *fleet) sendConfiguration(ctx context.Context) bool {
 	f.mutex.Lock()
-	wanted := f.wanted
+	wanted := f.desired
 	for _, tenant := range wanted.Tenants {
 		f.prepaid[tenant.Name] = max(f.prepaid[tenant.Name], tenant.Prepaid)
 	}
 	f.mutex.Unlock()
 	path, body := f.wire.Configuration(wanted)
-	if _, taken := f.callControl(ctx, http.MethodPut, path, body); !taken {
+	if _, accepted := f.callControl(ctx, http.MethodPut, path, body); !accepted {
 		return false
 	}
 	f.mutex.Lock()
@@ -276,32 +279,32 @@
 	return true
 }
 
-// readBack reads the configuration and returns what is wrong with it, or "".
-func (f *fleet) readBack(ctx context.Context) string {
+// checkConfiguration reads the configuration and returns what is wrong with it, or "".
+func (f *fleet) checkConfiguration(ctx context.Context) string {
 	f.mutex.Lock()
-	wanted, acknowledged := f.wanted, f.acknowledged
+	wanted, acknowledged := f.desired, f.acknowledged
 	f.mutex.Unlock()
 	path, sent := f.wire.Configuration(wanted)
 	read, found := f.callControl(ctx, http.MethodGet, path, nil)
 	switch {
 	case !found:
-		return "no control node gave the configuration"
+		return "no control node returned the configuration"
 	case acknowledged == wanted.Version && !bytes.Equal(read, sent):
-		return fmt.Sprintf("version %d was acknowledged, something else was read: %.80s", acknowledged, read)
+		return fmt.Sprintf("version %d was acknowledged, but the configuration that was read differs: %.80s", acknowledged, read)
 	}
 	return ""
 }
 
 func (f *fleet) allReady() bool {
 	for _, one := range f.members {
-		if !one.control && !f.isReady(one) {
+		if !one.isControl && !f.isReady(one) {
 			return false
 		}
 	}
 	return true
 }
 
-// isReady asks an entry node whether it is to get callers.
+// isReady reports whether an entry node is ready for callers.
 func (f *fleet) isReady(one *machine) bool {
 	response, err := f.client.Get("http://" + one.address(readyPort) + f.wire.ReadyPath())
 	if err != nil {
@@ -311,32 +314,33 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// serves tells whether a machine does its part: an entry node is ready, a control node
-// gives the configuration.
-func (f *fleet) serves(ctx context.Context, one *machine) bool {
-	if !one.control {
+// isInService reports whether a machine is in service: an entry node is ready, a control node
+// returns the configuration.
+func (f *fleet) isInService(ctx context.Context, one *machine) bool {
+	if !one.isControl {
 		return f.isReady(one)
 	}
 	f.mutex.Lock()
-	wanted := f.wanted
+	wanted := f.desired
 	f.mutex.Unlock()
 	path, _ := f.wire.Configuration(wanted)
-	_, status := f.callOne(ctx, one, http.MethodGet, path, nil)
+	_, status := f.callControlNode(ctx, one, http.MethodGet, path, nil)
 	return status == http.StatusOK
 }
 
-func (f *fleet) waitFor(ctx context.Context, longest time.Duration, what string, holds func() bool) error {
-	until := time.Now().Add(longest)
-	for time.Now().Before(until) && ctx.Err() == nil {
-		if holds() {
+func (f *fleet) waitFor(ctx context.Context, timeout time.Duration, what string, condition func() bool) error {
+	deadline := time.Now().Add(timeout)
+	for time.Now().Before(deadline) && ctx.Err() == nil {
+		if condition() {
 			return nil
 		}
 		pause.For(ctx, 50*time.Millisecond)
 	}
-	return fmt.Errorf("waited %s in vain for %s", longest, what)
+	return fmt.Errorf("timed out after %s waiting for %s", timeout, what)
 }
 
-// close ends what this run started, by its own handles only.
+// close ends all processes, relays and engines of this run, and only by the handles that the run
+// holds.
 func (f *fleet) close() {
 	for _, one := range f.members {
 		one.kill()
@@ -352,11 +356,11 @@
 	}
 }
 
-// fail keeps the first error of what runs beside the faults.
-func (f *fleet) fail(err error) {
+// recordError records the first failed start of an engine outside the fault series.
+func (f *fleet) recordError(err error) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	if f.failed == nil {
-		f.failed = err
+	if f.firstError == nil {
+		f.firstError = err
 	}
 }
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -12,78 +12,80 @@
 )
 
 const (
-	// limitStream is the seed's stream that limits draw from.
-	limitStream = 4000
-	// A limit stands for a time, is changed at times, and the next ones come after a pause.
-	limitLeast, limitMost = 5 * time.Second, 9 * time.Second
-	limitPause            = 2 * time.Second
+	// limitRandomStream numbers the random stream of rate limits.
+	limitRandomStream = 4000
+	// A limit is in effect for a while, may change halfway, and the next ones follow after up to
+	// limitPause.
+	minimumLimitTime, maximumLimitTime = 5 * time.Second, 9 * time.Second
+	maximumLimitInterval               = 2 * time.Second
 )
 
-// engineLimit is what an engine in need names.
+// engineLimit is the rate limit that an overloaded engine names.
 type engineLimit struct {
 	value string
-	// perSecond is what that means, if isReadable is set.
-	perSecond  float64
-	isReadable bool
+	// perSecond is the value in requests per second, if isValid is set.
+	perSecond float64
+	isValid   bool
 }
 
-// engineLimits are what engines name, unreadableLimits what nobody can read.
+// validLimits are valid values of the rate limit, malformedLimits are malformed ones.
 var (
-	engineLimits     = []engineLimit{{"0", 0, true}, {"0.5", 0.5, true}, {"1", 1, true}, {"2.5", 2.5, true}, {"8", 8, true}}
-	unreadableLimits = []engineLimit{{value: ""}, {value: "many"}, {value: "-1"}, {value: "NaN"}}
+	validLimits     = []engineLimit{{"0", 0, true}, {"0.5", 0.5, true}, {"1", 1, true}, {"2.5", 2.5, true}, {"8", 8, true}}
+	malformedLimits = []engineLimit{{value: ""}, {value: "many"}, {value: "-1"}, {value: "NaN"}}
 )
 
-// limitRecord is what one life of an engine named, and what it got.
+// limitRecord holds the rate limits that one incarnation of an engine named, and the requests that
+// it received.
 type limitRecord struct {
 	limitcheck.Record
-	// began is when the life began.
-	began time.Time
-	// named is what it names now, if isNamed is set.
-	named   engineLimit
-	isNamed bool
+	// startedAt is the start time of the incarnation.
+	startedAt time.Time
+	// current is the current limit, if hasCurrent is set.
+	current    engineLimit
+	hasCurrent bool
 }
 
-// nameLimit has the engine name a limit in its answers.
+// nameLimit makes the engine name a rate limit in its responses.
 func (e *engine) nameLimit(named engineLimit) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.limit.named, e.limit.isNamed = named, true
+	e.limit.current, e.limit.hasCurrent = named, true
 }
 
-// endLimit has the engine name none any more.
+// endLimit makes the engine stop naming a rate limit.
 func (e *engine) endLimit() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.limit.isNamed = false
-	e.limit.End(time.Since(e.limit.began))
+	e.limit.hasCurrent = false
+	e.limit.EndLimit(time.Since(e.limit.startedAt))
 }
 
-// noteArrival notes a request, and writes the limit into the head of its answer. One in two
-// failures names none.
-func (e *engine) noteArrival(header http.Header, isFailure bool) {
+// recordArrival records a request, and writes the rate limit into the response header. One in two
+// failure responses omits it.
+func (e *engine) recordArrival(header http.Header, isFailure bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	now := time.Since(e.limit.began)
-	e.limit.Arrive(now)
-	if !e.limit.isNamed || isFailure && rand.IntN(2) == 0 {
+	now := time.Since(e.limit.startedAt)
+	e.limit.AddArrival(now)
+	if !e.limit.hasCurrent || isFailure && rand.IntN(2) == 0 {
 		return
 	}
-	named := e.limit.named
+	named := e.limit.current
 	for name, values := range e.wire.LimitHeader(named.value) {
 		header[name] = values
 	}
-	if named.isReadable {
-		e.limit.Name(now, named.perSecond)
+	if named.isValid {
+		e.limit.AddLimit(now, named.perSecond)
 	}
 }
 
-// limitEngines has engines name limits, change and end them, several at once, while faults
-// are played.
+// limitEngines makes engines name, change and drop rate limits, several at the same time, while
+// faults are injected.
 func (r *run) limitEngines(faulty context.Context, random *rand.Rand) {
 	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(limitPause))))
+		pause.For(faulty, time.Duration(random.Int64N(int64(maximumLimitInterval))))
 		limited := r.fleet.drawEngines(random)
-		lasting := limitLeast + time.Duration(random.Int64N(int64(limitMost-limitLeast)))
+		lasting := minimumLimitTime + time.Duration(random.Int64N(int64(maximumLimitTime-minimumLimitTime)))
 		r.nameLimits(limited, random)
 		pause.For(faulty, lasting/2)
 		if random.IntN(2) == 0 {
@@ -98,16 +100,16 @@
 
 func (r *run) nameLimits(limited []*engine, random *rand.Rand) {
 	for _, one := range limited {
-		named := engineLimits[random.IntN(len(engineLimits))]
+		named := validLimits[random.IntN(len(validLimits))]
 		if random.IntN(8) == 0 {
-			named = unreadableLimits[random.IntN(len(unreadableLimits))]
+			named = malformedLimits[random.IntN(len(malformedLimits))]
 		}
-		r.note("engine %s names the limit %q", one.ID, named.value)
+		r.reportf("engine %s names the limit %q", one.ID, named.value)
 		one.nameLimit(named)
 	}
 }
 
-// drawEngines draws one to all of the engines that run.
+// drawEngines draws one or more of the running engines.
 func (f *fleet) drawEngines(random *rand.Rand) []*engine {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -124,27 +126,27 @@
 	return all[:1+random.IntN(len(all))]
 }
 
-// checkLimits holds what engines got against the limits that they named.
+// checkLimits compares the requests that engines received with the rate limits that they named.
 func (r *run) checkLimits() {
 	r.fleet.mutex.Lock()
-	lives := slices.Clone(r.fleet.everyLife)
+	incarnations := slices.Clone(r.fleet.allIncarnations)
 	r.fleet.mutex.Unlock()
-	limited, arrived, room, worst := 0, 0, 0.0, limitcheck.Use{}
-	for _, one := range lives {
+	limited, arrived, allowed, worst := 0, 0, 0.0, limitcheck.Usage{}
+	for _, one := range incarnations {
 		one.mutex.Lock()
-		use := one.limit.Use(time.Since(one.limit.began))
+		use := one.limit.Usage(time.Since(one.limit.startedAt))
 		one.mutex.Unlock()
-		if use.Room == 0 && use.Arrived == 0 {
+		if use.Capacity == 0 && use.Arrived == 0 {
 			continue
 		}
-		limited, arrived, room = limited+1, arrived+use.Arrived, room+use.Room
+		limited, arrived, allowed = limited+1, arrived+use.Arrived, allowed+use.Capacity
 		if use.Arrived > 0 {
-			worst.Note(use.Got, use.Allowed)
+			worst.AddWindow(use.Received, use.Allowed)
 		}
-		if use.Got > use.Allowed {
-			r.breaks("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Got, limitcheck.Window, use.Allowed)
+		if use.Received > use.Allowed {
+			r.violationf("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Received, limitcheck.Window, use.Allowed)
 		}
 	}
-	r.note("%d engines with limits got %d requests where those had room for %.0f; the fullest %s: %d, allowed %d",
-		limited, arrived, room, limitcheck.Window, worst.Got, worst.Allowed)
+	r.reportf("%d engines with limits got %d requests where the limits allowed %.0f; the fullest %s: %d, allowed %d",
+		limited, arrived, allowed, limitcheck.Window, worst.Received, worst.Allowed)
 }
--- a/internal/lab/soak/relay.go
+++ b/internal/lab/soak/relay.go
@@ -13,15 +13,15 @@
 
 // Modes of a relay.
 const (
-	// Passing takes everything on.
-	Passing RelayMode = iota
-	// Slow holds each piece back.
-	Slow
-	// Silent takes nothing on in either direction, and says nothing.
-	Silent
-	// OneWay takes nothing on towards the node, but what it says.
-	OneWay
-	// Resetting breaks all connections and takes no new ones.
+	// Forwarding forwards everything.
+	Forwarding RelayMode = iota
+	// Delaying delays each piece by slowPause.
+	Delaying
+	// Blocking forwards nothing in either direction and keeps the connections open.
+	Blocking
+	// BlockingInbound forwards only what the node sends, and nothing towards it.
+	BlockingInbound
+	// Resetting resets all connections and accepts no new ones.
 	Resetting
 )
 
@@ -31,13 +31,13 @@
 }
 
 const (
-	slowPause = 60 * time.Millisecond
-	// silentPoll is how often held bytes are looked at again.
-	silentPoll = 10 * time.Millisecond
-	pieceBytes = 32 << 10
+	slowDelay = 60 * time.Millisecond
+	// blockedPollInterval is the time between two checks whether held bytes may be forwarded.
+	blockedPollInterval = 10 * time.Millisecond
+	pieceBytes          = 32 << 10
 )
 
-// relay stands before one node's peer listener.
+// relay is a TCP proxy in front of one node's peer listener.
 type relay struct {
 	listener net.Listener
 	target   string
@@ -58,10 +58,10 @@
 
 func (r *relay) close() {
 	_ = r.listener.Close()
-	r.set(Resetting)
+	r.setMode(Resetting)
 }
 
-func (r *relay) set(mode RelayMode) {
+func (r *relay) setMode(mode RelayMode) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.mode = mode
@@ -81,7 +81,7 @@
 	_ = connection.Close()
 }
 
-func (r *relay) current() RelayMode {
+func (r *relay) currentMode() RelayMode {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.mode
@@ -98,7 +98,7 @@
 }
 
 func (r *relay) serve(outside net.Conn) {
-	if r.current() == Resetting {
+	if r.currentMode() == Resetting {
 		reset(outside)
 		return
 	}
@@ -111,8 +111,8 @@
 	r.open[outside], r.open[inside] = struct{}{}, struct{}{}
 	r.mutex.Unlock()
 	var both sync.WaitGroup
-	both.Go(func() { r.pass(inside, outside, true) })
-	both.Go(func() { r.pass(outside, inside, false) })
+	both.Go(func() { r.forward(inside, outside, true) })
+	both.Go(func() { r.forward(outside, inside, false) })
 	both.Wait()
 	r.mutex.Lock()
 	delete(r.open, outside)
@@ -120,17 +120,17 @@
 	r.mutex.Unlock()
 }
 
-// pass takes bytes on in one direction until either end closes.
-func (r *relay) pass(to, from net.Conn, towardsNode bool) {
+// forward forwards bytes in one direction until either end closes.
+func (r *relay) forward(to, from net.Conn, towardsNode bool) {
 	defer to.Close()
 	piece := make([]byte, pieceBytes)
 	for {
 		count, err := from.Read(piece)
-		for r.holds(towardsNode) {
-			time.Sleep(silentPoll)
+		for r.isBlocked(towardsNode) {
+			time.Sleep(blockedPollInterval)
 		}
-		if r.current() == Slow {
-			time.Sleep(slowPause)
+		if r.currentMode() == Delaying {
+			time.Sleep(slowDelay)
 		}
 		if count > 0 {
 			if _, writeErr := to.Write(piece[:count]); writeErr != nil {
@@ -146,7 +146,7 @@
 	}
 }
 
-func (r *relay) holds(towardsNode bool) bool {
-	mode := r.current()
-	return mode == Silent || mode == OneWay && towardsNode
+func (r *relay) isBlocked(towardsNode bool) bool {
+	mode := r.currentMode()
+	return mode == Blocking || mode == BlockingInbound && towardsNode
 }
--- a/internal/lab/soak/rollout.go
+++ b/internal/lab/soak/rollout.go
@@ -11,62 +11,62 @@
 )
 
 const (
-	// newVersion is the version that the plain service is rolled out to, oldVersion the one
-	// that all engines begin with.
+	// newVersion is the version that the plain service is rolled out to, oldVersion the initial
+	// version of all engines.
 	oldVersion, newVersion = "v1", "v2"
-	// newPlaces are the places of the new version's engines, behind the others.
-	firstNewPlace, newPlaces = 6, 3
-	rolloutDuration          = 8 * time.Second
-	// rolloutWait bounds the wait for the rollout's end: beside faults control nodes are
-	// down or cut off for seconds again and again.
-	rolloutWait = 25 * time.Second
-	// A bad version may get a tenth of the service's requests and 50.
+	// The new version's engines run at newPlaces places from firstNewPlace, after the others'.
+	firstNewPlace, newPlaceCount = 6, 3
+	rolloutDuration              = 8 * time.Second
+	// maximumRolloutWait is the maximum wait for the end of the rollout: faults repeatedly stop or
+	// partition the control nodes for seconds.
+	maximumRolloutWait = 25 * time.Second
+	// A bad version may get a tenth of the service's requests plus 50.
 	exposureShare, exposureSlack = 0.1, 50
-	// rolloutStream is the seed's stream that rollouts draw from.
-	rolloutStream = 3000
+	// rolloutRandomStream numbers the random stream of rollouts.
+	rolloutRandomStream = 3000
 )
 
-// rollout orders the plain service's move to a version, good or bad by the seed, while
-// faults are played, and does with the engines what the outcome says.
+// rollout orders a rollout of the plain service to a version that is good or bad by the seed, while
+// faults are injected, and ends the engines of the version that the outcome leaves unused.
 func (r *run) rollout(ctx context.Context, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, rolloutStream))
+	random := rand.New(rand.NewPCG(seed, rolloutRandomStream))
 	isBad := random.IntN(2) == 0
 	pause.For(ctx, time.Duration(random.Int64N(int64(2*time.Second))))
-	before := r.fleet.truth.RunsOf("")
-	if err := r.fleet.waitFor(ctx, rolloutWait, "an answer to the order for a rollout", func() bool { return r.fleet.orderRollout(ctx) }); err != nil {
-		r.breaks("%v", err)
+	before := r.fleet.truth.PlainRuns("")
+	if err := r.fleet.waitFor(ctx, maximumRolloutWait, "a response to the order for a rollout", func() bool { return r.fleet.orderRollout(ctx) }); err != nil {
+		r.violationf("%v", err)
 		return
 	}
-	for place := firstNewPlace; place < firstNewPlace+newPlaces; place++ {
-		if err := r.fleet.addVersion(servicePlain, newVersion, place, isBad); err != nil {
-			r.breaks("%v", err)
+	for place := firstNewPlace; place < firstNewPlace+newPlaceCount; place++ {
+		if err := r.fleet.addEngineOfVersion(servicePlain, newVersion, place, isBad); err != nil {
+			r.violationf("%v", err)
 		}
 	}
 	state := standin.RolloutRunning
-	err := r.fleet.waitFor(ctx, rolloutWait, "the end of a rollout", func() bool {
+	err := r.fleet.waitFor(ctx, maximumRolloutWait, "the end of a rollout", func() bool {
 		state = r.fleet.rolloutState(ctx)
 		return state == standin.RolloutDone || state == standin.RolloutRolledBack
 	})
 	if err != nil {
-		r.breaks("%v", err)
+		r.violationf("%v", err)
 	}
-	all, toNew := r.fleet.truth.RunsOf("")-before, r.fleet.truth.RunsOf(newVersion)
-	r.note("rollout of a version that is bad %v: %s, %d of %d runs", isBad, state, toNew, all)
+	all, toNew := r.fleet.truth.PlainRuns("")-before, r.fleet.truth.PlainRuns(newVersion)
+	r.reportf("rollout of a version that is bad %v: %s, %d of %d runs", isBad, state, toNew, all)
 	switch {
 	case isBad && state == standin.RolloutDone:
-		r.breaks("a version whose answers all fail was rolled out")
+		r.violationf("a version whose responses all fail was rolled out")
 	case isBad && float64(toNew) > exposureShare*float64(all)+exposureSlack:
-		r.breaks("a bad version got %d of %d requests", toNew, all)
+		r.violationf("a bad version got %d of %d requests", toNew, all)
 	}
-	r.fleet.endVersion(state == standin.RolloutDone)
+	r.fleet.endUnusedVersion(state == standin.RolloutDone)
 }
 
-// orderRollout sends the order and tells whether it was acknowledged, as new or as under
-// way.
+// orderRollout sends the order and reports whether it was acknowledged, as new or as already in
+// progress (409).
 func (f *fleet) orderRollout(ctx context.Context) bool {
 	path, body := f.wire.Rollout(servicePlain, newVersion, rolloutDuration)
-	for _, position := range rand.Perm(controls) {
-		_, status := f.callOne(ctx, f.members[position], http.MethodPost, path, body)
+	for _, position := range rand.Perm(controlCount) {
+		_, status := f.callControlNode(ctx, f.members[position], http.MethodPost, path, body)
 		if status == http.StatusOK || status == http.StatusConflict {
 			return true
 		}
@@ -74,18 +74,18 @@
 	return false
 }
 
-// rolloutState reads how far the rollout is; "" if no control node tells.
+// rolloutState reads the state of the rollout; "" if no control node returns it.
 func (f *fleet) rolloutState(ctx context.Context) standin.RolloutState {
-	answer, found := f.callControl(ctx, http.MethodGet, f.wire.RolloutPath(servicePlain), nil)
+	response, found := f.callControl(ctx, http.MethodGet, f.wire.RolloutPath(servicePlain), nil)
 	if !found {
 		return ""
 	}
-	return f.wire.ReadRollout(answer)
+	return f.wire.ReadRollout(response)
 }
 
-// endVersion ends the engines that the rollout leaves without work: at once the old ones if
-// it is done, else the new ones after a word that they leave.
-func (f *fleet) endVersion(isDone bool) {
+// endUnusedVersion ends the engines that get no more requests after the rollout, without a drain:
+// the old version's if it is done, else the new version's.
+func (f *fleet) endUnusedVersion(isDone bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	if isDone {
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -1,7 +1,7 @@
 // Package soak runs the real daemons as separate processes on loopback, with
-// stand-ins for engines, callers and an operator, and faults from outside:
-// signals, lost disks, and relays that hold back, cut or silence connections.
-// It checks the promises from what callers and engines see.
+// stand-ins for engines, callers and an operator, and injects faults from outside:
+// signals, lost disks, and relays that delay, reset or block connections.
+// It checks ravenway's guarantees against what callers and engines see.
 package soak
 
 import (
@@ -23,98 +23,98 @@
 type Options struct {
 	// Daemon is the program of ravenwayd.
 	Daemon string
-	// Earlier is the daemon of an earlier build, if the fleet is to start on that and be
-	// upgraded to Daemon while faults are played; "" means no upgrade.
-	Earlier string
-	// EarlierHasQuarantine tells that the earlier build holds requests that end their
-	// engines in quarantine.
+	// EarlierDaemon is the program of an earlier build. If it is set, the fleet starts on that
+	// build and is upgraded to Daemon while faults are injected; "" means no upgrade.
+	EarlierDaemon string
+	// EarlierHasQuarantine reports whether the earlier build quarantines requests that crash their
+	// engines.
 	EarlierHasQuarantine bool
-	// GoesBack has half of the machines given the earlier build again before the upgrade
-	// goes on.
-	GoesBack bool
+	// ReturnsToEarlier makes half of the machines return to the earlier build before the upgrade
+	// continues.
+	ReturnsToEarlier bool
 	// Order is the order in which an upgrade replaces the machines.
 	Order Order
 	Wire  standin.Wire
 	Seed  uint64
 	// Entries is the number of entry nodes; there are always three control nodes.
 	Entries int
-	// Length is how long faults are played.
-	Length time.Duration
+	// FaultDuration is how long faults are injected.
+	FaultDuration time.Duration
 	// Folder is an empty folder for settings, disks and logs.
 	Folder string
-	// Lane keeps the loopback addresses of runs side by side apart.
+	// Lane separates the loopback addresses of concurrent runs.
 	Lane int
-	// Report gets the timeline; nil means none.
+	// Report receives the timeline; nil discards it.
 	Report io.Writer
 }
 
-// ErrBroken says that a promise was broken.
-var ErrBroken = errors.New("soak: a promise was broken")
+// ErrGuaranteeViolated indicates that a guarantee was violated.
+var ErrGuaranteeViolated = errors.New("soak: a guarantee was violated")
 
-// Summary is what a run came to.
+// Summary is the result of a run.
 type Summary struct {
 	Calls    int
 	Outcomes map[Outcome]int
 	Faults   int
-	// CutByStops are calls that had run and were cut while only a planned stop
-	// of their entry node was under way.
+	// CutByStops counts calls that had run and were cut while a planned stop of their entry node
+	// was the only fault in progress.
 	CutByStops int
-	// LedgerDistance is the most that a tenant is charged beyond what its callers got, as a
-	// part of its limit.
-	LedgerDistance float64
-	Broken         []string
+	// LedgerOvercharge is the maximum over the tenants of what is charged beyond what the callers
+	// received, as a fraction of the limit.
+	LedgerOvercharge float64
+	Violations       []string
 }
 
-// run is one seed's run.
+// run is the state of a run with one seed.
 type run struct {
-	fleet   *fleet
-	callers *callers
-	began   time.Time
-	// isUpgrade tells that the machines are given another build meanwhile.
-	isUpgrade bool
-	// endsBeforeQuarantine are the engines that each request ended before all nodes
-	// had a build with a quarantine.
-	endsBeforeQuarantine map[Kind]int
+	fleet     *fleet
+	callers   *callers
+	startedAt time.Time
+	// isUpgraded reports whether the machines are upgraded during the run.
+	isUpgraded bool
+	// crashesBeforeQuarantine counts the engines that each request crashed before all nodes had a
+	// build with a quarantine.
+	crashesBeforeQuarantine map[Kind]int
 
 	mutex      sync.Mutex
 	report     io.Writer
-	broken     []string
-	played     int
+	violations []string
+	injected   int
 	held       map[*machine]bool
 	diskLostAt time.Time
-	// rough are the spans in which a fault other than a planned stop was played.
-	rough []span
-	// ledgerDistance is the largest of any tenant's.
-	ledgerDistance float64
+	// disruptiveSpans are the spans in which a fault other than a planned stop was injected.
+	disruptiveSpans []span
+	// ledgerOvercharge is the maximum over the tenants.
+	ledgerOvercharge float64
 }
 
 type span struct{ from, until time.Duration }
 
 const (
-	series       = 2
-	settleTime   = 3 * time.Second
-	recoverWait  = 15 * time.Second
-	roughMargin  = 2 * time.Second
-	leastServed  = 0.25
-	finalDown    = time.Second
-	recoveryTime = 4 * time.Second
-	// poisonStream is the first of the seed's streams that poison requests draw from.
-	poisonStream = 1000
+	seriesCount         = 2
+	settleTime          = 3 * time.Second
+	maximumRecoveryWait = 15 * time.Second
+	disruptionMargin    = 2 * time.Second
+	minimumServedShare  = 0.25
+	finalDowntime       = time.Second
+	recoveryTime        = 4 * time.Second
+	// poisonRandomStream numbers the first of the random streams of poison requests.
+	poisonRandomStream = 1000
 )
 
 func placeName(place int) string { return fmt.Sprintf("place-%d", place) }
 
-// Run plays one seed.
+// Run runs a fleet with the faults of one seed and checks the guarantees.
 func Run(ctx context.Context, options Options) (Summary, error) {
 	if options.Report == nil {
 		options.Report = io.Discard
 	}
-	for _, program := range []string{options.Daemon, options.Earlier} {
+	for _, program := range []string{options.Daemon, options.EarlierDaemon} {
 		if program == "" {
 			continue
 		}
 		if _, err := os.Stat(program); err != nil {
-			return Summary{}, fmt.Errorf("the daemon's program: %w", err)
+			return Summary{}, fmt.Errorf("looking for the daemon's program: %w", err)
 		}
 	}
 	made, err := newFleet(options)
@@ -123,188 +123,188 @@
 	}
 	defer made.close()
 	began := time.Now()
-	made.began = began
-	r := &run{fleet: made, callers: newCallers(made, began), began: began, report: options.Report, held: map[*machine]bool{}, isUpgrade: options.Earlier != "", endsBeforeQuarantine: map[Kind]int{}}
-	r.note("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.Length)
+	made.startedAt = began
+	r := &run{fleet: made, callers: newCallers(made, began), startedAt: began, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.EarlierDaemon != "", crashesBeforeQuarantine: map[Kind]int{}}
+	r.reportf("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.FaultDuration)
 	background, stopBackground := context.WithCancel(ctx)
 	defer stopBackground()
-	go made.beat(background)
+	go made.sendHeartbeats(background)
 	if err := made.start(ctx); err != nil {
 		return Summary{}, err
 	}
-	r.note("all entry nodes are ready")
-	r.play(ctx, options)
+	r.reportf("all entry nodes are ready")
+	r.runFaults(ctx, options)
 	r.check(ctx)
 	return r.summarize()
 }
 
-// play sends calls while series of faults overlap, ends with all processes
-// killed at once, and lets the fleet recover.
-func (r *run) play(ctx context.Context, options Options) {
+// runFaults sends calls while concurrent series inject faults, then kills all processes at the same
+// time and lets the fleet recover.
+func (r *run) runFaults(ctx context.Context, options Options) {
 	calling, stopCalling := context.WithCancel(ctx)
 	var called sync.WaitGroup
 	called.Go(func() { r.callers.run(calling, rand.New(rand.NewPCG(options.Seed, 2))) })
 	for number, kind := range poisonKinds {
-		if options.Length == 0 {
-			// Without faults engines don't end either.
+		if options.FaultDuration == 0 {
+			// Without faults engines don't crash either.
 			break
 		}
 		called.Go(func() {
-			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonStream+uint64(number))))
+			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonRandomStream+uint64(number))))
 		})
 	}
-	faulty, stopFaults := context.WithTimeout(ctx, options.Length)
+	faulty, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
 	defer stopFaults()
 	var playing sync.WaitGroup
-	if options.Earlier != "" {
+	if options.EarlierDaemon != "" {
 		playing.Go(func() { r.upgrade(ctx, options) })
 	}
-	if options.Earlier == "" && options.Length > 0 {
+	if options.EarlierDaemon == "" && options.FaultDuration > 0 {
 		playing.Go(func() { r.rollout(ctx, options.Seed) })
-		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitStream))) })
-		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffStream))) })
+		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
+		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
 	}
-	for number := range series {
-		playing.Go(func() { r.playSeries(ctx, faulty, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
+	for number := range seriesCount {
+		playing.Go(func() { r.runFaultSeries(ctx, faulty, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
 	}
 	playing.Wait()
-	r.rougher(func() { r.bounceAll(ctx, finalDown, func(*machine) bool { return true }) })
-	r.noteRecovery(ctx)
+	r.injectDisruptive(func() { r.killAndRestartAll(ctx, finalDowntime, func(*machine) bool { return true }) })
+	r.checkRecovery(ctx)
 	stopCalling()
 	called.Wait()
 }
 
-func (r *run) playSeries(ctx, faulty context.Context, random *rand.Rand) {
+func (r *run) runFaultSeries(ctx, faulty context.Context, random *rand.Rand) {
 	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(2*faultPause))))
+		pause.For(faulty, time.Duration(random.Int64N(int64(2*meanFaultInterval))))
 		one := faults[random.IntN(len(faults))]
-		if r.isUpgrade && !isUpgradeFault(one.name) {
+		if r.isUpgraded && !isUpgradeFault(one.name) {
 			continue
 		}
-		r.note("fault %s", one.name)
+		r.reportf("fault %s", one.name)
 		if strings.HasPrefix(one.name, "planned_stop") || one.name == "configuration" || one.name == "drain_engine" {
-			one.play(ctx, r, random)
+			one.inject(ctx, r, random)
 		} else {
-			r.rougher(func() { one.play(ctx, r, random) })
+			r.injectDisruptive(func() { one.inject(ctx, r, random) })
 		}
 		r.mutex.Lock()
-		r.played++
+		r.injected++
 		r.mutex.Unlock()
 	}
 }
 
-// rougher notes the span of a fault that may cut requests.
-func (r *run) rougher(play func()) {
-	from := time.Since(r.began)
-	play()
+// injectDisruptive injects a fault that may cut requests and records its span.
+func (r *run) injectDisruptive(inject func()) {
+	from := time.Since(r.startedAt)
+	inject()
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.rough = append(r.rough, span{from: from, until: time.Since(r.began) + roughMargin})
+	r.disruptiveSpans = append(r.disruptiveSpans, span{from: from, until: time.Since(r.startedAt) + disruptionMargin})
 }
 
-// noteRecovery waits until calls are served again.
-func (r *run) noteRecovery(ctx context.Context) {
-	err := r.fleet.waitFor(ctx, recoverWait, "ready entries after the last fault", r.fleet.allReady)
+// checkRecovery waits until entry nodes are ready again, and checks that calls are served.
+func (r *run) checkRecovery(ctx context.Context) {
+	err := r.fleet.waitFor(ctx, maximumRecoveryWait, "ready entries after the last fault", r.fleet.allReady)
 	if err != nil {
-		r.breaks("%v", err)
+		r.violationf("%v", err)
 	}
 	pause.For(ctx, recoveryTime)
-	from := time.Since(r.began)
+	from := time.Since(r.startedAt)
 	pause.For(ctx, settleTime)
 	served, sent := 0, 0
-	for _, one := range r.callers.all() {
-		if one.began < from || one.kind == Stream || one.kind == Resumable {
-			// Streams may be out of tokens by then.
+	for _, one := range r.callers.snapshot() {
+		if one.startedAt < from || one.kind == Stream || one.kind == Resumable {
+			// The tenants of streams may have used up their tokens by then.
 			continue
 		}
 		sent++
-		if one.outcome == Whole {
+		if one.outcome == Complete {
 			served++
 		}
 	}
-	r.note("after the last fault %d of %d plain calls are served", served, sent)
-	if float64(served) < leastServed*float64(sent) || sent == 0 {
-		r.breaks("recovery: %d of %d plain calls are served", served, sent)
+	r.reportf("after the last fault %d of %d plain calls are served", served, sent)
+	if float64(served) < minimumServedShare*float64(sent) || sent == 0 {
+		r.violationf("recovery: %d of %d plain calls are served", served, sent)
 	}
 }
 
-// check judges the calls and reads the configuration back.
+// check runs all checks, and compares the configuration that the fleet returns with the one sent.
 func (r *run) check(ctx context.Context) {
-	r.judge()
+	r.checkCalls()
 	r.checkPoison()
 	r.checkLimits()
 	r.checkBackoff()
 	wrong := ""
-	if err := r.fleet.waitFor(ctx, recoverWait, "the configuration", func() bool {
-		wrong = r.fleet.readBack(ctx)
+	if err := r.fleet.waitFor(ctx, maximumRecoveryWait, "the configuration", func() bool {
+		wrong = r.fleet.checkConfiguration(ctx)
 		return wrong == ""
 	}); err != nil {
-		r.breaks("%v: %s", err, wrong)
+		r.violationf("%v: %s", err, wrong)
 	}
 	r.checkLedger(ctx)
 }
 
-// judge holds what callers saw against what engines ran.
-func (r *run) judge() {
-	for _, one := range r.callers.all() {
+// checkCalls compares what callers saw with what engines ran.
+func (r *run) checkCalls() {
+	for _, one := range r.callers.snapshot() {
 		runs := r.fleet.truth.Runs(one.id)
 		switch {
 		case one.outcome == Wrong:
-			r.breaks("call %s (%s) at %s got a wrong answer: %s", one.id, one.kind, one.entry.name, one.detail)
+			r.violationf("call %s (%s) at %s got a wrong answer: %s", one.id, one.kind, one.entry.name, one.detail)
 		case one.outcome == NotRun && runs > 0:
-			r.breaks("call %s (%s) at %s was refused with %s and ran %d times", one.id, one.kind, one.entry.name, one.detail, runs)
+			r.violationf("call %s (%s) at %s was refused with %s and ran %d times", one.id, one.kind, one.entry.name, one.detail, runs)
 		case runs > 1 && (one.kind == Once || one.kind == Stream):
-			r.breaks("call %s (%s) ran %d times", one.id, one.kind, runs)
+			r.violationf("call %s (%s) ran %d times", one.id, one.kind, runs)
 		}
 	}
 	for tenant, prepaid := range r.fleet.prepaid {
-		if used := r.fleet.truth.Tokens(tenant); used > prepaid {
-			r.breaks("%s got %d tokens of %d prepaid", tenant, used, prepaid)
+		if used := r.fleet.truth.DeliveredTokens(tenant); used > prepaid {
+			r.violationf("%s got %d tokens of %d prepaid", tenant, used, prepaid)
 		}
 	}
 }
 
 func (r *run) summarize() (Summary, error) {
 	summary := Summary{Outcomes: map[Outcome]int{}}
-	for _, one := range r.callers.all() {
+	for _, one := range r.callers.snapshot() {
 		summary.Calls++
 		summary.Outcomes[one.outcome]++
-		if one.outcome == Cut && one.stopping && r.fleet.truth.Runs(one.id) > 0 && !r.isRough(one) {
+		if one.outcome == Cut && one.isStopping && r.fleet.truth.Runs(one.id) > 0 && !r.wasDisrupted(one) {
 			summary.CutByStops++
-			r.breaks("call %s (%s) was cut by the planned stop of %s: %s", one.id, one.kind, one.entry.name, one.detail)
+			r.violationf("call %s (%s) was cut by the planned stop of %s: %s", one.id, one.kind, one.entry.name, one.detail)
 		}
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	summary.Faults, summary.Broken, summary.LedgerDistance = r.played, r.broken, r.ledgerDistance
-	if len(r.broken) > 0 {
-		return summary, fmt.Errorf("%w: %s", ErrBroken, strings.Join(r.broken, "; "))
+	summary.Faults, summary.Violations, summary.LedgerOvercharge = r.injected, r.violations, r.ledgerOvercharge
+	if len(r.violations) > 0 {
+		return summary, fmt.Errorf("%w: %s", ErrGuaranteeViolated, strings.Join(r.violations, "; "))
 	}
 	return summary, nil
 }
 
-// isRough tells whether any other fault was near a call.
-func (r *run) isRough(one result) bool {
+// wasDisrupted reports whether a fault other than a planned stop was in progress near a call.
+func (r *run) wasDisrupted(one result) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	for _, rough := range append(r.fleet.roughSpans(), r.rough...) {
-		if one.began <= rough.until && one.ended >= rough.from {
+	for _, disrupted := range append(r.fleet.copyCrashSpans(), r.disruptiveSpans...) {
+		if one.startedAt <= disrupted.until && one.endedAt >= disrupted.from {
 			return true
 		}
 	}
 	return false
 }
 
-func (r *run) note(format string, arguments ...any) {
+func (r *run) reportf(format string, arguments ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	_, _ = fmt.Fprintf(r.report, "%8.3f  %s\n", time.Since(r.began).Seconds(), fmt.Sprintf(format, arguments...))
+	_, _ = fmt.Fprintf(r.report, "%8.3f  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, arguments...))
 }
 
-func (r *run) breaks(format string, arguments ...any) {
+func (r *run) violationf(format string, arguments ...any) {
 	text := fmt.Sprintf(format, arguments...)
-	r.note("BROKEN: %s", text)
+	r.reportf("BROKEN: %s", text)
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.broken = append(r.broken, text)
+	r.violations = append(r.violations, text)
 }
