--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -11,84 +11,86 @@
 	"github.com/ravenway/ravenway/internal/lab/pausecheck"
 )
 
-// BackoffPolicy is what nodes make of the pauses that engines ask for.
+// BackoffPolicy is how entry nodes respond to the pauses that engines request.
 type BackoffPolicy string
 
-// Policies.
+// Policies of RunBackoff.
 const (
-	// PausesIgnored: nothing, the engine is chosen as before.
+	// PausesIgnored keeps choosing the engine as if it had not requested a pause.
 	PausesIgnored BackoffPolicy = "ignored"
-	// HardEnd: all goes on once the pause is over.
+	// HardEnd resumes all requests as soon as the pause has expired.
 	HardEnd BackoffPolicy = "hard_end"
-	// SpreadEnd: each node adds a drawn part of the pause.
+	// SpreadEnd extends the pause at each node by a random part of its length.
 	SpreadEnd BackoffPolicy = "spread_end"
-	// RankedEnd: nodes agree by rendezvous hashing on who comes back first.
+	// RankedEnd orders the nodes by rendezvous hashing, and they resume in that order.
 	RankedEnd BackoffPolicy = "ranked_end"
-	// Trials: few requests at a time until some have run, as backoff.Tracker does.
+	// Trials sends few requests at a time until some have run, as backoff.Tracker does.
 	Trials BackoffPolicy = "trials"
-	// SpreadTrials: both.
+	// SpreadTrials combines SpreadEnd and Trials.
 	SpreadTrials BackoffPolicy = "spread_trials"
-	// SharedTrials: nodes that were not asked try an engine with few requests too.
+	// SharedTrials is Trials, which also limits the nodes of which no pause was requested.
 	SharedTrials BackoffPolicy = "shared_trials"
 )
 
-// BackoffScenario is who asks for pauses.
+// BackoffScenario is which engines are overloaded and request pauses.
 type BackoffScenario string
 
-// Scenarios.
+// Scenarios of RunBackoff.
 const (
-	// ThirdIll: a third of the engines at once.
+	// ThirdIll: a third of the engines at the same time.
 	ThirdIll BackoffScenario = "third"
-	// ZoneIll: all of a zone.
+	// ZoneIll: all engines of one zone.
 	ZoneIll BackoffScenario = "zone"
-	// AllIll: all of the service.
+	// AllIll: all engines of the service.
 	AllIll BackoffScenario = "all"
-	// Wave: one after the other.
+	// Wave: one engine after the other.
 	Wave BackoffScenario = "wave"
 )
 
-// BackoffOptions set up a run.
+// BackoffOptions configures a run of RunBackoff.
 type BackoffOptions struct {
 	Seed     uint64
 	Policy   BackoffPolicy
 	Scenario BackoffScenario
 	Nodes    int
-	// Pause is what engines ask for.
+	// Pause is the length of the pauses that engines request.
 	Pause time.Duration
-	// Load is the offered load as a share of what all engines bear.
+	// Load is the offered load as a share of the capacity of all engines.
 	Load   float64
 	Faults bool
-	// Return is how requests come back in the policies that don't say so.
+	// Return is how requests resume after a pause, where the policy does not determine it.
 	Return backoff.ReturnPolicy
-	// AsksWhenFull has an engine that is full ask for a pause too, and not only turn
-	// requests away.
+	// AsksWhenFull makes an engine with a full queue request a pause too, instead of only
+	// rejecting requests.
 	AsksWhenFull bool
 }
 
-// BackoffResult is what a run came to.
+// BackoffResult is the result of RunBackoff.
 type BackoffResult struct {
 	*World
-	// Asked are the pauses that nodes were asked for, Later those after the engines were well
-	// again, when only too many requests at once bring one about.
+	// Asked counts the pauses that engines requested, Later those requested after the engines
+	// recovered, which only too many simultaneous requests cause.
 	Asked, Later int
-	// InPause is the most that came from one node in one pause.
+	// InPause is the maximum number of requests from one node during one pause.
 	InPause int
-	// Burst is the most that came to one engine in half a second after it was well again,
-	// relative to its part of the load.
+	// Burst is the maximum number of requests that reached one engine in half a second after it
+	// recovered, relative to its share of the load.
 	Burst float64
-	// Sent are the callers' requests from the first pause on, InTime those that were served
-	// within their objective from the caller's first try, Refused those that never were.
+	// Sent counts the callers' requests from the first pause on, InTime those that were served
+	// within the objective, counted from the caller's first try, and Refused those that were
+	// refused for good.
 	Sent, InTime, Refused int
-	// FullUse is how long after they were well the engines have their part of the load again.
+	// FullUse is the time from the recovery of an engine until it gets its share of the load
+	// again, the maximum over the engines.
 	FullUse time.Duration
 }
 
 const (
 	backoffZones = 3
 	backoffSlots = 8
-	// backoffQueue is what an engine queues before it turns requests away.
+	// backoffQueue is how many requests an engine queues before it rejects further ones.
 	backoffQueue = 8
-	// Work of a request at an engine.
+	// Bounds of the time that a request runs at an engine.
 	backoffWorkLeast, backoffWorkMost = 200 * time.Millisecond, 600 * time.Millisecond
 	backoffObjective                  = 800 * time.Millisecond
 	backoffDeadline                   = 4 * time.Second
@@ -98,7 +100,7 @@
 	backoffAfter                      = 12 * time.Second
 	backoffBurstWindow                = 500 * time.Millisecond
 	backoffLoadsEvery                 = 200 * time.Millisecond
-	// backoffSlowDial is the share of requests whose connection takes up to a while.
+	// backoffSlowDial is the share of requests whose connection takes up to backoffSlowDialMost.
 	backoffSlowDial, backoffSlowDialMost = 0.05, 250 * time.Millisecond
 	backoffFaultEvery                    = 1500 * time.Millisecond
 )
@@ -111,11 +113,12 @@
 	names   []string
 	engines map[string]*backoffEngine
 	order   []*backoffEngine
-	// wellFrom is when no engine is ill any more.
+	// wellFrom is when all engines have recovered.
 	wellFrom time.Duration
 }
 
-// backoffCall is one caller's request with all its tries.
+// backoffCall is one caller's request with all its tries. A try at a node may make several
+// attempts at engines.
 type backoffCall struct {
 	first    time.Duration
 	tries    int
@@ -124,7 +127,8 @@
 	tried    []string
 }
 
-// RunBackoff runs one seed.
+// RunBackoff simulates entry nodes that send requests to engines which request pauses. It runs
+// one seed.
 func RunBackoff(options BackoffOptions) BackoffResult {
 	world := NewWorld(options.Seed)
 	w := &backoffWorld{World: world, options: options, result: &BackoffResult{World: world}, engines: map[string]*backoffEngine{}}
@@ -160,7 +164,7 @@
 	w.After(time.Duration(w.Random.ExpFloat64()/w.perSecond()*float64(time.Second)), w.nextCall)
 }
 
-// try has a call come to a drawn node.
+// try sends a call to a random node.
 func (w *backoffWorld) try(call *backoffCall) {
 	call.tries++
 	call.tried = nil
@@ -175,8 +179,8 @@
 	return call.first >= backoffWarmUp && call.first < w.end()-backoffDeadline
 }
 
-// refuse answers a call with the time at which it may come back. Its caller does so within
-// a third of the time that it has left.
+// refuse answers a call with its retry time. The caller retries within a third of the time that
+// it has left.
 func (n *backoffNode) refuse(call *backoffCall) {
 	w := n.world
 	left := call.first + backoffDeadline - w.Now
@@ -193,7 +197,7 @@
 	w.After(min(comeBack, left/3), func() { w.try(call) })
 }
 
-// exchangeLoads tells each node what the others have under way.
+// exchangeLoads gives each node the load that the other nodes have in flight.
 func (w *backoffWorld) exchangeLoads() {
 	own := make([]balance.Loads, len(w.nodes))
 	total := balance.Loads{}
@@ -214,7 +218,7 @@
 	}
 }
 
-// disturb has a node start again, stand still, be suspended or cut off.
+// disturb restarts, freezes, suspends or partitions a random node, again and again.
 func (w *backoffWorld) disturb() {
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
 	lasting := w.Between(500*time.Millisecond, 3*time.Second)
@@ -257,13 +261,13 @@
 	}
 	var broken error
 	if w.result.InPause > pausecheck.Allowed {
-		broken = fmt.Errorf("%d requests of a node came in a pause, allowed %d", w.result.InPause, pausecheck.Allowed)
+		broken = fmt.Errorf("%d requests of one node arrived during a pause, allowed %d", w.result.InPause, pausecheck.Allowed)
 	}
 	w.Check(broken)
 }
 
-// fullUse is the time until an engine has had four fifths of its part of the load in a
-// second.
+// fullUse returns the time until an engine has received four fifths of its share of the load
+// within one second.
 func (w *backoffWorld) fullUse(arrivals []time.Duration, from time.Duration) time.Duration {
 	needed := int(0.8 * w.perSecond() / float64(len(w.order)))
 	for first := range arrivals {
--- a/internal/lab/simulate/backoff_test.go
+++ b/internal/lab/simulate/backoff_test.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/lab/pausecheck"
 )
 
-// backoffSeedsInCI are the seeds of each case of eight nodes.
+// backoffSeedsInCI is the number of seeds of each case with eight nodes.
 const backoffSeedsInCI = 3
 
 var backoffScenarios = []BackoffScenario{ThirdIll, ZoneIll, AllIll, Wave}
@@ -21,8 +21,9 @@
 	return RunBackoff(options)
 }
 
-// Guards against requests that come in a pause after their node started again, was suspended
-// or cut off, or that waited for a connection as the pause was asked for.
+// Guards against requests that reach an engine during a pause because their node was restarted,
+// suspended or partitioned, or because they were waiting for a connection when the pause was
+// requested.
 func TestPausesAreKeptWhateverTheNodesDo(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range backoffScenarios {
@@ -36,7 +37,7 @@
 	}
 }
 
-// Guards against seeds that can't be played again.
+// Guards against runs that the seed does not determine: a failing seed must be reproducible.
 func TestSimulationOfPausesRepeats(t *testing.T) {
 	t.Parallel()
 	play := func() BackoffResult {
@@ -53,15 +54,15 @@
 	assert.NilError(t, result.Broken)
 }
 
-// The simulation notices nodes that keep no pause.
+// The simulation detects nodes that ignore pauses.
 func TestPausesThatNobodyKeepsAreNoticed(t *testing.T) {
 	t.Parallel()
 	result := runBackoff(PausesIgnored, ThirdIll, 3*time.Second, func(*BackoffOptions) {})
 	assert.Assert(t, result.InPause > pausecheck.Allowed, "%d", result.InPause)
 }
 
-// Guards against nodes that come back all at once as the pauses of all engines end, and have
-// them ask for another one.
+// Guards against nodes that all resume at the same moment when the pauses of all engines expire:
+// the burst makes the engines request another pause.
 func TestEnginesAreNotOverrunAsTheirPausesEnd(t *testing.T) {
 	t.Parallel()
 	later := func(policy BackoffPolicy) (asked int, inTime float64) {
@@ -74,13 +75,13 @@
 	}
 	atOnce, servedAtOnce := later(HardEnd)
 	spread, servedSpread := later(SpreadTrials)
-	t.Logf("at once: %d more pauses, %.3f in time; spread: %d, %.3f", atOnce, servedAtOnce, spread, servedSpread)
+	t.Logf("simultaneous: %d more pauses, %.3f in time; spread: %d, %.3f", atOnce, servedAtOnce, spread, servedSpread)
 	assert.Assert(t, 2*spread < atOnce)
 	assert.Assert(t, servedSpread > servedAtOnce)
 }
 
-// Guards against engines that ask for a pause again and again, as long as they are ill, and
-// have each node's callers pay for it.
+// Guards against engines that request one pause after the other while they are overloaded, at
+// each of which callers of every node are refused.
 func TestFewCallersPayForEnginesThatAreStillIllAfterAPause(t *testing.T) {
 	t.Parallel()
 	refused := func(policy BackoffPolicy) (count, asked int) {
@@ -92,6 +93,6 @@
 	}
 	spread, askedSpread := refused(SpreadEnd)
 	tried, askedTried := refused(SpreadTrials)
-	t.Logf("spread: %d refused, %d pauses asked for; with trials: %d, %d", spread, askedSpread, tried, askedTried)
+	t.Logf("spread: %d refused, %d pauses requested; with trials: %d, %d", spread, askedSpread, tried, askedTried)
 	assert.Assert(t, tried < spread && askedTried < askedSpread)
 }
--- a/internal/lab/simulate/backoffengine.go
+++ b/internal/lab/simulate/backoffengine.go
@@ -9,7 +9,7 @@
 	"github.com/ravenway/ravenway/internal/lab/pausecheck"
 )
 
-// backoffEngine bears as many requests as it has slots, and queues a few.
+// backoffEngine runs as many requests at a time as it has slots, and queues a few more.
 type backoffEngine struct {
 	instance        registry.Instance
 	illFrom, illFor time.Duration
@@ -23,7 +23,7 @@
 	return now >= e.illFrom && now < e.illFrom+e.illFor
 }
 
-// engineCount grows with the nodes, slower than they do.
+// engineCount grows with the square root of the number of nodes.
 func (w *backoffWorld) engineCount() int {
 	return 12 * int(math.Ceil(math.Sqrt(float64(w.options.Nodes)/8)))
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// take runs a request once there is a slot.
+// take runs a request as soon as a slot is free.
 func (e *backoffEngine) take(w *backoffWorld, begun, ended func()) {
 	if e.running == backoffSlots {
 		e.queued++
--- a/internal/lab/simulate/backoffnode.go
+++ b/internal/lab/simulate/backoffnode.go
@@ -18,14 +18,14 @@
 	number  int
 	process int
 	clock   machineClock
-	// isCut tells that it reaches no engine.
+	// isCut reports whether the node is partitioned from all engines.
 	isCut   bool
 	table   *balance.Table
 	tracker *backoff.Tracker
 	retries *balance.RetryBudget
 }
 
-// start starts a node's process, which knows nothing of pauses.
+// start starts a new process of the node, which knows of no pauses.
 func (n *backoffNode) start() {
 	n.process++
 	n.clock = machineClock{bootedAt: n.world.Now}
@@ -45,11 +45,11 @@
 	n.table.Apply(instances)
 }
 
-// now is the node's steady clock.
+// now returns the time of the node's monotonic clock.
 func (n *backoffNode) now() time.Duration { return time.Minute + n.clock.read(n.world.Now) }
 
-// after runs an action of the node's present process after a time, later if it stands still
-// then.
+// after runs an action of the node's current process after a delay, and once the process has
+// resumed if it is paused then. The action is dropped if the process was restarted.
 func (n *backoffNode) after(delay time.Duration, action func()) {
 	process := n.process
 	var attempt func()
@@ -76,8 +76,8 @@
 	}
 }
 
-// forward chooses an engine for a call and sends it there, if that still takes it once its
-// connection is up.
+// forward chooses an engine for a call and sends the call there, if the engine is still
+// admissible once the connection is up.
 func (n *backoffNode) forward(call *backoffCall) {
 	w := n.world
 	choice, found := n.table.Choose(n.now(), n.request(call))
@@ -106,7 +106,7 @@
 	})
 }
 
-// send has a call arrive at an engine, which answers.
+// send delivers a call to an engine, which rejects, queues or runs it.
 func (n *backoffNode) send(call *backoffCall, choice balance.Choice) {
 	w, engine, process := n.world, n.world.engines[choice.ID], n.process
 	call.tried = append(call.tried, choice.ID)
@@ -129,7 +129,7 @@
 	})
 }
 
-// turnedAway takes an engine's word that it ran nothing, and perhaps wants a pause.
+// turnedAway handles the rejection of a call by an engine, which may request a pause with it.
 func (n *backoffNode) turnedAway(call *backoffCall, choice balance.Choice, asks bool) {
 	n.table.Done(n.now(), choice, balance.Full)
 	if asks {
@@ -145,7 +145,7 @@
 	n.forward(call)
 }
 
-// rankDelay is by how much the node keeps a pause longer where nodes agree on an order.
+// rankDelay returns by how much the node extends a pause under RankedEnd.
 func (n *backoffNode) rankDelay(engine string) time.Duration {
 	if n.world.options.Policy != RankedEnd {
 		return 0
@@ -156,7 +156,7 @@
 
 func (n *backoffNode) name() string { return fmt.Sprintf("entry-%d", n.number) }
 
-// returnPolicy is the part of the node's own policy that the options' has.
+// returnPolicy returns the part of the options' return policy that the simulated policy uses.
 func (w *backoffWorld) returnPolicy() backoff.ReturnPolicy {
 	policy, none := w.options.Return, backoff.ReturnPolicy{}
 	switch w.options.Policy {
@@ -171,7 +171,8 @@
 	return policy
 }
 
-// warnOthers tells the other nodes, with their loads, that an engine asked for a pause.
+// warnOthers informs the other nodes that an engine requested a pause, with the delay of the
+// load exchange.
 func (n *backoffNode) warnOthers(life registry.Life) {
 	for _, other := range n.world.nodes {
 		if other != n && !other.isCut {
@@ -193,7 +194,8 @@
 	}
 }
 
-// excuse forgets the pauses that the node was asked for: it could not hear of all.
+// excuse discards the records of the pauses requested of the node: while it was paused or
+// partitioned, it could not receive all of them.
 func (n *backoffNode) excuse() {
 	for _, engine := range n.world.order {
 		engine.records[n] = &pausecheck.Record{}
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -9,49 +9,49 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// BudgetPolicy is a way to spend a budget from many nodes.
+// BudgetPolicy is how many nodes spend one budget.
 type BudgetPolicy int
 
-// Policies: the product's own and the two that it is compared with.
+// Policies: that of the product, the baselines that it is compared with, and a deliberate defect.
 const (
-	// PolicyEscrow is the product's.
+	// PolicyEscrow is the policy of the product, see package escrow.
 	PolicyEscrow BudgetPolicy = iota
-	// PolicyStaticSplit gives each node an equal part once and for all.
+	// PolicyStaticSplit gives each node an equal, fixed part of the budget.
 	PolicyStaticSplit
-	// PolicyCentralCheck asks the root for every request.
+	// PolicyCentralCheck asks the root before each request.
 	PolicyCentralCheck
-	// PolicyNoRecall is the escrow without recalling unused grants.
+	// PolicyNoRecall is the escrow without recalls of unused grants.
 	PolicyNoRecall
-	// PolicyGrantOnTimeout is a deliberate defect: a silent holder's grant is
-	// taken for unspent after a while.
+	// PolicyGrantOnTimeout is a deliberate defect: the grant of an unreachable holder counts as
+	// unspent after a timeout.
 	PolicyGrantOnTimeout
 )
 
-// BudgetOptions set up a run.
+// BudgetOptions configures a run of RunBudgets.
 type BudgetOptions struct {
 	Seed   uint64
 	Policy BudgetPolicy
-	// Limit of the one budget that all zones draw from, in tokens.
+	// Limit is that of the one budget that all zones draw on, in tokens.
 	Limit uint64
-	// TopUp is added in the middle of the run, in two racing parts.
+	// TopUp is added in the middle of the run, in two concurrent parts, in tokens.
 	TopUp uint64
-	// Faults brings about cuts, restarts and lost messages.
+	// Faults injects partitions, restarts, and lost and duplicated messages.
 	Faults bool
-	// Rate of requests a second in the whole fleet.
+	// Rate is the number of requests a second in the whole fleet.
 	Rate float64
-	// Tight requests ask for large parts of what is left.
+	// Tight makes requests need up to a twentieth of the limit each.
 	Tight bool
 }
 
-// BudgetResult is what a run came to.
+// BudgetResult is the result of RunBudgets.
 type BudgetResult struct {
 	World    *World
 	Requests int
 	Served   int
-	// Used is what ran, in tokens; Limit the final limit.
+	// Used is the number of tokens that ran, Limit the final limit.
 	Used, Limit uint64
-	// FalseConnected and FalseCut count refusals although the budget held
-	// enough, without and during a cut of the node's zone.
+	// FalseConnected and FalseCut count refusals although the budget held enough. FalseCut are
+	// those during a partition of the node's zone, or shortly after a fault.
 	FalseConnected, FalseCut int
 	TrueRefusals             int
 	Messages                 int
@@ -73,26 +73,26 @@
 	holder *escrow.Holder
 	life   int
 	down   bool
-	// running are the requests that its reservations pay for.
+	// running are the requests that the node's reservations pay for, by sequence number.
 	running map[uint64]*runningRequest
-	// part is what a static split left it.
+	// part is what is left of the node's part of a static split, in tokens.
 	part uint64
 }
 
-// runningRequest is at an engine; it goes on when its node dies.
+// runningRequest runs at an engine, and continues if its node is killed.
 type runningRequest struct {
 	reservation escrow.Reservation
 	used        uint64
 	ended       bool
 }
 
-// lostLife is a life whose accounts are to be closed.
+// lostLife is a crashed incarnation whose accounts have to be closed.
 type lostLife struct {
 	id      accounts.HolderID
 	running map[uint64]*runningRequest
 }
 
-// BudgetSimulation has 8 nodes of three zones draw on one budget.
+// BudgetSimulation lets 8 nodes in three zones draw on one budget.
 type BudgetSimulation struct {
 	options  BudgetOptions
 	result   BudgetResult
@@ -104,28 +104,29 @@
 	names    []string
 	lost     []lostLife
 	cutZone  string
-	// disturbed is until when a refusal may be due to a fault just ended.
+	// disturbed is the time until which a refusal may be due to a recent fault.
 	disturbed time.Duration
 	reserved  uint64
 	central   uint64
 	resting   bool
-	// registered are the loans that the claim registers hold.
+	// registered holds the total of each loan in the claim registers.
 	registered map[registeredLoan]uint64
 	pending    map[*pendingRequest]struct{}
 }
 
-// registeredLoan names a loan's register.
+// registeredLoan is the key of a loan's register.
 type registeredLoan struct{ pair accounts.LoanPair }
 
-// pendingRequest waits for its reservation.
+// pendingRequest is a request that waits for its reservation.
 type pendingRequest struct {
 	node   *budgetNode
 	amount uint64
-	// everShort tells that the budget as a whole lacked it at some moment.
+	// everShort reports whether the whole budget was insufficient at any moment of the wait.
 	everShort bool
 }
 
-// RunBudgets runs one seed.
+// RunBudgets simulates nodes that draw on one budget through the escrow or through a baseline. It
+// runs one seed.
 func RunBudgets(options BudgetOptions) BudgetResult {
 	s := &BudgetSimulation{options: options, world: NewWorld(options.Seed), accounts: accounts.New(), nodes: map[string]*budgetNode{},
 		registered: map[registeredLoan]uint64{}, pending: map[*pendingRequest]struct{}{}}
@@ -168,9 +169,9 @@
 
 func (s *BudgetSimulation) check(err error) { s.world.Check(err) }
 
-// checkConservation: what ran, what nodes may still spend, what lost lives'
-// requests may still use and what the root can still grant is never more than
-// the limit. What is under way between them only lowers the sum.
+// checkConservation checks that the tokens that ran, those that nodes may still spend, those that
+// requests of crashed incarnations may still use, and those that the root can still grant never
+// sum up to more than the limit. Messages in flight only lower the sum.
 func (s *BudgetSimulation) checkConservation(after string) {
 	if s.options.Policy != PolicyEscrow && s.options.Policy != PolicyNoRecall {
 		return
@@ -190,7 +191,7 @@
 		}
 	}
 	if sum > budget.Limit {
-		s.check(fmt.Errorf("after %s: %d tokens ran or may yet be spent, the limit is %d", after, sum, budget.Limit))
+		s.check(fmt.Errorf("after %s: %d tokens ran or may still be spent, the limit is %d", after, sum, budget.Limit))
 	}
 	s.check(nil)
 }
@@ -222,7 +223,7 @@
 	})
 }
 
-// commit applies waiting reports, as the replicated log does.
+// commit applies the waiting reports, as the replicated log does.
 func (s *BudgetSimulation) commit() {
 	batch, found := s.root.Batch()
 	if !found {
@@ -273,7 +274,7 @@
 	})
 }
 
-// flush sends what a node's holder has to say.
+// flush sends the due report and the loan messages of a node's holder.
 func (s *BudgetSimulation) flush(node *budgetNode) {
 	if report, due := node.holder.Report(s.world.Now); due {
 		s.network.Send(node.name, rootName, func() { s.root.Take(report) })
@@ -301,8 +302,8 @@
 	})
 }
 
-// agreeLoan puts a loan into its register, which claims keep under faults (see
-// RunClaims): later, or never if the lender is fenced by then.
+// agreeLoan writes a loan into its register after a delay, or never if the lender is fenced by
+// then. That the registers hold under faults is checked by RunClaims.
 func (s *BudgetSimulation) agreeLoan(lender string, loan accounts.Loan) {
 	s.world.After(s.world.Between(time.Millisecond, 20*time.Millisecond), func() {
 		if s.accounts.Fenced(loan.Lender) {
@@ -314,7 +315,7 @@
 	})
 }
 
-// loansOf lists the registered loans from and to a life.
+// loansOf lists the registered loans from and to an incarnation.
 func (s *BudgetSimulation) loansOf(id accounts.HolderID) []accounts.Loan {
 	var loans []accounts.Loan
 	for key, total := range s.registered {
@@ -325,7 +326,7 @@
 	return loans
 }
 
-// arrive lets one request arrive at a random node.
+// arrive generates one request at a random node and schedules the next one.
 func (s *BudgetSimulation) arrive() {
 	if s.resting {
 		return
@@ -346,8 +347,8 @@
 	s.reserve(request)
 }
 
-// noteShort marks the waiting requests if the budget as a whole does not hold
-// enough now for all that waits: one of them must be refused then.
+// noteShort marks the waiting requests if the whole budget is currently insufficient for all of
+// them: at least one of them must be refused then.
 func (s *BudgetSimulation) noteShort() {
 	wanted := s.result.Used + s.reserved
 	for request := range s.pending {
@@ -404,7 +405,7 @@
 	s.flush(node)
 }
 
-// run lets a reserved request use a part of its bound at an engine.
+// run executes a reserved request at an engine, where it uses at least half of its bound.
 func (s *BudgetSimulation) run(request *pendingRequest, ended func(used uint64)) {
 	amount := request.amount
 	delete(s.pending, request)
@@ -422,8 +423,8 @@
 	})
 }
 
-// refused counts a refusal as false if the budget as a whole held enough all
-// the time that the request waited.
+// refused counts a refusal as false if the whole budget was sufficient for the whole time that
+// the request waited.
 func (s *BudgetSimulation) refused(request *pendingRequest) {
 	delete(s.pending, request)
 	switch {
@@ -432,7 +433,7 @@
 	case s.cutZone == request.node.zone:
 		s.result.FalseCut++
 	case s.world.Now < s.disturbed || len(s.lost) > 0:
-		// A part is held by a lost or cut-off node: true for lack of reach.
+		// A crashed or partitioned node holds a part of the budget, which is unreachable.
 		s.result.FalseCut++
 	default:
 		s.result.FalseConnected++
@@ -457,7 +458,7 @@
 	s.world.After(s.world.Between(100*time.Millisecond, 3*time.Second), func() { s.boot(node) })
 }
 
-// cutOff separates one zone from the others and from the root.
+// cutOff partitions one zone from the others and from the root.
 func (s *BudgetSimulation) cutOff() {
 	if s.cutZone != "" {
 		return
@@ -481,7 +482,8 @@
 	}
 }
 
-// returnSilentGrants is the deliberate defect of PolicyGrantOnTimeout.
+// returnSilentGrants is the deliberate defect of PolicyGrantOnTimeout: it takes back the grants
+// of nodes that are unreachable.
 func (s *BudgetSimulation) returnSilentGrants(silent []string) {
 	budget := s.accounts.Budget(budgetName)
 	for _, holder := range budget.OpenHolders() {
@@ -506,8 +508,8 @@
 	s.disturbed = max(s.disturbed, s.world.Now+8*time.Second)
 }
 
-// closeLost fences lost lives and closes their accounts once their requests
-// have ended and every other node has answered, as the daemon's reclaim does.
+// closeLost fences crashed incarnations and closes their accounts once their requests have ended
+// and all nodes have responded, as the daemon's reclaim does.
 func (s *BudgetSimulation) closeLost() {
 	kept := s.lost[:0]
 	for _, lost := range s.lost {
@@ -546,7 +548,7 @@
 	return true
 }
 
-// rest stops the load and heals everything.
+// rest stops the load, heals all partitions and starts the nodes that are down.
 func (s *BudgetSimulation) rest() {
 	s.resting = true
 	s.healCut()
@@ -558,7 +560,7 @@
 	}
 }
 
-// checkAtRest: everything that ran is billed, once, and nothing is stuck.
+// checkAtRest checks that all tokens that ran are billed exactly once, and that no grant is stuck.
 func (s *BudgetSimulation) checkAtRest() {
 	if s.world.Broken != nil || (s.options.Policy != PolicyEscrow && s.options.Policy != PolicyNoRecall) {
 		return
@@ -568,7 +570,7 @@
 		s.check(fmt.Errorf("%d tokens ran, %d are billed", s.result.Used, budget.Settled()))
 	}
 	if budget.Outstanding() > budget.Limit/100 {
-		s.check(fmt.Errorf("%d tokens are still granted out long after the load ended", budget.Outstanding()))
+		s.check(fmt.Errorf("%d tokens are still granted long after the load ended", budget.Outstanding()))
 	}
 	s.check(budget.Check())
 }
--- a/internal/lab/simulate/budgets_test.go
+++ b/internal/lab/simulate/budgets_test.go
@@ -6,8 +6,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// faultyBudget is a budget drawn on from every zone at once, running out in
-// the middle, topped up twice at the same moment.
+// faultyBudget is a budget that all zones draw on, that runs out in the middle of the run and is
+// then topped up twice at the same moment.
 func faultyBudget(seed uint64, policy BudgetPolicy) BudgetOptions {
 	return BudgetOptions{Seed: seed, Policy: policy, Limit: 400_000, TopUp: 200_000, Faults: true, Rate: 25}
 }
@@ -27,7 +27,8 @@
 	assert.Assert(t, broken != nil)
 }
 
-// While connected, a refusal is true: recalling makes it so.
+// Without a partition, a node must refuse only if the whole budget is insufficient. Recalls of
+// unused grants achieve that.
 func TestRefusalsAreTrueWhileConnected(t *testing.T) {
 	t.Parallel()
 	falseRefusals := map[BudgetPolicy]int{}
@@ -44,8 +45,8 @@
 	assert.Assert(t, falseRefusals[PolicyStaticSplit] > 0)
 }
 
-// In a cut-off zone the escrow refuses fewer than a central check, which can
-// serve nothing there, and than a static split over a whole run.
+// Over a whole run with partitions, the escrow falsely refuses fewer requests than a central
+// check, which can serve nothing in a partitioned zone, and than a static split.
 func TestCutZonesAreServedBetterThanByTheBaselines(t *testing.T) {
 	t.Parallel()
 	refusals := map[BudgetPolicy]int{}
--- a/internal/lab/simulate/claims.go
+++ b/internal/lab/simulate/claims.go
@@ -18,20 +18,19 @@
 	claimsTimeout  = 2 * time.Second
 )
 
-// ClaimsDefect deliberately breaks the claim registers, to show that the
-// simulation notices.
+// ClaimsDefect is a deliberate defect of the claim registers that the simulation must detect.
 type ClaimsDefect int
 
 const (
 	// ClaimsNoDefect runs the real code.
 	ClaimsNoDefect ClaimsDefect = iota
-	// ClaimsWithoutVectors counts answers of lives that are over.
+	// ClaimsWithoutVectors counts responses of earlier incarnations.
 	ClaimsWithoutVectors
-	// ClaimsWithoutRecovery lets a restarted holder answer at once.
+	// ClaimsWithoutRecovery lets a restarted acceptor respond before its recovery.
 	ClaimsWithoutRecovery
 )
 
-// claimsNode is one simulated machine without a disk.
+// claimsNode is one simulated machine without a disk: an acceptor and a proposer.
 type claimsNode struct {
 	name     string
 	holder   *claims.Holder
@@ -40,8 +39,8 @@
 	life     int
 }
 
-// ClaimsSimulation has routers race for a few keys while holders restart,
-// forget, and messages of earlier lives arrive late.
+// ClaimsSimulation lets routers compete for a few keys while acceptors restart and lose their
+// memory, and messages of earlier incarnations arrive late.
 type ClaimsSimulation struct {
 	World   *World
 	network *Network
@@ -49,8 +48,8 @@
 	pool    *membership.Pool
 	nodes   map[string]*claimsNode
 	names   []string
-	// winners holds, for each key, the owner whose dispatch was agreed, and
-	// settled the use that was agreed.
+	// winners holds for each key the owner whose dispatch was agreed on, settled the use in
+	// tokens that was agreed on.
 	winners map[claims.Key]accounts.HolderID
 	settled map[claims.Key]uint64
 	down    int
@@ -58,7 +57,7 @@
 	minted  uint64
 }
 
-// RunClaims runs one seed.
+// RunClaims simulates the claim registers under faults. It runs one seed.
 func RunClaims(seed uint64, defect ClaimsDefect) *World {
 	s := &ClaimsSimulation{
 		World: NewWorld(seed), defect: defect, nodes: map[string]*claimsNode{},
@@ -67,7 +66,7 @@
 	s.network = NewNetwork(s.World)
 	s.network.Loss = 0.05
 	s.network.Duplication = 0.05
-	// Long delays let answers of an earlier life arrive after a recovery.
+	// Long delays let responses of an earlier incarnation arrive after a recovery.
 	s.network.MaximumDelay = 400 * time.Millisecond
 	members := []membership.Node{{Name: "a-1", Zone: "a"}, {Name: "a-2", Zone: "a"}, {Name: "a-3", Zone: "a"}}
 	s.pool = membership.NewPool(members)
@@ -132,7 +131,7 @@
 	}
 }
 
-// request has a random router claim or settle a random key.
+// request lets a random router claim or settle a random key, or claim a newly generated one.
 func (s *ClaimsSimulation) request() {
 	if s.healed {
 		return
@@ -155,8 +154,8 @@
 	s.claim(node, key)
 }
 
-// mint claims a key that only this node knows, with one round, and soon has
-// another node read it, as a fence does.
+// mint claims a newly generated key that only this node knows, in one round. A random node reads
+// it within a second, as a fence does.
 func (s *ClaimsSimulation) mint(node *claimsNode) {
 	s.minted++
 	key := claims.NewKey("minted", fmt.Sprint(s.minted))
@@ -176,7 +175,8 @@
 	s.World.After(s.World.Between(0, time.Second), func() { s.readMinted(reader.name, key) })
 }
 
-// readMinted: what was agreed before the read began is seen by it.
+// readMinted reads a generated key, and checks that the read sees a claim that was agreed on
+// before the read began.
 func (s *ClaimsSimulation) readMinted(name string, key claims.Key) {
 	reader := s.nodes[name]
 	if reader.holder == nil {
@@ -186,7 +186,7 @@
 	read := func(*claims.Claim) *claims.Claim { return nil }
 	reader.proposer.Change(s.World.Now, s.World.Now+claimsTimeout, "a", key, read, func(outcome claims.Outcome) {
 		if outcome.Err == nil && agreed && outcome.Claim == nil {
-			s.World.Check(fmt.Errorf("the minted key %s was agreed and then not seen", key))
+			s.World.Check(fmt.Errorf("the generated key %s was agreed on and then not seen", key))
 		}
 		if outcome.Err == nil && outcome.Claim != nil {
 			s.checkOwner(key, outcome.Claim)
@@ -231,8 +231,8 @@
 	s.sendAll(node, node.proposer.Outgoing())
 }
 
-// checkOwner: once a dispatch was agreed, every later answer names the same
-// owner, and once a use was agreed, the same use.
+// checkOwner checks that all outcomes after an agreed dispatch name the same owner, and all
+// outcomes after an agreed use the same use.
 func (s *ClaimsSimulation) checkOwner(key claims.Key, claim *claims.Claim) {
 	known, found := s.winners[key]
 	if found && known != claim.Owner {
@@ -248,7 +248,7 @@
 	s.settled[key] = claim.Used
 }
 
-// checkSettled: what began after a use was agreed sees that use.
+// checkSettled checks that an operation that began after a use was agreed on sees that use.
 func (s *ClaimsSimulation) checkSettled(key claims.Key, claim *claims.Claim, used uint64, wasSettled bool) {
 	if wasSettled && (claim.State != claims.Settled || claim.Used != used) {
 		s.World.Check(fmt.Errorf("key %s was settled with %d and is now %s with %d", key, used, claim.State, claim.Used))
@@ -264,7 +264,8 @@
 	node := s.nodes[s.names[s.World.Random.IntN(len(s.names))]]
 	switch s.World.Random.IntN(3) {
 	case 0, 1:
-		// One holder at a time: two that forget at once lose a majority's memory.
+		// Only one acceptor at a time: if two lose their memory at the same time, a majority has
+		// forgotten what was agreed on.
 		if s.down > 0 || node.holder == nil || s.recovering() {
 			return
 		}
@@ -293,7 +294,7 @@
 	return false
 }
 
-// checkAgreement reads every key through every node after the heal.
+// checkAgreement reads each key through each node after the network has healed.
 func (s *ClaimsSimulation) checkAgreement() {
 	for key := range s.winners {
 		for _, name := range s.names {
--- a/internal/lab/simulate/consensus.go
+++ b/internal/lab/simulate/consensus.go
@@ -21,35 +21,34 @@
 	consensusHealTime  = 20 * time.Second
 	consensusClients   = 4
 	consensusRegisters = 3
-	// snapshotEveryEntries is low, so that snapshots and compaction happen often.
+	// snapshotEveryEntries is low so that snapshots and compaction happen often.
 	snapshotEveryEntries = 25
 )
 
-// ConsensusDefect deliberately breaks the replicated log, to show that the
-// simulation notices.
+// ConsensusDefect is a deliberate defect of the replicated log that the simulation must detect.
 type ConsensusDefect int
 
 const (
 	// NoDefect runs the real code.
 	NoDefect ConsensusDefect = iota
-	// EmptyDiskKeepsIdentity lets a replica with an erased disk vote under its
-	// old identity.
+	// EmptyDiskKeepsIdentity lets a replica with an erased disk vote under its old identity.
 	EmptyDiskKeepsIdentity
-	// ReadWithoutQuorum answers reads from the leader's memory at once.
+	// ReadWithoutQuorum answers reads from the leader's memory without asking a quorum.
 	ReadWithoutQuorum
 	// DiskWithoutSync acknowledges before data is synced.
 	DiskWithoutSync
 )
 
-// registerCommand writes one register.
+// registerCommand writes one register, unless Raise or IsMarker is set.
 type registerCommand struct {
 	Register int
 	Value    uint64
-	// Raise raises the log's version instead.
+	// Raise raises the version of the log instead.
 	Raise machine.LogVersion `msgpack:",omitempty"`
 	// Needs is the version of the log that a build must read to apply the command.
 	Needs machine.LogVersion `msgpack:",omitempty"`
-	// IsMarker changes nothing: its commit shows that what was proposed before is committed.
+	// IsMarker makes the command change nothing: its commit shows that all earlier proposals are
+	// committed or never will be.
 	IsMarker bool `msgpack:",omitempty"`
 }
 
@@ -57,8 +56,8 @@
 type registerMachine struct {
 	values  [consensusRegisters]uint64
 	version machine.LogVersion
-	// reads is the newest version of the log that the node's build reads; missed tells that
-	// it was to apply a command beyond that, and that its state differs since.
+	// reads is the newest version of the log that the node's build reads. missed reports whether
+	// the machine had to apply a command of a newer version, since when its state differs.
 	reads  machine.LogVersion
 	missed bool
 }
@@ -71,7 +70,7 @@
 	switch {
 	case command.IsMarker:
 	case command.Raise > 0:
-		// A build that doesn't know the command refuses it, and keeps its state.
+		// A build that does not know the command refuses it and keeps its state.
 		if m.reads > machine.VersionFirst {
 			m.version = max(m.version, command.Raise)
 		}
@@ -111,10 +110,10 @@
 	replica *consensus.Replica
 	machine *registerMachine
 	frozen  bool
-	// pending are messages that came while the node was frozen.
+	// pending are the messages that arrived while the node was frozen.
 	pending []consensus.Message
 	life    int
-	// build is what differs between builds.
+	// build is the state of the node that depends on its build.
 	build upgradedBuild
 }
 
@@ -132,7 +131,7 @@
 	operations   []porcupine.Operation
 	nextValue    uint64
 	healed       bool
-	// upgrade replaces the nodes' builds meanwhile; nil if all have the same.
+	// upgrade replaces the builds of the nodes during the run; nil if all have the same build.
 	upgrade *upgrade
 }
 
@@ -140,7 +139,8 @@
 	term uint64
 }
 
-// RunConsensus runs one seed and returns its world; Broken tells the outcome.
+// RunConsensus simulates the replicated log under faults. It runs one seed; Broken of the returned
+// world is the violated invariant, if any.
 func RunConsensus(seed uint64, defect ConsensusDefect) *World {
 	return newConsensusSimulation(seed, defect).run()
 }
@@ -180,7 +180,7 @@
 	s.World.After(8*time.Second, s.injectFault)
 }
 
-// boot starts a node's process. A node whose disk is empty takes a new identity.
+// boot starts the process of a node. A node with an empty disk gets a new identity.
 func (s *ConsensusSimulation) boot(node *controlNode, bootstrap bool) {
 	names, _ := node.disk.List()
 	if len(names) == 0 && (node.id == 0 || s.defect != EmptyDiskKeepsIdentity) {
@@ -251,7 +251,7 @@
 	s.checkNode(node)
 }
 
-// checkNode holds the invariants of one replica after each of its steps.
+// checkNode checks the invariants of one replica after each of its steps.
 func (s *ConsensusSimulation) checkNode(node *controlNode) {
 	core := node.replica.Core()
 	if core.Role() == consensus.Leader {
@@ -274,14 +274,14 @@
 	}
 	s.committed[commit] = entry
 	if node.machine.missed {
-		s.World.Check(fmt.Errorf("%s was to apply a command that its build can't read", node.name))
+		s.World.Check(fmt.Errorf("%s had to apply a command that its build can't read", node.name))
 	}
 	s.World.Check(nil)
 }
 
-// manageMembers is what the daemon's membership duty does on the leader: it
-// adds new identities as learners, promotes them once they hold the log, and
-// removes the old identity of the same node.
+// manageMembers does what the daemon's membership duty does on the leader: it adds new identities
+// as learners, promotes them once they hold the log, and removes the old identity of the same
+// node.
 func (s *ConsensusSimulation) manageMembers() bool {
 	leader := s.leader()
 	if leader == nil {
@@ -317,7 +317,7 @@
 	return leader
 }
 
-// runClient does one read or write at a random node and records it.
+// runClient performs one read or write at a random node, if that is a leader, and records it.
 func (s *ConsensusSimulation) runClient(client int) {
 	if s.healed {
 		return
@@ -359,7 +359,7 @@
 		}
 		operation.Return = int64(s.World.Now)
 		if err != nil {
-			// It may take effect at any later time, or never.
+			// The write may take effect at any later time, or never.
 			operation.Return = int64(consensusRunTime + 2*consensusHealTime)
 		}
 		s.operations = append(s.operations, operation)
@@ -408,7 +408,8 @@
 	})
 }
 
-// injectFault brings about one fault and undoes it later; faults may overlap.
+// injectFault injects one fault, which is undone later, and schedules the next one. Faults may
+// overlap.
 func (s *ConsensusSimulation) injectFault() {
 	if s.healed {
 		return
@@ -449,9 +450,9 @@
 	s.World.After(s.World.Between(500*time.Millisecond, 4*time.Second), s.injectFault)
 }
 
-// loseDisk replaces a machine, but only while the group can bear it: losing a
-// second disk before the first is repaired loses the quorum's data, and no
-// protocol can help. Right after the repair is reported it must be safe.
+// loseDisk erases a node's disk, but only while the group tolerates that: losing a second disk
+// before the first is repaired loses the quorum's data, which no protocol can prevent. As soon as
+// the leader reports the repair, the next loss must be safe.
 func (s *ConsensusSimulation) loseDisk(node *controlNode) {
 	leader := s.leader()
 	if leader == nil || leader == node || !s.repaired(leader) {
@@ -463,7 +464,7 @@
 	s.World.After(s.World.Between(100*time.Millisecond, 2*time.Second), func() { s.restart(node) })
 }
 
-// repaired tells what the leader reports: three voters, all holding the log.
+// repaired reports whether the leader sees three voters that all hold the log.
 func (s *ConsensusSimulation) repaired(leader *controlNode) bool {
 	core := leader.replica.Core()
 	voters := core.Configuration().Voters()
@@ -522,15 +523,15 @@
 	}
 }
 
-// checkAfterHeal: the group agrees again, and the recorded history of reads
-// and writes is linearizable.
+// checkAfterHeal checks that all nodes have the same state again and are voters, and that the
+// recorded history of reads and writes is linearizable.
 func (s *ConsensusSimulation) checkAfterHeal() {
 	if s.World.Broken != nil {
 		return
 	}
 	leader := s.leader()
 	if leader == nil {
-		s.World.Check(fmt.Errorf("no leader %v after the heal", consensusHealTime))
+		s.World.Check(fmt.Errorf("no leader %v after the faults ended", consensusHealTime))
 		return
 	}
 	for _, node := range s.nodes {
@@ -553,7 +554,7 @@
 	value    uint64
 }
 
-// registerModel is what the recorded history is checked against.
+// registerModel is the model that the recorded history is checked against.
 var registerModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		parts := make([][]porcupine.Operation, consensusRegisters)
--- a/internal/lab/simulate/consensus_test.go
+++ b/internal/lab/simulate/consensus_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// seedsInCI is the number of seeds each mechanism runs in CI.
+// seedsInCI is the number of seeds that CI runs for each mechanism.
 const seedsInCI = 200
 
-// runSeeds runs seeds side by side and fails with the first broken one.
+// runSeeds runs seeds in parallel and fails at the first violated invariant of each lane.
 func runSeeds(t *testing.T, count int, run func(seed uint64) *World) {
 	t.Helper()
 	const lanes = 8
@@ -32,7 +32,8 @@
 	}
 }
 
-// brokenSeed returns the first seed that notices a deliberate defect.
+// brokenSeed returns the violated invariant of the first seed that detects a deliberate defect,
+// or nil if no seed does.
 func brokenSeed(t *testing.T, count int, run func(seed uint64) *World) error {
 	t.Helper()
 	for seed := range count {
@@ -63,9 +64,9 @@
 	assert.Assert(t, broken != nil)
 }
 
-// Seed 9 once left a replica behind for good: a doubled acknowledgement
-// lowered the leader's flight counter twice, so a lost append was never
-// sent again.
+// Guards against a replica that stays behind forever, as seen with seed 9: a duplicated
+// acknowledgement decremented the leader's counter of messages in flight twice, so that a lost
+// append was never sent again.
 func TestLostAppendIsSentAgainAfterDoubledAcknowledgement(t *testing.T) {
 	for _, seed := range []uint64{9, 92} {
 		assert.NilError(t, RunConsensus(seed, NoDefect).Broken)
--- a/internal/lab/simulate/cutloans.go
+++ b/internal/lab/simulate/cutloans.go
@@ -10,22 +10,22 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// CutLoansPolicy is how entry nodes that are cut off from the core find tokens
-// that other nodes hold.
+// CutLoansPolicy is how entry nodes that are partitioned from the core find tokens that other
+// nodes hold.
 type CutLoansPolicy int
 
 // Policies of RunCutLoans.
 const (
-	// SearchNeighbours asks the neighbours in rounds, see escrow.
+	// SearchNeighbours requests loans from the neighbours in rounds, see package escrow.
 	SearchNeighbours CutLoansPolicy = iota
-	// PoolInZone has two nodes of each zone hold a budget for all that need little.
+	// PoolInZone lets two nodes of each zone hold a budget for all nodes that need little of it.
 	PoolInZone
-	// OneHolder has a single holder of all budgets: no policy can serve more.
+	// OneHolder has a single holder of all budgets: the upper bound of what a policy can serve.
 	OneHolder
 )
 
-// CutLoansOptions set up a run: zones of entry nodes, callers that a hash spreads
-// over them, prepaid tokens for twice the run, and a cut of all nodes from the core.
+// CutLoansOptions configures a run of RunCutLoans: zones of entry nodes, callers that a hash
+// spreads over them, prepaid tokens for twice the run, and a partition of all nodes from the core.
 type CutLoansOptions struct {
 	Seed   uint64
 	Policy CutLoansPolicy
@@ -33,17 +33,17 @@
 	NodesAZone int
 }
 
-// CutLoansResult counts what happened in the cut.
+// CutLoansResult counts the requests and messages during the partition.
 type CutLoansResult struct {
 	World *World
-	// Requests and Refused are first tries in the cut, Returns those that came
-	// back elsewhere, and ReturnsRefused those that were refused once more.
+	// Requests and Refused count first tries, Returns the refused requests that were retried at
+	// another node, and ReturnsRefused those that were refused again there.
 	Requests, Refused, Returns, ReturnsRefused int
-	// Messages are lending messages in the cut, Links pairs of nodes with any, and
-	// MostReceived the most that one node received in the cut.
+	// Messages counts the pool and loan messages of the whole run, Links the directed pairs of
+	// nodes with any, and MostReceived is the maximum that one node received.
 	Messages, Links, MostReceived int
-	// FreeInZone are first tries that were refused though the zone's nodes together
-	// had enough.
+	// FreeInZone counts the first tries that were refused although the nodes of the zone together
+	// held enough free tokens.
 	FreeInZone int
 }
 
@@ -71,14 +71,13 @@
 
 func (n *cutNode) name() string { return fmt.Sprintf("n%d", n.number) }
 
-// cutCaller is one caller: the node that its hash chooses, and its part of the
-// requests.
+// cutCaller is one caller: the node that its hash chooses, and its weight among the callers.
 type cutCaller struct {
 	node *cutNode
 	rate float64
 }
 
-// zonePool names a zone's pool of a budget.
+// zonePool is the key of a zone's pool of a budget.
 type zonePool struct {
 	zone   int
 	budget string
@@ -98,7 +97,8 @@
 	pools    map[zonePool][]*cutNode
 }
 
-// RunCutLoans runs one seed.
+// RunCutLoans simulates lending between entry nodes that are partitioned from the core. It runs one
+// seed.
 func RunCutLoans(options CutLoansOptions) CutLoansResult {
 	s := &cutLoans{
 		options: options, world: NewWorld(options.Seed), accounts: accounts.New(), links: map[link]bool{}, pools: map[zonePool][]*cutNode{},
@@ -144,7 +144,7 @@
 	}
 }
 
-// lendersOf are all other nodes, those of the own zone first.
+// lendersOf lists all other nodes, those of the same zone first.
 func (s *cutLoans) lendersOf(node *cutNode) []string {
 	var near, far []string
 	for step := 1; step < len(s.nodes); step++ {
@@ -158,7 +158,7 @@
 	return append(near, far...)
 }
 
-// drawCallers gives each caller a node and a rate. Each sends for all tenants.
+// drawCallers draws a node and a rate for each caller. Each caller sends for all tenants.
 func (s *cutLoans) drawCallers() {
 	for number := range cutZones * callersAZone {
 		place := s.world.Random.IntN(s.options.NodesAZone)*cutZones + number%cutZones
@@ -168,7 +168,7 @@
 	}
 }
 
-// drawBudget draws a request's tenant: a few are large.
+// drawBudget draws the budget of a request's tenant. A few tenants are large.
 func (s *cutLoans) drawBudget() string {
 	return fmt.Sprint("tenant-", int(math.Pow(s.world.Random.Float64(), 2)*cutTenants))
 }
@@ -198,7 +198,7 @@
 	})
 }
 
-// toNode brings the root's message to a node, unless the cut is on.
+// toNode delivers a message of the root to a node, unless the nodes are partitioned by then.
 func (s *cutLoans) toNode(to string, act func(*cutNode)) {
 	s.world.After(nodeDelay, func() {
 		if s.isCut() {
@@ -256,7 +256,7 @@
 	s.flush(node)
 }
 
-// arrive lets one request of some caller come and draws the next.
+// arrive generates one request of a random caller and schedules the next one.
 func (s *cutLoans) arrive() {
 	drawn := s.world.Random.Float64() * s.weights
 	for _, caller := range s.callers {
@@ -268,8 +268,8 @@
 	s.world.After(time.Duration(s.world.Random.ExpFloat64()/requestsAZone/cutZones*float64(time.Second)), s.arrive)
 }
 
-// drawTokens draws a request's tokens: long documents, letters and short questions
-// as the large deployments have them, with long tails. 0 needs none.
+// drawTokens draws the tokens of a request: long documents, letters and short questions in the
+// proportions of the large deployments, with long tails. A request with 0 needs no reservation.
 func (s *cutLoans) drawTokens() uint64 {
 	tail := math.Exp(1.05*s.world.Random.NormFloat64() - 0.55)
 	switch drawn := s.world.Random.Float64() * 825; {
@@ -330,7 +330,7 @@
 	s.world.After(cutReturn, func() { s.ask(elsewhere, budget, tokens, false) })
 }
 
-// pool are a zone's pool holders of a budget, by rendezvous.
+// pool returns a zone's pool holders of a budget, chosen by rendezvous hashing.
 func (s *cutLoans) pool(zone int, budget string) []*cutNode {
 	key := zonePool{zone: zone, budget: budget}
 	if s.pools[key] == nil {
@@ -351,7 +351,7 @@
 	return chosen
 }
 
-// poolBefore are the pool holders that come before a node.
+// poolBefore lists the pool holders that rank before a node in its zone.
 func (s *cutLoans) poolBefore(node *cutNode, budget string) []string {
 	var before []string
 	for _, holder := range s.pool(node.zone(), budget) {
--- a/internal/lab/simulate/cutloans_test.go
+++ b/internal/lab/simulate/cutloans_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// 300 small entry nodes are cut off from the core for 8 s. Each needs a request's
-// worth of tokens of each of 40 tenants now and then: split over all nodes they are
-// too few at any of them, though the zone has enough.
+// Guards against refusals while 300 small entry nodes are partitioned from the core for 8 s. Each
+// occasionally needs the tokens of a request of each of 40 tenants. Split over all nodes, no single
+// node has enough tokens, although the zone as a whole has.
 func TestPoolsServeInACutWhatSplitTokensDoNot(t *testing.T) {
 	t.Parallel()
 	names := []string{"search", "pool", "one holder"}
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -7,78 +7,79 @@
 	"github.com/ravenway/ravenway/internal/coordination/overload"
 )
 
-// HeavyCallerPolicy is what an entry node with too much to do does.
+// HeavyCallerPolicy is how an overloaded entry node sheds load.
 type HeavyCallerPolicy int
 
 // Policies of RunHeavyCaller.
 const (
-	// TakeAll serves whatever comes.
+	// TakeAll serves all requests.
 	TakeAll HeavyCallerPolicy = iota
-	// ShedByReadiness asks for no more callers while the link is full.
+	// ShedByReadiness reports the node as not ready for further callers while its link is full,
+	// see overload.Shedder.
 	ShedByReadiness
-	// TurnAwayHeavy turns requests of heavy callers away, see overload.Gate.
+	// TurnAwayHeavy refuses requests of heavy callers, see overload.Gate.
 	TurnAwayHeavy
 	// TurnAwayAndShed does both.
 	TurnAwayAndShed
 )
 
-// HeavyCallerOptions set up a run: a zone of small entry nodes, callers that a
-// hash spreads over them, and one caller with a large share of all requests.
+// HeavyCallerOptions configures a run of RunHeavyCaller: a zone of small entry nodes, callers that
+// a hash spreads over them, and one caller with a large share of all requests.
 type HeavyCallerOptions struct {
 	Seed   uint64
 	Policy HeavyCallerPolicy
-	// HeavyShare is the heavy caller's part of the requests.
+	// HeavyShare is the heavy caller's share of the requests.
 	HeavyShare float64
 	Length     time.Duration
 }
 
-// HeavyCallerResult counts requests. Late ones were served, but not in time from
-// their first try on.
+// HeavyCallerResult counts requests. Late ones were served, but not within the objective, counted
+// from their first try.
 type HeavyCallerResult struct {
 	Requests, InTime, Late, Refused int
-	// LightLate are late requests of the other callers.
+	// LightLate counts the late requests of the other callers, LightRequests all of theirs.
 	LightLate, LightRequests int
-	// TurnedAway are first tries that were sent elsewhere, Moves how often the
-	// heavy caller got another entry node.
+	// TurnedAway counts first tries that were refused and retried at another node, Moves how often
+	// the heavy caller was assigned another entry node.
 	TurnedAway, Moves int
-	// MostWaiting is the most requests at one node at a time.
+	// MostWaiting is the maximum number of requests at one node at a time.
 	MostWaiting int
 }
 
-// A zone as the large deployments have it.
+// The size and load of a zone in the large deployments.
 const (
 	heavyNodes   = 62
 	heavyCallers = 103
-	// heavyRate is the zone's requests a second.
+	// heavyRate is the number of requests a second in the zone.
 	heavyRate = 172.0
-	// stageWork is a node's processor time for one of the stages of a request: on a
-	// fifth of a core some 9 ms in all, as measured at a node with 95 requests a
-	// second that was at its limit.
+	// stageWork is a node's processor time for one of the stages of a request. On a fifth of a
+	// core, all stages together take some 9 ms, as measured at a saturated node with 95 requests
+	// a second.
 	stageWork   = 1500 * time.Microsecond
 	stages      = 6
 	engineStage = 4
 	engineTime  = 150 * time.Millisecond
-	// heavyLink is what a node's link carries in a second, in bytes.
+	// heavyLink is the capacity of a node's link in bytes a second.
 	heavyLink      = 1_250_000.0
 	heavyBody      = 6200.0
 	heavyLongBody  = 40_000.0
 	heavyObjective = 600 * time.Millisecond
-	// The time that a caller who was turned away waits.
+	// Bounds of the time after which a refused caller retries.
 	returnLeast, returnMost = 50 * time.Millisecond, 150 * time.Millisecond
 	lagReading              = 50 * time.Millisecond
 	shedReading             = 300 * time.Millisecond
 	readinessPoll           = time.Second
 )
 
-// entryMachine is one node: a processor and a link that serve in order.
+// entryMachine is one node: a processor and a link that each serve in order of arrival.
 type entryMachine struct {
 	processorFree, linkFree time.Duration
 	gate                    *overload.Gate
 	shedder                 overload.Shedder
-	// received are the bytes of bodies since the start.
+	// received counts the bytes of request bodies since the start.
 	received int64
 	waiting  int
-	// isListed tells that the platform sends callers here.
+	// isListed reports whether the platform sends callers here.
 	isListed bool
 }
 
@@ -87,11 +88,11 @@
 	world    *World
 	result   HeavyCallerResult
 	machines []*entryMachine
-	// at is the heavy caller's entry node.
+	// at is the number of the heavy caller's entry node, or -1 before its first request.
 	at int
 }
 
-// callerRequest is one request on its way.
+// callerRequest is one request in flight.
 type callerRequest struct {
 	caller  int
 	bytes   int64
@@ -99,7 +100,7 @@
 	retries int
 }
 
-// RunHeavyCaller runs one seed.
+// RunHeavyCaller simulates a zone of entry nodes with one heavy caller. It runs one seed.
 func RunHeavyCaller(options HeavyCallerOptions) HeavyCallerResult {
 	s := &heavyCaller{options: options, world: NewWorld(options.Seed), at: -1}
 	for range heavyNodes {
@@ -113,7 +114,7 @@
 	return s.result
 }
 
-// arrive lets one request come and draws the next.
+// arrive generates one request and schedules the next one.
 func (s *heavyCaller) arrive() {
 	request := &callerRequest{caller: 1 + s.world.Random.IntN(heavyCallers-1), first: s.world.Now}
 	if s.world.Chance(s.options.HeavyShare) {
@@ -131,7 +132,7 @@
 	s.world.After(time.Duration(s.world.Random.ExpFloat64()/heavyRate*float64(time.Second)), s.arrive)
 }
 
-// homeOf is the listed machine that a caller's hash chooses.
+// homeOf returns the number of the listed machine that a caller's hash chooses.
 func (s *heavyCaller) homeOf(caller int) int {
 	best, chosen := uint64(0), 0
 	for number, machine := range s.machines {
@@ -152,14 +153,14 @@
 	return chosen
 }
 
-// mix spreads the bits of a number.
+// mix hashes a number.
 func mix(value uint64) uint64 {
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
 	value = (value ^ value>>27) * 0x94d049bb133111eb
 	return value ^ value>>31
 }
 
-// come brings a request to a machine over its link.
+// come transfers a request to a machine over the machine's link.
 func (s *heavyCaller) come(number int, request *callerRequest) {
 	machine := s.machines[number]
 	machine.received += request.bytes
@@ -179,7 +180,7 @@
 	s.stage(number, request, 0)
 }
 
-// turnAway sends the caller elsewhere, once.
+// turnAway refuses a request. The caller retries once, at another machine.
 func (s *heavyCaller) turnAway(number int, request *callerRequest) {
 	s.machines[number].waiting--
 	if request.retries > 0 {
@@ -197,14 +198,14 @@
 	})
 }
 
-// work takes one stage of a machine's processor.
+// work queues one stage of work at a machine's processor.
 func (s *heavyCaller) work(machine *entryMachine, done func()) {
 	machine.processorFree = max(machine.processorFree, s.world.Now) + stageWork
 	s.world.After(machine.processorFree-s.world.Now, done)
 }
 
-// stage takes a request through a machine: each stage waits for the processor, the
-// body's way to the engine and the engine itself lie before one of them.
+// stage runs the remaining stages of a request at a machine. Each stage waits for the processor;
+// the transfer to the engine and the engine's own time precede one of them.
 func (s *heavyCaller) stage(number int, request *callerRequest, done int) {
 	machine := s.machines[number]
 	if done == stages {
@@ -246,7 +247,7 @@
 		return false
 	}
 	for _, machine := range s.machines {
-		// Other nodes' frames wait for the link and for the processor.
+		// Frames from other nodes wait for the link and for the processor.
 		delay := max(0, machine.linkFree-s.world.Now) + max(0, machine.processorFree-s.world.Now)
 		machine.shedder.Step(s.world.Now, overload.Reading{
 			Delay: delay, DelayKnown: true, CallerBytes: machine.received, LinkBytes: heavyLink, Others: len(s.machines) - 1,
--- a/internal/lab/simulate/heavycaller_test.go
+++ b/internal/lab/simulate/heavycaller_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// runHeavyCallers adds up several seeds.
+// runHeavyCallers adds up the results of several seeds.
 func runHeavyCallers(policy HeavyCallerPolicy, share float64) HeavyCallerResult {
 	var total HeavyCallerResult
 	for seed := range uint64(3) {
@@ -25,8 +25,8 @@
 	return total
 }
 
-// One caller with a large share of a zone's requests meets one of 62 small
-// machines.
+// Guards against late and refused requests when one caller sends a large share of a zone's requests
+// to one of 62 small machines.
 func TestHeavyCallerDoesNotMakeItsNodeLate(t *testing.T) {
 	for _, share := range []float64{0.4, 0.55, 0.7} {
 		lost := map[HeavyCallerPolicy]float64{}
@@ -39,7 +39,7 @@
 		}
 		assert.Assert(t, lost[TurnAwayHeavy] < 0.01, "%.4f of the requests were late or refused", lost[TurnAwayHeavy])
 		if share == 0.7 {
-			// The test's load is one that breaks the policy before.
+			// The load is high enough for the earlier policy, readiness alone, to fail.
 			assert.Assert(t, lost[ShedByReadiness] > 0.2, "only %.4f are lost without a gate", lost[ShedByReadiness])
 		}
 	}
--- a/internal/lab/simulate/lostlives.go
+++ b/internal/lab/simulate/lostlives.go
@@ -13,60 +13,63 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// LostLivesDefect is a deliberate defect that the simulation must notice.
+// LostLivesDefect is a deliberate defect that the simulation must detect.
 type LostLivesDefect int
 
 // Defects of RunLostLives.
 const (
-	// NoLostLivesDefect is the product as it is.
+	// NoLostLivesDefect runs the real code.
 	NoLostLivesDefect LostLivesDefect = iota
-	// SilenceIgnored charges a life that is over its allowance only.
+	// SilenceIgnored takes the time since an incarnation's last contact with the root for 0, so
+	// that a crashed incarnation is charged only its allowance.
 	SilenceIgnored
-	// ClocksBelieved takes one control node's time of day for true.
+	// ClocksBelieved trusts the wall clock of a single control node.
 	ClocksBelieved
 )
 
-// LostLivesOptions set up a run.
+// LostLivesOptions configures a run of RunLostLives.
 type LostLivesOptions struct {
 	Seed   uint64
 	Defect LostLivesDefect
-	// WholeGrants is the policy before allowances: a life that is over is charged all
-	// that it held.
+	// WholeGrants is the policy before allowances were introduced: a crashed incarnation is charged
+	// all that it held.
 	WholeGrants bool
-	// Sudden brings about losses after which all come back soon, and cuts, and
-	// leaves the clocks alone: what happens on most days.
+	// Sudden injects only the most usual faults: crashes after which all nodes restart soon, and
+	// partitions, without clock jumps.
 	Sudden bool
-	// Suspended also has machines stand still for seconds that their steady clocks don't
-	// count, the leader's among them: it goes on leading, or leads again later.
+	// Suspended also suspends machines for seconds that their monotonic clocks don't count, the
+	// leader's among them: it continues to lead, or leads again later.
 	Suspended bool
-	// Pooled has the nodes leave budgets to pool holders, see escrow.
+	// Pooled lets nodes leave budgets to pool holders, see package escrow.
 	Pooled bool
-	// Length of the run; 0 means lostLivesTime.
+	// Length is the duration of the run; 0 means lostLivesTime.
 	Length time.Duration
 }
 
-// LostLivesResult is what a run came to, in requests and tokens.
+// LostLivesResult is the result of RunLostLives, in requests and tokens.
 type LostLivesResult struct {
 	World                     *World
 	Requests, Served, Refused int
-	// Used is what ran, Wasted what lives that are over were charged beyond it.
+	// Used is the tokens that ran, Wasted those that crashed incarnations were charged beyond
+	// their own use.
 	Used, Wasted uint64
 }
 
 const (
 	lostLivesTime = 20 * time.Second
-	// lostLivesTokens is each budget's limit, in tokens a second of the run: more
-	// than is asked for, so that what is charged in vain matters late in it.
+	// lostLivesTokens is each budget's limit, in tokens a second of the run. It exceeds the
+	// demand, so that wasted charges matter only late in the run.
 	lostLivesTokens = 10_000
 	lostLivesRate   = 40.0
 	lostLivesWait   = 100 * time.Millisecond
 	holderTick      = 40 * time.Millisecond
 	rootTick        = 10 * time.Millisecond
-	// helloAge is how old a control node's word on its clock may be.
+	// helloAge is the maximum age of the clock reading in a control node's last hello.
 	helloAge = 600 * time.Millisecond
 )
 
-// spender is one entry node: it dies without a word and comes back as another.
+// spender is one entry node: it crashes without a final report, and restarts as another
+// incarnation.
 type spender struct {
 	name, zone string
 	holder     *escrow.Holder
@@ -76,14 +79,14 @@
 	heardRoot  time.Duration
 }
 
-// rootProcess is a process that leads, or did and may lead again.
+// rootProcess is a control node's process that leads, or has led and may lead again.
 type rootProcess struct {
-	// name is that of its steady clock.
+	// name identifies its monotonic clock.
 	name  uint64
 	clock machineClock
 }
 
-// wallClock is a control node's time of day, which may jump.
+// wallClock is the wall clock of a control node, which may jump.
 type wallClock struct {
 	offset time.Duration
 	jumps  []clockJump
@@ -91,7 +94,7 @@
 
 type clockJump struct{ at, by time.Duration }
 
-// read is what the clock shows at a moment, in milliseconds.
+// read returns the milliseconds that the clock shows at a moment.
 func (c *wallClock) read(at time.Duration) int64 {
 	shown := 1000*time.Hour + at + c.offset
 	for _, jump := range c.jumps {
@@ -102,8 +105,8 @@
 	return shown.Milliseconds()
 }
 
-// lostLives has entry nodes draw on budgets while they and the root's leader
-// are killed, all at once or one before the other, cut off and late.
+// lostLives lets entry nodes draw on budgets while they and the root's leader are killed, together
+// or one before the other, partitioned, and delayed.
 type lostLives struct {
 	options  LostLivesOptions
 	result   LostLivesResult
@@ -113,18 +116,19 @@
 	index    uint64
 	budgets  []string
 	spenders []*spender
-	// root is nil while no leader runs, process is the one that leads or led last, and
-	// processes is the number of all.
+	// root is nil while no leader runs. process is the one that leads or led last, processes the
+	// number of all processes so far.
 	root      *escrow.Root
 	process   *rootProcess
 	processes uint64
 	walls     []*wallClock
-	// dead are the holders of lives that are over and not closed.
+	// dead holds the holders of crashed incarnations whose accounts are not yet closed.
 	dead map[accounts.HolderID]*escrow.Holder
 	used map[string]uint64
 }
 
-// RunLostLives runs one seed.
+// RunLostLives simulates entry nodes and leaders that crash, and the accounts that are closed for
+// crashed incarnations. It runs one seed.
 func RunLostLives(options LostLivesOptions) LostLivesResult {
 	s := &lostLives{
 		options: options, world: NewWorld(options.Seed), accounts: accounts.New(), budgets: []string{"one", "other"},
@@ -155,8 +159,8 @@
 	return s.result
 }
 
-// send delivers a message, at times late; one that meets a cut is lost, or held
-// up until the cut is over.
+// send delivers a message, sometimes late. Under a partition the message is retried until it is
+// lost or the partition ends.
 func (s *lostLives) send(from, to string, deliver func()) {
 	late := time.Duration(0)
 	if s.world.Chance(0.02) {
@@ -210,12 +214,12 @@
 	})
 }
 
-// sinceBoot is the node's own steady clock.
+// sinceBoot returns the time of the node's own monotonic clock.
 func (s *lostLives) sinceBoot(one *spender) time.Duration { return one.clock.read(s.world.Now) }
 
 func (s *lostLives) stands(one *spender) bool { return one.clock.stands(s.world.Now) }
 
-// atNode does something at a node, once it goes on if it stands still.
+// atNode runs an action at a node, or once the node has resumed if it is paused.
 func (s *lostLives) atNode(one *spender, act func()) {
 	if s.stands(one) {
 		s.world.After(one.clock.standsUntil-s.world.Now, func() { s.atNode(one, act) })
@@ -252,7 +256,7 @@
 	return nil
 }
 
-// poolHolders are two nodes that hold a budget for all, but for one node.
+// poolHolders lists the two nodes that hold a budget for all, without the given node.
 func (s *lostLives) poolHolders(budget string, but *spender) []string {
 	var holders []string
 	for step := range s.spenders {
@@ -263,7 +267,7 @@
 	return holders
 }
 
-// poolBefore are the pool holders that come before a node.
+// poolBefore lists the pool holders that rank before a node.
 func (s *lostLives) poolBefore(one *spender, budget string) []string {
 	holders := s.poolHolders(budget, nil)
 	if place := slices.Index(holders, one.name); place >= 0 {
@@ -280,7 +284,7 @@
 	s.flush(one)
 }
 
-// takeLend is the part of a node that hands loans to its holder.
+// takeLend passes a loan message to a node's holder.
 func (s *lostLives) takeLend(one *spender, message escrow.LendMessage) {
 	if one.down {
 		return
@@ -289,7 +293,7 @@
 	s.flush(one)
 }
 
-// takeLend is one step of a loan whose agreement needs no register.
+// takeLend performs one step of a loan that needs no register to be agreed on.
 func takeLend(holder *escrow.Holder, now time.Duration, message escrow.LendMessage) {
 	neverFenced := func(accounts.HolderID) bool { return false }
 	switch {
@@ -304,7 +308,7 @@
 	}
 }
 
-// bootRoot has a process lead: one that led before, or nil for a new one.
+// bootRoot makes a process the leader: one that led before, or a new one if process is nil.
 func (s *lostLives) bootRoot(process *rootProcess) {
 	if process == nil {
 		s.processes++
@@ -368,7 +372,8 @@
 	})
 }
 
-// readClocks reads the leader's clocks and what it last heard of the others'.
+// readClocks reads the leader's clocks and compares its wall clock with those in the last hellos
+// of the others.
 func (s *lostLives) readClocks(leader int) clocks.Reading {
 	reading := clocks.Reading{Clock: s.process.name, Steady: s.process.clock.read(s.world.Now)}
 	var others []int64
@@ -385,8 +390,8 @@
 	return reading
 }
 
-// propose commits waiting reports a moment later, as the replicated log does. A
-// leader that is gone by then may have had them committed or not.
+// propose commits the waiting reports after a delay, as the replicated log does. If the leader is
+// gone by then, they may be committed or not.
 func (s *lostLives) propose(root *escrow.Root) {
 	batch, found := root.Batch()
 	if !found {
@@ -425,7 +430,7 @@
 	return result
 }
 
-// closeLives ends the accounts of lives whose node runs another one.
+// closeLives closes the accounts of crashed incarnations whose node runs a new one.
 func (s *lostLives) closeLives(leader int, leadsSince time.Duration) {
 	ids := slices.SortedFunc(maps.Keys(s.dead), accounts.HolderID.Compare)
 	for _, id := range ids {
@@ -447,7 +452,7 @@
 	}
 }
 
-// end closes a life and checks that it is charged all that it used.
+// end closes the accounts of an incarnation and checks that it is charged at least what it used.
 func (s *lostLives) end(id accounts.HolderID, holder *escrow.Holder, silence time.Duration) {
 	charged := map[string]uint64{}
 	for _, budget := range s.budgets {
@@ -459,7 +464,7 @@
 		charge := s.accounts.Budget(budget).ClosedSettled - charged[budget]
 		use := holder.OwnUse(budget)
 		if charge < use {
-			s.world.Check(fmt.Errorf("%s is charged %d tokens of %q, it used %d", id, charge, budget, use))
+			s.world.Check(fmt.Errorf("%s is charged %d tokens of %q, but used %d", id, charge, budget, use))
 			return
 		}
 		s.world.Check(nil)
@@ -467,8 +472,8 @@
 	}
 }
 
-// arrive lets one request arrive at a random node; large ones are as large as
-// many small ones together.
+// arrive generates one request at a random node and schedules the next one. One in ten needs 20
+// times as many tokens as the others.
 func (s *lostLives) arrive() {
 	s.world.After(time.Duration(s.world.Random.ExpFloat64()/lostLivesRate*float64(time.Second)), s.arrive)
 	one := s.spenders[s.world.Random.IntN(len(s.spenders))]
@@ -500,12 +505,12 @@
 	s.flush(one)
 }
 
-// run lets a reserved request use a part of its bound; it goes on when its node
-// dies.
+// run executes a reserved request, which uses at least half of its bound. It continues if its node
+// is killed.
 func (s *lostLives) run(held escrow.Reservation, ended func(used uint64)) {
 	s.used[held.Budget] += held.Amount
 	if used, limit := s.used[held.Budget], s.accounts.Budget(held.Budget).Limit; used > limit {
-		s.world.Check(fmt.Errorf("%d tokens of %q ran or run, the limit is %d", used, held.Budget, limit))
+		s.world.Check(fmt.Errorf("%d tokens of %q ran or are reserved by running requests, the limit is %d", used, held.Budget, limit))
 	}
 	used := held.Amount/2 + s.world.Random.Uint64N(held.Amount-held.Amount/2+1)
 	s.world.After(s.world.Between(50*time.Millisecond, 2*time.Second), func() {
--- a/internal/lab/simulate/lostlives_test.go
+++ b/internal/lab/simulate/lostlives_test.go
@@ -11,21 +11,22 @@
 	return func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Defect: defect}).World }
 }
 
-// Whatever dies, in whatever order, and whatever the clocks do: a life that is
-// over is charged all that it used, and no budget is exceeded.
+// Guards against incarnations that are charged less than they used, and budgets that are exceeded,
+// regardless of which processes crash in which order and how the clocks jump.
 func TestLostLivesAreChargedAllThatTheyUsed(t *testing.T) {
 	runSeeds(t, seedsInCI, runLostLives(NoLostLivesDefect))
 }
 
-// The same with budgets left to pool holders, which die and are cut off as all do.
+// The same with budgets that are left to pool holders, which crash and are partitioned as all nodes.
 func TestLivesThatBorrowFromPoolsAreChargedAllThatTheyUsed(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Pooled: true}).World })
 }
 
-// Seen: a life was charged fewer tokens than it had used, 17,371 of 19,894, so that a budget may
-// be exceeded. A control node's machine was suspended after it had decided on the life's last
-// report, led again later, and took the time since that report from its steady clock, which
-// does not count a suspension. Proved by these seeds, of 3,000 the only two.
+// Guards against an incarnation that is charged fewer tokens than it used, 17,371 of 19,894 when it
+// was seen, so that a budget may be exceeded. A control node's machine was suspended after it had
+// committed the incarnation's last report, led again later, and measured the time since that report
+// with its monotonic clock, which does not count a suspension. Of 3,000 seeds, only these two
+// reproduced it.
 func TestLifeIsChargedForTheTimeForWhichTheLeaderWasSuspended(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1532, 1732} {
@@ -33,7 +34,8 @@
 	}
 }
 
-// The same as above with machines that are suspended for seconds, the leader's among them.
+// The same over all seeds of CI, with machines that are suspended for seconds, the leader's among
+// them.
 func TestLivesAreChargedAllThatTheyUsedThoughMachinesAreSuspended(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Suspended: true}).World })
 }
@@ -46,9 +48,9 @@
 	assert.Assert(t, brokenSeed(t, 300, runLostLives(ClocksBelieved)) != nil)
 }
 
-// The reason for allowances: a loss charges little. Nodes may then hold much more
-// ahead of a cut; that a request may wait for the log costs as many refusals here
-// as that saves.
+// With allowances, a crash charges little, which is why they exist. Nodes may then hold much more
+// ahead of a partition. In this simulation that saves as many refusals as are caused by requests
+// that have to wait for the log.
 func TestAllowancesWasteHalfOfWhatWholeGrantsWasteAndServeAsMuch(t *testing.T) {
 	t.Parallel()
 	var sums [2]LostLivesResult
@@ -70,7 +72,7 @@
 	assert.Assert(t, share(allowances) > 0.995*share(whole))
 }
 
-// A seed that broke once must break again, or it explains nothing.
+// Guards against runs that the seed does not determine: a failing seed must be reproducible.
 func TestSeedOfLostLivesDecidesEverything(t *testing.T) {
 	first := RunLostLives(LostLivesOptions{Seed: 3})
 	for range 3 {
--- a/internal/lab/simulate/lostlivesfaults.go
+++ b/internal/lab/simulate/lostlivesfaults.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// injectFault brings one fault about, and then the next one: they may overlap.
+// injectFault injects one fault and schedules the next one. Faults may overlap.
 func (s *lostLives) injectFault() {
 	s.world.After(s.world.Between(time.Second, 7*time.Second), s.injectFault)
 	down := s.world.Between(100*time.Millisecond, 3*time.Second)
@@ -31,7 +31,7 @@
 		s.world.Fault("all off")
 		s.allOff(down)
 	case 3:
-		// The root falls silent first: the nodes go on until they die as well.
+		// The root becomes unreachable first; the nodes continue until they are killed as well.
 		s.world.Fault("leader lost, then all off")
 		before := s.world.Between(0, 4*time.Second)
 		s.loseRoot(before + down)
@@ -62,12 +62,11 @@
 	s.dead[one.holder.ID()] = one.holder
 }
 
-// loseRoot ends the leader; another one, or the same machine's next process,
-// leads after a while.
+// loseRoot ends the leader. After a delay another process leads, possibly on the same machine.
 func (s *lostLives) loseRoot(down time.Duration) { s.followRoot(down, nil) }
 
-// followRoot ends the leader; a process that led before leads after a while, or nil for a new
-// one.
+// followRoot ends the leader. After a delay follower leads, which led before, or a new process if
+// follower is nil.
 func (s *lostLives) followRoot(down time.Duration, follower *rootProcess) {
 	s.root = nil
 	process := s.process
@@ -79,14 +78,14 @@
 }
 
 const (
-	// A leader that stands still for no longer is not missed.
+	// unmissed is the maximum time that a leader can be suspended without being replaced.
 	unmissed = 900 * time.Millisecond
-	// Another one leads this long after it stood still.
+	// electionTime is the time until another process leads after the leader was suspended.
 	electionTime = time.Second
 )
 
-// suspend has a machine stand still, with its steady clock: a node's, or the leader's, which
-// then goes on leading, or leads again behind another one.
+// suspend suspends a machine with its monotonic clock: that of an entry node, or that of the
+// leader, which then continues to lead or leads again after another one.
 func (s *lostLives) suspend() {
 	lasting := s.world.Between(500*time.Millisecond, 10*time.Second)
 	switch s.world.Random.IntN(3) {
@@ -122,7 +121,7 @@
 	}
 }
 
-// cut separates some nodes from the root and from all others that are not cut.
+// cut partitions some nodes from the root and from all nodes that are not cut.
 func (s *lostLives) cut(isCut func(*spender) bool) {
 	var inside []string
 	outside := []string{rootName}
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -10,76 +10,78 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// PoisonPolicy is what nodes do about requests at whose runs engines end.
+// PoisonPolicy is how nodes handle requests that are running at engines when these crash.
 type PoisonPolicy int
 
 // Policies of RunPoison.
 const (
-	// ForgetRequests holds nothing against a request.
+	// ForgetRequests records nothing against a request.
 	ForgetRequests PoisonPolicy = iota
-	// CountPresence refuses a request that was at three ends, whoever else was there.
+	// CountPresence refuses a request that was present at three crashes, regardless of which other
+	// requests were.
 	CountPresence
-	// WeighEnds is what quarantine.Tracker does.
+	// WeighEnds weighs crashes as quarantine.Tracker does.
 	WeighEnds
-	// WeighEndsAlone also sends suspects to the engine with the fewest runs, and no
-	// two of them to one.
+	// WeighEndsAlone also sends a suspected request to the engine with the fewest runs, and avoids
+	// engines that run another suspected request.
 	WeighEndsAlone
-	// WeighEndsUncarried also leaves it to callers to send a suspect again.
+	// WeighEndsUncarried is WeighEnds, but nodes don't retry a suspected request: its caller may.
 	WeighEndsUncarried
 )
 
-// weighs tells whether the policy is one that trackers are asked in.
+// weighs reports whether the policy uses the trackers.
 func (p PoisonPolicy) weighs() bool { return p >= WeighEnds }
 
-// PoisonOptions set up a run: entry nodes, control nodes that tell them of each other's
-// evidence, engines that run streams, and callers.
+// PoisonOptions configures a run of RunPoison: entry nodes, control nodes that pass their crash
+// reports on to each other, engines that run streams, and callers.
 type PoisonOptions struct {
 	Seed   uint64
 	Policy PoisonPolicy
-	// Poison is the number of requests that end the engines that begin them.
+	// Poison is the number of poison requests, which crash each engine that begins them.
 	Poison int
-	// Failures ends engines for other reasons: one each two seconds, and twice a third
-	// of them at once.
+	// Failures crashes engines for other reasons: one every two seconds, and twice a third of
+	// them at the same time.
 	Failures bool
-	// Popular makes one in ten of the other requests alike.
+	// Popular gives one in ten of the other requests the same body.
 	Popular bool
-	// Cut parts one third of the nodes from the others for a while.
+	// Cut partitions a third of the nodes from the others for 8 s.
 	Cut bool
-	// Hidden makes engines end before the head of a poison request's answer comes.
+	// Hidden makes engines crash before the head of the response to a poison request is received.
 	Hidden bool
 }
 
-// PoisonResult counts what became of the requests.
+// PoisonResult counts the outcomes of the requests.
 type PoisonResult struct {
 	*World
-	// Ended are engines that ended by a poison request, LateRuns its runs that were sent
-	// later than contact after its third end, the most of any.
+	// Ended counts the crashes that poison requests caused. LateRuns counts the runs of a poison
+	// request that were sent later than poisonContact after its third crash, the maximum over the
+	// poison requests.
 	Ended, LateRuns int
-	// Requests are those of other callers; Served ran to their end, Refused were taken
-	// for poison, BesideThree broke with three engines or more.
+	// Requests are those of other callers. Served ran to completion, Refused were taken for poison,
+	// BesideThree were present at three or more crashes.
 	Requests, Served, Refused, BesideThree int
 }
 
-// The fleet of the incident, with its rates.
+// The size and rates of the fleet in the incident that the simulation reproduces.
 const (
 	poisonNodes    = 8
 	poisonEngines  = 12
 	poisonControls = 3
 	poisonLength   = 40 * time.Second
-	// poisonContact is when nodes in touch have to know a third end.
+	// poisonContact is the time within which all reachable nodes have to know of a third crash.
 	poisonContact = 3 * time.Second
-	// ordinaryRate is the streams of other callers a second.
+	// ordinaryRate is the number of streams of other callers a second.
 	ordinaryRate = 46.0
-	// mostAttempts is how many engines one coming of a request may reach, mostReturns
-	// how often its caller comes back.
+	// mostAttempts is how many engines one try of a request may reach, mostReturns how often its
+	// caller retries.
 	mostAttempts, mostReturns = 2, 1
-	// deadFor is how long an engine is away that ended.
+	// deadLeast and deadMost bound the time until a crashed engine has restarted.
 	deadLeast, deadMost = 2500 * time.Millisecond, 6 * time.Second
 	poisonDefectLate    = 3
 	popularBody         = 10
 )
 
-// poisonWorld is one run.
+// poisonWorld is the state of one run.
 type poisonWorld struct {
 	*World
 	options  PoisonOptions
@@ -99,18 +101,18 @@
 	number  int
 	tracker *quarantine.Tracker
 	guard   *quarantine.Guard
-	// told are the digests of the lists that the control nodes last sent here.
+	// told are the digests of the records that the control nodes last sent to this node.
 	told [poisonControls]uint64
 }
 
-// poisonEngine is a place at which engines come and go.
+// poisonEngine is an engine with its restarts.
 type poisonEngine struct {
 	life registry.Life
 	isUp bool
 	runs map[*poisonRun]bool
 }
 
-// poisonRequest is one coming of a request, with all its returns.
+// poisonRequest is one request of a caller with all its retries.
 type poisonRequest struct {
 	body     poisonBody
 	isPoison bool
@@ -118,7 +120,7 @@
 	broke    int
 }
 
-// poisonBody is a request's identity.
+// poisonBody is the identity of a request.
 type poisonBody struct{ scope uint64 }
 
 func (b poisonBody) Scope() uint64 { return b.scope }
@@ -136,7 +138,7 @@
 	ended    bool
 }
 
-// RunPoison runs one seed.
+// RunPoison simulates poison requests and the quarantine that stops them. It runs one seed.
 func RunPoison(options PoisonOptions) PoisonResult {
 	w := &poisonWorld{
 		World: NewWorld(options.Seed), options: options, counted: map[quarantine.Fingerprint]map[registry.Life]bool{},
@@ -194,7 +196,7 @@
 	return least + time.Duration(w.Random.Float64()*float64(most-least))
 }
 
-// arrive brings the other callers' requests.
+// arrive generates the requests of the other callers.
 func (w *poisonWorld) arrive() {
 	w.After(time.Duration(w.Random.ExpFloat64()/ordinaryRate*float64(time.Second)), func() {
 		body := poisonBody{scope: uint64(1000 + w.result.Requests)}
@@ -207,7 +209,7 @@
 	})
 }
 
-// repeat brings a poison request again and again, at times several times at once.
+// repeat sends a poison request again and again, sometimes several copies at the same time.
 func (w *poisonWorld) repeat(poison poisonBody) {
 	for range 1 + w.Random.IntN(3) {
 		w.come(&poisonRequest{body: poison, isPoison: true, returns: mostReturns})
@@ -215,7 +217,7 @@
 	w.After(w.between(50*time.Millisecond, 600*time.Millisecond), func() { w.repeat(poison) })
 }
 
-// come brings a request to a drawn node.
+// come sends a request to a random node.
 func (w *poisonWorld) come(request *poisonRequest) {
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
 	if w.refuses(node, request) {
@@ -227,7 +229,7 @@
 	w.send(node, request, 1)
 }
 
-// refuses is the policy's decision at a node.
+// refuses reports whether the policy refuses a request at a node.
 func (w *poisonWorld) refuses(node *poisonNode, request *poisonRequest) bool {
 	switch w.options.Policy {
 	case ForgetRequests:
@@ -238,7 +240,8 @@
 	return node.guard.Standing(request.body) == quarantine.Quarantined
 }
 
-// send sends a request to an engine that is up, the less busy one of two.
+// send sends a request to an engine that is up: the less busy one of two random engines, unless the
+// policy isolates suspected requests.
 func (w *poisonWorld) send(node *poisonNode, request *poisonRequest, attempts int) {
 	engine := w.choose(node, request)
 	if engine == nil {
@@ -268,7 +271,8 @@
 	return one
 }
 
-// load is how busy an engine is for a suspect: another one there is the worst.
+// load returns the load of an engine for a suspected request: each other suspected request there
+// outweighs all ordinary runs.
 func (e *poisonEngine) load(node *poisonNode) int {
 	load := len(e.runs)
 	for run := range e.runs {
@@ -307,13 +311,13 @@
 	})
 }
 
-// clear notes that a request ran to its end.
+// clear records that a request ran to completion.
 func (w *poisonWorld) clear(run *poisonRun) {
 	delete(w.counted, quarantine.FingerprintOfRequest(run.request.body))
 	run.node.guard.Completed(run.request.body)
 }
 
-// fail ends an engine for a reason of its own.
+// fail crashes an engine for a reason other than a poison request.
 func (w *poisonWorld) fail(engine *poisonEngine) {
 	if engine.isUp {
 		w.Faults["engine failed"]++
@@ -321,7 +325,7 @@
 	}
 }
 
-// end ends an engine with all that runs there; another life begins later.
+// end crashes an engine with all its runs; a new incarnation starts later.
 func (w *poisonWorld) end(engine *poisonEngine) {
 	runs := slices.SortedFunc(maps.Keys(engine.runs), func(a, b *poisonRun) int { return int(a.request.body.scope) - int(b.request.body.scope) })
 	life := engine.life
@@ -358,7 +362,8 @@
 	w.counted[fingerprint][life] = true
 }
 
-// carryOn sends a request whose engine ended to the next one, or leaves it to its caller.
+// carryOn retries a request whose engine crashed at another engine, or leaves the retry to its
+// caller.
 func (w *poisonWorld) carryOn(run *poisonRun) {
 	standing := run.node.guard.Standing(run.request.body)
 	mayCarry := w.options.Policy != WeighEndsUncarried || standing != quarantine.Suspected
@@ -381,8 +386,8 @@
 	engine.life, engine.isUp, engine.runs = life, true, map[*poisonRun]bool{}
 }
 
-// noteLate counts a run of a poison request that is sent too late after its third end,
-// and holds the promise: in a fleet that is not cut at most three are.
+// noteLate counts a run of a poison request that is sent too late after its third crash. It checks
+// the guarantee that without a partition there are at most three such runs.
 func (w *poisonWorld) noteLate(request *poisonRequest) {
 	fingerprint := quarantine.FingerprintOfRequest(request.body)
 	w.Checks++
@@ -390,11 +395,11 @@
 		w.late[fingerprint]++
 	}
 	if w.options.Policy.weighs() && !w.options.Cut && w.late[fingerprint] > poisonDefectLate {
-		w.Broken = fmt.Errorf("a request that had ended three engines was sent to engines %d times more", w.late[fingerprint])
+		w.Broken = fmt.Errorf("a request that had crashed three engines was sent to engines %d more times", w.late[fingerprint])
 	}
 }
 
-// EnginesEnded implements quarantine.Sink.
+// EnginesEnded implements quarantine.Sink: it records crash reports.
 func (n *poisonNode) EnginesEnded(evidence []quarantine.Evidence) {
 	if !n.world.options.Policy.weighs() {
 		return
@@ -405,13 +410,13 @@
 	n.decide()
 }
 
-// RanToItsEnd implements quarantine.Sink.
+// RanToItsEnd implements quarantine.Sink: it clears a request that ran to completion.
 func (n *poisonNode) RanToItsEnd(fingerprint quarantine.Fingerprint) {
 	n.tracker.Clear(n.world.Now, fingerprint)
 	n.decide()
 }
 
-// decide tells the control nodes that are reached what is new here.
+// decide updates the node's verdicts and sends its updates to the reachable control nodes.
 func (n *poisonNode) decide() {
 	n.tracker.Decide(n.world.Now)
 	n.guard.SetView(n.tracker.View())
@@ -423,14 +428,14 @@
 	}
 }
 
-// reaches tells whether a node reaches a control node: in a cut the last third of the
-// nodes and the last control node are on their own.
+// reaches reports whether a node reaches a control node. A partition separates the last third of
+// the nodes and the last control node from the others.
 func (w *poisonWorld) reaches(node, control int) bool {
 	return !w.isCut || (node*poisonControls/poisonNodes == poisonControls-1) == (control == poisonControls-1)
 }
 
-// exchange is each control node's round: what has changed goes to the nodes, and after a
-// cut the control nodes tell each other all.
+// exchange is one round of each control node: it sends changed records to the nodes, and, unless
+// there is a partition, all its records to the other control nodes every two seconds.
 func (w *poisonWorld) exchange() {
 	for number, control := range w.controls {
 		control.Decide(w.Now)
--- a/internal/lab/simulate/poison_test.go
+++ b/internal/lab/simulate/poison_test.go
@@ -6,10 +6,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// poisonSeedsInCI are the seeds of each case below.
+// poisonSeedsInCI is the number of seeds of each case below.
 const poisonSeedsInCI = 3
 
-// sumOfPoison adds up what the seeds of a case give, and holds their promises.
+// sumOfPoison adds up the results of all seeds of a case, and checks their invariants.
 func sumOfPoison(t *testing.T, options PoisonOptions) (sum PoisonResult) {
 	t.Helper()
 	for seed := range uint64(poisonSeedsInCI) {
@@ -25,8 +25,9 @@
 	return sum
 }
 
-// The incident: whatever else fails, a poison request is kept from further engines, and
-// of the requests beside it nearly none is taken for it.
+// Guards against the failure of the incident: a poison request must be kept from further engines,
+// regardless of what else fails, and at most one in a thousand of the other requests may be taken
+// for poison.
 func TestPoisonRequestsAreToldFromThoseBesideThem(t *testing.T) {
 	t.Parallel()
 	for name, options := range map[string]PoisonOptions{
@@ -38,7 +39,7 @@
 			sum := sumOfPoison(t, options)
 			assert.Assert(t, sum.LateRuns <= poisonDefectLate)
 			assert.Assert(t, sum.Refused*1000 <= sum.Requests, "%d of %d requests were taken for poison", sum.Refused, sum.Requests)
-			assert.Assert(t, sum.Ended <= 15*poisonSeedsInCI, "%d engines ended", sum.Ended)
+			assert.Assert(t, sum.Ended <= 15*poisonSeedsInCI, "%d engines crashed", sum.Ended)
 		})
 	}
 }
@@ -49,14 +50,14 @@
 	assert.Equal(t, sum.Refused, 0)
 }
 
-// Why ends are weighed and not merely counted.
+// Merely counting crashes refuses requests that caused none, which is why crashes are weighed.
 func TestCountingWhoWasThereRefusesRequestsThatEndedNothing(t *testing.T) {
 	t.Parallel()
 	sum := sumOfPoison(t, PoisonOptions{Policy: CountPresence, Failures: true, Popular: true})
 	assert.Assert(t, sum.Refused > 0)
 }
 
-// The code before: nothing is held against a request.
+// The behaviour before the quarantine: nothing is recorded against a request.
 func TestForgottenPoisonRequestsGoOnEndingEngines(t *testing.T) {
 	t.Parallel()
 	sum := sumOfPoison(t, PoisonOptions{Policy: ForgetRequests, Poison: 1})
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -13,70 +13,72 @@
 	"github.com/ravenway/ravenway/internal/lab/limitcheck"
 )
 
-// LimitPolicy is how nodes keep the limits that engines name.
+// LimitPolicy is how nodes respect the rate limits that engines name.
 type LimitPolicy string
 
-// Policies.
+// Policies of RunLimits.
 const (
-	// EachForItself: each node keeps the whole limit.
+	// EachForItself lets each node use the whole limit.
 	EachForItself LimitPolicy = "each_for_itself"
-	// EqualParts: each node keeps the limit divided by the nodes that it knows.
+	// EqualParts divides the limit by the number of nodes that a node knows.
 	EqualParts LimitPolicy = "equal_parts"
-	// FewSenders: as many nodes as the limit has requests a second may send, named by
-	// rendezvous hashing, each its part of it.
+	// FewSenders lets as many nodes send as the limit allows requests a second, chosen by
+	// rendezvous hashing, each with an equal part of the limit.
 	FewSenders LimitPolicy = "few_senders"
-	// HolderPermits: one node gives permits out, as ratelimit.Limits does.
+	// HolderPermits lets one node issue permits, as ratelimit.Limits does.
 	HolderPermits LimitPolicy = "holder_permits"
 )
 
-// LimitOptions set up a run.
+// LimitOptions configures a run of RunLimits.
 type LimitOptions struct {
 	Seed   uint64
 	Policy LimitPolicy
 	Nodes  int
-	// PerSecond is the limit that each engine names.
+	// PerSecond is the limit that each engine names, in requests a second.
 	PerSecond float64
-	// IsOneSided has four of five requests come to an eighth of the nodes.
+	// IsOneSided sends four of five requests to an eighth of the nodes.
 	IsOneSided bool
 	Faults     bool
-	// IsUnsettled has engines change and end their limits, start again and fail requests
-	// without a word, and messages between nodes come late or never.
+	// IsUnsettled lets engines change and end their limits, restart, and fail requests without
+	// naming a limit, and delays and loses messages between nodes.
 	IsUnsettled bool
 }
 
-// LimitResult is what a run came to.
+// LimitResult is the result of RunLimits.
 type LimitResult struct {
 	*World
-	// Worst are the requests that came to one engine in the fullest 4 s, Allowed what may come
-	// there.
+	// Worst is the number of requests that one engine received in its fullest 4 s, Allowed the
+	// number that it may receive.
 	Worst, Allowed int
-	// Got are the requests that reached the engines, Room what their limits had room for.
+	// Got is the number of requests that reached the engines, Room the number that their limits
+	// allowed.
 	Got  int
 	Room float64
-	// Messages and Bytes are those between nodes.
+	// Messages and Bytes count the messages between nodes and their size.
 	Messages, Bytes int
-	// Waits are those of the requests that got a permit.
+	// Waits are the times that the requests with a permit waited before they were sent.
 	Waits []time.Duration
 }
 
-// Used is the part of the limits that was made use of.
+// Used returns the share of the limits that was used.
 func (r LimitResult) Used() float64 { return float64(r.Got) / r.Room }
 
 const (
 	limitZones   = 3
 	limitEngines = 4
-	// limitWarmUp is how long the nodes know each other before the engines name limits.
+	// limitWarmUp is the time that the nodes have to learn of each other before the engines name
+	// limits.
 	limitWarmUp = 5 * time.Second
 	limitLength = 60 * time.Second
-	// limitDemand is how many times their limit the engines are wanted.
+	// limitDemand is the demand as a multiple of the limits.
 	limitDemand = 3
-	// limitPatience is how long a request waits for a permit, limitTimeout how long for a
-	// holder.
+	// limitPatience is how long a request waits for a permit, limitTimeout how long a node waits
+	// for a response of the issuer.
 	limitPatience, limitTimeout = 100 * time.Millisecond, 300 * time.Millisecond
 	limitHello                  = 600 * time.Millisecond
 	limitAliveFor               = 2500 * time.Millisecond
 	limitFaultEvery             = 5 * time.Second
-	// Sizes of messages with their frames.
+	// Sizes of messages with their frames, in bytes.
 	limitAskBytes, limitAnswerBytes, limitWordBytes = 110, 60, 45
 )
 
@@ -87,11 +89,11 @@
 	nodes   []*limitNode
 	engines []*limitEngine
 	byName  map[string]*limitNode
-	// lists are what the control nodes of each side tell of who is live.
+	// lists are the live nodes that the control nodes of each side of a partition report.
 	lists [2][]ratelimit.Node
 	heard [2]map[string]time.Duration
-	// isZoneCut tells that the nodes of zone 0 are on a side of their own, isCoreCut that
-	// no node hears a control node.
+	// isZoneCut reports whether the nodes of zone 0 are partitioned from the others, isCoreCut
+	// whether all nodes are partitioned from the control nodes.
 	isZoneCut, isCoreCut bool
 }
 
@@ -102,21 +104,22 @@
 	name   string
 	zone   string
 	limits *ratelimit.Limits
-	// process counts its starts; isUp tells that it runs.
+	// process counts its starts; isUp reports whether it runs.
 	process int
 	isUp    bool
 	clock   machineClock
-	// isCut tells that it reaches neither nodes nor control nodes, but the engines.
+	// isCut reports whether it is partitioned from all nodes and control nodes. It still reaches
+	// the engines.
 	isCut  bool
 	toldAt time.Duration
 	told   []ratelimit.Node
 	next   map[registry.Life]time.Duration
 	isTold map[registry.Life]bool
-	// olderLives are those of engines whose new life the node has not heard of.
+	// olderLives are the incarnations that the node knows of engines that have restarted since.
 	olderLives map[*limitEngine]registry.Life
 }
 
-// RunLimits runs one seed.
+// RunLimits simulates entry nodes that respect the rate limits of engines. It runs one seed.
 func RunLimits(options LimitOptions) LimitResult {
 	world := NewWorld(options.Seed)
 	result := &LimitResult{World: world}
@@ -154,7 +157,7 @@
 	return *result
 }
 
-// start starts a node's process, which knows nothing.
+// start starts a new process of the node, which knows of no limits and no nodes.
 func (n *limitNode) start() {
 	w := n.world
 	n.process++
@@ -173,11 +176,11 @@
 	})
 }
 
-// now is the node's steady clock.
+// now returns the time of the node's monotonic clock.
 func (n *limitNode) now() time.Duration { return time.Minute + n.clock.read(n.world.Now) }
 
-// run runs an action of the node's process: later if it stands still, never if it ends
-// before.
+// run runs an action of the node's process, or once the process has resumed if it is paused. The
+// action is dropped if the process ends before.
 func (n *limitNode) run(action func()) {
 	process := n.process
 	var attempt func()
@@ -193,7 +196,7 @@
 	attempt()
 }
 
-// after runs an action of the node's process after a time.
+// after runs an action of the node's current process after a delay.
 func (n *limitNode) after(delay time.Duration, action func()) {
 	process := n.process
 	n.world.After(delay, func() {
@@ -210,12 +213,12 @@
 	return 0
 }
 
-// reaches tells whether a message from this node comes to another one now.
+// reaches reports whether a message from this node reaches another one now.
 func (n *limitNode) reaches(other *limitNode) bool {
 	return n == other || !n.isCut && !other.isCut && n.side() == other.side() && other.isUp
 }
 
-// hello tells the control nodes of its side of the node, and the node of the others.
+// hello reports the node to the control nodes of its side, and receives the list of live nodes.
 func (n *limitNode) hello() {
 	w, side := n.world, n.side()
 	if n.isCut || w.isCoreCut {
@@ -237,8 +240,8 @@
 	n.limits.SetSure(n.now(), slices.ContainsFunc(list, func(live ratelimit.Node) bool { return live.Address == n.name }))
 }
 
-// greet has a node that has started told the limits in force, by the first of its zone that
-// it reaches.
+// greet performs the initial exchange of a node that has started: the first node of its zone that
+// it reaches sends it the limits in effect.
 func (n *limitNode) greet(list []ratelimit.Node) {
 	for _, live := range list {
 		other := n.world.byName[live.Address]
@@ -259,7 +262,7 @@
 	}
 }
 
-// listLive makes the lists of live nodes anew where they have changed.
+// listLive updates the lists of live nodes that have changed.
 func (w *limitWorld) listLive() {
 	for side := range w.lists {
 		var live []ratelimit.Node
@@ -297,7 +300,7 @@
 	return w.nodes[w.Random.IntN(len(w.nodes))]
 }
 
-// want sends a request to an engine if the policy lets the node.
+// want sends a request to an engine if the policy permits.
 func (n *limitNode) want(engine *limitEngine) {
 	if n.world.options.Policy == HolderPermits {
 		n.askFor(engine)
@@ -334,7 +337,8 @@
 	return names
 }
 
-// askFor asks the engine's holder for a permit and sends the request with it.
+// askFor requests a permit from the issuer of the engine's permits, and sends the request once the
+// permit is granted.
 func (n *limitNode) askFor(engine *limitEngine) {
 	began, life := n.now(), n.lifeOf(engine)
 	ask, holderName, isLimited := n.limits.Ask(began, life, engine.zone, ratelimit.Need{PatienceMS: uint64(limitPatience.Milliseconds())})
@@ -368,7 +372,7 @@
 	})
 }
 
-// take takes a holder's answer.
+// take handles an issuer's response, and sends the request if a permit was granted in time.
 func (n *limitNode) take(engine *limitEngine, life registry.Life, answer ratelimit.Answer, began time.Duration) {
 	n.limits.Answered(n.now(), life, answer)
 	if !answer.IsGranted {
@@ -382,7 +386,7 @@
 	})
 }
 
-// message does something at another node, if it reaches it.
+// message runs an action at another node, if the message reaches it.
 func (n *limitNode) message(to *limitNode, size int, deliver func()) {
 	w := n.world
 	if n == to {
@@ -403,7 +407,7 @@
 	})
 }
 
-// send sends a request to a life of an engine, whose answer tells of the limit.
+// send sends a request to an incarnation of an engine, and learns the limit from its response.
 func (n *limitNode) send(engine *limitEngine, life registry.Life) {
 	w := n.world
 	said := w.answer(engine, n, w.Now+time.Millisecond)
@@ -417,7 +421,7 @@
 	})
 }
 
-// tell passes words on to all nodes that can be reached, as the load exchange does.
+// tell sends updates to all reachable nodes, as the load exchange does.
 func (n *limitNode) tell(words []ratelimit.Word) {
 	w := n.world
 	for position := range words {
@@ -447,7 +451,7 @@
 	}
 }
 
-// disturb brings a fault about, and the next one later.
+// disturb injects one fault and schedules the next one.
 func (w *limitWorld) disturb() {
 	w.After(w.Between(limitFaultEvery/2, limitFaultEvery*3/2), w.disturb)
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
@@ -481,7 +485,7 @@
 	kinds[w.Random.IntN(len(kinds))]()
 }
 
-// endNode ends a node's process; it starts again later.
+// endNode ends a node's process, and starts a new one later.
 func (w *limitWorld) endNode(node *limitNode, lasting time.Duration) {
 	if !node.isUp {
 		return
@@ -492,7 +496,7 @@
 	w.After(lasting, node.start)
 }
 
-// judge holds what each life of each engine got against its limits.
+// judge checks the requests that each incarnation of each engine received against its limits.
 func (w *limitWorld) judge() {
 	fullest := limitcheck.Use{}
 	for _, engine := range w.engines {
@@ -504,15 +508,14 @@
 				fullest.Note(use.Got, use.Allowed)
 			}
 			if use.Got > use.Allowed {
-				w.Check(fmt.Errorf("an engine got %d requests in %s, its limit allowed %d", use.Got, limitcheck.Window, use.Allowed))
+				w.Check(fmt.Errorf("an engine received %d requests in %s, its limit allowed %d", use.Got, limitcheck.Window, use.Allowed))
 			}
 		}
 	}
 	w.result.Worst, w.result.Allowed = fullest.Got, fullest.Allowed
 }
 
-// LongestWait is the wait of which the given part of the requests with a permit had none
-// longer.
+// LongestWait returns the quantile of Waits for the given part, which is between 0 and 1.
 func (r LimitResult) LongestWait(part float64) time.Duration {
 	if len(r.Waits) == 0 {
 		return 0
--- a/internal/lab/simulate/ratelimit_test.go
+++ b/internal/lab/simulate/ratelimit_test.go
@@ -6,10 +6,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// limitSeedsInCI are the seeds of each case of eight nodes.
+// limitSeedsInCI is the number of seeds of each case with eight nodes.
 const limitSeedsInCI = 3
 
-// Counted from the engines' side, whatever nodes end, stand still or are cut off.
+// Guards against engines that receive more requests than their limits allow, regardless of which
+// nodes end, are paused or are partitioned. The requests are counted at the engines.
 func TestPermitsKeepLimitsWhateverTheNodesDo(t *testing.T) {
 	t.Parallel()
 	for nodes, seeds := range map[int]uint64{8: limitSeedsInCI, 60: 1} {
@@ -26,7 +27,8 @@
 	}
 }
 
-// Engines in need don't stay as they are, and what nodes tell each other may be late or lost.
+// The same with overloaded engines, which change their limits, fail and restart, and with messages
+// between nodes that are late or lost.
 func TestPermitsKeepLimitsThatChangeOfEnginesThatFailAndStartAgain(t *testing.T) {
 	t.Parallel()
 	for _, perSecond := range []float64{0.1, 1, 5, 50} {
@@ -37,7 +39,7 @@
 	}
 }
 
-// Without faults the permits are used, also where few of the nodes want them.
+// Guards against permits that remain unused without faults, also where few of the nodes need them.
 func TestPermitsGoToTheNodesThatWantThem(t *testing.T) {
 	t.Parallel()
 	for _, perSecond := range []float64{1, 5} {
@@ -50,8 +52,8 @@
 	}
 }
 
-// Why one node counts for all: the ways that need no messages break the limit, or leave
-// most of it unused where traffic is one-sided.
+// One node issues the permits for all because the policies that need no messages exceed the limit,
+// or leave most of it unused where traffic is one-sided.
 func TestOtherWaysToKeepALimitFailWhereNodesAreMany(t *testing.T) {
 	t.Parallel()
 	run := func(policy LimitPolicy, nodes int, perSecond float64) LimitResult {
@@ -64,8 +66,8 @@
 	assert.Assert(t, run(FewSenders, 60, 5).Used() < 0.3)
 }
 
-// A node that wants more asks more, not each node of each engine: what passes between
-// nodes grows with the requests.
+// Guards against traffic between nodes that grows with the number of nodes. Nodes request permits
+// only for their own requests, so the traffic grows with the requests.
 func TestBytesForPermitsDoNotGrowWithTheNodes(t *testing.T) {
 	t.Parallel()
 	bytesOf := func(nodes int) int {
@@ -77,9 +79,10 @@
 	assert.Assert(t, many <= few*3/2, "%d bytes with 30 nodes, %d with 120 for the same requests", few, many)
 }
 
-// A node started again, learned of no limit, and stood still for ten seconds: all that its
-// callers had sent meanwhile went to an engine with a limit at once, 9 requests beside the 5
-// that had permits. Limits were told as they began, and never to a node that started later.
+// Guards against nodes that don't know the limits in effect when they start. Limits were sent only
+// when they began, never to a node that started later. A node restarted, learned of no limit, and
+// was paused for ten seconds. Then all requests that its callers had sent meanwhile went to an
+// engine with a limit in one burst: 9 requests beside the 5 that had permits.
 func TestNodeThatStartsIsToldTheLimitsInForce(t *testing.T) {
 	t.Parallel()
 	result := RunLimits(LimitOptions{Seed: 245, Policy: HolderPermits, Nodes: 8, PerSecond: 1, Faults: true})
--- a/internal/lab/simulate/ratelimitengine.go
+++ b/internal/lab/simulate/ratelimitengine.go
@@ -8,32 +8,35 @@
 	"github.com/ravenway/ravenway/internal/lab/limitcheck"
 )
 
-// What an unsettled engine does.
+// The behaviour of engines under LimitOptions.IsUnsettled.
 const (
-	// bareFailures is the part of its answers that fail and name nothing.
+	// bareFailures is the share of responses that fail without naming a limit.
 	bareFailures = 0.3
-	// It does something else after a time, and names no limit for a time before the next.
+	// needLeast and needMost bound the time between two changes of an engine, withoutLeast and
+	// withoutMost the time for which it names no limit after a change.
 	needLeast, needMost       = 3 * time.Second, 9 * time.Second
 	withoutLeast, withoutMost = 500 * time.Millisecond, 5 * time.Second
-	// lifeLag is how long nodes take at most to hear of a new life.
+	// lifeLag is the maximum time until a node knows of a new incarnation.
 	lifeLag = 1500 * time.Millisecond
-	// Part of the messages between nodes are lost, or late by a time.
+	// messageLoss and messageLate are the shares of messages between nodes that are lost or late,
+	// lateLeast and lateMost bound the additional delay of late ones.
 	messageLoss, messageLate = 0.03, 0.1
 	lateLeast, lateMost      = 200 * time.Millisecond, 1500 * time.Millisecond
 )
 
-// limitEngine is an engine that names a limit.
+// limitEngine is an engine that names a rate limit.
 type limitEngine struct {
 	life registry.Life
 	zone string
-	// perSecond is its limit, which it names if isNamed is set.
+	// perSecond is its rate limit in requests a second, which it names if isNamed is set.
 	perSecond float64
 	isNamed   bool
-	// records are what its lives named and got, that of the present one last.
+	// records holds the limits that each incarnation named and the requests that it received; the
+	// last one is that of the current incarnation.
 	records []*limitcheck.Record
 }
 
-// begin begins a life of the engine, and ends the one before.
+// begin starts a new incarnation of the engine, and ends the previous one.
 func (e *limitEngine) begin(now time.Duration) {
 	if len(e.records) > 0 {
 		e.record().End(now)
@@ -45,7 +48,7 @@
 
 func (e *limitEngine) record() *limitcheck.Record { return e.records[len(e.records)-1] }
 
-// answer takes a request of a node at a time and returns what its answer says of the limit.
+// answer records a request of a node and returns the signal of the engine's response.
 func (w *limitWorld) answer(engine *limitEngine, from *limitNode, at time.Duration) ratelimit.Said {
 	if !w.isExcused(from) {
 		engine.record().Arrive(at)
@@ -60,13 +63,13 @@
 	return ratelimit.Said{IsNamed: true, PerSecond: engine.perSecond}
 }
 
-// isExcused tells that a node's requests don't count now: it has just started, or stood still,
-// and what came to it meanwhile goes out before it can hear of a limit.
+// isExcused reports whether the requests of a node don't count now: it has just started or resumed,
+// and sends the requests that it received meanwhile before it can know of a limit.
 func (w *limitWorld) isExcused(node *limitNode) bool {
 	return w.options.IsUnsettled && w.Now-node.clock.runsSince() < limitcheck.Contact
 }
 
-// unsettle has an engine change its limit, name none for a while, or start again.
+// unsettle lets an engine change its limit, name none for a while, or restart, again and again.
 func (w *limitWorld) unsettle(engine *limitEngine) {
 	w.After(w.Between(needLeast, needMost), func() { w.unsettle(engine) })
 	kinds := []func(){
@@ -93,7 +96,7 @@
 	kinds[w.Random.IntN(len(kinds))]()
 }
 
-// nameLater has an engine that names no limit name one again, unless it starts again before.
+// nameLater lets an engine name its limit again after a delay, unless it restarts before.
 func (w *limitWorld) nameLater(engine *limitEngine) {
 	life := engine.life
 	w.After(w.Between(withoutLeast, withoutMost), func() {
@@ -103,7 +106,7 @@
 	})
 }
 
-// lifeOf is the life of an engine that the node knows.
+// lifeOf returns the incarnation of an engine that the node knows.
 func (n *limitNode) lifeOf(engine *limitEngine) registry.Life {
 	if older, isBehind := n.olderLives[engine]; isBehind {
 		return older
@@ -111,7 +114,7 @@
 	return engine.life
 }
 
-// hearLater has the node hear of an engine's new life after a while.
+// hearLater makes a new incarnation of an engine known to the node after a delay.
 func (n *limitNode) hearLater(engine *limitEngine, before registry.Life) {
 	n.olderLives[engine] = before
 	n.after(n.world.Between(0, lifeLag), func() {
@@ -122,7 +125,7 @@
 	})
 }
 
-// delay draws how long a message takes; false if it is lost.
+// delay draws the delay of a message; false if the message is lost.
 func (w *limitWorld) delay(least, most time.Duration) (time.Duration, bool) {
 	delay := w.Between(least, most)
 	if !w.options.IsUnsettled {
--- a/internal/lab/simulate/rollout.go
+++ b/internal/lab/simulate/rollout.go
@@ -12,71 +12,73 @@
 	state "github.com/ravenway/ravenway/internal/state/rollout"
 )
 
-// Harm is how a new version is worse than the old one.
+// Harm is how a new version behaves worse than the old one.
 type Harm struct {
-	// Failing is the part of answers that fail, Slow the part that takes SlowBy times as
+	// Failing is the share of responses that fail, Slow the share that takes SlowBy times as
 	// long.
 	Failing, Slow, SlowBy float64
-	// From is when it begins to be so, after the order.
+	// From is the time after the order from which on the harm occurs.
 	From time.Duration
-	// OneRoute tells that only the first of the routes is harmed, UnderLoad that only
-	// instances are that have more under way than half of an old one's mean.
+	// OneRoute limits the harm to the first of the routes, UnderLoad to loaded instances: those
+	// with more requests in flight than half of the mean of the old version's instances.
 	OneRoute, UnderLoad bool
 }
 
-// RolloutFault is a fault beside a rollout.
+// RolloutFault is a fault during a rollout.
 type RolloutFault string
 
-// Faults beside a rollout.
+// Faults during a rollout.
 const (
 	NoRolloutFault RolloutFault = "none"
-	// EnginesCrash: a seventh of the instances of both versions end for three seconds.
+	// EnginesCrash: a seventh of the instances of both versions crash and are gone for three
+	// seconds.
 	EnginesCrash RolloutFault = "engines_crash"
-	// EnginesIll: a seventh of the instances of both versions fail two of five answers.
+	// EnginesIll: a seventh of the instances of both versions fail two of five responses.
 	EnginesIll RolloutFault = "engines_ill"
 	// EnginesSlow: all instances of both versions take three times as long for three
 	// seconds, as in a burst.
 	EnginesSlow RolloutFault = "engines_slow"
-	// NodeFreezes: a tenth of the nodes stand still for two seconds.
+	// NodeFreezes: a tenth of the nodes are frozen for two seconds.
 	NodeFreezes RolloutFault = "node_freezes"
-	// LeaderLost: a new leader judges from what the nodes tell it.
+	// LeaderLost: a new leader starts its canary analysis from the samples that nodes send it.
 	LeaderLost RolloutFault = "leader_lost"
 )
 
-// RolloutFaults are all faults beside a rollout.
+// RolloutFaults lists all faults during a rollout.
 func RolloutFaults() []RolloutFault {
 	return []RolloutFault{NoRolloutFault, EnginesCrash, EnginesIll, EnginesSlow, NodeFreezes, LeaderLost}
 }
 
-// RolloutOptions set up a run.
+// RolloutOptions configures a run of RunRollout.
 type RolloutOptions struct {
 	Seed  uint64
 	Harm  Harm
 	Fault RolloutFault
 	// Duration is the time from the order to the deadline.
 	Duration time.Duration
-	// Rate is the requests a second of all nodes.
+	// Rate is the number of requests a second of all nodes.
 	Rate float64
-	// Share is the part of requests that the canary gets.
+	// Share is the share of requests that the canary gets.
 	Share float64
 }
 
-// RolloutResult is what a run came to.
+// RolloutResult is the result of RunRollout.
 type RolloutResult struct {
 	Stage  state.Stage
 	Reason string
-	// VerdictAt is when the rollout was rolled back or began to move, EndedAt when it ended.
+	// VerdictAt is when the decision to roll back or to move on was made, EndedAt when the rollout
+	// ended.
 	VerdictAt, EndedAt time.Duration
-	// Requests are all requests until the deadline, ToNew those of them that reached the
-	// new version, BadAnswers the new version's bad answers.
+	// Requests counts all requests until the deadline, ToNew those of them that reached the new
+	// version, BadAnswers the bad responses of the new version.
 	Requests, ToNew, BadAnswers int
-	// Fiftieth is when the new version gave its 50th bad answer, LastToNew when the last
-	// request was sent there; 0 if never.
+	// Fiftieth is when the new version gave its 50th bad response, LastToNew when the last request
+	// was sent to it; 0 if never.
 	Fiftieth, LastToNew time.Duration
 }
 
-// The modelled deployment is the smallest of the users' grown ones with rollouts: 74 entry
-// nodes, 70 instances of either version, of which 7 get the canary's requests.
+// The modelled deployment is the smallest of the users' grown deployments with rollouts: 74 entry
+// nodes and 70 instances of each version, of which 7 get the canary's requests.
 const (
 	rolloutNodes     = 74
 	rolloutInstances = 70
@@ -85,14 +87,15 @@
 	rolloutRate      = 590
 	rolloutShare     = 0.08
 	shortestRollout  = 12 * time.Second
-	// Usual answers: the logarithm of their times has this deviation, and a few fail.
+	// Usual responses: the logarithm of their times has this standard deviation, and a few fail.
 	usualDeviation = 0.4
 	usualFailures  = 0.004
-	// failingRoute is a route on which many answers fail by their nature.
+	// failingRoute is a route on which a large share of responses fails with either version.
 	failingRoute, failingRouteShare = 3, 0.14
 	rolloutStep                     = 20 * time.Millisecond
 	evidenceSteps                   = 13
-	// verdictDelay is the way of a verdict: the log and a hello.
+	// verdictDelay is the time until a decision takes effect at the nodes, through the log and a
+	// hello.
 	verdictDelay    = 60 * time.Millisecond
 	rolloutFrom     = time.Second
 	faultLasts      = 3 * time.Second
@@ -105,7 +108,7 @@
 	usualAnswerTime = 120 * time.Millisecond
 )
 
-// rolloutWorld is a run.
+// rolloutWorld is the state of one run.
 type rolloutWorld struct {
 	options   RolloutOptions
 	random    *rand.Rand
@@ -116,14 +119,14 @@
 	faultAt   time.Duration
 	judge     *rollout.Judge
 	stage     state.Stage
-	// inForce is the stage that the nodes keep to, changesAt when the decided one is.
+	// inForce is the stage in effect at the nodes, changesAt when the decided stage takes effect.
 	inForce   state.Stage
 	changesAt time.Duration
 	result    RolloutResult
 }
 
-// RunRollouts runs a kind of version beside a fault over some seeds, side by side, in the
-// modelled deployment with its requests and the users' shortest rollout.
+// RunRollouts runs several seeds in parallel, with one kind of harm and fault, in the modelled
+// deployment with its request rate and the users' shortest rollout.
 func RunRollouts(harm Harm, fault RolloutFault, seeds int) []RolloutResult {
 	results := make([]RolloutResult, seeds)
 	places := make(chan struct{}, runtime.GOMAXPROCS(0))
@@ -141,7 +144,7 @@
 	return results
 }
 
-// RunRollout runs one seed.
+// RunRollout simulates a rollout of a new version and its canary analysis. It runs one seed.
 func RunRollout(options RolloutOptions) RolloutResult {
 	w := &rolloutWorld{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 41)), credits: make([]float64, rolloutNodes), frozen: make([]bool, rolloutNodes),
@@ -158,7 +161,7 @@
 			w.ill[fmt.Sprint(version, "-", number)] = w.random.Float64() < illPart
 		}
 	}
-	// What is usual is known from before the order.
+	// The usual behaviour of the old version is known from before the order.
 	for at := -earlierSecond * time.Second; at < 0; at += rolloutStep {
 		w.sendAll(at, false)
 	}
@@ -213,7 +216,7 @@
 	return w.options.Fault == NodeFreezes && w.frozen[node] && now >= w.faultAt && now < w.faultAt+frozenFor
 }
 
-// sendAll sends the requests of one step.
+// sendAll sends the requests of one step. newRuns reports whether the new version gets any.
 func (w *rolloutWorld) sendAll(now time.Duration, newRuns bool) {
 	expected := w.options.Rate * rolloutStep.Seconds()
 	count := int(expected)
@@ -252,7 +255,7 @@
 	return true
 }
 
-// answer has an instance answer a request.
+// answer simulates the response of an instance to a request.
 func (w *rolloutWorld) answer(now time.Duration, node int, isNew bool) {
 	version, among := "v1", rolloutInstances
 	if isNew {
@@ -279,7 +282,7 @@
 	case inFault && w.options.Fault == EnginesSlow:
 		one.First = time.Duration(float64(one.First) * slowedBy)
 	case w.options.Fault == EnginesCrash && w.ill[one.Instance] && inFault:
-		// What was under way is broken off; the node then leaves the instance alone.
+		// Requests in flight fail; after that the nodes avoid the instance.
 		if now-w.faultAt > 100*time.Millisecond {
 			return
 		}
--- a/internal/lab/simulate/rollout_test.go
+++ b/internal/lab/simulate/rollout_test.go
@@ -21,9 +21,9 @@
 
 const rolloutSeeds = 5
 
-// Whatever is wrong with a version from a tenth of its answers on, it is rolled back, also
-// beside faults, and nobody is exposed to more of it than was promised: a tenth of the
-// requests and 50, and none later than five seconds behind its 50th bad answer.
+// Guards against bad versions that are not rolled back. Each version that harms at least a tenth of
+// its responses must be rolled back, also during faults, and its exposure is bounded: to a tenth of
+// the requests plus 50, and to five seconds after its 50th bad response.
 func TestBadVersionIsRolledBackWithinItsExposure(t *testing.T) {
 	for name, harm := range map[string]Harm{
 		"a tenth fails": {Failing: 0.1}, "half fails": {Failing: 0.5}, "half fails later": {Failing: 0.5, From: 4 * time.Second},
@@ -41,7 +41,8 @@
 	}
 }
 
-// What harms both versions, or ends or ills some of the new one's instances, is no verdict.
+// Guards against rollbacks of good versions. Faults that affect both versions, or that crash or
+// overload some instances of the new one, must not decide the rollout.
 func TestGoodVersionIsDoneInTimeBesideFaults(t *testing.T) {
 	for _, fault := range []RolloutFault{NoRolloutFault, EnginesCrash, NodeFreezes, LeaderLost} {
 		for seed, one := range RunRollouts(Harm{}, fault, rolloutSeeds) {
--- a/internal/lab/simulate/routing.go
+++ b/internal/lab/simulate/routing.go
@@ -11,17 +11,17 @@
 	"github.com/ravenway/ravenway/internal/coordination/routing"
 )
 
-// RoutingPolicy is a way to choose engines.
+// RoutingPolicy is how nodes choose engines.
 type RoutingPolicy string
 
-// Policies: the product's own and two baselines.
+// Policies of RunRouting: that of the product and two baselines.
 const (
 	RoutingOwn           RoutingPolicy = "own"
 	RoutingRoundRobin    RoutingPolicy = "round robin"
 	RoutingLeastInFlight RoutingPolicy = "least in flight"
 )
 
-// RoutingOptions set up a run.
+// RoutingOptions configures a run of RunRouting.
 type RoutingOptions struct {
 	Seed   uint64
 	Policy RoutingPolicy
@@ -31,14 +31,14 @@
 	SlowEngine bool
 }
 
-// RoutingResult is what a run came to. Times are to the first token.
+// RoutingResult is the result of RunRouting. Times are those to the first token.
 type RoutingResult struct {
 	Requests             int
 	UrgentP50, UrgentP95 time.Duration
 	BatchP50, BatchP95   time.Duration
-	// CacheHits is the share of prompt blocks that were cached.
+	// CacheHits is the share of prompt blocks that were found cached.
 	CacheHits float64
-	// Tokens is the output a second.
+	// Tokens is the number of output tokens a second.
 	Tokens float64
 }
 
@@ -49,7 +49,8 @@
 	routingRunTime  = 60 * time.Second
 	routingCache    = 600
 	routingDocument = 24
-	// documents are long prompts' shared prefixes, in blocks of 64 tokens.
+	// documents is the number of long documents, each of which is the shared prefix of many
+	// prompts. A document has routingDocument blocks of 64 tokens.
 	documents            = 60
 	routingReportLag     = 500 * time.Millisecond
 	routingStep          = 12 * time.Millisecond
@@ -68,7 +69,7 @@
 	engine  *simulatedEngine
 }
 
-// simulatedEngine runs up to routingSlots jobs at once.
+// simulatedEngine runs up to routingSlots jobs at a time.
 type simulatedEngine struct {
 	name    string
 	running int
@@ -77,11 +78,11 @@
 	cache  map[uint64]*list.Element
 	recent *list.List
 	slow   time.Duration
-	// reported is the load as it was a lag ago.
+	// reported is the load as it was routingReportLag ago, next the one that replaces it.
 	reported, next routing.Report
 }
 
-// RoutingSimulation has eight nodes send two classes of jobs to twelve engines.
+// RoutingSimulation lets eight nodes send two classes of jobs to twelve engines.
 type RoutingSimulation struct {
 	options RoutingOptions
 	world   *World
@@ -98,7 +99,7 @@
 	result  RoutingResult
 }
 
-// RunRouting runs one seed of one policy.
+// RunRouting simulates the choice of engines under one policy. It runs one seed.
 func RunRouting(options RoutingOptions) RoutingResult {
 	s := &RoutingSimulation{options: options, world: NewWorld(options.Seed), first: map[queueing.Class][]time.Duration{}}
 	var backends []routing.Backend
@@ -130,7 +131,7 @@
 	return s.finish()
 }
 
-// meanSlotTime is how long a job holds a slot on average, without cache hits.
+// meanSlotTime returns how long a job occupies a slot on average, without cache hits.
 func meanSlotTime() time.Duration {
 	long := routingDocument*routingPrefill + 200*routingStep
 	short := 4*routingPrefill + 32*routingStep
@@ -144,7 +145,7 @@
 	job := &simulatedJob{arrived: s.world.Now, node: s.world.Random.IntN(routingNodes), class: queueing.Urgent, output: 32}
 	length, first := 4, s.world.Random.Uint64()|1<<63
 	if s.world.Chance(1.0 / 3) {
-		// A few documents are read much more often than the others.
+		// Some documents are requested much more often than the others.
 		popular := min(s.world.Random.IntN(documents), s.world.Random.IntN(documents))
 		job.class, job.output, length, first = queueing.Batch, 200, routingDocument, uint64(popular+1)<<20
 	}
@@ -164,7 +165,7 @@
 	}
 }
 
-// baseline chooses as the simple policies do.
+// baseline chooses an engine under one of the baseline policies.
 func (s *RoutingSimulation) baseline(job *simulatedJob) *simulatedEngine {
 	s.turn[job.node]++
 	best := s.engines[s.turn[job.node]%routingEngines]
@@ -179,7 +180,7 @@
 	return best
 }
 
-// place serves a node's queue as the daemon's backends duty does.
+// place dispatches jobs from a node's queue, as the daemon's backends duty does.
 func (s *RoutingSimulation) place(node int) {
 	for {
 		placed := false
@@ -241,7 +242,7 @@
 	}
 }
 
-// use returns how many blocks were not cached, and caches them.
+// use returns how many of the blocks were not cached, and caches them.
 func (e *simulatedEngine) use(blocks []uint64) int {
 	missed := 0
 	for _, block := range blocks {
@@ -258,7 +259,7 @@
 	return missed
 }
 
-// report gives every node each engine's load as it was a lag ago.
+// report sends each engine's load, as it was routingReportLag ago, to each node.
 func (s *RoutingSimulation) report() bool {
 	for _, one := range s.engines {
 		one.reported, one.next = one.next, routing.Report{Running: one.running, Queued: len(one.waiting)}
--- a/internal/lab/simulate/routing_test.go
+++ b/internal/lab/simulate/routing_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// The product's routing against the baselines, in one run of virtual time: it
-// finds more prompts cached, and waits are no longer than with the better
-// baseline but for a bounded part.
+// Guards against routing that does worse than the baselines. The product's policy must find more
+// prompt blocks cached, and its waits may exceed those of the better baseline only by a bounded
+// part.
 func TestRoutingAgainstTheBaselines(t *testing.T) {
 	t.Parallel()
 	const allowance = 50 * time.Millisecond
--- a/internal/lab/simulate/upgrade.go
+++ b/internal/lab/simulate/upgrade.go
@@ -14,46 +14,48 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// UpgradeDefect deliberately breaks the rules of an upgrade, to show that the simulation
-// notices.
+// UpgradeDefect is a deliberate violation of the rules of an upgrade that the simulation must
+// detect.
 type UpgradeDefect int
 
 const (
 	// UpgradeNoDefect runs the real code.
 	UpgradeNoDefect UpgradeDefect = iota
-	// RaiseForTheLeaderAlone raises the log's version as soon as the leader reads it.
+	// RaiseForTheLeaderAlone raises the log's version as soon as the leader's build reads it.
 	RaiseForTheLeaderAlone
-	// NewerWithoutRaise proposes newer commands whatever the log's version is.
+	// NewerWithoutRaise proposes newer commands regardless of the log's version.
 	NewerWithoutRaise
-	// BackWithoutLooking starts a node with the earlier build also after the raise.
+	// BackWithoutLooking downgrades a node without checking whether the log's version was raised.
 	BackWithoutLooking
-	// LookBeforeTheStop looks whether it was raised while the node still runs.
+	// LookBeforeTheStop checks the log's version while the node still runs.
 	LookBeforeTheStop
-	// LookWithoutAWrite looks with a read, which a raise that was proposed before and is not
-	// committed yet may follow.
+	// LookWithoutAWrite checks the log's version with a read. A raise that was proposed before the
+	// read and is not committed yet may follow it.
 	LookWithoutAWrite
-	// BackThoughNobodyWaits goes back with a node that the raise doesn't wait for: one that
-	// lost its disk and is no member of the group yet.
+	// BackThoughNobodyWaits downgrades a node that the raise does not wait for: one that lost its
+	// disk and is not a member of the group yet.
 	BackThoughNobodyWaits
 )
 
 const (
 	upgradeBegins = 6 * time.Second
-	// A hello comes each helloInterval.
+	// helloInterval is the time between two hellos of a node.
 	helloInterval   = 600 * time.Millisecond
 	upgradeSettling = 4 * time.Second
-	// goingBack is the part of the replaced nodes that get the earlier build again.
+	// goingBack is the share of the upgraded nodes, when chosen again, that are to be downgraded.
 	goingBack = 0.3
-	// backWait is how long the operator leaves a node stopped before he looks whether the
-	// log's version was raised: nobody counts it as heard by then, so that it can't be.
+	// backWait is how long the operator leaves a node stopped before checking whether the log's
+	// version was raised. By then no node counts the stopped node as reachable, so that the version
+	// can't be raised any more.
 	backWait = roster.AliveFor + time.Second
 )
 
-// upgradedBuild is what differs between builds, and what a node knows of the others'.
+// upgradedBuild is the log version that a node's build reads, and what the node knows of the
+// builds of the others.
 type upgradedBuild struct {
 	// reads is the newest version of the log that the node's build reads.
 	reads machine.LogVersion
-	// heard are the hellos of the other nodes, by name.
+	// heard holds the last hello of each node, by name.
 	heard map[string]hello
 	raise logversion.Raise
 }
@@ -63,16 +65,17 @@
 	reads machine.LogVersion
 }
 
-// upgrade replaces the builds of a simulation's nodes, one after the other.
+// upgrade replaces the builds of a simulation's nodes one after the other.
 type upgrade struct {
 	*ConsensusSimulation
 	defect UpgradeDefect
-	// held are nodes that the operator holds stopped; a fault's restart leaves them so.
+	// held are the nodes that the operator keeps stopped. The restart that ends a fault does not
+	// start them.
 	held map[*controlNode]bool
 }
 
-// RunUpgrade runs a group whose nodes are given another build one after the other, and some
-// the earlier one again, beside the faults of RunConsensus.
+// RunUpgrade simulates a group whose nodes are upgraded one after the other, and some downgraded
+// again, during the faults of RunConsensus. It runs one seed.
 func RunUpgrade(seed uint64, defect UpgradeDefect) *World {
 	simulation := newConsensusSimulation(seed, NoDefect)
 	u := &upgrade{ConsensusSimulation: simulation, defect: defect, held: map[*controlNode]bool{}}
@@ -85,7 +88,7 @@
 	return simulation.World
 }
 
-// sayHello has each node that runs tell the others what its build reads.
+// sayHello sends the log version that each running node's build reads to all nodes.
 func (u *upgrade) sayHello() bool {
 	for _, from := range u.nodes {
 		if from.replica == nil || from.frozen {
@@ -111,7 +114,7 @@
 	b.heard[from] = said
 }
 
-// raiseVersion does at each node of the newer build what its replica's duty does.
+// raiseVersion does what the replica's duty does at each node of the newer build.
 func (u *upgrade) raiseVersion() bool {
 	for _, node := range u.nodes {
 		if node.replica == nil || node.frozen || node.build.reads < machine.OwnLogVersion {
@@ -133,7 +136,7 @@
 	return true
 }
 
-// look tells the raise who is heard.
+// look passes the nodes that are reachable, and the members, to the raise.
 func (b *upgradedBuild) look(now time.Duration, members []consensus.Member) {
 	var heard []logversion.Control
 	for name, said := range b.heard {
@@ -148,8 +151,8 @@
 	b.raise.Look(now, heard, names)
 }
 
-// needs draws the version that a write of a node, the leader, needs: one in two is of the
-// newer kind where the log may hold those.
+// needs draws the log version that a write at the leader needs. One in two writes is a newer
+// command, if the log may hold those.
 func (u *upgrade) needs(world *World, leader *controlNode) machine.LogVersion {
 	if u == nil {
 		return machine.VersionFirst
@@ -162,7 +165,7 @@
 	return machine.OwnLogVersion
 }
 
-// replaceNext replaces a node's build, and the next one's later.
+// replaceNext replaces the build of a random node, and schedules the next replacement.
 func (u *upgrade) replaceNext() {
 	if u.healed {
 		return
@@ -190,7 +193,7 @@
 	next()
 }
 
-// stop stops a node as planned, and goes on after a while.
+// stop stops a node as the operator does, and calls then after a delay.
 func (u *upgrade) stop(node *controlNode, lasting time.Duration, then func()) {
 	u.held[node] = true
 	u.kill(node)
@@ -203,8 +206,8 @@
 	u.restart(node)
 }
 
-// lookBeforeGoingBack finds out whether the log's version was raised, and starts a stopped
-// node with the earlier build if it was not.
+// lookBeforeGoingBack checks whether the log's version was raised, and starts a stopped node with
+// the earlier build if it was not.
 func (u *upgrade) lookBeforeGoingBack(node *controlNode) {
 	leader := u.leader()
 	switch {
@@ -225,11 +228,11 @@
 	}
 }
 
-// errNoAnswer says that an operator's question got no answer.
-var errNoAnswer = errors.New("no answer")
+// errNoAnswer is returned if the leader did not respond to the operator in time.
+var errNoAnswer = errors.New("no response from the leader")
 
-// look tells the log's version once the leader has committed a write: what was proposed
-// before it is committed too by then, or never will be.
+// look reads the log's version once the leader has committed a write: all earlier proposals are
+// committed by then, or never will be.
 func (u *upgrade) look(leader *controlNode, then func(machine.LogVersion, error)) {
 	isAnswered := false
 	answer := func(err error) {
@@ -252,7 +255,8 @@
 	u.flush(leader)
 }
 
-// startAgain starts a stopped node with the earlier build, or with the one it had.
+// startAgain starts a stopped node with the earlier build if goesBack is set, and otherwise with
+// the one it had.
 func (u *upgrade) startAgain(node *controlNode, goesBack bool) {
 	if !u.held[node] {
 		return
@@ -265,7 +269,7 @@
 	u.start(node, reads)
 }
 
-// finish gives all nodes the newer build.
+// finish upgrades all nodes to the newer build.
 func (u *upgrade) finish() {
 	for _, node := range u.nodes {
 		if node.build.reads < machine.OwnLogVersion {
@@ -276,7 +280,7 @@
 	clear(u.held)
 }
 
-// checkRaised: with all nodes on the newer build, the log's version was raised.
+// checkRaised checks that the log's version was raised at all nodes, which have the newer build.
 func (u *upgrade) checkRaised() {
 	if u.World.Broken != nil {
 		return
--- a/internal/lab/simulate/upgrade_test.go
+++ b/internal/lab/simulate/upgrade_test.go
@@ -6,8 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// No replica meets a command that its build can't read, none is parted from the others, and
-// the log's version rises once all have the newer build, whatever order they are given it in.
+// Guards against replicas that have to apply a command that their build can't read, or that diverge
+// from the others, and against a log version that is not raised although all have the newer build.
+// The nodes are upgraded in random order.
 func TestGroupOfTwoBuildsHoldsOneLogUnderFaults(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunUpgrade(seed, UpgradeNoDefect) })
 }
@@ -23,10 +24,10 @@
 	}
 }
 
-// Found by 10,000 seeds, in ways of going back that seemed safe. The operator had stopped a
-// machine, waited and read the version while a raise that was proposed before was still to be
-// committed: only an acknowledged write shows that none is under way. Or the machine had lost
-// its disk and was no member yet, so that the raise did not wait for it.
+// Guards against two ways to downgrade a node that seem safe; 10,000 seeds found their faults. The
+// operator stopped a machine, waited and read the version while a raise that was proposed earlier
+// was not committed yet: only an acknowledged write shows that no raise is in progress. Or the
+// machine had lost its disk and was no member yet, so that the raise did not wait for it.
 func TestGoingBackMayBeOvertakenByARaise(t *testing.T) {
 	t.Parallel()
 	assert.ErrorContains(t, RunUpgrade(927, LookWithoutAWrite).Broken, "can't read")
--- a/internal/lab/simulate/world.go
+++ b/internal/lab/simulate/world.go
@@ -1,8 +1,7 @@
-// Package simulate runs the coordination code in deterministic virtual time:
-// seeded delays, losses, doubled and reordered messages, cuts, frozen and
-// killed nodes, and disks that lose what was not synced. Each simulation
-// checks its mechanism's invariants at every step and names the one that
-// broke.
+// Package simulate runs the coordination code in deterministic virtual time, with seeded faults:
+// delayed, lost, duplicated and reordered messages, network partitions, frozen and killed nodes,
+// and disks that lose unsynced data. Each simulation checks the invariants of its mechanism at
+// every step and reports the first one that is violated.
 package simulate
 
 import (
@@ -14,35 +13,36 @@
 	"time"
 )
 
-// World is virtual time: events run in the order of their due times.
+// World is a discrete event simulation: events run in the order of their due times in virtual
+// time.
 type World struct {
 	Now    time.Duration
 	Random *rand.Rand
 	// Steps counts the events that ran.
 	Steps int
-	// Faults counts the faults brought about, by kind.
+	// Faults counts the injected faults by kind.
 	Faults map[string]int
-	// Checks counts the invariant checks made.
+	// Checks counts the invariant checks.
 	Checks int
-	// Broken is the first broken invariant, or nil.
+	// Broken is the first violated invariant, or nil.
 	Broken error
 
 	events   eventHeap
 	sequence uint64
 }
 
-// NewWorld starts at time zero with a seed that decides everything.
+// NewWorld returns a world at time zero. The seed determines the whole run.
 func NewWorld(seed uint64) *World {
 	return &World{Random: rand.New(rand.NewPCG(seed, 0x9e3779b97f4a7c15)), Faults: map[string]int{}}
 }
 
-// After runs an action once the delay has passed.
+// After schedules an action to run after a delay.
 func (w *World) After(delay time.Duration, action func()) {
 	w.sequence++
 	heap.Push(&w.events, event{due: w.Now + delay, sequence: w.sequence, action: action})
 }
 
-// Every runs an action at each interval, until it returns false.
+// Every runs an action at each interval until it returns false.
 func (w *World) Every(interval time.Duration, action func() bool) {
 	w.After(interval, func() {
 		if action() {
@@ -51,8 +51,7 @@
 	})
 }
 
-// RunUntil runs all events that are due up to a time, or until an invariant
-// breaks.
+// RunUntil runs all events that are due up to the given time, or until an invariant is violated.
 func (w *World) RunUntil(end time.Duration) {
 	for len(w.events) > 0 && w.events[0].due <= end && w.Broken == nil {
 		next := heap.Pop(&w.events).(event)
@@ -65,7 +64,7 @@
 	}
 }
 
-// Check records an invariant check; broken is nil if it holds.
+// Check records an invariant check; broken is nil if the invariant holds.
 func (w *World) Check(broken error) {
 	w.Checks++
 	if broken != nil && w.Broken == nil {
@@ -73,22 +72,22 @@
 	}
 }
 
-// Between draws a duration.
+// Between draws a uniformly distributed duration in [low, high].
 func (w *World) Between(low, high time.Duration) time.Duration {
 	return low + time.Duration(w.Random.Int64N(int64(high-low)+1))
 }
 
-// Chance is true with a probability.
+// Chance returns true with the given probability.
 func (w *World) Chance(probability float64) bool {
 	return w.Random.Float64() < probability
 }
 
-// Fault counts a fault brought about.
+// Fault counts an injected fault.
 func (w *World) Fault(kind string) {
 	w.Faults[kind]++
 }
 
-// FaultSummary lists the faults by kind.
+// FaultSummary lists the number of injected faults by kind.
 func (w *World) FaultSummary() string {
 	var parts []string
 	for kind, count := range w.Faults {
@@ -126,22 +125,22 @@
 	return last
 }
 
-// Network delivers between named nodes with the faults of a real one.
+// Network delivers messages between named nodes and can delay, lose, duplicate or block them.
 type Network struct {
 	world *World
 	// MinimumDelay and MaximumDelay bound the one-way delay.
 	MinimumDelay, MaximumDelay time.Duration
-	// Loss and Duplication are probabilities for each message.
+	// Loss and Duplication are the probabilities that a message is lost or delivered twice.
 	Loss, Duplication float64
-	// cut holds directed pairs that lose everything.
+	// cut holds the directed pairs of nodes between which all messages are lost.
 	cut map[link]bool
-	// Messages counts what was sent.
+	// Messages counts the messages sent.
 	Messages int
 }
 
 type link struct{ from, to string }
 
-// NewNetwork makes a network without faults and with delays of a zone.
+// NewNetwork returns a network without faults whose delays are those within a zone.
 func NewNetwork(world *World) *Network {
 	return &Network{
 		world: world, MinimumDelay: 200 * time.Microsecond, MaximumDelay: 2 * time.Millisecond,
@@ -149,7 +148,7 @@
 	}
 }
 
-// Send delivers a message later, perhaps twice, perhaps never.
+// Send delivers a message after a delay: once, twice if it is duplicated, or never if it is lost.
 func (n *Network) Send(from, to string, deliver func()) {
 	n.Messages++
 	copies := 1
@@ -172,10 +171,10 @@
 	}
 }
 
-// CutOneWay loses everything from one node to another until Heal.
+// CutOneWay drops all messages from one node to another until Heal.
 func (n *Network) CutOneWay(from, to string) { n.cut[link{from, to}] = true }
 
-// CutBetween separates two groups of nodes in both directions.
+// CutBetween partitions two groups of nodes from each other in both directions.
 func (n *Network) CutBetween(left, right []string) {
 	for _, one := range left {
 		for _, other := range right {
@@ -185,10 +184,10 @@
 	}
 }
 
-// Heal ends all cuts.
+// Heal ends all partitions.
 func (n *Network) Heal() { n.cut = map[link]bool{} }
 
-// Reachable tells whether messages from one node reach another.
+// Reachable reports whether messages from one node reach another.
 func (n *Network) Reachable(from, to string) bool { return !n.cut[link{from, to}] }
 
 func sortNames(names []string) { sort.Strings(names) }
