--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -88,43 +88,44 @@
 const (
 	backoffZones = 3
 	backoffSlots = 8
-	// backoffQueue is how many requests an engine queues before it rejects further ones.
-	backoffQueue = 8
+	// backoffQueueLength is how many requests an engine queues before it rejects further ones.
+	backoffQueueLength = 8
 	// Bounds of the time that a request runs at an engine.
-	backoffWorkLeast, backoffWorkMost = 200 * time.Millisecond, 600 * time.Millisecond
-	backoffObjective                  = 800 * time.Millisecond
-	backoffDeadline                   = 4 * time.Second
-	backoffTries                      = 3
-	backoffWarmUp                     = 3 * time.Second
-	backoffIll                        = 8 * time.Second
-	backoffAfter                      = 12 * time.Second
-	backoffBurstWindow                = 500 * time.Millisecond
-	backoffLoadsEvery                 = 200 * time.Millisecond
-	// backoffSlowDial is the share of requests whose connection takes up to backoffSlowDialMost.
-	backoffSlowDial, backoffSlowDialMost = 0.05, 250 * time.Millisecond
-	backoffFaultEvery                    = 1500 * time.Millisecond
+	backoffMinimumWork, backoffMaximumWork = 200 * time.Millisecond, 600 * time.Millisecond
+	backoffObjective                       = 800 * time.Millisecond
+	backoffDeadline                        = 4 * time.Second
+	backoffMaximumTries                    = 3
+	backoffWarmUp                          = 3 * time.Second
+	backoffOverloadTime                    = 8 * time.Second
+	backoffRecoveryTime                    = 12 * time.Second
+	backoffBurstWindow                     = 500 * time.Millisecond
+	backoffLoadInterval                    = 200 * time.Millisecond
+	// backoffSlowDialShare is the share of requests whose connection takes up to
+	// backoffMaximumSlowDial.
+	backoffSlowDialShare, backoffMaximumSlowDial = 0.05, 250 * time.Millisecond
+	backoffFaultInterval                         = 1500 * time.Millisecond
 )
 
 type backoffWorld struct {
 	*World
-	options BackoffOptions
-	result  *BackoffResult
-	nodes   []*backoffNode
-	names   []string
-	engines map[string]*backoffEngine
-	order   []*backoffEngine
-	// wellFrom is when all engines have recovered.
-	wellFrom time.Duration
+	options    BackoffOptions
+	result     *BackoffResult
+	nodes      []*backoffNode
+	names      []string
+	engines    map[string]*backoffEngine
+	engineList []*backoffEngine
+	// recoveredAt is when all engines have recovered.
+	recoveredAt time.Duration
 }
 
 // backoffCall is one caller's request with all its tries. A try at a node may make several
 // attempts at engines.
 type backoffCall struct {
-	first    time.Duration
-	tries    int
-	attempts int
-	part     string
-	tried    []string
+	firstTryAt      time.Duration
+	tries           int
+	maximumAttempts int
+	part            string
+	tried           []string
 }
 
 // RunBackoff simulates entry nodes that send requests to engines which request pauses. It runs
@@ -138,30 +139,32 @@
 		w.nodes, w.names = append(w.nodes, node), append(w.names, node.name())
 		node.start()
 	}
-	w.Every(backoffLoadsEvery, func() bool { w.exchangeLoads(); return true })
-	w.After(0, w.nextCall)
+	w.Every(backoffLoadInterval, func() bool { w.exchangeLoads(); return true })
+	w.After(0, w.generateCall)
 	if options.Faults {
-		w.After(backoffWarmUp+options.Pause/2, w.disturb)
+		w.After(backoffWarmUp+options.Pause/2, w.injectFault)
 	}
 	w.RunUntil(w.end())
-	w.judge()
+	w.summarize()
 	return *w.result
 }
 
-func (w *backoffWorld) end() time.Duration { return w.wellFrom + w.options.Pause + backoffAfter }
+func (w *backoffWorld) end() time.Duration {
+	return w.recoveredAt + w.options.Pause + backoffRecoveryTime
+}
 
-func (w *backoffWorld) perSecond() float64 {
-	work := (backoffWorkLeast + backoffWorkMost).Seconds() / 2
-	return w.options.Load * float64(len(w.order)*backoffSlots) / work
+func (w *backoffWorld) requestRate() float64 {
+	work := (backoffMinimumWork + backoffMaximumWork).Seconds() / 2
+	return w.options.Load * float64(len(w.engineList)*backoffSlots) / work
 }
 
-func (w *backoffWorld) nextCall() {
-	call := &backoffCall{first: w.Now, part: fmt.Sprint("part-", w.Random.IntN(200)), attempts: 1 + w.Random.IntN(2)}
+func (w *backoffWorld) generateCall() {
+	call := &backoffCall{firstTryAt: w.Now, part: fmt.Sprint("part-", w.Random.IntN(200)), maximumAttempts: 1 + w.Random.IntN(2)}
 	if w.Now >= backoffWarmUp && w.Now < w.end()-backoffDeadline {
 		w.result.Sent++
 	}
 	w.try(call)
-	w.After(time.Duration(w.Random.ExpFloat64()/w.perSecond()*float64(time.Second)), w.nextCall)
+	w.After(time.Duration(w.Random.ExpFloat64()/w.requestRate()*float64(time.Second)), w.generateCall)
 }
 
 // try sends a call to a random node.
@@ -175,35 +178,35 @@
 	})
 }
 
-func (w *backoffWorld) isJudged(call *backoffCall) bool {
-	return call.first >= backoffWarmUp && call.first < w.end()-backoffDeadline
+func (w *backoffWorld) isCounted(call *backoffCall) bool {
+	return call.firstTryAt >= backoffWarmUp && call.firstTryAt < w.end()-backoffDeadline
 }
 
 // refuse answers a call with its retry time. The caller retries within a third of the time that
 // it has left.
 func (n *backoffNode) refuse(call *backoffCall) {
 	w := n.world
-	left := call.first + backoffDeadline - w.Now
-	comeBack := w.Between(200*time.Millisecond, 700*time.Millisecond)
-	if back, isKeptAway := n.table.NextAvailable(n.now(), n.request(call)); isKeptAway {
-		comeBack = back.Wait + w.Between(0, max(200*time.Millisecond, back.Wait/4))
+	left := call.firstTryAt + backoffDeadline - w.Now
+	retryAfter := w.Between(200*time.Millisecond, 700*time.Millisecond)
+	if available, isPaused := n.table.NextAvailable(n.now(), n.request(call)); isPaused {
+		retryAfter = available.Wait + w.Between(0, max(200*time.Millisecond, available.Wait/4))
 	}
-	if comeBack > left || call.tries >= backoffTries {
-		if w.isJudged(call) {
+	if retryAfter > left || call.tries >= backoffMaximumTries {
+		if w.isCounted(call) {
 			w.result.Refused++
 		}
 		return
 	}
-	w.After(min(comeBack, left/3), func() { w.try(call) })
+	w.After(min(retryAfter, left/3), func() { w.try(call) })
 }
 
 // exchangeLoads gives each node the load that the other nodes have in flight.
 func (w *backoffWorld) exchangeLoads() {
-	own := make([]balance.Loads, len(w.nodes))
+	ownLoads := make([]balance.Loads, len(w.nodes))
 	total := balance.Loads{}
 	for position, node := range w.nodes {
-		own[position] = node.table.OwnLoads()
-		for key, load := range own[position] {
+		ownLoads[position] = node.table.OwnLoads()
+		for key, load := range ownLoads[position] {
 			sum := total[key]
 			total[key] = balance.Load{Tokens: sum.Tokens + load.Tokens, Requests: sum.Requests + load.Requests}
 		}
@@ -211,50 +214,50 @@
 	for position, node := range w.nodes {
 		others := make(balance.Loads, len(total))
 		for key, load := range total {
-			mine := own[position][key]
-			others[key] = balance.Load{Tokens: load.Tokens - mine.Tokens, Requests: load.Requests - mine.Requests}
+			ownLoad := ownLoads[position][key]
+			others[key] = balance.Load{Tokens: load.Tokens - ownLoad.Tokens, Requests: load.Requests - ownLoad.Requests}
 		}
 		node.table.SetOthersLoads(others)
 	}
 }
 
-// disturb restarts, freezes, suspends or partitions a random node, again and again.
-func (w *backoffWorld) disturb() {
+// injectFault restarts, freezes, suspends or partitions a random node, again and again.
+func (w *backoffWorld) injectFault() {
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
-	lasting := w.Between(500*time.Millisecond, 3*time.Second)
+	duration := w.Between(500*time.Millisecond, 3*time.Second)
 	switch w.Random.IntN(4) {
 	case 0:
 		w.Fault("restarted")
 		node.start()
 	case 1:
 		w.Fault("frozen")
-		node.clock.freeze(w.Now, lasting)
-		w.After(lasting, node.excuse)
+		node.clock.freeze(w.Now, duration)
+		w.After(duration, node.discardPauseRecords)
 	case 2:
 		w.Fault("suspended")
-		node.clock.suspend(w.Now, lasting)
-		w.After(lasting, node.excuse)
+		node.clock.suspend(w.Now, duration)
+		w.After(duration, node.discardPauseRecords)
 	case 3:
 		w.Fault("cut")
-		node.isCut = true
-		w.After(lasting, func() { node.isCut = false; node.excuse() })
+		node.isPartitioned = true
+		w.After(duration, func() { node.isPartitioned = false; node.discardPauseRecords() })
 	}
-	w.After(backoffFaultEvery, w.disturb)
+	w.After(backoffFaultInterval, w.injectFault)
 }
 
-func (w *backoffWorld) judge() {
-	fair := w.perSecond() / float64(len(w.order)) * backoffBurstWindow.Seconds()
-	for _, engine := range w.order {
+func (w *backoffWorld) summarize() {
+	fairShare := w.requestRate() / float64(len(w.engineList)) * backoffBurstWindow.Seconds()
+	for _, engine := range w.engineList {
 		for _, record := range engine.records {
 			w.result.InPause = max(w.result.InPause, record.Most())
 		}
-		wellFrom := engine.illFrom + engine.illFor
-		if engine.illFor == 0 {
+		recoveredAt := engine.overloadedFrom + engine.overloadedFor
+		if engine.overloadedFor == 0 {
 			continue
 		}
-		well := slices.DeleteFunc(slices.Clone(engine.arrivals), func(at time.Duration) bool { return at < wellFrom })
-		w.result.Burst = max(w.result.Burst, float64(limitcheck.MostWithin(well, backoffBurstWindow))/fair)
-		w.result.FullUse = max(w.result.FullUse, w.fullUse(well, wellFrom))
+		afterRecovery := slices.DeleteFunc(slices.Clone(engine.arrivals), func(at time.Duration) bool { return at < recoveredAt })
+		w.result.Burst = max(w.result.Burst, float64(limitcheck.MostWithin(afterRecovery, backoffBurstWindow))/fairShare)
+		w.result.FullUse = max(w.result.FullUse, w.timeToFullLoad(afterRecovery, recoveredAt))
 	}
 	if w.options.Policy == PausesIgnored {
 		return
@@ -266,10 +269,10 @@
 	w.Check(broken)
 }
 
-// fullUse returns the time until an engine has received four fifths of its share of the load
+// timeToFullLoad returns the time until an engine has received four fifths of its share of the load
 // within one second.
-func (w *backoffWorld) fullUse(arrivals []time.Duration, from time.Duration) time.Duration {
-	needed := int(0.8 * w.perSecond() / float64(len(w.order)))
+func (w *backoffWorld) timeToFullLoad(arrivals []time.Duration, from time.Duration) time.Duration {
+	needed := int(0.8 * w.requestRate() / float64(len(w.engineList)))
 	for first := range arrivals {
 		last := first + needed - 1
 		if last < len(arrivals) && arrivals[last]-arrivals[first] <= time.Second {
--- a/internal/lab/simulate/backoff_test.go
+++ b/internal/lab/simulate/backoff_test.go
@@ -24,7 +24,7 @@
 // Guards against requests that reach an engine during a pause because their node was restarted,
 // suspended or partitioned, or because they were waiting for a connection when the pause was
 // requested.
-func TestPausesAreKeptWhateverTheNodesDo(t *testing.T) {
+func TestNodeFaultsDoNotBreakPauses(t *testing.T) {
 	t.Parallel()
 	for _, scenario := range backoffScenarios {
 		for _, pause := range []time.Duration{500 * time.Millisecond, 3 * time.Second, 30 * time.Second} {
@@ -38,7 +38,7 @@
 }
 
 // Guards against runs that the seed does not determine: a failing seed must be reproducible.
-func TestSimulationOfPausesRepeats(t *testing.T) {
+func TestBackoffSimulationIsReproducible(t *testing.T) {
 	t.Parallel()
 	play := func() BackoffResult {
 		result := runBackoff(SpreadTrials, Wave, 3*time.Second, func(o *BackoffOptions) { o.Seed, o.Faults = 7, true })
@@ -48,14 +48,14 @@
 	assert.DeepEqual(t, play(), play())
 }
 
-func TestManyNodesKeepPausesToo(t *testing.T) {
+func TestManyNodesRespectPauses(t *testing.T) {
 	t.Parallel()
 	result := runBackoff(SpreadTrials, ThirdIll, 3*time.Second, func(o *BackoffOptions) { o.Nodes, o.Faults = 60, true })
 	assert.NilError(t, result.Broken)
 }
 
 // The simulation detects nodes that ignore pauses.
-func TestPausesThatNobodyKeepsAreNoticed(t *testing.T) {
+func TestSimulationDetectsIgnoredPauses(t *testing.T) {
 	t.Parallel()
 	result := runBackoff(PausesIgnored, ThirdIll, 3*time.Second, func(*BackoffOptions) {})
 	assert.Assert(t, result.InPause > pausecheck.Allowed, "%d", result.InPause)
@@ -63,7 +63,7 @@
 
 // Guards against nodes that all resume at the same moment when the pauses of all engines expire:
 // the burst makes the engines request another pause.
-func TestEnginesAreNotOverrunAsTheirPausesEnd(t *testing.T) {
+func TestEnginesAreNotOverloadedWhenPausesExpire(t *testing.T) {
 	t.Parallel()
 	later := func(policy BackoffPolicy) (asked int, inTime float64) {
 		for seed := range uint64(backoffSeedsInCI) {
@@ -73,16 +73,16 @@
 		}
 		return asked, inTime
 	}
-	atOnce, servedAtOnce := later(HardEnd)
+	simultaneous, servedSimultaneous := later(HardEnd)
 	spread, servedSpread := later(SpreadTrials)
-	t.Logf("simultaneous: %d more pauses, %.3f in time; spread: %d, %.3f", atOnce, servedAtOnce, spread, servedSpread)
-	assert.Assert(t, 2*spread < atOnce)
-	assert.Assert(t, servedSpread > servedAtOnce)
+	t.Logf("simultaneous: %d more pauses, %.3f in time; spread: %d, %.3f", simultaneous, servedSimultaneous, spread, servedSpread)
+	assert.Assert(t, 2*spread < simultaneous)
+	assert.Assert(t, servedSpread > servedSimultaneous)
 }
 
 // Guards against engines that request one pause after the other while they are overloaded, at
 // each of which callers of every node are refused.
-func TestFewCallersPayForEnginesThatAreStillIllAfterAPause(t *testing.T) {
+func TestTrialsReduceRefusalsWhileEnginesStayOverloaded(t *testing.T) {
 	t.Parallel()
 	refused := func(policy BackoffPolicy) (count, asked int) {
 		for seed := range uint64(backoffSeedsInCI) {
--- a/internal/lab/simulate/backoffengine.go
+++ b/internal/lab/simulate/backoffengine.go
@@ -11,16 +11,16 @@
 
 // backoffEngine runs as many requests at a time as it has slots, and queues a few more.
 type backoffEngine struct {
-	instance        registry.Instance
-	illFrom, illFor time.Duration
-	running, queued int
-	waiting         []func()
-	arrivals        []time.Duration
-	records         map[*backoffNode]*pausecheck.Record
+	instance                      registry.Instance
+	overloadedFrom, overloadedFor time.Duration
+	running, queued               int
+	waiting                       []func()
+	arrivals                      []time.Duration
+	records                       map[*backoffNode]*pausecheck.Record
 }
 
-func (e *backoffEngine) isIll(now time.Duration) bool {
-	return now >= e.illFrom && now < e.illFrom+e.illFor
+func (e *backoffEngine) isOverloaded(now time.Duration) bool {
+	return now >= e.overloadedFrom && now < e.overloadedFrom+e.overloadedFor
 }
 
 // engineCount grows with the square root of the number of nodes.
@@ -35,49 +35,49 @@
 			ID: fmt.Sprintf("engine-%d-%d", w.options.Seed, number), Service: "s", Zone: fmt.Sprintf("zone-%d", number%backoffZones),
 			Slots: backoffSlots, State: registry.Ready, Sequence: 1,
 		}}
-		w.engines[engine.instance.ID], w.order = engine, append(w.order, engine)
-		engine.illFrom = backoffWarmUp
+		w.engines[engine.instance.ID], w.engineList = engine, append(w.engineList, engine)
+		engine.overloadedFrom = backoffWarmUp
 		switch w.options.Scenario {
 		case ThirdIll:
-			engine.illFor = ifTrue(number < count/3, backoffIll)
+			engine.overloadedFor = durationIf(number < count/3, backoffOverloadTime)
 		case ZoneIll:
-			engine.illFor = ifTrue(number%backoffZones == 0, backoffIll)
+			engine.overloadedFor = durationIf(number%backoffZones == 0, backoffOverloadTime)
 		case AllIll:
-			engine.illFor = backoffIll / 2
+			engine.overloadedFor = backoffOverloadTime / 2
 		case Wave:
-			engine.illFrom += time.Duration(number) * backoffIll / time.Duration(count)
-			engine.illFor = backoffIll / 4
+			engine.overloadedFrom += time.Duration(number) * backoffOverloadTime / time.Duration(count)
+			engine.overloadedFor = backoffOverloadTime / 4
 		}
-		w.wellFrom = max(w.wellFrom, engine.illFrom+engine.illFor)
+		w.recoveredAt = max(w.recoveredAt, engine.overloadedFrom+engine.overloadedFor)
 	}
 }
 
-func ifTrue(condition bool, value time.Duration) time.Duration {
+func durationIf(condition bool, value time.Duration) time.Duration {
 	if condition {
 		return value
 	}
 	return 0
 }
 
-func (w *backoffWorld) noteAsked(engine *backoffEngine) {
+func (w *backoffWorld) recordPauseRequest(engine *backoffEngine) {
 	w.result.Asked++
-	if !engine.isIll(w.Now) {
+	if !engine.isOverloaded(w.Now) {
 		w.result.Later++
 	}
 }
 
-// take runs a request as soon as a slot is free.
-func (e *backoffEngine) take(w *backoffWorld, begun, ended func()) {
+// serve runs a request as soon as a slot is free.
+func (e *backoffEngine) serve(w *backoffWorld, onStart, onEnd func()) {
 	if e.running == backoffSlots {
 		e.queued++
-		e.waiting = append(e.waiting, func() { e.queued--; e.take(w, begun, ended) })
+		e.waiting = append(e.waiting, func() { e.queued--; e.serve(w, onStart, onEnd) })
 		return
 	}
 	e.running++
-	begun()
-	w.After(w.Between(backoffWorkLeast, backoffWorkMost), func() {
+	onStart()
+	w.After(w.Between(backoffMinimumWork, backoffMaximumWork), func() {
 		e.running--
-		ended()
+		onEnd()
 		if len(e.waiting) > 0 {
 			next := e.waiting[0]
 			e.waiting = e.waiting[1:]
--- a/internal/lab/simulate/backoffnode.go
+++ b/internal/lab/simulate/backoffnode.go
@@ -14,31 +14,31 @@
 
 // backoffNode is an entry node.
 type backoffNode struct {
-	world   *backoffWorld
-	number  int
-	process int
-	clock   machineClock
-	// isCut reports whether the node is partitioned from all engines.
-	isCut   bool
-	table   *balance.Table
-	tracker *backoff.Tracker
-	retries *balance.RetryBudget
+	world       *backoffWorld
+	number      int
+	incarnation int
+	clock       machineClock
+	// isPartitioned reports whether the node is partitioned from all engines.
+	isPartitioned bool
+	table         *balance.Table
+	tracker       *backoff.Tracker
+	retries       *balance.RetryBudget
 }
 
 // start starts a new process of the node, which knows of no pauses.
 func (n *backoffNode) start() {
-	n.process++
-	n.clock = machineClock{bootedAt: n.world.Now}
+	n.incarnation++
+	n.clock = machineClock{startedAt: n.world.Now}
 	n.table = balance.NewTable(fmt.Sprintf("zone-%d", n.number%backoffZones))
-	n.tracker = backoff.NewTracker(n.world.returnPolicy())
+	n.tracker = backoff.NewTracker(n.world.resumePolicy())
 	n.table.SetRandom(n.world.Random.Float64)
 	n.tracker.SetRandom(n.world.Random.Float64)
 	if n.world.options.Policy != PausesIgnored {
 		n.table.SetBackoff(n.tracker)
 	}
 	n.retries = balance.NewRetryBudget()
-	instances := make([]registry.Instance, 0, len(n.world.order))
-	for _, engine := range n.world.order {
+	instances := make([]registry.Instance, 0, len(n.world.engineList))
+	for _, engine := range n.world.engineList {
 		instances = append(instances, engine.instance)
 		engine.records[n] = &pausecheck.Record{}
 	}
@@ -51,13 +51,13 @@
 // after runs an action of the node's current process after a delay, and once the process has
 // resumed if it is paused then. The action is dropped if the process was restarted.
 func (n *backoffNode) after(delay time.Duration, action func()) {
-	process := n.process
+	incarnation := n.incarnation
 	var attempt func()
 	attempt = func() {
 		switch {
-		case n.process != process:
-		case n.clock.stands(n.world.Now):
-			n.world.After(n.clock.standsUntil-n.world.Now+n.world.Between(0, time.Millisecond), attempt)
+		case n.incarnation != incarnation:
+		case n.clock.isPaused(n.world.Now):
+			n.world.After(n.clock.pausedUntil-n.world.Now+n.world.Between(0, time.Millisecond), attempt)
 		default:
 			action()
 		}
@@ -72,7 +72,7 @@
 func (n *backoffNode) request(call *backoffCall) balance.Request {
 	return balance.Request{
 		Service: "s", Part: call.part, Cost: 1, Tokens: 1000, SharedTokens: 600, Exclude: call.tried,
-		IsLastAttempt: len(call.tried)+1 >= call.attempts,
+		IsLastAttempt: len(call.tried)+1 >= call.maximumAttempts,
 	}
 }
 
@@ -86,8 +86,8 @@
 		return
 	}
 	dial := w.Between(500*time.Microsecond, 3*time.Millisecond)
-	if w.Chance(backoffSlowDial) {
-		dial = w.Between(0, backoffSlowDialMost)
+	if w.Chance(backoffSlowDialShare) {
+		dial = w.Between(0, backoffMaximumSlowDial)
 	}
 	n.after(dial, func() {
 		if w.options.Policy != PausesIgnored && n.table.Admit(n.now(), choice) != nil {
@@ -95,8 +95,8 @@
 			n.forward(call)
 			return
 		}
-		if n.isCut {
-			n.after(dial+backoffSlowDialMost, func() {
+		if n.isPartitioned {
+			n.after(dial+backoffMaximumSlowDial, func() {
 				n.table.Done(n.now(), choice, balance.Unreachable)
 				n.refuse(call)
 			})
@@ -108,37 +108,37 @@
 
 // send delivers a call to an engine, which rejects, queues or runs it.
 func (n *backoffNode) send(call *backoffCall, choice balance.Choice) {
-	w, engine, process := n.world, n.world.engines[choice.ID], n.process
+	w, engine, incarnation := n.world, n.world.engines[choice.ID], n.incarnation
 	call.tried = append(call.tried, choice.ID)
-	way, writtenAt := w.Between(500*time.Microsecond, 3*time.Millisecond), n.now()
-	w.After(way, func() {
+	delay, writtenAt := w.Between(500*time.Microsecond, 3*time.Millisecond), n.now()
+	w.After(delay, func() {
 		engine.arrivals = append(engine.arrivals, w.Now)
 		engine.records[n].Arrive(w.Now)
-		if engine.isIll(w.Now) || engine.running == backoffSlots && engine.queued == backoffQueue {
-			asks := engine.isIll(w.Now) || w.options.AsksWhenFull
-			if asks && n.process == process && !n.isCut {
+		if engine.isOverloaded(w.Now) || engine.running == backoffSlots && engine.queued == backoffQueueLength {
+			requestsPause := engine.isOverloaded(w.Now) || w.options.AsksWhenFull
+			if requestsPause && n.incarnation == incarnation && !n.isPartitioned {
 				engine.records[n].Ask(w.Now, w.options.Pause)
-				w.noteAsked(engine)
+				w.recordPauseRequest(engine)
 			}
-			n.after(way, func() { n.turnedAway(call, choice, asks) })
+			n.after(delay, func() { n.handleRejection(call, choice, requestsPause) })
 			return
 		}
-		engine.take(w, func() { n.after(way, func() { n.answered(call, &choice, writtenAt) }) }, func() {
-			n.after(way, func() { n.table.Done(n.now(), choice, balance.Served) })
+		engine.serve(w, func() { n.after(delay, func() { n.handleResponse(call, &choice, writtenAt) }) }, func() {
+			n.after(delay, func() { n.table.Done(n.now(), choice, balance.Served) })
 		})
 	})
 }
 
-// turnedAway handles the rejection of a call by an engine, which may request a pause with it.
-func (n *backoffNode) turnedAway(call *backoffCall, choice balance.Choice, asks bool) {
+// handleRejection handles the rejection of a call by an engine, which may request a pause with it.
+func (n *backoffNode) handleRejection(call *backoffCall, choice balance.Choice, requestsPause bool) {
 	n.table.Done(n.now(), choice, balance.Full)
-	if asks {
+	if requestsPause {
 		n.tracker.Learn(n.now(), choice.Life(), backoff.Request{}, backoff.Said{Pause: n.world.options.Pause + n.rankDelay(choice.ID)})
 	}
-	if asks && n.world.options.Policy == SharedTrials {
-		n.warnOthers(choice.Life())
+	if requestsPause && n.world.options.Policy == SharedTrials {
+		n.notifyOthers(choice.Life())
 	}
-	if len(call.tried) >= call.attempts || !n.retries.Take(n.now(), "s", n.retryPolicy()) {
+	if len(call.tried) >= call.maximumAttempts || !n.retries.Take(n.now(), "s", n.retryPolicy()) {
 		n.refuse(call)
 		return
 	}
@@ -156,8 +156,8 @@
 
 func (n *backoffNode) name() string { return fmt.Sprintf("entry-%d", n.number) }
 
-// returnPolicy returns the part of the options' return policy that the simulated policy uses.
-func (w *backoffWorld) returnPolicy() backoff.ReturnPolicy {
+// resumePolicy returns the part of the options' return policy that the simulated policy uses.
+func (w *backoffWorld) resumePolicy() backoff.ReturnPolicy {
 	policy, none := w.options.Return, backoff.ReturnPolicy{}
 	switch w.options.Policy {
 	case PausesIgnored, HardEnd, RankedEnd:
@@ -171,33 +171,33 @@
 	return policy
 }
 
-// warnOthers informs the other nodes that an engine requested a pause, with the delay of the
+// notifyOthers informs the other nodes that an engine requested a pause, with the delay of the
 // load exchange.
-func (n *backoffNode) warnOthers(life registry.Life) {
+func (n *backoffNode) notifyOthers(incarnation registry.Life) {
 	for _, other := range n.world.nodes {
-		if other != n && !other.isCut {
+		if other != n && !other.isPartitioned {
 			other.after(n.world.Between(50*time.Millisecond, 300*time.Millisecond), func() {
-				if other.tracker.Standing(other.now(), life).Phase == backoff.Open {
-					other.tracker.Learn(other.now(), life, backoff.Request{}, backoff.Said{Pause: 1})
+				if other.tracker.Standing(other.now(), incarnation).Phase == backoff.Open {
+					other.tracker.Learn(other.now(), incarnation, backoff.Request{}, backoff.Said{Pause: 1})
 				}
 			})
 		}
 	}
 }
 
-func (n *backoffNode) answered(call *backoffCall, choice *balance.Choice, writtenAt time.Duration) {
+func (n *backoffNode) handleResponse(call *backoffCall, choice *balance.Choice, writtenAt time.Duration) {
 	n.tracker.Learn(n.now(), choice.Life(), backoff.Request{WrittenAt: writtenAt}, backoff.Said{HasRun: true})
 	n.table.Started(choice, 0)
 	w := n.world
-	if w.isJudged(call) && w.Now-call.first <= backoffObjective {
+	if w.isCounted(call) && w.Now-call.firstTryAt <= backoffObjective {
 		w.result.InTime++
 	}
 }
 
-// excuse discards the records of the pauses requested of the node: while it was paused or
-// partitioned, it could not receive all of them.
-func (n *backoffNode) excuse() {
-	for _, engine := range n.world.order {
+// discardPauseRecords discards the records of the pauses requested of the node: while it was paused
+// or partitioned, it could not receive all of them.
+func (n *backoffNode) discardPauseRecords() {
+	for _, engine := range n.world.engineList {
 		engine.records[n] = &pausecheck.Record{}
 	}
 }
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -58,25 +58,25 @@
 }
 
 const (
-	budgetName     = "prepaid"
-	budgetRunTime  = 60 * time.Second
-	budgetRestTime = 90 * time.Second
-	budgetTick     = 50 * time.Millisecond
-	budgetPatience = 5 * time.Second
-	rootName       = "root"
+	budgetName        = "prepaid"
+	budgetRunTime     = 60 * time.Second
+	budgetSettleTime  = 90 * time.Second
+	budgetTick        = 50 * time.Millisecond
+	budgetMaximumWait = 5 * time.Second
+	rootName          = "root"
 )
 
 // budgetNode is one simulated entry node.
 type budgetNode struct {
-	name   string
-	zone   string
-	holder *escrow.Holder
-	life   int
-	down   bool
+	name        string
+	zone        string
+	holder      *escrow.Holder
+	incarnation int
+	isDown      bool
 	// running are the requests that the node's reservations pay for, by sequence number.
 	running map[uint64]*runningRequest
-	// part is what is left of the node's part of a static split, in tokens.
-	part uint64
+	// staticPart is what is left of the node's part of a static split, in tokens.
+	staticPart uint64
 }
 
 // runningRequest runs at an engine, and continues if its node is killed.
@@ -86,29 +86,29 @@
 	ended       bool
 }
 
-// lostLife is a crashed incarnation whose accounts have to be closed.
-type lostLife struct {
+// crashedIncarnation is an incarnation that crashed and whose accounts have to be closed.
+type crashedIncarnation struct {
 	id      accounts.HolderID
 	running map[uint64]*runningRequest
 }
 
 // BudgetSimulation lets 8 nodes in three zones draw on one budget.
 type BudgetSimulation struct {
-	options  BudgetOptions
-	result   BudgetResult
-	world    *World
-	network  *Network
-	accounts *accounts.Accounts
-	root     *escrow.Root
-	nodes    map[string]*budgetNode
-	names    []string
-	lost     []lostLife
-	cutZone  string
-	// disturbed is the time until which a refusal may be due to a recent fault.
-	disturbed time.Duration
-	reserved  uint64
-	central   uint64
-	resting   bool
+	options         BudgetOptions
+	result          BudgetResult
+	world           *World
+	network         *Network
+	accounts        *accounts.Accounts
+	root            *escrow.Root
+	nodes           map[string]*budgetNode
+	names           []string
+	crashed         []crashedIncarnation
+	partitionedZone string
+	// disturbedUntil is the time until which a refusal may be due to a recent fault.
+	disturbedUntil    time.Duration
+	reserved          uint64
+	centrallyReserved uint64
+	isSettling        bool
 	// registered holds the total of each loan in the claim registers.
 	registered map[registeredLoan]uint64
 	pending    map[*pendingRequest]struct{}
@@ -121,8 +121,8 @@
 type pendingRequest struct {
 	node   *budgetNode
 	amount uint64
-	// everShort reports whether the whole budget was insufficient at any moment of the wait.
-	everShort bool
+	// wasShort reports whether the whole budget was insufficient at any moment of the wait.
+	wasShort bool
 }
 
 // RunBudgets simulates nodes that draw on one budget through the escrow or through a baseline. It
@@ -142,14 +142,14 @@
 		for number := range count {
 			name := fmt.Sprintf("%s-%d", zone, number+1)
 			s.names = append(s.names, name)
-			s.nodes[name] = &budgetNode{name: name, zone: zone, part: options.Limit / 8}
+			s.nodes[name] = &budgetNode{name: name, zone: zone, staticPart: options.Limit / 8}
 		}
 	}
 	sortNames(s.names)
 	for _, name := range s.names {
 		s.boot(s.nodes[name])
 	}
-	s.world.After(time.Second, s.arrive)
+	s.world.After(time.Second, s.generateRequest)
 	if options.Faults {
 		s.world.After(5*time.Second, s.injectFault)
 	}
@@ -159,9 +159,9 @@
 		}
 	}
 	s.world.RunUntil(budgetRunTime)
-	s.rest()
-	s.world.RunUntil(budgetRunTime + budgetRestTime)
-	s.checkAtRest()
+	s.settle()
+	s.world.RunUntil(budgetRunTime + budgetSettleTime)
+	s.checkSettled()
 	s.result.Limit = s.accounts.Budget(budgetName).Limit
 	s.result.Messages = s.network.Messages
 	return s.result
@@ -179,12 +179,12 @@
 	budget := s.accounts.Budget(budgetName)
 	sum := s.result.Used + budget.Left()
 	for _, name := range s.names {
-		if node := s.nodes[name]; !node.down {
+		if node := s.nodes[name]; !node.isDown {
 			sum += node.holder.Held(budgetName)
 		}
 	}
-	for _, lost := range s.lost {
-		for _, request := range lost.running {
+	for _, crashed := range s.crashed {
+		for _, request := range crashed.running {
 			if !request.ended {
 				sum += request.reservation.Amount
 			}
@@ -218,7 +218,7 @@
 	s.world.Every(10*time.Millisecond, func() bool {
 		s.root.Tick(s.world.Now)
 		s.commit()
-		s.closeLost()
+		s.closeCrashed()
 		return true
 	})
 }
@@ -229,20 +229,20 @@
 	if !found {
 		return
 	}
-	answers := make([][]accounts.Answer, len(batch.Command.Reports))
+	responses := make([][]accounts.Answer, len(batch.Command.Reports))
 	for position, reports := range batch.Command.Reports {
 		for _, report := range reports.Reports {
-			answers[position] = append(answers[position], s.accounts.Take(reports.Holder, report, 0))
+			responses[position] = append(responses[position], s.accounts.Take(reports.Holder, report, 0))
 		}
 	}
 	s.check(s.accounts.Budget(budgetName).Check())
 	s.checkConservation("a commit")
-	s.root.Applied(s.world.Now, batch, machine.Result{Answers: answers})
+	s.root.Applied(s.world.Now, batch, machine.Result{Answers: responses})
 }
 
 func (s *BudgetSimulation) withHolder(name string, act func(*escrow.Holder)) {
 	node := s.nodes[name]
-	if node.down {
+	if node.isDown {
 		return
 	}
 	act(node.holder)
@@ -251,9 +251,9 @@
 }
 
 func (s *BudgetSimulation) boot(node *budgetNode) {
-	node.life++
-	life := node.life
-	node.down = false
+	node.incarnation++
+	incarnation := node.incarnation
+	node.isDown = false
 	node.running = map[uint64]*runningRequest{}
 	var lenders []string
 	for _, name := range s.names {
@@ -265,7 +265,7 @@
 		ID: accounts.HolderID{Node: node.name, Incarnation: uint64(s.world.Now) + 1}, Lenders: lenders,
 	})
 	s.world.Every(budgetTick, func() bool {
-		if node.life != life {
+		if node.incarnation != incarnation {
 			return false
 		}
 		node.holder.Tick(s.world.Now)
@@ -326,14 +326,14 @@
 	return loans
 }
 
-// arrive generates one request at a random node and schedules the next one.
-func (s *BudgetSimulation) arrive() {
-	if s.resting {
+// generateRequest generates one request at a random node and schedules the next one.
+func (s *BudgetSimulation) generateRequest() {
+	if s.isSettling {
 		return
 	}
-	s.world.After(time.Duration(s.world.Random.ExpFloat64()/s.options.Rate*float64(time.Second)), s.arrive)
+	s.world.After(time.Duration(s.world.Random.ExpFloat64()/s.options.Rate*float64(time.Second)), s.generateRequest)
 	node := s.nodes[s.names[s.world.Random.IntN(len(s.names))]]
-	if node.down {
+	if node.isDown {
 		return
 	}
 	amount := 200 + s.world.Random.Uint64N(800)
@@ -343,22 +343,22 @@
 	s.result.Requests++
 	request := &pendingRequest{node: node, amount: amount}
 	s.pending[request] = struct{}{}
-	s.noteShort()
+	s.markShort()
 	s.reserve(request)
 }
 
-// noteShort marks the waiting requests if the whole budget is currently insufficient for all of
+// markShort marks the waiting requests if the whole budget is currently insufficient for all of
 // them: at least one of them must be refused then.
-func (s *BudgetSimulation) noteShort() {
-	wanted := s.result.Used + s.reserved
+func (s *BudgetSimulation) markShort() {
+	required := s.result.Used + s.reserved
 	for request := range s.pending {
-		wanted += request.amount
+		required += request.amount
 	}
-	if wanted <= s.accounts.Budget(budgetName).Limit {
+	if required <= s.accounts.Budget(budgetName).Limit {
 		return
 	}
 	for request := range s.pending {
-		request.everShort = true
+		request.wasShort = true
 	}
 }
 
@@ -366,37 +366,37 @@
 	node, amount := request.node, request.amount
 	switch s.options.Policy {
 	case PolicyStaticSplit:
-		if node.part < amount {
+		if node.staticPart < amount {
 			s.refused(request)
 			return
 		}
-		node.part -= amount
-		s.run(request, func(used uint64) { node.part += amount - used })
+		node.staticPart -= amount
+		s.run(request, func(used uint64) { node.staticPart += amount - used })
 	case PolicyCentralCheck:
 		limit := s.accounts.Budget(budgetName).Limit
-		if s.cutZone == node.zone || s.central+amount > limit {
+		if s.partitionedZone == node.zone || s.centrallyReserved+amount > limit {
 			s.refused(request)
 			return
 		}
-		s.central += amount
-		s.run(request, func(used uint64) { s.central -= amount - used })
+		s.centrallyReserved += amount
+		s.run(request, func(used uint64) { s.centrallyReserved -= amount - used })
 	default:
 		s.reserveFromEscrow(request)
 	}
 }
 
-func (s *BudgetSimulation) reserveFromEscrow(wanted *pendingRequest) {
-	node, life := wanted.node, wanted.node.life
-	node.holder.Reserve(s.world.Now, s.world.Now+budgetPatience, budgetName, wanted.amount, escrow.Policy{}, func(reservation escrow.Reservation, err error) {
+func (s *BudgetSimulation) reserveFromEscrow(pending *pendingRequest) {
+	node, incarnation := pending.node, pending.node.incarnation
+	node.holder.Reserve(s.world.Now, s.world.Now+budgetMaximumWait, budgetName, pending.amount, escrow.Policy{}, func(reservation escrow.Reservation, err error) {
 		if err != nil {
-			s.refused(wanted)
+			s.refused(pending)
 			return
 		}
 		request := &runningRequest{reservation: reservation}
 		node.running[reservation.Sequence] = request
-		s.run(wanted, func(used uint64) {
+		s.run(pending, func(used uint64) {
 			request.used, request.ended = used, true
-			if node.life == life && !node.down {
+			if node.incarnation == incarnation && !node.isDown {
 				node.holder.Settle(s.world.Now, reservation, used)
 				s.flush(node)
 			}
@@ -406,12 +406,12 @@
 }
 
 // run executes a reserved request at an engine, where it uses at least half of its bound.
-func (s *BudgetSimulation) run(request *pendingRequest, ended func(used uint64)) {
+func (s *BudgetSimulation) run(request *pendingRequest, onEnd func(used uint64)) {
 	amount := request.amount
 	delete(s.pending, request)
 	s.result.Served++
 	s.reserved += amount
-	s.noteShort()
+	s.markShort()
 	used := amount/2 + s.world.Random.Uint64N(amount-amount/2+1)
 	s.world.After(s.world.Between(100*time.Millisecond, 3*time.Second), func() {
 		s.reserved -= amount
@@ -419,7 +419,7 @@
 		if limit := s.accounts.Budget(budgetName).Limit; s.result.Used > limit {
 			s.check(fmt.Errorf("overspent: %d tokens ran, the limit is %d", s.result.Used, limit))
 		}
-		ended(used)
+		onEnd(used)
 	})
 }
 
@@ -428,11 +428,11 @@
 func (s *BudgetSimulation) refused(request *pendingRequest) {
 	delete(s.pending, request)
 	switch {
-	case request.everShort:
+	case request.wasShort:
 		s.result.TrueRefusals++
-	case s.cutZone == request.node.zone:
+	case s.partitionedZone == request.node.zone:
 		s.result.FalseCut++
-	case s.world.Now < s.disturbed || len(s.lost) > 0:
+	case s.world.Now < s.disturbedUntil || len(s.crashed) > 0:
 		// A crashed or partitioned node holds a part of the budget, which is unreachable.
 		s.result.FalseCut++
 	default:
@@ -441,16 +441,16 @@
 }
 
 func (s *BudgetSimulation) injectFault() {
-	if s.resting {
+	if s.isSettling {
 		return
 	}
 	s.world.After(s.world.Between(3*time.Second, 8*time.Second), s.injectFault)
 	if s.world.Chance(0.5) {
-		s.cutOff()
+		s.partitionZone()
 		return
 	}
 	node := s.nodes[s.names[s.world.Random.IntN(len(s.names))]]
-	if node.down {
+	if node.isDown {
 		return
 	}
 	s.world.Fault("restart")
@@ -458,16 +458,16 @@
 	s.world.After(s.world.Between(100*time.Millisecond, 3*time.Second), func() { s.boot(node) })
 }
 
-// cutOff partitions one zone from the others and from the root.
-func (s *BudgetSimulation) cutOff() {
-	if s.cutZone != "" {
+// partitionZone separates one zone from the others and from the root.
+func (s *BudgetSimulation) partitionZone() {
+	if s.partitionedZone != "" {
 		return
 	}
 	s.world.Fault("zone cut")
-	s.cutZone = []string{"a", "b", "c"}[s.world.Random.IntN(3)]
+	s.partitionedZone = []string{"a", "b", "c"}[s.world.Random.IntN(3)]
 	var inside, outside []string
 	for _, name := range s.names {
-		if s.nodes[name].zone == s.cutZone {
+		if s.nodes[name].zone == s.partitionedZone {
 			inside = append(inside, name)
 		} else {
 			outside = append(outside, name)
@@ -475,19 +475,19 @@
 	}
 	s.network.CutBetween(inside, append(outside, rootName))
 	duration := s.world.Between(2*time.Second, 15*time.Second)
-	s.disturbed = s.world.Now + duration + 5*time.Second
-	s.world.After(duration, s.healCut)
+	s.disturbedUntil = s.world.Now + duration + 5*time.Second
+	s.world.After(duration, s.healPartition)
 	if s.options.Policy == PolicyGrantOnTimeout {
-		s.world.After(time.Second, func() { s.returnSilentGrants(inside) })
+		s.world.After(time.Second, func() { s.returnUnreachableGrants(inside) })
 	}
 }
 
-// returnSilentGrants is the deliberate defect of PolicyGrantOnTimeout: it takes back the grants
+// returnUnreachableGrants is the deliberate defect of PolicyGrantOnTimeout: it takes back the grants
 // of nodes that are unreachable.
-func (s *BudgetSimulation) returnSilentGrants(silent []string) {
+func (s *BudgetSimulation) returnUnreachableGrants(unreachable []string) {
 	budget := s.accounts.Budget(budgetName)
 	for _, holder := range budget.OpenHolders() {
-		for _, name := range silent {
+		for _, name := range unreachable {
 			if holder.ID.Node == name && holder.Outstanding() > 0 {
 				budget.Returned += holder.Outstanding()
 				holder.Returned += holder.Outstanding()
@@ -496,46 +496,46 @@
 	}
 }
 
-func (s *BudgetSimulation) healCut() {
-	s.cutZone = ""
+func (s *BudgetSimulation) healPartition() {
+	s.partitionedZone = ""
 	s.network.Heal()
 }
 
 func (s *BudgetSimulation) kill(node *budgetNode) {
-	node.life++
-	node.down = true
-	s.lost = append(s.lost, lostLife{id: node.holder.ID(), running: node.running})
-	s.disturbed = max(s.disturbed, s.world.Now+8*time.Second)
+	node.incarnation++
+	node.isDown = true
+	s.crashed = append(s.crashed, crashedIncarnation{id: node.holder.ID(), running: node.running})
+	s.disturbedUntil = max(s.disturbedUntil, s.world.Now+8*time.Second)
 }
 
-// closeLost fences crashed incarnations and closes their accounts once their requests have ended
+// closeCrashed fences crashed incarnations and closes their accounts once their requests have ended
 // and all nodes have responded, as the daemon's reclaim does.
-func (s *BudgetSimulation) closeLost() {
-	kept := s.lost[:0]
-	for _, lost := range s.lost {
-		s.accounts.Fence(lost.id)
-		if s.cutZone != "" || !s.tryClose(lost) {
-			kept = append(kept, lost)
+func (s *BudgetSimulation) closeCrashed() {
+	kept := s.crashed[:0]
+	for _, crashed := range s.crashed {
+		s.accounts.Fence(crashed.id)
+		if s.partitionedZone != "" || !s.tryClose(crashed) {
+			kept = append(kept, crashed)
 		}
 	}
-	s.lost = kept
+	s.crashed = kept
 }
 
-func (s *BudgetSimulation) tryClose(lost lostLife) bool {
+func (s *BudgetSimulation) tryClose(crashed crashedIncarnation) bool {
 	use := accounts.FinalUse{Budget: budgetName}
 	var loans []accounts.Loan
 	for _, name := range s.names {
 		node := s.nodes[name]
-		if node.down {
+		if node.isDown {
 			return false
 		}
-		loans = append(loans, node.holder.LoansWith(lost.id)...)
+		loans = append(loans, node.holder.LoansWith(crashed.id)...)
 	}
 	var watermark uint64
-	if account := s.accounts.Budget(budgetName).Holders[lost.id]; account != nil {
+	if account := s.accounts.Budget(budgetName).Holders[crashed.id]; account != nil {
 		watermark = account.Watermark
 	}
-	for sequence, request := range lost.running {
+	for sequence, request := range crashed.running {
 		if !request.ended {
 			return false
 		}
@@ -543,25 +543,25 @@
 			use.Tokens += request.used
 		}
 	}
-	s.check(s.accounts.Close(lost.id, []accounts.FinalUse{use}, escrow.MergeLoans(s.loansOf(lost.id), loans), false))
-	s.checkConservation("closing " + lost.id.String())
+	s.check(s.accounts.Close(crashed.id, []accounts.FinalUse{use}, escrow.MergeLoans(s.loansOf(crashed.id), loans), false))
+	s.checkConservation("closing " + crashed.id.String())
 	return true
 }
 
-// rest stops the load, heals all partitions and starts the nodes that are down.
-func (s *BudgetSimulation) rest() {
-	s.resting = true
-	s.healCut()
+// settle stops the load, heals all partitions and starts the nodes that are down.
+func (s *BudgetSimulation) settle() {
+	s.isSettling = true
+	s.healPartition()
 	s.network.Loss = 0
 	for _, name := range s.names {
-		if s.nodes[name].down {
+		if s.nodes[name].isDown {
 			s.boot(s.nodes[name])
 		}
 	}
 }
 
-// checkAtRest checks that all tokens that ran are billed exactly once, and that no grant is stuck.
-func (s *BudgetSimulation) checkAtRest() {
+// checkSettled checks that all tokens that ran are billed exactly once, and that no grant is stuck.
+func (s *BudgetSimulation) checkSettled() {
 	if s.world.Broken != nil || (s.options.Policy != PolicyEscrow && s.options.Policy != PolicyNoRecall) {
 		return
 	}
--- a/internal/lab/simulate/budgets_test.go
+++ b/internal/lab/simulate/budgets_test.go
@@ -22,14 +22,14 @@
 	})
 }
 
-func TestSimulationNoticesGrantsThatExpireByTime(t *testing.T) {
+func TestSimulationDetectsGrantsThatExpireByTime(t *testing.T) {
 	broken := brokenSeed(t, 100, func(seed uint64) *World { return RunBudgets(faultyBudget(seed, PolicyGrantOnTimeout)).World })
 	assert.Assert(t, broken != nil)
 }
 
 // Without a partition, a node must refuse only if the whole budget is insufficient. Recalls of
 // unused grants achieve that.
-func TestRefusalsAreTrueWhileConnected(t *testing.T) {
+func TestNoFalseRefusalsWithoutPartition(t *testing.T) {
 	t.Parallel()
 	falseRefusals := map[BudgetPolicy]int{}
 	for _, policy := range []BudgetPolicy{PolicyEscrow, PolicyNoRecall, PolicyStaticSplit} {
@@ -47,7 +47,7 @@
 
 // Over a whole run with partitions, the escrow falsely refuses fewer requests than a central
 // check, which can serve nothing in a partitioned zone, and than a static split.
-func TestCutZonesAreServedBetterThanByTheBaselines(t *testing.T) {
+func TestPartitionedZonesAreServedBetterThanByBaselines(t *testing.T) {
 	t.Parallel()
 	refusals := map[BudgetPolicy]int{}
 	for _, policy := range []BudgetPolicy{PolicyEscrow, PolicyCentralCheck, PolicyStaticSplit} {
--- a/internal/lab/simulate/claims.go
+++ b/internal/lab/simulate/claims.go
@@ -32,11 +32,11 @@
 
 // claimsNode is one simulated machine without a disk: an acceptor and a proposer.
 type claimsNode struct {
-	name     string
-	holder   *claims.Holder
-	proposer *claims.Proposer
-	id       accounts.HolderID
-	life     int
+	name        string
+	acceptor    *claims.Holder
+	proposer    *claims.Proposer
+	id          accounts.HolderID
+	incarnation int
 }
 
 // ClaimsSimulation lets routers compete for a few keys while acceptors restart and lose their
@@ -50,11 +50,11 @@
 	names   []string
 	// winners holds for each key the owner whose dispatch was agreed on, settled the use in
 	// tokens that was agreed on.
-	winners map[claims.Key]accounts.HolderID
-	settled map[claims.Key]uint64
-	down    int
-	healed  bool
-	minted  uint64
+	winners    map[claims.Key]accounts.HolderID
+	settled    map[claims.Key]uint64
+	restarting int
+	healed     bool
+	generated  uint64
 }
 
 // RunClaims simulates the claim registers under faults. It runs one seed.
@@ -88,11 +88,11 @@
 }
 
 func (s *ClaimsSimulation) boot(node *claimsNode, fresh bool) {
-	node.life++
-	life := node.life
+	node.incarnation++
+	incarnation := node.incarnation
 	node.id = accounts.HolderID{Node: node.name, Incarnation: uint64(s.World.Now) + 1}
 	s.nodes[node.name] = node
-	node.holder = claims.NewHolder(claims.HolderOptions{
+	node.acceptor = claims.NewHolder(claims.HolderOptions{
 		Self: node.name, Incarnation: node.id.Incarnation, Pool: s.pool,
 		Fresh:          fresh || s.defect == ClaimsWithoutRecovery,
 		WithoutVectors: s.defect == ClaimsWithoutVectors,
@@ -102,10 +102,10 @@
 		WithoutVectors: s.defect == ClaimsWithoutVectors,
 	})
 	s.World.Every(claimsTick, func() bool {
-		if node.life != life {
+		if node.incarnation != incarnation {
 			return false
 		}
-		s.sendAll(node, node.holder.Tick(s.World.Now))
+		s.sendAll(node, node.acceptor.Tick(s.World.Now))
 		node.proposer.Tick(s.World.Now)
 		s.sendAll(node, node.proposer.Outgoing())
 		return true
@@ -119,7 +119,7 @@
 }
 
 func (s *ClaimsSimulation) deliver(node *claimsNode, message claims.Message) {
-	if node.holder == nil {
+	if node.acceptor == nil {
 		return
 	}
 	switch message.Kind {
@@ -127,7 +127,7 @@
 		node.proposer.Step(s.World.Now, message)
 		s.sendAll(node, node.proposer.Outgoing())
 	default:
-		s.sendAll(node, node.holder.Step(s.World.Now, message))
+		s.sendAll(node, node.acceptor.Step(s.World.Now, message))
 	}
 }
 
@@ -138,7 +138,7 @@
 	}
 	s.World.After(s.World.Between(5*time.Millisecond, 60*time.Millisecond), s.request)
 	node := s.nodes[s.names[s.World.Random.IntN(len(s.names))]]
-	if node.holder == nil {
+	if node.acceptor == nil {
 		return
 	}
 	number := s.World.Random.IntN(claimsKeys) + claimsKeys*int(s.World.Now/(4*time.Second))
@@ -148,23 +148,23 @@
 		return
 	}
 	if s.World.Chance(0.2) {
-		s.mint(node)
+		s.claimGenerated(node)
 		return
 	}
 	s.claim(node, key)
 }
 
-// mint claims a newly generated key that only this node knows, in one round. A random node reads
-// it within a second, as a fence does.
-func (s *ClaimsSimulation) mint(node *claimsNode) {
-	s.minted++
-	key := claims.NewKey("minted", fmt.Sprint(s.minted))
-	mine := &claims.Claim{State: claims.Dispatched, Owner: node.id, RequestID: node.id.String(), Budget: "b", Sequence: s.minted}
+// claimGenerated claims a newly generated key that only this node knows, in one round. A random node
+// reads it within a second, as a fence does.
+func (s *ClaimsSimulation) claimGenerated(node *claimsNode) {
+	s.generated++
+	key := claims.NewKey("minted", fmt.Sprint(s.generated))
+	ownClaim := &claims.Claim{State: claims.Dispatched, Owner: node.id, RequestID: node.id.String(), Budget: "b", Sequence: s.generated}
 	node.proposer.ChangeMinted(s.World.Now, s.World.Now+claimsTimeout, "a", key, func(current *claims.Claim) *claims.Claim {
 		if current != nil {
 			return nil
 		}
-		return mine
+		return ownClaim
 	}, func(outcome claims.Outcome) {
 		if outcome.Err == nil && outcome.Claim != nil {
 			s.checkOwner(key, outcome.Claim)
@@ -172,14 +172,14 @@
 	})
 	s.sendAll(node, node.proposer.Outgoing())
 	reader := s.nodes[s.names[s.World.Random.IntN(len(s.names))]]
-	s.World.After(s.World.Between(0, time.Second), func() { s.readMinted(reader.name, key) })
+	s.World.After(s.World.Between(0, time.Second), func() { s.readGenerated(reader.name, key) })
 }
 
-// readMinted reads a generated key, and checks that the read sees a claim that was agreed on
+// readGenerated reads a generated key, and checks that the read sees a claim that was agreed on
 // before the read began.
-func (s *ClaimsSimulation) readMinted(name string, key claims.Key) {
+func (s *ClaimsSimulation) readGenerated(name string, key claims.Key) {
 	reader := s.nodes[name]
-	if reader.holder == nil {
+	if reader.acceptor == nil {
 		return
 	}
 	_, agreed := s.winners[key]
@@ -196,12 +196,12 @@
 }
 
 func (s *ClaimsSimulation) claim(node *claimsNode, key claims.Key) {
-	mine := &claims.Claim{State: claims.Dispatched, Owner: node.id, RequestID: node.id.String(), CallerKey: true}
+	ownClaim := &claims.Claim{State: claims.Dispatched, Owner: node.id, RequestID: node.id.String(), CallerKey: true}
 	change := func(current *claims.Claim) *claims.Claim {
 		if current != nil {
 			return nil
 		}
-		return mine
+		return ownClaim
 	}
 	used, wasSettled := s.settled[key]
 	node.proposer.Change(s.World.Now, s.World.Now+claimsTimeout, "a", key, change, func(outcome claims.Outcome) {
@@ -266,15 +266,15 @@
 	case 0, 1:
 		// Only one acceptor at a time: if two lose their memory at the same time, a majority has
 		// forgotten what was agreed on.
-		if s.down > 0 || node.holder == nil || s.recovering() {
+		if s.restarting > 0 || node.acceptor == nil || s.recovering() {
 			return
 		}
 		s.World.Fault("restart")
-		s.down++
-		node.life++
-		node.holder = nil
+		s.restarting++
+		node.incarnation++
+		node.acceptor = nil
 		s.World.After(s.World.Between(10*time.Millisecond, 500*time.Millisecond), func() {
-			s.down--
+			s.restarting--
 			s.boot(node, false)
 		})
 	case 2:
@@ -287,7 +287,7 @@
 
 func (s *ClaimsSimulation) recovering() bool {
 	for _, node := range s.nodes {
-		if node.holder != nil && len(node.holder.Recovering()) > 0 {
+		if node.acceptor != nil && len(node.acceptor.Recovering()) > 0 {
 			return true
 		}
 	}
--- a/internal/lab/simulate/claims_test.go
+++ b/internal/lab/simulate/claims_test.go
@@ -6,11 +6,11 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestClaimsUnderRestartsOfHoldersWithoutDisks(t *testing.T) {
+func TestClaimsUnderRestartsOfAcceptorsWithoutDisks(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunClaims(seed, ClaimsNoDefect) })
 }
 
-func TestSimulationNoticesHolderThatAnswersWithoutRecovery(t *testing.T) {
+func TestSimulationDetectsAcceptorThatRespondsWithoutRecovery(t *testing.T) {
 	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunClaims(seed, ClaimsWithoutRecovery) })
 	assert.Assert(t, broken != nil)
 }
--- a/internal/lab/simulate/consensus.go
+++ b/internal/lab/simulate/consensus.go
@@ -58,8 +58,8 @@
 	version machine.LogVersion
 	// reads is the newest version of the log that the node's build reads. missed reports whether
 	// the machine had to apply a command of a newer version, since when its state differs.
-	reads  machine.LogVersion
-	missed bool
+	reads     machine.LogVersion
+	hasMissed bool
 }
 
 func (m *registerMachine) Apply(_ uint64, data []byte) any {
@@ -75,7 +75,7 @@
 			m.version = max(m.version, command.Raise)
 		}
 	case command.Needs > m.reads:
-		m.missed = true
+		m.hasMissed = true
 	default:
 		m.values[command.Register] = command.Value
 	}
@@ -104,15 +104,15 @@
 
 // controlNode is one simulated control node.
 type controlNode struct {
-	name    string
-	id      consensus.ReplicaID
-	disk    *disk.Simulated
-	replica *consensus.Replica
-	machine *registerMachine
-	frozen  bool
+	name     string
+	id       consensus.ReplicaID
+	disk     *disk.Simulated
+	replica  *consensus.Replica
+	machine  *registerMachine
+	isFrozen bool
 	// pending are the messages that arrived while the node was frozen.
-	pending []consensus.Message
-	life    int
+	pending     []consensus.Message
+	incarnation int
 	// build is the state of the node that depends on its build.
 	build upgradedBuild
 }
@@ -188,7 +188,7 @@
 		node.id = s.nextID
 	}
 	s.byID[node.id] = node
-	node.life++
+	node.incarnation++
 	node.machine = &registerMachine{reads: node.build.reads}
 	options := consensus.ReplicaOptions{
 		ID: node.id, StartTicks: 3, Random: s.World.Random, FileSystem: node.disk, SegmentBytes: 2 << 10,
@@ -196,7 +196,7 @@
 		Send: func(message consensus.Message) { s.send(node, message) },
 	}
 	if s.defect == DiskWithoutSync {
-		options.FileSystem = lazyDisk{node.disk}
+		options.FileSystem = unsyncedDisk{node.disk}
 	}
 	if bootstrap {
 		options.Bootstrap = []consensus.Member{{ID: node.id, Node: node.name}}
@@ -207,12 +207,12 @@
 		return
 	}
 	node.replica = replica
-	life := node.life
+	incarnation := node.incarnation
 	s.World.Every(consensusTick, func() bool {
-		if node.life != life {
+		if node.incarnation != incarnation {
 			return false
 		}
-		if !node.frozen {
+		if !node.isFrozen {
 			node.replica.Tick()
 			s.flush(node)
 		}
@@ -232,7 +232,7 @@
 	if node.replica == nil {
 		return
 	}
-	if node.frozen {
+	if node.isFrozen {
 		node.pending = append(node.pending, message)
 		return
 	}
@@ -273,7 +273,7 @@
 		return
 	}
 	s.committed[commit] = entry
-	if node.machine.missed {
+	if node.machine.hasMissed {
 		s.World.Check(fmt.Errorf("%s had to apply a command that its build can't read", node.name))
 	}
 	s.World.Check(nil)
@@ -307,7 +307,7 @@
 func (s *ConsensusSimulation) leader() *controlNode {
 	var leader *controlNode
 	for _, node := range s.nodes {
-		if node.replica == nil || node.frozen || node.replica.Core().Role() != consensus.Leader {
+		if node.replica == nil || node.isFrozen || node.replica.Core().Role() != consensus.Leader {
 			continue
 		}
 		if leader == nil || node.replica.Core().Term() > leader.replica.Core().Term() {
@@ -326,7 +326,7 @@
 	next := func() {
 		s.World.After(s.World.Between(10*time.Millisecond, 200*time.Millisecond), func() { s.runClient(client) })
 	}
-	if node.replica == nil || node.frozen || node.replica.Core().Role() != consensus.Leader {
+	if node.replica == nil || node.isFrozen || node.replica.Core().Role() != consensus.Leader {
 		next()
 		return
 	}
@@ -334,7 +334,7 @@
 	operation := porcupine.Operation{ClientId: client, Call: int64(s.World.Now)}
 	if s.World.Chance(0.5) {
 		s.nextValue++
-		s.write(node, operation, registerCommand{Register: register, Value: s.nextValue, Needs: s.upgrade.needs(s.World, node)}, next)
+		s.write(node, operation, registerCommand{Register: register, Value: s.nextValue, Needs: s.upgrade.neededVersion(s.World, node)}, next)
 	} else {
 		s.read(node, operation, register, next)
 	}
@@ -347,12 +347,12 @@
 		panic(err)
 	}
 	operation.Input = registerInput{write: true, register: command.Register, value: command.Value}
-	answered := false
+	isDone := false
 	node.replica.Propose(data, func(_ any, err error) {
-		if answered {
+		if isDone {
 			return
 		}
-		answered = true
+		isDone = true
 		if err == consensus.ErrNotLeader {
 			next()
 			return
@@ -366,8 +366,8 @@
 		next()
 	})
 	s.World.After(2*time.Second, func() {
-		if !answered {
-			answered = true
+		if !isDone {
+			isDone = true
 			operation.Return = int64(consensusRunTime + 2*consensusHealTime)
 			s.operations = append(s.operations, operation)
 			next()
@@ -387,22 +387,22 @@
 		finish()
 		return
 	}
-	answered := false
-	life := node.life
+	isDone := false
+	incarnation := node.incarnation
 	node.replica.Read(func(err error) {
-		if answered {
+		if isDone {
 			return
 		}
-		answered = true
-		if err != nil || node.life != life {
+		isDone = true
+		if err != nil || node.incarnation != incarnation {
 			next()
 			return
 		}
 		finish()
 	})
 	s.World.After(2*time.Second, func() {
-		if !answered {
-			answered = true
+		if !isDone {
+			isDone = true
 			next()
 		}
 	})
@@ -432,8 +432,8 @@
 		s.World.After(s.World.Between(time.Second, 8*time.Second), s.network.Heal)
 	case 2:
 		s.World.Fault("freeze")
-		node.frozen = true
-		s.World.After(s.World.Between(time.Second, 6*time.Second), func() { s.thaw(node) })
+		node.isFrozen = true
+		s.World.After(s.World.Between(time.Second, 6*time.Second), func() { s.unfreeze(node) })
 	case 3:
 		s.World.Fault("kill")
 		s.kill(node)
@@ -455,7 +455,7 @@
 // the leader reports the repair, the next loss must be safe.
 func (s *ConsensusSimulation) loseDisk(node *controlNode) {
 	leader := s.leader()
-	if leader == nil || leader == node || !s.repaired(leader) {
+	if leader == nil || leader == node || !s.isRepaired(leader) {
 		return
 	}
 	s.World.Fault("lost disk")
@@ -464,8 +464,8 @@
 	s.World.After(s.World.Between(100*time.Millisecond, 2*time.Second), func() { s.restart(node) })
 }
 
-// repaired reports whether the leader sees three voters that all hold the log.
-func (s *ConsensusSimulation) repaired(leader *controlNode) bool {
+// isRepaired reports whether the leader sees three voters that all hold the log.
+func (s *ConsensusSimulation) isRepaired(leader *controlNode) bool {
 	core := leader.replica.Core()
 	voters := core.Configuration().Voters()
 	if len(voters) != len(s.nodes) || core.QuorumSilence() > consensus.DefaultElectionTicks {
@@ -484,25 +484,25 @@
 	if node.replica == nil {
 		return
 	}
-	node.life++
+	node.incarnation++
 	node.replica = nil
-	node.frozen = false
+	node.isFrozen = false
 	node.pending = nil
 	node.disk.Crash()
 }
 
 func (s *ConsensusSimulation) restart(node *controlNode) {
-	isHeld := s.upgrade != nil && s.upgrade.held[node]
-	if node.replica == nil && !isHeld {
+	isStopped := s.upgrade != nil && s.upgrade.stopped[node]
+	if node.replica == nil && !isStopped {
 		s.boot(node, false)
 	}
 }
 
-func (s *ConsensusSimulation) thaw(node *controlNode) {
-	if !node.frozen {
+func (s *ConsensusSimulation) unfreeze(node *controlNode) {
+	if !node.isFrozen {
 		return
 	}
-	node.frozen = false
+	node.isFrozen = false
 	pending := node.pending
 	node.pending = nil
 	for _, message := range pending {
@@ -515,10 +515,10 @@
 	s.network.Heal()
 	s.network.Loss = 0
 	if s.upgrade != nil {
-		s.upgrade.finish()
+		s.upgrade.upgradeAll()
 	}
 	for _, node := range s.nodes {
-		s.thaw(node)
+		s.unfreeze(node)
 		s.restart(node)
 	}
 }
@@ -574,14 +574,14 @@
 	},
 }
 
-// lazyDisk is a deliberately broken disk: it never syncs files.
-type lazyDisk struct{ *disk.Simulated }
+// unsyncedDisk is a deliberately broken disk: it never syncs files.
+type unsyncedDisk struct{ *disk.Simulated }
 
-func (l lazyDisk) Append(name string) (disk.File, error) {
+func (l unsyncedDisk) Append(name string) (disk.File, error) {
 	file, err := l.Simulated.Append(name)
-	return lazyFile{file}, err
+	return unsyncedFile{file}, err
 }
 
-type lazyFile struct{ disk.File }
+type unsyncedFile struct{ disk.File }
 
-func (lazyFile) Sync() error { return nil }
+func (unsyncedFile) Sync() error { return nil }
--- a/internal/lab/simulate/consensus_test.go
+++ b/internal/lab/simulate/consensus_test.go
@@ -49,17 +49,17 @@
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunConsensus(seed, NoDefect) })
 }
 
-func TestSimulationNoticesEmptyDiskVotingUnderItsOldIdentity(t *testing.T) {
+func TestSimulationDetectsEmptyDiskVotingUnderItsOldIdentity(t *testing.T) {
 	broken := brokenSeed(t, 400, func(seed uint64) *World { return RunConsensus(seed, EmptyDiskKeepsIdentity) })
 	assert.Assert(t, broken != nil)
 }
 
-func TestSimulationNoticesReadsWithoutQuorum(t *testing.T) {
+func TestSimulationDetectsReadsWithoutQuorum(t *testing.T) {
 	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunConsensus(seed, ReadWithoutQuorum) })
 	assert.Assert(t, broken != nil)
 }
 
-func TestSimulationNoticesAcknowledgementsBeforeSync(t *testing.T) {
+func TestSimulationDetectsAcknowledgementsBeforeSync(t *testing.T) {
 	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunConsensus(seed, DiskWithoutSync) })
 	assert.Assert(t, broken != nil)
 }
@@ -67,7 +67,7 @@
 // Guards against a replica that stays behind forever, as seen with seed 9: a duplicated
 // acknowledgement decremented the leader's counter of messages in flight twice, so that a lost
 // append was never sent again.
-func TestLostAppendIsSentAgainAfterDoubledAcknowledgement(t *testing.T) {
+func TestLostAppendIsSentAgainAfterDuplicatedAcknowledgement(t *testing.T) {
 	for _, seed := range []uint64{9, 92} {
 		assert.NilError(t, RunConsensus(seed, NoDefect).Broken)
 	}
--- a/internal/lab/simulate/lostlives_test.go
+++ b/internal/lab/simulate/crashes_test.go
@@ -7,18 +7,18 @@
 	"gotest.tools/v3/assert"
 )
 
-func runLostLives(defect LostLivesDefect) func(seed uint64) *World {
+func runCrashes(defect LostLivesDefect) func(seed uint64) *World {
 	return func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Defect: defect}).World }
 }
 
 // Guards against incarnations that are charged less than they used, and budgets that are exceeded,
 // regardless of which processes crash in which order and how the clocks jump.
-func TestLostLivesAreChargedAllThatTheyUsed(t *testing.T) {
-	runSeeds(t, seedsInCI, runLostLives(NoLostLivesDefect))
+func TestCrashedIncarnationsAreChargedAllTheyUsed(t *testing.T) {
+	runSeeds(t, seedsInCI, runCrashes(NoLostLivesDefect))
 }
 
 // The same with budgets that are left to pool holders, which crash and are partitioned as all nodes.
-func TestLivesThatBorrowFromPoolsAreChargedAllThatTheyUsed(t *testing.T) {
+func TestCrashedIncarnationsWithPoolsAreChargedAllTheyUsed(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Pooled: true}).World })
 }
 
@@ -27,7 +27,7 @@
 // committed the incarnation's last report, led again later, and measured the time since that report
 // with its monotonic clock, which does not count a suspension. Of 3,000 seeds, only these two
 // reproduced it.
-func TestLifeIsChargedForTheTimeForWhichTheLeaderWasSuspended(t *testing.T) {
+func TestIncarnationIsChargedForTimeOfLeaderSuspension(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1532, 1732} {
 		assert.NilError(t, RunLostLives(LostLivesOptions{Seed: seed, Suspended: true}).World.Broken, "seed %d", seed)
@@ -36,16 +36,16 @@
 
 // The same over all seeds of CI, with machines that are suspended for seconds, the leader's among
 // them.
-func TestLivesAreChargedAllThatTheyUsedThoughMachinesAreSuspended(t *testing.T) {
+func TestCrashedIncarnationsAreChargedAllTheyUsedDespiteSuspensions(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Suspended: true}).World })
 }
 
-func TestSimulationNoticesThatSilenceIsIgnored(t *testing.T) {
-	assert.Assert(t, brokenSeed(t, 100, runLostLives(SilenceIgnored)) != nil)
+func TestSimulationDetectsIgnoredTimeSinceLastContact(t *testing.T) {
+	assert.Assert(t, brokenSeed(t, 100, runCrashes(SilenceIgnored)) != nil)
 }
 
-func TestSimulationNoticesThatAJumpingClockIsBelieved(t *testing.T) {
-	assert.Assert(t, brokenSeed(t, 300, runLostLives(ClocksBelieved)) != nil)
+func TestSimulationDetectsTrustInJumpingClock(t *testing.T) {
+	assert.Assert(t, brokenSeed(t, 300, runCrashes(ClocksBelieved)) != nil)
 }
 
 // With allowances, a crash charges little, which is why they exist. Nodes may then hold much more
@@ -73,7 +73,7 @@
 }
 
 // Guards against runs that the seed does not determine: a failing seed must be reproducible.
-func TestSeedOfLostLivesDecidesEverything(t *testing.T) {
+func TestCrashSimulationIsReproducible(t *testing.T) {
 	first := RunLostLives(LostLivesOptions{Seed: 3})
 	for range 3 {
 		again := RunLostLives(LostLivesOptions{Seed: 3})
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -59,23 +59,23 @@
 	stages      = 6
 	engineStage = 4
 	engineTime  = 150 * time.Millisecond
-	// heavyLink is the capacity of a node's link in bytes a second.
-	heavyLink      = 1_250_000.0
-	heavyBody      = 6200.0
-	heavyLongBody  = 40_000.0
-	heavyObjective = 600 * time.Millisecond
+	// heavyLinkRate is the capacity of a node's link in bytes a second.
+	heavyLinkRate      = 1_250_000.0
+	heavyBodyBytes     = 6200.0
+	heavyLongBodyBytes = 40_000.0
+	heavyObjective     = 600 * time.Millisecond
 	// Bounds of the time after which a refused caller retries.
-	returnLeast, returnMost = 50 * time.Millisecond, 150 * time.Millisecond
-	lagReading              = 50 * time.Millisecond
-	shedReading             = 300 * time.Millisecond
-	readinessPoll           = time.Second
+	minimumRetryDelay, maximumRetryDelay = 50 * time.Millisecond, 150 * time.Millisecond
+	lagInterval                          = 50 * time.Millisecond
+	shedInterval                         = 300 * time.Millisecond
+	readinessInterval                    = time.Second
 )
 
 // entryMachine is one node: a processor and a link that each serve in order of arrival.
 type entryMachine struct {
-	processorFree, linkFree time.Duration
-	gate                    *overload.Gate
-	shedder                 overload.Shedder
+	processorFreeAt, linkFreeAt time.Duration
+	gate                        *overload.Gate
+	shedder                     overload.Shedder
 	// received counts the bytes of request bodies since the start.
 	received int64
 	waiting  int
@@ -83,105 +83,105 @@
 	isListed bool
 }
 
-type heavyCaller struct {
+type heavyCallerSimulation struct {
 	options  HeavyCallerOptions
 	world    *World
 	result   HeavyCallerResult
 	machines []*entryMachine
-	// at is the number of the heavy caller's entry node, or -1 before its first request.
-	at int
+	// heavyHome is the number of the heavy caller's entry node, or -1 before its first request.
+	heavyHome int
 }
 
 // callerRequest is one request in flight.
 type callerRequest struct {
-	caller  int
-	bytes   int64
-	first   time.Duration
-	retries int
+	caller     int
+	bytes      int64
+	firstTryAt time.Duration
+	retries    int
 }
 
 // RunHeavyCaller simulates a zone of entry nodes with one heavy caller. It runs one seed.
 func RunHeavyCaller(options HeavyCallerOptions) HeavyCallerResult {
-	s := &heavyCaller{options: options, world: NewWorld(options.Seed), at: -1}
+	s := &heavyCallerSimulation{options: options, world: NewWorld(options.Seed), heavyHome: -1}
 	for range heavyNodes {
 		s.machines = append(s.machines, &entryMachine{gate: overload.NewGate(), isListed: true})
 	}
-	s.world.After(0, s.arrive)
-	s.world.Every(lagReading, s.readLag)
-	s.world.Every(shedReading, s.readLinks)
-	s.world.Every(readinessPoll, s.poll)
+	s.world.After(0, s.generateRequest)
+	s.world.Every(lagInterval, s.readLag)
+	s.world.Every(shedInterval, s.readLinks)
+	s.world.Every(readinessInterval, s.pollReadiness)
 	s.world.RunUntil(options.Length)
 	return s.result
 }
 
-// arrive generates one request and schedules the next one.
-func (s *heavyCaller) arrive() {
-	request := &callerRequest{caller: 1 + s.world.Random.IntN(heavyCallers-1), first: s.world.Now}
+// generateRequest generates one request and schedules the next one.
+func (s *heavyCallerSimulation) generateRequest() {
+	request := &callerRequest{caller: 1 + s.world.Random.IntN(heavyCallers-1), firstTryAt: s.world.Now}
 	if s.world.Chance(s.options.HeavyShare) {
 		request.caller = 0
 	}
-	request.bytes = int64(s.world.Random.ExpFloat64() * heavyBody)
+	request.bytes = int64(s.world.Random.ExpFloat64() * heavyBodyBytes)
 	if s.world.Chance(0.02) {
-		request.bytes += heavyLongBody
+		request.bytes += heavyLongBodyBytes
 	}
 	s.result.Requests++
 	if request.caller != 0 {
 		s.result.LightRequests++
 	}
-	s.come(s.homeOf(request.caller), request)
-	s.world.After(time.Duration(s.world.Random.ExpFloat64()/heavyRate*float64(time.Second)), s.arrive)
+	s.transfer(s.homeOf(request.caller), request)
+	s.world.After(time.Duration(s.world.Random.ExpFloat64()/heavyRate*float64(time.Second)), s.generateRequest)
 }
 
 // homeOf returns the number of the listed machine that a caller's hash chooses.
-func (s *heavyCaller) homeOf(caller int) int {
+func (s *heavyCallerSimulation) homeOf(caller int) int {
 	best, chosen := uint64(0), 0
 	for number, machine := range s.machines {
 		if !machine.isListed {
 			continue
 		}
-		hash := mix(uint64(caller)<<32 | uint64(number) ^ s.options.Seed<<16)
+		hash := hashNumber(uint64(caller)<<32 | uint64(number) ^ s.options.Seed<<16)
 		if hash >= best {
 			best, chosen = hash, number
 		}
 	}
-	if caller == 0 && chosen != s.at {
-		if s.at >= 0 {
+	if caller == 0 && chosen != s.heavyHome {
+		if s.heavyHome >= 0 {
 			s.result.Moves++
 		}
-		s.at = chosen
+		s.heavyHome = chosen
 	}
 	return chosen
 }
 
-// mix hashes a number.
-func mix(value uint64) uint64 {
+// hashNumber returns a hash of a number.
+func hashNumber(value uint64) uint64 {
 	value = (value ^ value>>30) * 0xbf58476d1ce4e5b9
 	value = (value ^ value>>27) * 0x94d049bb133111eb
 	return value ^ value>>31
 }
 
-// come transfers a request to a machine over the machine's link.
-func (s *heavyCaller) come(number int, request *callerRequest) {
+// transfer sends a request to a machine over the machine's link.
+func (s *heavyCallerSimulation) transfer(number int, request *callerRequest) {
 	machine := s.machines[number]
 	machine.received += request.bytes
 	machine.waiting++
 	s.result.MostWaiting = max(s.result.MostWaiting, machine.waiting)
-	machine.linkFree = max(machine.linkFree, s.world.Now) + time.Duration(float64(request.bytes)/heavyLink*float64(time.Second))
-	s.world.After(machine.linkFree-s.world.Now, func() { s.admit(number, request) })
+	machine.linkFreeAt = max(machine.linkFreeAt, s.world.Now) + time.Duration(float64(request.bytes)/heavyLinkRate*float64(time.Second))
+	s.world.After(machine.linkFreeAt-s.world.Now, func() { s.admit(number, request) })
 }
 
-func (s *heavyCaller) admit(number int, request *callerRequest) {
+func (s *heavyCallerSimulation) admit(number int, request *callerRequest) {
 	machine := s.machines[number]
 	usesGate := s.options.Policy == TurnAwayHeavy || s.options.Policy == TurnAwayAndShed
 	if !machine.gate.LetsIn(s.world.Now, fmt.Sprint(request.caller), request.bytes, !usesGate) {
-		s.work(machine, func() { s.turnAway(number, request) })
+		s.queueStage(machine, func() { s.refuse(number, request) })
 		return
 	}
-	s.stage(number, request, 0)
+	s.runStages(number, request, 0)
 }
 
-// turnAway refuses a request. The caller retries once, at another machine.
-func (s *heavyCaller) turnAway(number int, request *callerRequest) {
+// refuse answers a request with a refusal. The caller retries once, at another machine.
+func (s *heavyCallerSimulation) refuse(number int, request *callerRequest) {
 	s.machines[number].waiting--
 	if request.retries > 0 {
 		s.result.Refused++
@@ -189,31 +189,31 @@
 	}
 	request.retries++
 	s.result.TurnedAway++
-	s.world.After(s.world.Between(returnLeast, returnMost), func() {
+	s.world.After(s.world.Between(minimumRetryDelay, maximumRetryDelay), func() {
 		other := s.world.Random.IntN(len(s.machines) - 1)
 		if other >= number {
 			other++
 		}
-		s.come(other, request)
+		s.transfer(other, request)
 	})
 }
 
-// work queues one stage of work at a machine's processor.
-func (s *heavyCaller) work(machine *entryMachine, done func()) {
-	machine.processorFree = max(machine.processorFree, s.world.Now) + stageWork
-	s.world.After(machine.processorFree-s.world.Now, done)
+// queueStage queues one stage of work at a machine's processor.
+func (s *heavyCallerSimulation) queueStage(machine *entryMachine, done func()) {
+	machine.processorFreeAt = max(machine.processorFreeAt, s.world.Now) + stageWork
+	s.world.After(machine.processorFreeAt-s.world.Now, done)
 }
 
-// stage runs the remaining stages of a request at a machine. Each stage waits for the processor;
+// runStages runs the remaining stages of a request at a machine. Each stage waits for the processor;
 // the transfer to the engine and the engine's own time precede one of them.
-func (s *heavyCaller) stage(number int, request *callerRequest, done int) {
+func (s *heavyCallerSimulation) runStages(number int, request *callerRequest, done int) {
 	machine := s.machines[number]
 	if done == stages {
 		machine.waiting--
-		s.served(request)
+		s.recordServed(request)
 		return
 	}
-	next := func() { s.work(machine, func() { s.stage(number, request, done+1) }) }
+	next := func() { s.queueStage(machine, func() { s.runStages(number, request, done+1) }) }
 	if done == engineStage {
 		s.world.After(engineTime, next)
 		return
@@ -221,8 +221,8 @@
 	next()
 }
 
-func (s *heavyCaller) served(request *callerRequest) {
-	if s.world.Now-request.first <= heavyObjective {
+func (s *heavyCallerSimulation) recordServed(request *callerRequest) {
+	if s.world.Now-request.firstTryAt <= heavyObjective {
 		s.result.InTime++
 		return
 	}
@@ -232,31 +232,31 @@
 	}
 }
 
-func (s *heavyCaller) readLag() bool {
+func (s *heavyCallerSimulation) readLag() bool {
 	for _, machine := range s.machines {
 		machine.gate.Step(s.world.Now, overload.Pressure{
-			Lag: max(0, machine.processorFree-s.world.Now), FrameDelay: max(0, machine.linkFree-s.world.Now),
-			BodyBytes: machine.received, LinkBytes: heavyLink,
+			Lag: max(0, machine.processorFreeAt-s.world.Now), FrameDelay: max(0, machine.linkFreeAt-s.world.Now),
+			BodyBytes: machine.received, LinkBytes: heavyLinkRate,
 		})
 	}
 	return true
 }
 
-func (s *heavyCaller) readLinks() bool {
+func (s *heavyCallerSimulation) readLinks() bool {
 	if s.options.Policy != ShedByReadiness && s.options.Policy != TurnAwayAndShed {
 		return false
 	}
 	for _, machine := range s.machines {
 		// Frames from other nodes wait for the link and for the processor.
-		delay := max(0, machine.linkFree-s.world.Now) + max(0, machine.processorFree-s.world.Now)
+		delay := max(0, machine.linkFreeAt-s.world.Now) + max(0, machine.processorFreeAt-s.world.Now)
 		machine.shedder.Step(s.world.Now, overload.Reading{
-			Delay: delay, DelayKnown: true, CallerBytes: machine.received, LinkBytes: heavyLink, Others: len(s.machines) - 1,
+			Delay: delay, DelayKnown: true, CallerBytes: machine.received, LinkBytes: heavyLinkRate, Others: len(s.machines) - 1,
 		})
 	}
 	return true
 }
 
-func (s *heavyCaller) poll() bool {
+func (s *heavyCallerSimulation) pollReadiness() bool {
 	for _, machine := range s.machines {
 		machine.isListed = !machine.shedder.Shedding()
 	}
--- a/internal/lab/simulate/cutloans.go
+++ b/internal/lab/simulate/lending.go
@@ -48,32 +48,32 @@
 }
 
 const (
-	cutZones      = 5
-	cutTenants    = 40
-	callersAZone  = 103
-	requestsAZone = 172.0
-	cutBegins     = 12 * time.Second
-	cutLasts      = 8 * time.Second
-	cutPatience   = 120 * time.Millisecond
-	cutReturn     = 3 * time.Second
-	nodeDelay     = 1500 * time.Microsecond
-	logDelay      = 10 * time.Millisecond
+	lendingZones       = 5
+	lendingTenants     = 40
+	callersPerZone     = 103
+	requestsPerZone    = 172.0
+	partitionStart     = 12 * time.Second
+	partitionDuration  = 8 * time.Second
+	lendingMaximumWait = 120 * time.Millisecond
+	lendingRetryDelay  = 3 * time.Second
+	nodeDelay          = 1500 * time.Microsecond
+	logDelay           = 10 * time.Millisecond
 )
 
-// cutNode is one entry node.
-type cutNode struct {
+// lendingNode is one entry node.
+type lendingNode struct {
 	number   int
 	holder   *escrow.Holder
 	received int
 }
 
-func (n *cutNode) zone() int { return n.number % cutZones }
+func (n *lendingNode) zone() int { return n.number % lendingZones }
 
-func (n *cutNode) name() string { return fmt.Sprintf("n%d", n.number) }
+func (n *lendingNode) name() string { return fmt.Sprintf("n%d", n.number) }
 
-// cutCaller is one caller: the node that its hash chooses, and its weight among the callers.
-type cutCaller struct {
-	node *cutNode
+// lendingCaller is one caller: the node that its hash chooses, and its weight among the callers.
+type lendingCaller struct {
+	node *lendingNode
 	rate float64
 }
 
@@ -83,32 +83,32 @@
 	budget string
 }
 
-type cutLoans struct {
-	options  CutLoansOptions
-	result   CutLoansResult
-	world    *World
-	nodes    []*cutNode
-	callers  []cutCaller
-	weights  float64
-	accounts *accounts.Accounts
-	root     *escrow.Root
-	index    uint64
-	links    map[link]bool
-	pools    map[zonePool][]*cutNode
+type lendingSimulation struct {
+	options   CutLoansOptions
+	result    CutLoansResult
+	world     *World
+	nodes     []*lendingNode
+	callers   []lendingCaller
+	totalRate float64
+	accounts  *accounts.Accounts
+	root      *escrow.Root
+	index     uint64
+	links     map[link]bool
+	pools     map[zonePool][]*lendingNode
 }
 
 // RunCutLoans simulates lending between entry nodes that are partitioned from the core. It runs one
 // seed.
 func RunCutLoans(options CutLoansOptions) CutLoansResult {
-	s := &cutLoans{
-		options: options, world: NewWorld(options.Seed), accounts: accounts.New(), links: map[link]bool{}, pools: map[zonePool][]*cutNode{},
+	s := &lendingSimulation{
+		options: options, world: NewWorld(options.Seed), accounts: accounts.New(), links: map[link]bool{}, pools: map[zonePool][]*lendingNode{},
 	}
 	s.result.World = s.world
 	s.bootNodes()
 	s.drawCallers()
 	s.bootRoot()
-	s.world.After(0, s.arrive)
-	s.world.RunUntil(cutBegins + cutLasts)
+	s.world.After(0, s.generateRequest)
+	s.world.RunUntil(partitionStart + partitionDuration)
 	for _, node := range s.nodes {
 		s.result.MostReceived = max(s.result.MostReceived, node.received)
 	}
@@ -116,24 +116,24 @@
 	return s.result
 }
 
-func (s *cutLoans) isCut() bool { return s.world.Now >= cutBegins }
+func (s *lendingSimulation) isPartitioned() bool { return s.world.Now >= partitionStart }
 
-func (s *cutLoans) bootNodes() {
-	count := cutZones * s.options.NodesAZone
+func (s *lendingSimulation) bootNodes() {
+	count := lendingZones * s.options.NodesAZone
 	if s.options.Policy == OneHolder {
 		count = 1
 	}
 	for number := range count {
-		s.nodes = append(s.nodes, &cutNode{number: number})
+		s.nodes = append(s.nodes, &lendingNode{number: number})
 	}
 	for _, node := range s.nodes {
 		options := escrow.HolderOptions{
 			ID: accounts.HolderID{Node: node.name(), Incarnation: 1}, AnswerTimeout: 50 * time.Millisecond,
-			Lenders: s.lendersOf(node), RootReachable: func() bool { return s.world.Now < cutBegins+time.Second }, Allowances: true,
+			Lenders: s.lendersOf(node), RootReachable: func() bool { return s.world.Now < partitionStart+time.Second }, Allowances: true,
 		}
 		if s.options.Policy == PoolInZone {
-			options.Pool = func(budget string) []string { return s.poolBefore(node, budget) }
-			options.FarPools = func(budget string) []string { return s.farPools(node, budget) }
+			options.Pool = func(budget string) []string { return s.poolHoldersBefore(node, budget) }
+			options.FarPools = func(budget string) []string { return s.remotePools(node, budget) }
 		}
 		node.holder = escrow.NewHolder(options)
 		s.world.Every(holderTick, func() bool {
@@ -145,47 +145,47 @@
 }
 
 // lendersOf lists all other nodes, those of the same zone first.
-func (s *cutLoans) lendersOf(node *cutNode) []string {
-	var near, far []string
+func (s *lendingSimulation) lendersOf(node *lendingNode) []string {
+	var sameZone, remote []string
 	for step := 1; step < len(s.nodes); step++ {
 		other := s.nodes[(node.number+step)%len(s.nodes)]
 		if other.zone() == node.zone() {
-			near = append(near, other.name())
+			sameZone = append(sameZone, other.name())
 			continue
 		}
-		far = append(far, other.name())
+		remote = append(remote, other.name())
 	}
-	return append(near, far...)
+	return append(sameZone, remote...)
 }
 
 // drawCallers draws a node and a rate for each caller. Each caller sends for all tenants.
-func (s *cutLoans) drawCallers() {
-	for number := range cutZones * callersAZone {
-		place := s.world.Random.IntN(s.options.NodesAZone)*cutZones + number%cutZones
-		caller := cutCaller{rate: math.Exp(0.5 * s.world.Random.NormFloat64()), node: s.nodes[place%len(s.nodes)]}
+func (s *lendingSimulation) drawCallers() {
+	for number := range lendingZones * callersPerZone {
+		place := s.world.Random.IntN(s.options.NodesAZone)*lendingZones + number%lendingZones
+		caller := lendingCaller{rate: math.Exp(0.5 * s.world.Random.NormFloat64()), node: s.nodes[place%len(s.nodes)]}
 		s.callers = append(s.callers, caller)
-		s.weights += caller.rate
+		s.totalRate += caller.rate
 	}
 }
 
 // drawBudget draws the budget of a request's tenant. A few tenants are large.
-func (s *cutLoans) drawBudget() string {
-	return fmt.Sprint("tenant-", int(math.Pow(s.world.Random.Float64(), 2)*cutTenants))
+func (s *lendingSimulation) drawBudget() string {
+	return fmt.Sprint("tenant-", int(math.Pow(s.world.Random.Float64(), 2)*lendingTenants))
 }
 
-func (s *cutLoans) bootRoot() {
-	for number := range cutTenants {
+func (s *lendingSimulation) bootRoot() {
+	for number := range lendingTenants {
 		s.accounts.SetLimit(fmt.Sprint("tenant-", number), 1<<40)
 	}
 	s.root = escrow.NewRoot(escrow.RootOptions{
 		HoldersOf: func(string) []accounts.Holder { return nil },
 		Reply: func(to string, message escrow.AnswerMessage) {
-			s.toNode(to, func(node *cutNode) { node.holder.Take(s.world.Now, message) })
+			s.sendToNode(to, func(node *lendingNode) { node.holder.Take(s.world.Now, message) })
 		},
 		Recall:     func(string, escrow.RecallMessage) {},
 		StandingOf: func(budget string) escrow.Standing { return escrow.StandingOf(s.accounts.Budget(budget)) },
 		Tell: func(to string, message escrow.StandingsMessage) {
-			s.toNode(to, func(node *cutNode) { node.holder.TakeStandings(message) })
+			s.sendToNode(to, func(node *lendingNode) { node.holder.TakeStandings(message) })
 		},
 		Contact: func() accounts.Contact {
 			return accounts.Contact{Clock: 1, SteadyMS: uint64(s.world.Now.Milliseconds())}
@@ -194,30 +194,30 @@
 	s.world.Every(logDelay, func() bool {
 		s.root.Tick(s.world.Now)
 		s.commit()
-		return !s.isCut()
+		return !s.isPartitioned()
 	})
 }
 
-// toNode delivers a message of the root to a node, unless the nodes are partitioned by then.
-func (s *cutLoans) toNode(to string, act func(*cutNode)) {
+// sendToNode delivers a message of the root to a node, unless the nodes are partitioned by then.
+func (s *lendingSimulation) sendToNode(to string, act func(*lendingNode)) {
 	s.world.After(nodeDelay, func() {
-		if s.isCut() {
+		if s.isPartitioned() {
 			return
 		}
-		node := s.named(to)
+		node := s.nodeNamed(to)
 		act(node)
 		s.flush(node)
 	})
 }
 
-func (s *cutLoans) named(name string) *cutNode {
+func (s *lendingSimulation) nodeNamed(name string) *lendingNode {
 	var number int
 	_, err := fmt.Sscanf(name, "n%d", &number)
 	s.world.Check(err)
 	return s.nodes[number]
 }
 
-func (s *cutLoans) commit() {
+func (s *lendingSimulation) commit() {
 	batch, found := s.root.Batch()
 	if !found {
 		return
@@ -225,52 +225,52 @@
 	s.index++
 	contact := batch.Command.Contact
 	contact.Index = s.index
-	s.root.Applied(s.world.Now, batch, takeReports(s.accounts, batch.Command, contact))
+	s.root.Applied(s.world.Now, batch, applyReports(s.accounts, batch.Command, contact))
 }
 
-func (s *cutLoans) flush(node *cutNode) {
-	if report, due := node.holder.Report(s.world.Now); due && !s.isCut() {
+func (s *lendingSimulation) flush(node *lendingNode) {
+	if report, due := node.holder.Report(s.world.Now); due && !s.isPartitioned() {
 		s.world.After(nodeDelay, func() {
-			if !s.isCut() {
+			if !s.isPartitioned() {
 				s.root.Take(report)
 			}
 		})
 	}
 	for _, pooled := range node.holder.Pools() {
-		to := s.named(pooled.To)
+		to := s.nodeNamed(pooled.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
-		s.world.After(nodeDelay, func() { s.takePool(to, pooled.Message) })
+		s.world.After(nodeDelay, func() { s.receivePool(to, pooled.Message) })
 	}
 	for _, loan := range node.holder.Loans() {
-		to := s.named(loan.To)
+		to := s.nodeNamed(loan.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
-		s.world.After(nodeDelay, func() { s.takeLend(to, loan.Message) })
+		s.world.After(nodeDelay, func() { s.receiveLend(to, loan.Message) })
 	}
 }
 
-func (s *cutLoans) takeLend(node *cutNode, message escrow.LendMessage) {
+func (s *lendingSimulation) receiveLend(node *lendingNode, message escrow.LendMessage) {
 	node.received++
-	takeLend(node.holder, s.world.Now, message)
+	applyLendMessage(node.holder, s.world.Now, message)
 	s.flush(node)
 }
 
-// arrive generates one request of a random caller and schedules the next one.
-func (s *cutLoans) arrive() {
-	drawn := s.world.Random.Float64() * s.weights
+// generateRequest generates one request of a random caller and schedules the next one.
+func (s *lendingSimulation) generateRequest() {
+	drawn := s.world.Random.Float64() * s.totalRate
 	for _, caller := range s.callers {
 		if drawn -= caller.rate; drawn < 0 {
-			s.ask(caller.node, s.drawBudget(), s.drawTokens(), true)
+			s.reserve(caller.node, s.drawBudget(), s.drawTokens(), true)
 			break
 		}
 	}
-	s.world.After(time.Duration(s.world.Random.ExpFloat64()/requestsAZone/cutZones*float64(time.Second)), s.arrive)
+	s.world.After(time.Duration(s.world.Random.ExpFloat64()/requestsPerZone/lendingZones*float64(time.Second)), s.generateRequest)
 }
 
 // drawTokens draws the tokens of a request: long documents, letters and short questions in the
 // proportions of the large deployments, with long tails. A request with 0 needs no reservation.
-func (s *cutLoans) drawTokens() uint64 {
+func (s *lendingSimulation) drawTokens() uint64 {
 	tail := math.Exp(1.05*s.world.Random.NormFloat64() - 0.55)
 	switch drawn := s.world.Random.Float64() * 825; {
 	case drawn < 193:
@@ -283,13 +283,13 @@
 	return 0
 }
 
-func (s *cutLoans) ask(node *cutNode, budget string, tokens uint64, isFirst bool) {
+func (s *lendingSimulation) reserve(node *lendingNode, budget string, tokens uint64, isFirst bool) {
 	if tokens == 0 {
 		return
 	}
-	counts := s.isCut()
+	counts := s.isPartitioned()
 	now := s.world.Now
-	node.holder.Reserve(now, now+cutPatience, budget, tokens, escrow.Policy{}, func(held escrow.Reservation, err error) {
+	node.holder.Reserve(now, now+lendingMaximumWait, budget, tokens, escrow.Policy{}, func(reservation escrow.Reservation, err error) {
 		if counts {
 			s.count(node, budget, tokens, isFirst, err != nil)
 		}
@@ -297,14 +297,14 @@
 			return
 		}
 		s.world.After(s.world.Between(200*time.Millisecond, 2*time.Second), func() {
-			node.holder.Settle(s.world.Now, held, tokens-tokens/8)
+			node.holder.Settle(s.world.Now, reservation, tokens-tokens/8)
 			s.flush(node)
 		})
 	})
 	s.flush(node)
 }
 
-func (s *cutLoans) count(node *cutNode, budget string, tokens uint64, isFirst, isRefused bool) {
+func (s *lendingSimulation) count(node *lendingNode, budget string, tokens uint64, isFirst, isRefused bool) {
 	if !isFirst {
 		s.result.Returns++
 		if isRefused {
@@ -327,34 +327,34 @@
 		s.result.FreeInZone++
 	}
 	elsewhere := s.nodes[s.world.Random.IntN(len(s.nodes))]
-	s.world.After(cutReturn, func() { s.ask(elsewhere, budget, tokens, false) })
+	s.world.After(lendingRetryDelay, func() { s.reserve(elsewhere, budget, tokens, false) })
 }
 
-// pool returns a zone's pool holders of a budget, chosen by rendezvous hashing.
-func (s *cutLoans) pool(zone int, budget string) []*cutNode {
+// poolHolders returns a zone's pool holders of a budget, chosen by rendezvous hashing.
+func (s *lendingSimulation) poolHolders(zone int, budget string) []*lendingNode {
 	key := zonePool{zone: zone, budget: budget}
 	if s.pools[key] == nil {
-		s.pools[key] = s.choosePool(zone, budget)
+		s.pools[key] = s.choosePoolHolders(zone, budget)
 	}
 	return s.pools[key]
 }
 
-func (s *cutLoans) choosePool(zone int, budget string) []*cutNode {
+func (s *lendingSimulation) choosePoolHolders(zone int, budget string) []*lendingNode {
 	var names []string
-	for number := zone; number < len(s.nodes); number += cutZones {
+	for number := zone; number < len(s.nodes); number += lendingZones {
 		names = append(names, s.nodes[number].name())
 	}
-	var chosen []*cutNode
+	var chosen []*lendingNode
 	for _, name := range membership.Rank(budget, names)[:escrow.PoolHolders] {
-		chosen = append(chosen, s.named(name))
+		chosen = append(chosen, s.nodeNamed(name))
 	}
 	return chosen
 }
 
-// poolBefore lists the pool holders that rank before a node in its zone.
-func (s *cutLoans) poolBefore(node *cutNode, budget string) []string {
+// poolHoldersBefore lists the pool holders that rank before a node in its zone.
+func (s *lendingSimulation) poolHoldersBefore(node *lendingNode, budget string) []string {
 	var before []string
-	for _, holder := range s.pool(node.zone(), budget) {
+	for _, holder := range s.poolHolders(node.zone(), budget) {
 		if holder == node {
 			break
 		}
@@ -363,17 +363,17 @@
 	return before
 }
 
-func (s *cutLoans) farPools(node *cutNode, budget string) []string {
-	var far []string
-	for zone := range cutZones {
+func (s *lendingSimulation) remotePools(node *lendingNode, budget string) []string {
+	var remote []string
+	for zone := range lendingZones {
 		if zone != node.zone() {
-			far = append(far, s.pool(zone, budget)[0].name())
+			remote = append(remote, s.poolHolders(zone, budget)[0].name())
 		}
 	}
-	return far
+	return remote
 }
 
-func (s *cutLoans) takePool(node *cutNode, message escrow.PoolMessage) {
+func (s *lendingSimulation) receivePool(node *lendingNode, message escrow.PoolMessage) {
 	node.received++
 	node.holder.TakePool(s.world.Now, message)
 	s.flush(node)
--- a/internal/lab/simulate/cutloans_test.go
+++ b/internal/lab/simulate/lending_test.go
@@ -10,7 +10,7 @@
 // Guards against refusals while 300 small entry nodes are partitioned from the core for 8 s. Each
 // occasionally needs the tokens of a request of each of 40 tenants. Split over all nodes, no single
 // node has enough tokens, although the zone as a whole has.
-func TestPoolsServeInACutWhatSplitTokensDoNot(t *testing.T) {
+func TestPoolsReduceRefusalsDuringPartition(t *testing.T) {
 	t.Parallel()
 	names := []string{"search", "pool", "one holder"}
 	results := make([]CutLoansResult, len(names))
@@ -24,10 +24,10 @@
 	var refused, messages [3]float64
 	for policy, result := range results {
 		assert.NilError(t, result.World.Broken)
-		refused[policy], messages[policy] = part(result.Refused, result.Requests), part(result.Messages, result.Requests)
+		refused[policy], messages[policy] = ratio(result.Refused, result.Requests), ratio(result.Messages, result.Requests)
 		t.Logf("%-10s: %d requests, refused %.4f (free in the zone %.4f), returns refused %.4f of %d, messages %.2f a request, links %d, most received %d",
-			names[policy], result.Requests, refused[policy], part(result.FreeInZone, result.Requests),
-			part(result.ReturnsRefused, result.Returns), result.Returns, messages[policy], result.Links, result.MostReceived)
+			names[policy], result.Requests, refused[policy], ratio(result.FreeInZone, result.Requests),
+			ratio(result.ReturnsRefused, result.Returns), result.Returns, messages[policy], result.Links, result.MostReceived)
 	}
 	assert.Assert(t, refused[PoolInZone] < 0.6*refused[SearchNeighbours])
 	assert.Assert(t, refused[PoolInZone] < 0.03)
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -29,8 +29,8 @@
 	WeighEndsUncarried
 )
 
-// weighs reports whether the policy uses the trackers.
-func (p PoisonPolicy) weighs() bool { return p >= WeighEnds }
+// usesTracker reports whether the policy uses the trackers.
+func (p PoisonPolicy) usesTracker() bool { return p >= WeighEnds }
 
 // PoisonOptions configures a run of RunPoison: entry nodes, control nodes that pass their crash
 // reports on to each other, engines that run streams, and callers.
@@ -72,27 +72,27 @@
 	poisonContact = 3 * time.Second
 	// ordinaryRate is the number of streams of other callers a second.
 	ordinaryRate = 46.0
-	// mostAttempts is how many engines one try of a request may reach, mostReturns how often its
-	// caller retries.
-	mostAttempts, mostReturns = 2, 1
-	// deadLeast and deadMost bound the time until a crashed engine has restarted.
-	deadLeast, deadMost = 2500 * time.Millisecond, 6 * time.Second
-	poisonDefectLate    = 3
-	popularBody         = 10
+	// maximumAttempts is how many engines one try of a request may reach, maximumRetries how often
+	// its caller retries.
+	maximumAttempts, maximumRetries = 2, 1
+	// minimumDowntime and maximumDowntime bound the time until a crashed engine has restarted.
+	minimumDowntime, maximumDowntime = 2500 * time.Millisecond, 6 * time.Second
+	maximumLateRuns                  = 3
+	popularBody                      = 10
 )
 
 // poisonWorld is the state of one run.
 type poisonWorld struct {
 	*World
-	options  PoisonOptions
-	result   *PoisonResult
-	nodes    []*poisonNode
-	controls []*quarantine.Tracker
-	engines  []*poisonEngine
-	isCut    bool
-	counted  map[quarantine.Fingerprint]map[registry.Life]bool
-	ends     map[quarantine.Fingerprint][]time.Duration
-	late     map[quarantine.Fingerprint]int
+	options       PoisonOptions
+	result        *PoisonResult
+	nodes         []*poisonNode
+	controls      []*quarantine.Tracker
+	engines       []*poisonEngine
+	isPartitioned bool
+	presence      map[quarantine.Fingerprint]map[registry.Life]bool
+	crashTimes    map[quarantine.Fingerprint][]time.Duration
+	lateRuns      map[quarantine.Fingerprint]int
 }
 
 // poisonNode is an entry node: its tracker and its guard.
@@ -101,23 +101,23 @@
 	number  int
 	tracker *quarantine.Tracker
 	guard   *quarantine.Guard
-	// told are the digests of the records that the control nodes last sent to this node.
-	told [poisonControls]uint64
+	// sentDigests are the digests of the records that the control nodes last sent to this node.
+	sentDigests [poisonControls]uint64
 }
 
 // poisonEngine is an engine with its restarts.
 type poisonEngine struct {
-	life registry.Life
-	isUp bool
-	runs map[*poisonRun]bool
+	incarnation registry.Life
+	isUp        bool
+	runs        map[*poisonRun]bool
 }
 
 // poisonRequest is one request of a caller with all its retries.
 type poisonRequest struct {
 	body     poisonBody
 	isPoison bool
-	returns  int
-	broke    int
+	retries  int
+	crashes  int
 }
 
 // poisonBody is the identity of a request.
@@ -141,8 +141,8 @@
 // RunPoison simulates poison requests and the quarantine that stops them. It runs one seed.
 func RunPoison(options PoisonOptions) PoisonResult {
 	w := &poisonWorld{
-		World: NewWorld(options.Seed), options: options, counted: map[quarantine.Fingerprint]map[registry.Life]bool{},
-		ends: map[quarantine.Fingerprint][]time.Duration{}, late: map[quarantine.Fingerprint]int{},
+		World: NewWorld(options.Seed), options: options, presence: map[quarantine.Fingerprint]map[registry.Life]bool{},
+		crashTimes: map[quarantine.Fingerprint][]time.Duration{}, lateRuns: map[quarantine.Fingerprint]int{},
 	}
 	w.result = &PoisonResult{World: w.World}
 	for range poisonControls {
@@ -161,64 +161,64 @@
 	w.schedule()
 
 	w.RunUntil(poisonLength)
-	for fingerprint := range w.late {
-		w.result.LateRuns = max(w.result.LateRuns, w.late[fingerprint])
+	for fingerprint := range w.lateRuns {
+		w.result.LateRuns = max(w.result.LateRuns, w.lateRuns[fingerprint])
 	}
 	return *w.result
 }
 
 func (w *poisonWorld) schedule() {
-	w.arrive()
+	w.generateRequest()
 	for number := range w.options.Poison {
 		poison := poisonBody{scope: uint64(1_000_000 + number)}
-		w.After(5*time.Second+w.between(0, 3*time.Second), func() { w.repeat(poison) })
+		w.After(5*time.Second+w.between(0, 3*time.Second), func() { w.repeatPoison(poison) })
 	}
-	if w.options.Policy.weighs() {
+	if w.options.Policy.usesTracker() {
 		w.Every(100*time.Millisecond, func() bool { w.exchange(); return true })
 	}
 	if w.options.Failures {
-		w.Every(2*time.Second, func() bool { w.fail(w.engines[w.Random.IntN(len(w.engines))]); return true })
+		w.Every(2*time.Second, func() bool { w.failEngine(w.engines[w.Random.IntN(len(w.engines))]); return true })
 		for _, at := range []time.Duration{10 * time.Second, 13 * time.Second} {
 			w.After(at, func() {
 				for _, position := range w.Random.Perm(len(w.engines))[:len(w.engines)/3] {
-					w.fail(w.engines[position])
+					w.failEngine(w.engines[position])
 				}
 			})
 		}
 	}
 	if w.options.Cut {
-		w.After(6*time.Second, func() { w.isCut = true })
-		w.After(14*time.Second, func() { w.isCut = false })
+		w.After(6*time.Second, func() { w.isPartitioned = true })
+		w.After(14*time.Second, func() { w.isPartitioned = false })
 	}
 }
 
-func (w *poisonWorld) between(least, most time.Duration) time.Duration {
-	return least + time.Duration(w.Random.Float64()*float64(most-least))
+func (w *poisonWorld) between(minimum, maximum time.Duration) time.Duration {
+	return minimum + time.Duration(w.Random.Float64()*float64(maximum-minimum))
 }
 
-// arrive generates the requests of the other callers.
-func (w *poisonWorld) arrive() {
+// generateRequest generates the requests of the other callers.
+func (w *poisonWorld) generateRequest() {
 	w.After(time.Duration(w.Random.ExpFloat64()/ordinaryRate*float64(time.Second)), func() {
 		body := poisonBody{scope: uint64(1000 + w.result.Requests)}
 		if w.options.Popular && w.Random.IntN(popularBody) == 0 {
 			body = poisonBody{scope: popularBody}
 		}
 		w.result.Requests++
-		w.come(&poisonRequest{body: body})
-		w.arrive()
+		w.sendToRandomNode(&poisonRequest{body: body})
+		w.generateRequest()
 	})
 }
 
-// repeat sends a poison request again and again, sometimes several copies at the same time.
-func (w *poisonWorld) repeat(poison poisonBody) {
+// repeatPoison sends a poison request again and again, sometimes several copies at the same time.
+func (w *poisonWorld) repeatPoison(poison poisonBody) {
 	for range 1 + w.Random.IntN(3) {
-		w.come(&poisonRequest{body: poison, isPoison: true, returns: mostReturns})
+		w.sendToRandomNode(&poisonRequest{body: poison, isPoison: true, retries: maximumRetries})
 	}
-	w.After(w.between(50*time.Millisecond, 600*time.Millisecond), func() { w.repeat(poison) })
+	w.After(w.between(50*time.Millisecond, 600*time.Millisecond), func() { w.repeatPoison(poison) })
 }
 
-// come sends a request to a random node.
-func (w *poisonWorld) come(request *poisonRequest) {
+// sendToRandomNode sends a request to a random node.
+func (w *poisonWorld) sendToRandomNode(request *poisonRequest) {
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
 	if w.refuses(node, request) {
 		if !request.isPoison {
@@ -235,7 +235,7 @@
 	case ForgetRequests:
 		return false
 	case CountPresence:
-		return len(w.counted[quarantine.FingerprintOfRequest(request.body)]) >= 3
+		return len(w.presence[quarantine.FingerprintOfRequest(request.body)]) >= 3
 	}
 	return node.guard.Standing(request.body) == quarantine.Quarantined
 }
@@ -245,13 +245,13 @@
 func (w *poisonWorld) send(node *poisonNode, request *poisonRequest, attempts int) {
 	engine := w.choose(node, request)
 	if engine == nil {
-		w.comeBack(request)
+		w.retryByCaller(request)
 		return
 	}
 	run := &poisonRun{request: request, node: node, engine: engine, attempts: attempts}
 	engine.runs[run] = true
 	if request.isPoison {
-		w.noteLate(request)
+		w.recordLateRun(request)
 	}
 	w.After(w.between(20*time.Millisecond, 300*time.Millisecond), func() { w.begin(run) })
 }
@@ -293,8 +293,8 @@
 			if !run.ended {
 				w.result.Ended++
 				fingerprint := quarantine.FingerprintOfRequest(run.request.body)
-				w.ends[fingerprint] = append(w.ends[fingerprint], w.Now)
-				w.end(run.engine)
+				w.crashTimes[fingerprint] = append(w.crashTimes[fingerprint], w.Now)
+				w.crash(run.engine)
 			}
 		})
 		return
@@ -313,98 +313,98 @@
 
 // clear records that a request ran to completion.
 func (w *poisonWorld) clear(run *poisonRun) {
-	delete(w.counted, quarantine.FingerprintOfRequest(run.request.body))
+	delete(w.presence, quarantine.FingerprintOfRequest(run.request.body))
 	run.node.guard.Completed(run.request.body)
 }
 
-// fail crashes an engine for a reason other than a poison request.
-func (w *poisonWorld) fail(engine *poisonEngine) {
+// failEngine crashes an engine for a reason other than a poison request.
+func (w *poisonWorld) failEngine(engine *poisonEngine) {
 	if engine.isUp {
 		w.Faults["engine failed"]++
-		w.end(engine)
+		w.crash(engine)
 	}
 }
 
-// end crashes an engine with all its runs; a new incarnation starts later.
-func (w *poisonWorld) end(engine *poisonEngine) {
+// crash crashes an engine with all its runs; a new incarnation starts later.
+func (w *poisonWorld) crash(engine *poisonEngine) {
 	runs := slices.SortedFunc(maps.Keys(engine.runs), func(a, b *poisonRun) int { return int(a.request.body.scope) - int(b.request.body.scope) })
-	life := engine.life
+	incarnation := engine.incarnation
 	engine.isUp, engine.runs = false, nil
 	present := map[*poisonNode][]quarantine.Present{}
 	for _, run := range runs {
 		run.ended = true
 		fingerprint := quarantine.FingerprintOfRequest(run.request.body)
-		w.count(fingerprint, life)
+		w.recordPresence(fingerprint, incarnation)
 		broken := quarantine.Run{BeginsAtHead: true, AnswerBegan: run.hasBegun}
 		if run.hasBegun {
 			broken.BeganFor = w.Now - run.beganAt
 		}
 		present[run.node] = append(present[run.node], quarantine.Present{Fingerprint: fingerprint, Run: broken})
-		if run.request.broke++; run.request.broke == 3 && !run.request.isPoison {
+		if run.request.crashes++; run.request.crashes == 3 && !run.request.isPoison {
 			w.result.BesideThree++
 		}
 	}
 	for _, node := range w.nodes {
 		if len(present[node]) > 0 {
-			w.After(w.between(time.Millisecond, 15*time.Millisecond), func() { node.guard.Ended(life, present[node]) })
+			w.After(w.between(time.Millisecond, 15*time.Millisecond), func() { node.guard.Ended(incarnation, present[node]) })
 		}
 	}
 	for _, run := range runs {
-		w.After(time.Millisecond, func() { w.carryOn(run) })
+		w.After(time.Millisecond, func() { w.retryAtNode(run) })
 	}
-	w.After(w.between(deadLeast, deadMost), func() { w.start(engine, registry.Life{ID: life.ID, Born: life.Born + 1}) })
+	w.After(w.between(minimumDowntime, maximumDowntime), func() { w.start(engine, registry.Life{ID: incarnation.ID, Born: incarnation.Born + 1}) })
 }
 
-func (w *poisonWorld) count(fingerprint quarantine.Fingerprint, life registry.Life) {
-	if w.counted[fingerprint] == nil {
-		w.counted[fingerprint] = map[registry.Life]bool{}
+func (w *poisonWorld) recordPresence(fingerprint quarantine.Fingerprint, incarnation registry.Life) {
+	if w.presence[fingerprint] == nil {
+		w.presence[fingerprint] = map[registry.Life]bool{}
 	}
-	w.counted[fingerprint][life] = true
+	w.presence[fingerprint][incarnation] = true
 }
 
-// carryOn retries a request whose engine crashed at another engine, or leaves the retry to its
+// retryAtNode retries a request whose engine crashed at another engine, or leaves the retry to its
 // caller.
-func (w *poisonWorld) carryOn(run *poisonRun) {
-	standing := run.node.guard.Standing(run.request.body)
-	mayCarry := w.options.Policy != WeighEndsUncarried || standing != quarantine.Suspected
-	if run.attempts < mostAttempts && mayCarry && !w.refuses(run.node, run.request) {
+func (w *poisonWorld) retryAtNode(run *poisonRun) {
+	status := run.node.guard.Standing(run.request.body)
+	mayCarry := w.options.Policy != WeighEndsUncarried || status != quarantine.Suspected
+	if run.attempts < maximumAttempts && mayCarry && !w.refuses(run.node, run.request) {
 		w.send(run.node, run.request, run.attempts+1)
 		return
 	}
-	w.comeBack(run.request)
+	w.retryByCaller(run.request)
 }
 
-func (w *poisonWorld) comeBack(request *poisonRequest) {
-	if request.returns >= mostReturns {
+func (w *poisonWorld) retryByCaller(request *poisonRequest) {
+	if request.retries >= maximumRetries {
 		return
 	}
-	request.returns++
-	w.After(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.come(request) })
+	request.retries++
+	w.After(w.between(50*time.Millisecond, 300*time.Millisecond), func() { w.sendToRandomNode(request) })
 }
 
-func (w *poisonWorld) start(engine *poisonEngine, life registry.Life) {
-	engine.life, engine.isUp, engine.runs = life, true, map[*poisonRun]bool{}
+func (w *poisonWorld) start(engine *poisonEngine, incarnation registry.Life) {
+	engine.incarnation, engine.isUp, engine.runs = incarnation, true, map[*poisonRun]bool{}
 }
 
-// noteLate counts a run of a poison request that is sent too late after its third crash. It checks
-// the guarantee that without a partition there are at most three such runs.
-func (w *poisonWorld) noteLate(request *poisonRequest) {
+// recordLateRun counts a run of a poison request that is sent too late after its third crash. It
+// checks the guarantee that without a partition there are at most three such runs.
+func (w *poisonWorld) recordLateRun(request *poisonRequest) {
 	fingerprint := quarantine.FingerprintOfRequest(request.body)
 	w.Checks++
-	if ends := w.ends[fingerprint]; len(ends) >= 3 && w.Now > ends[2]+poisonContact {
-		w.late[fingerprint]++
+	if ends := w.crashTimes[fingerprint]; len(ends) >= 3 && w.Now > ends[2]+poisonContact {
+		w.lateRuns[fingerprint]++
 	}
-	if w.options.Policy.weighs() && !w.options.Cut && w.late[fingerprint] > poisonDefectLate {
-		w.Broken = fmt.Errorf("a request that had crashed three engines was sent to engines %d more times", w.late[fingerprint])
+	if w.options.Policy.usesTracker() && !w.options.Cut && w.lateRuns[fingerprint] > maximumLateRuns {
+		w.Broken = fmt.Errorf("a request that had crashed three engines was sent to engines %d more times", w.lateRuns[fingerprint])
 	}
 }
 
 // EnginesEnded implements quarantine.Sink: it records crash reports.
-func (n *poisonNode) EnginesEnded(evidence []quarantine.Evidence) {
-	if !n.world.options.Policy.weighs() {
+func (n *poisonNode) EnginesEnded(reports []quarantine.Evidence) {
+	if !n.world.options.Policy.usesTracker() {
 		return
 	}
-	for _, one := range evidence {
+	for _, one := range reports {
 		n.tracker.Report(n.world.Now, one)
 	}
 	n.decide()
@@ -420,18 +420,18 @@
 func (n *poisonNode) decide() {
 	n.tracker.Decide(n.world.Now)
 	n.guard.SetView(n.tracker.View())
-	news := n.tracker.TakeNews(n.world.Now)
+	updates := n.tracker.TakeNews(n.world.Now)
 	for number, control := range n.world.controls {
-		if len(news) > 0 && n.world.reaches(n.number, number) {
-			n.world.After(n.world.between(time.Millisecond, 10*time.Millisecond), func() { control.Merge(n.world.Now, news) })
+		if len(updates) > 0 && n.world.isReachable(n.number, number) {
+			n.world.After(n.world.between(time.Millisecond, 10*time.Millisecond), func() { control.Merge(n.world.Now, updates) })
 		}
 	}
 }
 
-// reaches reports whether a node reaches a control node. A partition separates the last third of
+// isReachable reports whether a node reaches a control node. A partition separates the last third of
 // the nodes and the last control node from the others.
-func (w *poisonWorld) reaches(node, control int) bool {
-	return !w.isCut || (node*poisonControls/poisonNodes == poisonControls-1) == (control == poisonControls-1)
+func (w *poisonWorld) isReachable(node, control int) bool {
+	return !w.isPartitioned || (node*poisonControls/poisonNodes == poisonControls-1) == (control == poisonControls-1)
 }
 
 // exchange is one round of each control node: it sends changed records to the nodes, and, unless
@@ -441,15 +441,15 @@
 		control.Decide(w.Now)
 		digest := control.Digest()
 		for position, node := range w.nodes {
-			if w.reaches(position, number) && node.told[number] != digest {
-				node.told[number] = digest
+			if w.isReachable(position, number) && node.sentDigests[number] != digest {
+				node.sentDigests[number] = digest
 				node.tracker.Merge(w.Now, control.Told(w.Now))
 				node.tracker.Decide(w.Now)
 				node.guard.SetView(node.tracker.View())
 			}
 		}
 		for other := range w.controls {
-			if !w.isCut && other != number && w.Now%(2*time.Second) < 100*time.Millisecond {
+			if !w.isPartitioned && other != number && w.Now%(2*time.Second) < 100*time.Millisecond {
 				w.controls[other].Merge(w.Now, control.Records(w.Now))
 			}
 		}
--- a/internal/lab/simulate/poison_test.go
+++ b/internal/lab/simulate/poison_test.go
@@ -9,8 +9,8 @@
 // poisonSeedsInCI is the number of seeds of each case below.
 const poisonSeedsInCI = 3
 
-// sumOfPoison adds up the results of all seeds of a case, and checks their invariants.
-func sumOfPoison(t *testing.T, options PoisonOptions) (sum PoisonResult) {
+// sumPoisonRuns adds up the results of all seeds of a case, and checks their invariants.
+func sumPoisonRuns(t *testing.T, options PoisonOptions) (sum PoisonResult) {
 	t.Helper()
 	for seed := range uint64(poisonSeedsInCI) {
 		options.Seed = seed
@@ -28,7 +28,7 @@
 // Guards against the failure of the incident: a poison request must be kept from further engines,
 // regardless of what else fails, and at most one in a thousand of the other requests may be taken
 // for poison.
-func TestPoisonRequestsAreToldFromThoseBesideThem(t *testing.T) {
+func TestPoisonRequestsAreQuarantinedAndOthersServed(t *testing.T) {
 	t.Parallel()
 	for name, options := range map[string]PoisonOptions{
 		"one": {Poison: 1}, "two": {Poison: 2}, "heads lost": {Poison: 1, Hidden: true},
@@ -36,31 +36,31 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			options.Policy = WeighEndsUncarried
-			sum := sumOfPoison(t, options)
-			assert.Assert(t, sum.LateRuns <= poisonDefectLate)
+			sum := sumPoisonRuns(t, options)
+			assert.Assert(t, sum.LateRuns <= maximumLateRuns)
 			assert.Assert(t, sum.Refused*1000 <= sum.Requests, "%d of %d requests were taken for poison", sum.Refused, sum.Requests)
 			assert.Assert(t, sum.Ended <= 15*poisonSeedsInCI, "%d engines crashed", sum.Ended)
 		})
 	}
 }
 
-func TestEnginesThatFailForOtherReasonsQuarantineNobody(t *testing.T) {
+func TestOtherEngineFailuresQuarantineNoRequest(t *testing.T) {
 	t.Parallel()
-	sum := sumOfPoison(t, PoisonOptions{Policy: WeighEndsUncarried, Failures: true, Popular: true})
+	sum := sumPoisonRuns(t, PoisonOptions{Policy: WeighEndsUncarried, Failures: true, Popular: true})
 	assert.Equal(t, sum.Refused, 0)
 }
 
 // Merely counting crashes refuses requests that caused none, which is why crashes are weighed.
-func TestCountingWhoWasThereRefusesRequestsThatEndedNothing(t *testing.T) {
+func TestCountingPresenceRefusesHarmlessRequests(t *testing.T) {
 	t.Parallel()
-	sum := sumOfPoison(t, PoisonOptions{Policy: CountPresence, Failures: true, Popular: true})
+	sum := sumPoisonRuns(t, PoisonOptions{Policy: CountPresence, Failures: true, Popular: true})
 	assert.Assert(t, sum.Refused > 0)
 }
 
 // The behaviour before the quarantine: nothing is recorded against a request.
-func TestForgottenPoisonRequestsGoOnEndingEngines(t *testing.T) {
+func TestPoisonRequestsKeepCrashingEnginesWithoutQuarantine(t *testing.T) {
 	t.Parallel()
-	sum := sumOfPoison(t, PoisonOptions{Policy: ForgetRequests, Poison: 1})
-	assert.Assert(t, sum.LateRuns > 50*poisonDefectLate/3)
+	sum := sumPoisonRuns(t, PoisonOptions{Policy: ForgetRequests, Poison: 1})
+	assert.Assert(t, sum.LateRuns > 50*maximumLateRuns/3)
 	assert.Assert(t, sum.Served*2 < sum.Requests)
 }
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -70,16 +70,16 @@
 	// limits.
 	limitWarmUp = 5 * time.Second
 	limitLength = 60 * time.Second
-	// limitDemand is the demand as a multiple of the limits.
-	limitDemand = 3
-	// limitPatience is how long a request waits for a permit, limitTimeout how long a node waits
-	// for a response of the issuer.
-	limitPatience, limitTimeout = 100 * time.Millisecond, 300 * time.Millisecond
-	limitHello                  = 600 * time.Millisecond
-	limitAliveFor               = 2500 * time.Millisecond
-	limitFaultEvery             = 5 * time.Second
+	// limitDemandFactor is the demand as a multiple of the limits.
+	limitDemandFactor = 3
+	// limitMaximumWait is how long a request waits for a permit, limitIssuerTimeout how long a node
+	// waits for a response of the issuer.
+	limitMaximumWait, limitIssuerTimeout = 100 * time.Millisecond, 300 * time.Millisecond
+	limitHelloInterval                   = 600 * time.Millisecond
+	limitLiveTimeout                     = 2500 * time.Millisecond
+	limitFaultInterval                   = 5 * time.Second
 	// Sizes of messages with their frames, in bytes.
-	limitAskBytes, limitAnswerBytes, limitWordBytes = 110, 60, 45
+	limitRequestBytes, limitResponseBytes, limitUpdateBytes = 110, 60, 45
 )
 
 type limitWorld struct {
@@ -89,12 +89,12 @@
 	nodes   []*limitNode
 	engines []*limitEngine
 	byName  map[string]*limitNode
-	// lists are the live nodes that the control nodes of each side of a partition report.
-	lists [2][]ratelimit.Node
-	heard [2]map[string]time.Duration
-	// isZoneCut reports whether the nodes of zone 0 are partitioned from the others, isCoreCut
-	// whether all nodes are partitioned from the control nodes.
-	isZoneCut, isCoreCut bool
+	// liveNodes are the live nodes that the control nodes of each side of a partition report.
+	liveNodes  [2][]ratelimit.Node
+	lastHellos [2]map[string]time.Duration
+	// isZonePartitioned reports whether the nodes of zone 0 are partitioned from the others,
+	// isCorePartitioned whether all nodes are partitioned from the control nodes.
+	isZonePartitioned, isCorePartitioned bool
 }
 
 // limitNode is an entry node.
@@ -104,19 +104,20 @@
 	name   string
 	zone   string
 	limits *ratelimit.Limits
-	// process counts its starts; isUp reports whether it runs.
-	process int
-	isUp    bool
-	clock   machineClock
-	// isCut reports whether it is partitioned from all nodes and control nodes. It still reaches
-	// the engines.
-	isCut  bool
-	toldAt time.Duration
-	told   []ratelimit.Node
-	next   map[registry.Life]time.Duration
-	isTold map[registry.Life]bool
-	// olderLives are the incarnations that the node knows of engines that have restarted since.
-	olderLives map[*limitEngine]registry.Life
+	// incarnation counts its starts; isUp reports whether it runs.
+	incarnation int
+	isUp        bool
+	clock       machineClock
+	// isPartitioned reports whether it is partitioned from all nodes and control nodes. It still
+	// reaches the engines.
+	isPartitioned bool
+	lastListAt    time.Duration
+	knownNodes    []ratelimit.Node
+	nextSendAt    map[registry.Life]time.Duration
+	isLimitKnown  map[registry.Life]bool
+	// staleIncarnations are the incarnations that the node knows of engines that have restarted
+	// since.
+	staleIncarnations map[*limitEngine]registry.Life
 }
 
 // RunLimits simulates entry nodes that respect the rate limits of engines. It runs one seed.
@@ -124,8 +125,8 @@
 	world := NewWorld(options.Seed)
 	result := &LimitResult{World: world}
 	w := &limitWorld{World: world, options: options, result: result, byName: map[string]*limitNode{}}
-	for side := range w.heard {
-		w.heard[side] = map[string]time.Duration{}
+	for side := range w.lastHellos {
+		w.lastHellos[side] = map[string]time.Duration{}
 	}
 	for number := range options.Nodes {
 		node := &limitNode{world: w, number: number, name: fmt.Sprintf("entry-%d", number), zone: fmt.Sprintf("zone-%d", number%limitZones)}
@@ -134,40 +135,40 @@
 	}
 	for number := range limitEngines {
 		engine := &limitEngine{
-			life: registry.Life{ID: fmt.Sprintf("engine-%d-%d", number, options.Seed)}, zone: fmt.Sprintf("zone-%d", number%limitZones),
+			incarnation: registry.Life{ID: fmt.Sprintf("engine-%d-%d", number, options.Seed)}, zone: fmt.Sprintf("zone-%d", number%limitZones),
 			perSecond: options.PerSecond,
 		}
-		engine.begin(w.Now)
+		engine.startIncarnation(w.Now)
 		w.engines = append(w.engines, engine)
 		w.After(limitWarmUp, func() {
 			engine.isNamed = true
 			engine.record().Name(w.Now, engine.perSecond)
 			if options.IsUnsettled {
-				w.unsettle(engine)
+				w.changeEngine(engine)
 			}
 		})
 	}
-	w.Every(limitHello/6, func() bool { w.listLive(); return true })
-	w.After(limitWarmUp, w.beginRequests)
+	w.Every(limitHelloInterval/6, func() bool { w.updateLiveNodes(); return true })
+	w.After(limitWarmUp, w.startRequests)
 	if options.Faults {
-		w.After(limitWarmUp+limitFaultEvery, w.disturb)
+		w.After(limitWarmUp+limitFaultInterval, w.injectFault)
 	}
 	w.RunUntil(limitWarmUp + limitLength)
-	w.judge()
+	w.summarize()
 	return *result
 }
 
 // start starts a new process of the node, which knows of no limits and no nodes.
 func (n *limitNode) start() {
 	w := n.world
-	n.process++
-	n.isUp, n.clock, n.told, n.toldAt = true, machineClock{bootedAt: w.Now}, nil, w.Now
+	n.incarnation++
+	n.isUp, n.clock, n.knownNodes, n.lastListAt = true, machineClock{startedAt: w.Now}, nil, w.Now
 	n.limits = ratelimit.New(n.name)
-	n.next, n.isTold, n.olderLives = map[registry.Life]time.Duration{}, map[registry.Life]bool{}, map[*limitEngine]registry.Life{}
-	process := n.process
-	w.After(w.Between(0, limitHello), func() {
-		w.Every(limitHello, func() bool {
-			if n.process != process {
+	n.nextSendAt, n.isLimitKnown, n.staleIncarnations = map[registry.Life]time.Duration{}, map[registry.Life]bool{}, map[*limitEngine]registry.Life{}
+	incarnation := n.incarnation
+	w.After(w.Between(0, limitHelloInterval), func() {
+		w.Every(limitHelloInterval, func() bool {
+			if n.incarnation != incarnation {
 				return false
 			}
 			n.run(n.hello)
@@ -182,13 +183,13 @@
 // run runs an action of the node's process, or once the process has resumed if it is paused. The
 // action is dropped if the process ends before.
 func (n *limitNode) run(action func()) {
-	process := n.process
+	incarnation := n.incarnation
 	var attempt func()
 	attempt = func() {
 		switch {
-		case !n.isUp || n.process != process:
-		case n.clock.stands(n.world.Now):
-			n.world.After(n.clock.standsUntil-n.world.Now+n.world.Between(0, time.Millisecond), attempt)
+		case !n.isUp || n.incarnation != incarnation:
+		case n.clock.isPaused(n.world.Now):
+			n.world.After(n.clock.pausedUntil-n.world.Now+n.world.Between(0, time.Millisecond), attempt)
 		default:
 			action()
 		}
@@ -198,16 +199,16 @@
 
 // after runs an action of the node's current process after a delay.
 func (n *limitNode) after(delay time.Duration, action func()) {
-	process := n.process
+	incarnation := n.incarnation
 	n.world.After(delay, func() {
-		if n.process == process {
+		if n.incarnation == incarnation {
 			n.run(action)
 		}
 	})
 }
 
 func (n *limitNode) side() int {
-	if n.world.isZoneCut && n.zone == "zone-0" {
+	if n.world.isZonePartitioned && n.zone == "zone-0" {
 		return 1
 	}
 	return 0
@@ -215,34 +216,34 @@
 
 // reaches reports whether a message from this node reaches another one now.
 func (n *limitNode) reaches(other *limitNode) bool {
-	return n == other || !n.isCut && !other.isCut && n.side() == other.side() && other.isUp
+	return n == other || !n.isPartitioned && !other.isPartitioned && n.side() == other.side() && other.isUp
 }
 
 // hello reports the node to the control nodes of its side, and receives the list of live nodes.
 func (n *limitNode) hello() {
 	w, side := n.world, n.side()
-	if n.isCut || w.isCoreCut {
-		if w.Now-n.toldAt > limitAliveFor {
+	if n.isPartitioned || w.isCorePartitioned {
+		if w.Now-n.lastListAt > limitLiveTimeout {
 			n.limits.SetSure(n.now(), false)
 		}
 		return
 	}
-	w.heard[side][n.name] = w.Now
-	list := w.lists[side]
-	n.toldAt = w.Now
-	if n.told == nil {
-		n.greet(list)
+	w.lastHellos[side][n.name] = w.Now
+	list := w.liveNodes[side]
+	n.lastListAt = w.Now
+	if n.knownNodes == nil {
+		n.initialExchange(list)
 	}
-	if len(list) != len(n.told) || len(list) > 0 && &list[0] != &n.told[0] {
-		n.told = list
+	if len(list) != len(n.knownNodes) || len(list) > 0 && &list[0] != &n.knownNodes[0] {
+		n.knownNodes = list
 		n.limits.SetNodes(n.now(), list)
 	}
 	n.limits.SetSure(n.now(), slices.ContainsFunc(list, func(live ratelimit.Node) bool { return live.Address == n.name }))
 }
 
-// greet performs the initial exchange of a node that has started: the first node of its zone that
-// it reaches sends it the limits in effect.
-func (n *limitNode) greet(list []ratelimit.Node) {
+// initialExchange performs the initial exchange of a node that has started: the first node of its
+// zone that it reaches sends it the limits in effect.
+func (n *limitNode) initialExchange(list []ratelimit.Node) {
 	for _, live := range list {
 		other := n.world.byName[live.Address]
 		if other == n || other.zone != n.zone || !n.reaches(other) {
@@ -250,11 +251,11 @@
 		}
 		n.after(n.world.Between(100*time.Millisecond, 400*time.Millisecond), func() {
 			other.run(func() {
-				words := ratelimit.ForSending(other.now(), other.limits.InForce())
-				known := maps.Clone(other.isTold)
-				other.message(n, limitWordBytes*len(words), func() {
-					n.limits.Hear(n.now(), ratelimit.Received(n.now(), words))
-					maps.Copy(n.isTold, known)
+				updates := ratelimit.ForSending(other.now(), other.limits.InForce())
+				known := maps.Clone(other.isLimitKnown)
+				other.sendMessage(n, limitUpdateBytes*len(updates), func() {
+					n.limits.Hear(n.now(), ratelimit.Received(n.now(), updates))
+					maps.Copy(n.isLimitKnown, known)
 				})
 			})
 		})
@@ -262,35 +263,35 @@
 	}
 }
 
-// listLive updates the lists of live nodes that have changed.
-func (w *limitWorld) listLive() {
-	for side := range w.lists {
+// updateLiveNodes updates the lists of live nodes that have changed.
+func (w *limitWorld) updateLiveNodes() {
+	for side := range w.liveNodes {
 		var live []ratelimit.Node
 		for _, node := range w.nodes {
-			if at, isHeard := w.heard[side][node.name]; isHeard && w.Now-at <= limitAliveFor {
+			if at, isKnown := w.lastHellos[side][node.name]; isKnown && w.Now-at <= limitLiveTimeout {
 				live = append(live, ratelimit.Node{Address: node.name, Zone: node.zone})
 			}
 		}
-		if !slices.Equal(live, w.lists[side]) {
-			w.lists[side] = live
+		if !slices.Equal(live, w.liveNodes[side]) {
+			w.liveNodes[side] = live
 		}
 	}
 }
 
-func (w *limitWorld) beginRequests() {
+func (w *limitWorld) startRequests() {
 	for _, engine := range w.engines {
 		var next func()
 		next = func() {
 			node := w.drawNode()
-			node.run(func() { node.want(engine) })
-			w.After(w.pause(), next)
+			node.run(func() { node.sendIfAllowed(engine) })
+			w.After(w.requestInterval(), next)
 		}
-		w.After(w.pause(), next)
+		w.After(w.requestInterval(), next)
 	}
 }
 
-func (w *limitWorld) pause() time.Duration {
-	return time.Duration(w.Random.ExpFloat64() / (limitDemand * w.options.PerSecond) * float64(time.Second))
+func (w *limitWorld) requestInterval() time.Duration {
+	return time.Duration(w.Random.ExpFloat64() / (limitDemandFactor * w.options.PerSecond) * float64(time.Second))
 }
 
 func (w *limitWorld) drawNode() *limitNode {
@@ -300,33 +301,33 @@
 	return w.nodes[w.Random.IntN(len(w.nodes))]
 }
 
-// want sends a request to an engine if the policy permits.
-func (n *limitNode) want(engine *limitEngine) {
+// sendIfAllowed sends a request to an engine if the policy permits.
+func (n *limitNode) sendIfAllowed(engine *limitEngine) {
 	if n.world.options.Policy == HolderPermits {
-		n.askFor(engine)
+		n.requestPermit(engine)
 		return
 	}
-	rate, between, life := n.world.options.PerSecond, time.Duration(0), n.lifeOf(engine)
-	switch live := addresses(n.told); {
-	case !n.isTold[life]:
-		n.send(engine, life)
+	rate, interval, incarnation := n.world.options.PerSecond, time.Duration(0), n.knownIncarnation(engine)
+	switch live := addresses(n.knownNodes); {
+	case !n.isLimitKnown[incarnation]:
+		n.send(engine, incarnation)
 		return
 	case n.world.options.Policy == EachForItself:
 	case n.world.options.Policy == EqualParts:
 		rate /= float64(max(1, len(live)))
 	case n.world.options.Policy == FewSenders:
 		senders := min(max(1, len(live)), max(1, int(rate)))
-		if rank := slices.Index(membership.Rank(life.ID, live), n.name); rank < 0 || rank >= senders {
+		if rank := slices.Index(membership.Rank(incarnation.ID, live), n.name); rank < 0 || rank >= senders {
 			return
 		}
 		rate /= float64(senders)
 	}
-	between = time.Duration(float64(time.Second) / rate)
-	if n.now() < n.next[life] {
+	interval = time.Duration(float64(time.Second) / rate)
+	if n.now() < n.nextSendAt[incarnation] {
 		return
 	}
-	n.next[life] = n.now() + between
-	n.send(engine, life)
+	n.nextSendAt[incarnation] = n.now() + interval
+	n.send(engine, incarnation)
 }
 
 func addresses(nodes []ratelimit.Node) []string {
@@ -337,57 +338,58 @@
 	return names
 }
 
-// askFor requests a permit from the issuer of the engine's permits, and sends the request once the
-// permit is granted.
-func (n *limitNode) askFor(engine *limitEngine) {
-	began, life := n.now(), n.lifeOf(engine)
-	ask, holderName, isLimited := n.limits.Ask(began, life, engine.zone, ratelimit.Need{PatienceMS: uint64(limitPatience.Milliseconds())})
+// requestPermit requests a permit from the issuer of the engine's permits, and sends the request
+// once the permit is granted.
+func (n *limitNode) requestPermit(engine *limitEngine) {
+	startedAt, incarnation := n.now(), n.knownIncarnation(engine)
+	request, issuerName, isLimited := n.limits.Ask(startedAt, incarnation, engine.zone, ratelimit.Need{PatienceMS: uint64(limitMaximumWait.Milliseconds())})
 	if !isLimited {
-		n.send(engine, life)
+		n.send(engine, incarnation)
 		return
 	}
-	if room, _ := n.limits.Room(began, life); room.Wait > limitPatience {
+	if headroom, _ := n.limits.Room(startedAt, incarnation); headroom.Wait > limitMaximumWait {
 		return
 	}
-	holder := n.world.byName[holderName]
-	if holder == nil {
-		n.limits.Unanswered(began, life)
+	issuer := n.world.byName[issuerName]
+	if issuer == nil {
+		n.limits.Unanswered(startedAt, incarnation)
 		return
 	}
-	answered := false
-	n.message(holder, limitAskBytes, func() {
-		answer := holder.limits.Grant(holder.now(), n.name, ask)
-		holder.message(n, limitAnswerBytes, func() {
-			if !answered {
-				answered = true
-				n.take(engine, life, answer, began)
+	isDone := false
+	n.sendMessage(issuer, limitRequestBytes, func() {
+		response := issuer.limits.Grant(issuer.now(), n.name, request)
+		issuer.sendMessage(n, limitResponseBytes, func() {
+			if !isDone {
+				isDone = true
+				n.handlePermitResponse(engine, incarnation, response, startedAt)
 			}
 		})
 	})
-	n.after(limitTimeout, func() {
-		if !answered {
-			answered = true
-			n.limits.Unanswered(n.now(), life)
+	n.after(limitIssuerTimeout, func() {
+		if !isDone {
+			isDone = true
+			n.limits.Unanswered(n.now(), incarnation)
 		}
 	})
 }
 
-// take handles an issuer's response, and sends the request if a permit was granted in time.
-func (n *limitNode) take(engine *limitEngine, life registry.Life, answer ratelimit.Answer, began time.Duration) {
-	n.limits.Answered(n.now(), life, answer)
-	if !answer.IsGranted {
+// handlePermitResponse handles an issuer's response, and sends the request if a permit was granted
+// in time.
+func (n *limitNode) handlePermitResponse(engine *limitEngine, incarnation registry.Life, response ratelimit.Answer, startedAt time.Duration) {
+	n.limits.Answered(n.now(), incarnation, response)
+	if !response.IsGranted {
 		return
 	}
-	n.after(time.Duration(answer.DelayMS)*time.Millisecond, func() {
-		if n.now()-began <= limitPatience+ratelimit.PermitLife {
-			n.world.result.Waits = append(n.world.result.Waits, n.now()-began)
-			n.send(engine, life)
+	n.after(time.Duration(response.DelayMS)*time.Millisecond, func() {
+		if n.now()-startedAt <= limitMaximumWait+ratelimit.PermitLife {
+			n.world.result.Waits = append(n.world.result.Waits, n.now()-startedAt)
+			n.send(engine, incarnation)
 		}
 	})
 }
 
-// message runs an action at another node, if the message reaches it.
-func (n *limitNode) message(to *limitNode, size int, deliver func()) {
+// sendMessage runs an action at another node, if the message reaches it.
+func (n *limitNode) sendMessage(to *limitNode, size int, deliver func()) {
 	w := n.world
 	if n == to {
 		deliver()
@@ -395,37 +397,37 @@
 	}
 	w.result.Messages++
 	w.result.Bytes += size
-	process := to.process
+	incarnation := to.incarnation
 	delay, isDelivered := w.delay(time.Millisecond, 5*time.Millisecond)
 	if !isDelivered {
 		return
 	}
 	w.After(delay, func() {
-		if n.reaches(to) && to.process == process {
+		if n.reaches(to) && to.incarnation == incarnation {
 			to.run(deliver)
 		}
 	})
 }
 
 // send sends a request to an incarnation of an engine, and learns the limit from its response.
-func (n *limitNode) send(engine *limitEngine, life registry.Life) {
+func (n *limitNode) send(engine *limitEngine, incarnation registry.Life) {
 	w := n.world
-	said := w.answer(engine, n, w.Now+time.Millisecond)
-	written := n.now()
+	signal := w.respond(engine, n, w.Now+time.Millisecond)
+	writtenAt := n.now()
 	n.after(w.Between(20*time.Millisecond, 200*time.Millisecond), func() {
-		n.isTold[life] = said.IsNamed
-		n.limits.Learn(n.now(), life, said, written)
-		if words := n.limits.TakeNews(); len(words) > 0 {
-			n.tell(words)
+		n.isLimitKnown[incarnation] = signal.IsNamed
+		n.limits.Learn(n.now(), incarnation, signal, writtenAt)
+		if updates := n.limits.TakeNews(); len(updates) > 0 {
+			n.sendUpdates(updates)
 		}
 	})
 }
 
-// tell sends updates to all reachable nodes, as the load exchange does.
-func (n *limitNode) tell(words []ratelimit.Word) {
+// sendUpdates sends updates to all reachable nodes, as the load exchange does.
+func (n *limitNode) sendUpdates(updates []ratelimit.Word) {
 	w := n.world
-	for position := range words {
-		words[position].AgeMS = uint64((n.now() - words[position].At).Milliseconds())
+	for position := range updates {
+		updates[position].AgeMS = uint64((n.now() - updates[position].At).Milliseconds())
 	}
 	for _, other := range w.nodes {
 		if other == n {
@@ -435,15 +437,15 @@
 		if !isDelivered {
 			continue
 		}
-		process := other.process
+		incarnation := other.incarnation
 		w.result.Messages++
-		w.result.Bytes += limitWordBytes * len(words)
+		w.result.Bytes += limitUpdateBytes * len(updates)
 		w.After(delay, func() {
-			if n.reaches(other) && other.process == process {
+			if n.reaches(other) && other.incarnation == incarnation {
 				other.run(func() {
-					other.limits.Hear(other.now(), ratelimit.Received(other.now(), slices.Clone(words)))
-					for _, word := range words {
-						other.isTold[word.Life] = true
+					other.limits.Hear(other.now(), ratelimit.Received(other.now(), slices.Clone(updates)))
+					for _, update := range updates {
+						other.isLimitKnown[update.Life] = true
 					}
 				})
 			}
@@ -451,53 +453,53 @@
 	}
 }
 
-// disturb injects one fault and schedules the next one.
-func (w *limitWorld) disturb() {
-	w.After(w.Between(limitFaultEvery/2, limitFaultEvery*3/2), w.disturb)
+// injectFault injects one fault and schedules the next one.
+func (w *limitWorld) injectFault() {
+	w.After(w.Between(limitFaultInterval/2, limitFaultInterval*3/2), w.injectFault)
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
-	lasting := w.Between(time.Second, 8*time.Second)
+	duration := w.Between(time.Second, 8*time.Second)
 	kinds := []func(){
-		func() { w.endNode(node, lasting) },
+		func() { w.stopNode(node, duration) },
 		func() {
 			w.Fault("freeze")
-			node.clock.freeze(w.Now, lasting)
+			node.clock.freeze(w.Now, duration)
 		},
 		func() {
 			w.Fault("suspend")
-			node.clock.suspend(w.Now, lasting)
+			node.clock.suspend(w.Now, duration)
 		},
 		func() {
 			w.Fault("node_cut")
-			node.isCut = true
-			w.After(lasting, func() { node.isCut = false })
+			node.isPartitioned = true
+			w.After(duration, func() { node.isPartitioned = false })
 		},
 		func() {
 			w.Fault("zone_cut")
-			w.isZoneCut = true
-			w.After(lasting, func() { w.isZoneCut = false })
+			w.isZonePartitioned = true
+			w.After(duration, func() { w.isZonePartitioned = false })
 		},
 		func() {
 			w.Fault("core_cut")
-			w.isCoreCut = true
-			w.After(lasting, func() { w.isCoreCut = false })
+			w.isCorePartitioned = true
+			w.After(duration, func() { w.isCorePartitioned = false })
 		},
 	}
 	kinds[w.Random.IntN(len(kinds))]()
 }
 
-// endNode ends a node's process, and starts a new one later.
-func (w *limitWorld) endNode(node *limitNode, lasting time.Duration) {
+// stopNode ends a node's process, and starts a new one later.
+func (w *limitWorld) stopNode(node *limitNode, duration time.Duration) {
 	if !node.isUp {
 		return
 	}
 	w.Fault("end")
 	node.isUp = false
-	node.process++
-	w.After(lasting, node.start)
+	node.incarnation++
+	w.After(duration, node.start)
 }
 
-// judge checks the requests that each incarnation of each engine received against its limits.
-func (w *limitWorld) judge() {
+// summarize checks the requests that each incarnation of each engine received against its limits.
+func (w *limitWorld) summarize() {
 	fullest := limitcheck.Use{}
 	for _, engine := range w.engines {
 		for _, record := range engine.records {
--- a/internal/lab/simulate/ratelimit_test.go
+++ b/internal/lab/simulate/ratelimit_test.go
@@ -11,7 +11,7 @@
 
 // Guards against engines that receive more requests than their limits allow, regardless of which
 // nodes end, are paused or are partitioned. The requests are counted at the engines.
-func TestPermitsKeepLimitsWhateverTheNodesDo(t *testing.T) {
+func TestPermitsKeepLimitsUnderNodeFaults(t *testing.T) {
 	t.Parallel()
 	for nodes, seeds := range map[int]uint64{8: limitSeedsInCI, 60: 1} {
 		for _, perSecond := range []float64{0.1, 1, 5, 50} {
@@ -29,7 +29,7 @@
 
 // The same with overloaded engines, which change their limits, fail and restart, and with messages
 // between nodes that are late or lost.
-func TestPermitsKeepLimitsThatChangeOfEnginesThatFailAndStartAgain(t *testing.T) {
+func TestPermitsKeepLimitsOfUnstableEngines(t *testing.T) {
 	t.Parallel()
 	for _, perSecond := range []float64{0.1, 1, 5, 50} {
 		for seed := range uint64(limitSeedsInCI) {
@@ -40,21 +40,21 @@
 }
 
 // Guards against permits that remain unused without faults, also where few of the nodes need them.
-func TestPermitsGoToTheNodesThatWantThem(t *testing.T) {
+func TestPermitsGoToNodesThatNeedThem(t *testing.T) {
 	t.Parallel()
 	for _, perSecond := range []float64{1, 5} {
 		for _, isOneSided := range []bool{false, true} {
 			result := RunLimits(LimitOptions{Seed: 1, Policy: HolderPermits, Nodes: 60, PerSecond: perSecond, IsOneSided: isOneSided})
 			assert.NilError(t, result.Broken)
 			assert.Assert(t, result.Used() >= 0.8, "%g a second: %.2f of the limits used", perSecond, result.Used())
-			assert.Assert(t, result.LongestWait(0.99) <= limitPatience+limitPatience/2, "waited %s", result.LongestWait(0.99))
+			assert.Assert(t, result.LongestWait(0.99) <= limitMaximumWait+limitMaximumWait/2, "waited %s", result.LongestWait(0.99))
 		}
 	}
 }
 
 // One node issues the permits for all because the policies that need no messages exceed the limit,
 // or leave most of it unused where traffic is one-sided.
-func TestOtherWaysToKeepALimitFailWhereNodesAreMany(t *testing.T) {
+func TestPoliciesWithoutMessagesFailWithManyNodes(t *testing.T) {
 	t.Parallel()
 	run := func(policy LimitPolicy, nodes int, perSecond float64) LimitResult {
 		return RunLimits(LimitOptions{Seed: 1, Policy: policy, Nodes: nodes, PerSecond: perSecond, IsOneSided: true})
@@ -83,7 +83,7 @@
 // when they began, never to a node that started later. A node restarted, learned of no limit, and
 // was paused for ten seconds. Then all requests that its callers had sent meanwhile went to an
 // engine with a limit in one burst: 9 requests beside the 5 that had permits.
-func TestNodeThatStartsIsToldTheLimitsInForce(t *testing.T) {
+func TestRestartedNodeReceivesLimitsInEffect(t *testing.T) {
 	t.Parallel()
 	result := RunLimits(LimitOptions{Seed: 245, Policy: HolderPermits, Nodes: 8, PerSecond: 1, Faults: true})
 	assert.NilError(t, result.Broken)
--- a/internal/lab/simulate/rollout.go
+++ b/internal/lab/simulate/rollout.go
@@ -93,19 +93,19 @@
 	// failingRoute is a route on which a large share of responses fails with either version.
 	failingRoute, failingRouteShare = 3, 0.14
 	rolloutStep                     = 20 * time.Millisecond
-	evidenceSteps                   = 13
-	// verdictDelay is the time until a decision takes effect at the nodes, through the log and a
+	sampleSteps                     = 13
+	// decisionDelay is the time until a decision takes effect at the nodes, through the log and a
 	// hello.
-	verdictDelay    = 60 * time.Millisecond
-	rolloutFrom     = time.Second
-	faultLasts      = 3 * time.Second
-	illPart         = 1.0 / 7
-	illFails        = 0.4
-	slowedBy        = 3.0
-	frozenPart      = 0.1
-	frozenFor       = 2 * time.Second
-	earlierSecond   = 4
-	usualAnswerTime = 120 * time.Millisecond
+	decisionDelay         = 60 * time.Millisecond
+	newVersionStart       = time.Second
+	faultDuration         = 3 * time.Second
+	unhealthyShare        = 1.0 / 7
+	unhealthyFailureShare = 0.4
+	slowdownFactor        = 3.0
+	frozenShare           = 0.1
+	freezeDuration        = 2 * time.Second
+	baselineSeconds       = 4
+	usualResponseTime     = 120 * time.Millisecond
 )
 
 // rolloutWorld is the state of one run.
@@ -114,33 +114,34 @@
 	random    *rand.Rand
 	recorders []*rollout.Recorder
 	credits   []float64
-	ill       map[string]bool
+	unhealthy map[string]bool
 	frozen    []bool
 	faultAt   time.Duration
-	judge     *rollout.Judge
+	analyzer  *rollout.Judge
 	stage     state.Stage
-	// inForce is the stage in effect at the nodes, changesAt when the decided stage takes effect.
-	inForce   state.Stage
-	changesAt time.Duration
-	result    RolloutResult
+	// activeStage is the stage in effect at the nodes, stageChangesAt when the decided stage takes
+	// effect.
+	activeStage    state.Stage
+	stageChangesAt time.Duration
+	result         RolloutResult
 }
 
 // RunRollouts runs several seeds in parallel, with one kind of harm and fault, in the modelled
 // deployment with its request rate and the users' shortest rollout.
 func RunRollouts(harm Harm, fault RolloutFault, seeds int) []RolloutResult {
 	results := make([]RolloutResult, seeds)
-	places := make(chan struct{}, runtime.GOMAXPROCS(0))
-	var playing sync.WaitGroup
+	slots := make(chan struct{}, runtime.GOMAXPROCS(0))
+	var runs sync.WaitGroup
 	for seed := range seeds {
-		places <- struct{}{}
-		playing.Go(func() {
+		slots <- struct{}{}
+		runs.Go(func() {
 			results[seed] = RunRollout(RolloutOptions{
 				Seed: uint64(seed), Harm: harm, Fault: fault, Duration: shortestRollout, Rate: rolloutRate, Share: rolloutShare,
 			})
-			<-places
+			<-slots
 		})
 	}
-	playing.Wait()
+	runs.Wait()
 	return results
 }
 
@@ -148,22 +149,22 @@
 func RunRollout(options RolloutOptions) RolloutResult {
 	w := &rolloutWorld{
 		options: options, random: rand.New(rand.NewPCG(options.Seed, 41)), credits: make([]float64, rolloutNodes), frozen: make([]bool, rolloutNodes),
-		ill: map[string]bool{}, judge: rollout.NewJudge(options.Duration), stage: state.Canary, inForce: state.Canary,
+		unhealthy: map[string]bool{}, analyzer: rollout.NewJudge(options.Duration), stage: state.Canary, activeStage: state.Canary,
 	}
-	w.faultAt = rolloutFrom + time.Duration(w.random.Int64N(int64(options.Duration/2)))
+	w.faultAt = newVersionStart + time.Duration(w.random.Int64N(int64(options.Duration/2)))
 	for node := range rolloutNodes {
 		w.recorders = append(w.recorders, rollout.NewRecorder())
 		w.credits[node] = w.random.Float64() * 0.25
-		w.frozen[node] = w.random.Float64() < frozenPart
+		w.frozen[node] = w.random.Float64() < frozenShare
 	}
 	for number := range rolloutInstances {
 		for _, version := range []string{"v1", "v2"} {
-			w.ill[fmt.Sprint(version, "-", number)] = w.random.Float64() < illPart
+			w.unhealthy[fmt.Sprint(version, "-", number)] = w.random.Float64() < unhealthyShare
 		}
 	}
 	// The usual behaviour of the old version is known from before the order.
-	for at := -earlierSecond * time.Second; at < 0; at += rolloutStep {
-		w.sendAll(at, false)
+	for at := -baselineSeconds * time.Second; at < 0; at += rolloutStep {
+		w.sendRequests(at, false)
 	}
 	w.watch()
 	for step := 0; time.Duration(step)*rolloutStep < options.Duration; step++ {
@@ -174,36 +175,36 @@
 }
 
 func (w *rolloutWorld) watch() {
-	running := []state.Rollout{{Order: state.Order{Service: "s", Version: "v2", Duration: w.options.Duration}, Revision: 1, Stage: w.inForce}}
+	running := []state.Rollout{{Order: state.Order{Service: "s", Version: "v2", Duration: w.options.Duration}, Revision: 1, Stage: w.activeStage}}
 	for _, recorder := range w.recorders {
 		recorder.Watch(running)
 	}
 }
 
 func (w *rolloutWorld) step(now time.Duration, step int) {
-	if w.inForce != w.stage && now >= w.changesAt {
-		w.inForce = w.stage
+	if w.activeStage != w.stage && now >= w.stageChangesAt {
+		w.activeStage = w.stage
 		w.watch()
 	}
-	w.sendAll(now, now >= rolloutFrom)
+	w.sendRequests(now, now >= newVersionStart)
 	if !w.stage.IsRunning() {
 		return
 	}
 	if w.options.Fault == LeaderLost && now >= w.faultAt && now < w.faultAt+rolloutStep {
-		w.judge = rollout.NewJudge(w.options.Duration)
+		w.analyzer = rollout.NewJudge(w.options.Duration)
 	}
 	for node, recorder := range w.recorders {
-		if step%evidenceSteps == node%evidenceSteps && !w.isFrozen(node, now) {
-			for _, evidence := range recorder.Evidence() {
-				w.judge.Take(fmt.Sprint(node), evidence)
+		if step%sampleSteps == node%sampleSteps && !w.isFrozen(node, now) {
+			for _, samples := range recorder.Evidence() {
+				w.analyzer.Take(fmt.Sprint(node), samples)
 			}
 		}
 	}
-	decision := w.judge.Step(now, w.stage, nil)
+	decision := w.analyzer.Step(now, w.stage, nil)
 	if decision.Stage == w.stage {
 		return
 	}
-	w.stage, w.changesAt = decision.Stage, now+verdictDelay
+	w.stage, w.stageChangesAt = decision.Stage, now+decisionDelay
 	if w.result.VerdictAt == 0 {
 		w.result.VerdictAt, w.result.Reason = now, decision.Reason
 	}
@@ -213,11 +214,11 @@
 }
 
 func (w *rolloutWorld) isFrozen(node int, now time.Duration) bool {
-	return w.options.Fault == NodeFreezes && w.frozen[node] && now >= w.faultAt && now < w.faultAt+frozenFor
+	return w.options.Fault == NodeFreezes && w.frozen[node] && now >= w.faultAt && now < w.faultAt+freezeDuration
 }
 
-// sendAll sends the requests of one step. newRuns reports whether the new version gets any.
-func (w *rolloutWorld) sendAll(now time.Duration, newRuns bool) {
+// sendRequests sends the requests of one step. newRuns reports whether the new version gets any.
+func (w *rolloutWorld) sendRequests(now time.Duration, newRuns bool) {
 	expected := w.options.Rate * rolloutStep.Seconds()
 	count := int(expected)
 	if w.random.Float64() < expected-float64(count) {
@@ -236,12 +237,12 @@
 				w.result.LastToNew = now
 			}
 		}
-		w.answer(now, node, isNew)
+		w.respond(now, node, isNew)
 	}
 }
 
 func (w *rolloutWorld) goesToNew(node int) bool {
-	switch w.inForce {
+	switch w.activeStage {
 	case state.Moving, state.Done:
 		return true
 	case state.RolledBack:
@@ -255,46 +256,46 @@
 	return true
 }
 
-// answer simulates the response of an instance to a request.
-func (w *rolloutWorld) answer(now time.Duration, node int, isNew bool) {
-	version, among := "v1", rolloutInstances
+// respond simulates the response of an instance to a request.
+func (w *rolloutWorld) respond(now time.Duration, node int, isNew bool) {
+	version, instanceCount := "v1", rolloutInstances
 	if isNew {
 		version = "v2"
-		if w.inForce == state.Canary {
-			among = rolloutCanaries
+		if w.activeStage == state.Canary {
+			instanceCount = rolloutCanaries
 		}
 	}
 	route := w.random.IntN(rolloutRoutes)
-	one := rollout.Answer{
-		Service: "s", Version: version, Instance: fmt.Sprint(version, "-", w.random.IntN(among)), Route: fmt.Sprint("route-", route),
-		First: time.Duration(float64(usualAnswerTime) * math.Exp(usualDeviation*w.random.NormFloat64())), Tokens: 1000 * route,
+	response := rollout.Answer{
+		Service: "s", Version: version, Instance: fmt.Sprint(version, "-", w.random.IntN(instanceCount)), Route: fmt.Sprint("route-", route),
+		First: time.Duration(float64(usualResponseTime) * math.Exp(usualDeviation*w.random.NormFloat64())), Tokens: 1000 * route,
 	}
-	one.First = time.Duration(float64(one.First) * float64(one.Tokens+1500) / 1500)
+	response.First = time.Duration(float64(response.First) * float64(response.Tokens+1500) / 1500)
 	natural := usualFailures
 	if route == failingRoute {
 		natural = failingRouteShare
 	}
-	one.IsFailed = w.random.Float64() < natural
-	inFault := now >= w.faultAt && now < w.faultAt+faultLasts
+	response.IsFailed = w.random.Float64() < natural
+	inFault := now >= w.faultAt && now < w.faultAt+faultDuration
 	switch {
-	case inFault && w.options.Fault == EnginesIll && w.ill[one.Instance]:
-		one.IsFailed = one.IsFailed || w.random.Float64() < illFails
+	case inFault && w.options.Fault == EnginesIll && w.unhealthy[response.Instance]:
+		response.IsFailed = response.IsFailed || w.random.Float64() < unhealthyFailureShare
 	case inFault && w.options.Fault == EnginesSlow:
-		one.First = time.Duration(float64(one.First) * slowedBy)
-	case w.options.Fault == EnginesCrash && w.ill[one.Instance] && inFault:
+		response.First = time.Duration(float64(response.First) * slowdownFactor)
+	case w.options.Fault == EnginesCrash && w.unhealthy[response.Instance] && inFault:
 		// Requests in flight fail; after that the nodes avoid the instance.
 		if now-w.faultAt > 100*time.Millisecond {
 			return
 		}
-		one.IsFailed = true
+		response.IsFailed = true
 	}
-	if isNew && w.harmed(now, route) {
-		w.noteHarm(now, &one)
+	if isNew && w.isHarmed(now, route) {
+		w.applyHarm(now, &response)
 	}
-	w.recorders[node].Note(one)
+	w.recorders[node].Note(response)
 }
 
-func (w *rolloutWorld) harmed(now time.Duration, route int) bool {
+func (w *rolloutWorld) isHarmed(now time.Duration, route int) bool {
 	harm := w.options.Harm
 	if now < harm.From || harm.OneRoute && route != 0 {
 		return false
@@ -302,14 +303,14 @@
 	return !harm.UnderLoad || w.random.Float64() < 0.7
 }
 
-func (w *rolloutWorld) noteHarm(now time.Duration, one *rollout.Answer) {
+func (w *rolloutWorld) applyHarm(now time.Duration, response *rollout.Answer) {
 	harm := w.options.Harm
 	isBad := false
 	if w.random.Float64() < harm.Failing {
-		one.IsFailed, isBad = true, true
+		response.IsFailed, isBad = true, true
 	}
 	if w.random.Float64() < harm.Slow {
-		one.First, isBad = time.Duration(float64(one.First)*harm.SlowBy), true
+		response.First, isBad = time.Duration(float64(response.First)*harm.SlowBy), true
 	}
 	if !isBad {
 		return
--- a/internal/lab/simulate/rollout_test.go
+++ b/internal/lab/simulate/rollout_test.go
@@ -11,8 +11,8 @@
 
 func rolledBack(results []RolloutResult) int {
 	count := 0
-	for _, one := range results {
-		if one.Stage == state.RolledBack {
+	for _, result := range results {
+		if result.Stage == state.RolledBack {
 			count++
 		}
 	}
@@ -33,9 +33,9 @@
 		for _, fault := range []RolloutFault{NoRolloutFault, EnginesCrash, LeaderLost} {
 			results := RunRollouts(harm, fault, rolloutSeeds)
 			assert.Equal(t, rolledBack(results), rolloutSeeds, "%s, %s", name, fault)
-			for seed, one := range results {
-				assert.Assert(t, float64(one.ToNew) <= 0.1*float64(one.Requests)+50, "%s, %s, seed %d: %d of %d", name, fault, seed, one.ToNew, one.Requests)
-				assert.Assert(t, one.Fiftieth == 0 || one.LastToNew <= one.Fiftieth+5*time.Second, "%s, %s, seed %d", name, fault, seed)
+			for seed, result := range results {
+				assert.Assert(t, float64(result.ToNew) <= 0.1*float64(result.Requests)+50, "%s, %s, seed %d: %d of %d", name, fault, seed, result.ToNew, result.Requests)
+				assert.Assert(t, result.Fiftieth == 0 || result.LastToNew <= result.Fiftieth+5*time.Second, "%s, %s, seed %d", name, fault, seed)
 			}
 		}
 	}
@@ -43,11 +43,11 @@
 
 // Guards against rollbacks of good versions. Faults that affect both versions, or that crash or
 // overload some instances of the new one, must not decide the rollout.
-func TestGoodVersionIsDoneInTimeBesideFaults(t *testing.T) {
+func TestGoodVersionCompletesInTimeDespiteFaults(t *testing.T) {
 	for _, fault := range []RolloutFault{NoRolloutFault, EnginesCrash, NodeFreezes, LeaderLost} {
-		for seed, one := range RunRollouts(Harm{}, fault, rolloutSeeds) {
-			assert.Equal(t, one.Stage, state.Done, "%s, seed %d: %s", fault, seed, one.Reason)
-			assert.Assert(t, one.EndedAt < 12*time.Second)
+		for seed, result := range RunRollouts(Harm{}, fault, rolloutSeeds) {
+			assert.Equal(t, result.Stage, state.Done, "%s, seed %d: %s", fault, seed, result.Reason)
+			assert.Assert(t, result.EndedAt < 12*time.Second)
 		}
 	}
 }
--- a/internal/lab/simulate/routing.go
+++ b/internal/lab/simulate/routing.go
@@ -43,14 +43,14 @@
 }
 
 const (
-	routingEngines  = 12
-	routingSlots    = 16
-	routingNodes    = 8
-	routingRunTime  = 60 * time.Second
-	routingCache    = 600
-	routingDocument = 24
+	routingEngines        = 12
+	routingSlots          = 16
+	routingNodes          = 8
+	routingRunTime        = 60 * time.Second
+	routingCacheBlocks    = 600
+	routingDocumentBlocks = 24
 	// documents is the number of long documents, each of which is the shared prefix of many
-	// prompts. A document has routingDocument blocks of 64 tokens.
+	// prompts. A document has routingDocumentBlocks blocks of 64 tokens.
 	documents            = 60
 	routingReportLag     = 500 * time.Millisecond
 	routingStep          = 12 * time.Millisecond
@@ -75,55 +75,55 @@
 	running int
 	waiting []*simulatedJob
 	// cache and recent hold the cached blocks, the most recent first.
-	cache  map[uint64]*list.Element
-	recent *list.List
-	slow   time.Duration
+	cache    map[uint64]*list.Element
+	recent   *list.List
+	slowdown time.Duration
 	// reported is the load as it was routingReportLag ago, next the one that replaces it.
 	reported, next routing.Report
 }
 
 // RoutingSimulation lets eight nodes send two classes of jobs to twelve engines.
 type RoutingSimulation struct {
-	options RoutingOptions
-	world   *World
-	engines []*simulatedEngine
-	tables  []*routing.Table
-	queues  []*queueing.Queue[*simulatedJob]
-	turn    []int
-	flights []map[*simulatedEngine]int
-	first   map[queueing.Class][]time.Duration
-	hits    int
-	blocks  int
-	tokens  int
-	number  int
-	result  RoutingResult
+	options         RoutingOptions
+	world           *World
+	engines         []*simulatedEngine
+	tables          []*routing.Table
+	queues          []*queueing.Queue[*simulatedJob]
+	roundRobin      []int
+	inFlight        []map[*simulatedEngine]int
+	firstTokenTimes map[queueing.Class][]time.Duration
+	hits            int
+	blocks          int
+	tokens          int
+	jobCount        int
+	result          RoutingResult
 }
 
 // RunRouting simulates the choice of engines under one policy. It runs one seed.
 func RunRouting(options RoutingOptions) RoutingResult {
-	s := &RoutingSimulation{options: options, world: NewWorld(options.Seed), first: map[queueing.Class][]time.Duration{}}
+	s := &RoutingSimulation{options: options, world: NewWorld(options.Seed), firstTokenTimes: map[queueing.Class][]time.Duration{}}
 	var backends []routing.Backend
 	for number := range routingEngines {
-		one := &simulatedEngine{name: fmt.Sprintf("engine-%02d", number), cache: map[uint64]*list.Element{}, recent: list.New(), slow: 1}
-		s.engines = append(s.engines, one)
-		backends = append(backends, routing.Backend{Name: one.name, Service: "s", Zone: "z", Capacity: routingSlots})
+		engine := &simulatedEngine{name: fmt.Sprintf("engine-%02d", number), cache: map[uint64]*list.Element{}, recent: list.New(), slowdown: 1}
+		s.engines = append(s.engines, engine)
+		backends = append(backends, routing.Backend{Name: engine.name, Service: "s", Zone: "z", Capacity: routingSlots})
 	}
 	if options.SlowEngine {
-		s.engines[0].slow = 5
+		s.engines[0].slowdown = 5
 	}
 	for number := range routingNodes {
 		table := routing.NewTable("z", map[string]int{"z": routingNodes}, rand.New(rand.NewPCG(options.Seed, uint64(number))))
 		table.SetBackends(backends)
 		s.tables = append(s.tables, table)
 		s.queues = append(s.queues, queueing.New[*simulatedJob](routingQueueCapacity, 0))
-		s.turn = append(s.turn, number)
-		s.flights = append(s.flights, map[*simulatedEngine]int{})
+		s.roundRobin = append(s.roundRobin, number)
+		s.inFlight = append(s.inFlight, map[*simulatedEngine]int{})
 	}
-	s.world.After(0, s.arrive)
+	s.world.After(0, s.generateJob)
 	s.world.Every(routingReportLag, s.report)
 	s.world.Every(routingTick, func() bool {
 		for node := range s.queues {
-			s.place(node)
+			s.placeJobs(node)
 		}
 		return true
 	})
@@ -133,21 +133,21 @@
 
 // meanSlotTime returns how long a job occupies a slot on average, without cache hits.
 func meanSlotTime() time.Duration {
-	long := routingDocument*routingPrefill + 200*routingStep
+	long := routingDocumentBlocks*routingPrefill + 200*routingStep
 	short := 4*routingPrefill + 32*routingStep
 	return long/3 + 2*short/3
 }
 
-func (s *RoutingSimulation) arrive() {
+func (s *RoutingSimulation) generateJob() {
 	rate := s.options.Load * routingEngines * routingSlots / meanSlotTime().Seconds()
-	s.world.After(time.Duration(s.world.Random.ExpFloat64()/rate*float64(time.Second)), s.arrive)
-	s.number++
+	s.world.After(time.Duration(s.world.Random.ExpFloat64()/rate*float64(time.Second)), s.generateJob)
+	s.jobCount++
 	job := &simulatedJob{arrived: s.world.Now, node: s.world.Random.IntN(routingNodes), class: queueing.Urgent, output: 32}
 	length, first := 4, s.world.Random.Uint64()|1<<63
 	if s.world.Chance(1.0 / 3) {
 		// Some documents are requested much more often than the others.
 		popular := min(s.world.Random.IntN(documents), s.world.Random.IntN(documents))
-		job.class, job.output, length, first = queueing.Batch, 200, routingDocument, uint64(popular+1)<<20
+		job.class, job.output, length, first = queueing.Batch, 200, routingDocumentBlocks, uint64(popular+1)<<20
 	}
 	for block := range length {
 		job.blocks = append(job.blocks, first+uint64(block))
@@ -157,31 +157,31 @@
 		return
 	}
 	item := &queueing.Item[*simulatedJob]{
-		ID: fmt.Sprintf("%08d", s.number), Tenant: "t", Class: job.class, Cost: uint64(job.output),
+		ID: fmt.Sprintf("%08d", s.jobCount), Tenant: "t", Class: job.class, Cost: uint64(job.output),
 		Arrived: s.world.Now, Deadline: routingRunTime * 2, Value: job,
 	}
 	if err := s.queues[job.node].Push(item); err == nil {
-		s.place(job.node)
+		s.placeJobs(job.node)
 	}
 }
 
 // baseline chooses an engine under one of the baseline policies.
 func (s *RoutingSimulation) baseline(job *simulatedJob) *simulatedEngine {
-	s.turn[job.node]++
-	best := s.engines[s.turn[job.node]%routingEngines]
+	s.roundRobin[job.node]++
+	best := s.engines[s.roundRobin[job.node]%routingEngines]
 	if s.options.Policy == RoutingRoundRobin {
 		return best
 	}
-	for _, one := range s.engines {
-		if s.flights[job.node][one] < s.flights[job.node][best] {
-			best = one
+	for _, engine := range s.engines {
+		if s.inFlight[job.node][engine] < s.inFlight[job.node][best] {
+			best = engine
 		}
 	}
 	return best
 }
 
-// place dispatches jobs from a node's queue, as the daemon's backends duty does.
-func (s *RoutingSimulation) place(node int) {
+// placeJobs dispatches jobs from a node's queue, as the daemon's backends duty does.
+func (s *RoutingSimulation) placeJobs(node int) {
 	for {
 		placed := false
 		for _, item := range s.queues[node].Candidates(s.world.Now) {
@@ -192,7 +192,7 @@
 			}
 			s.queues[node].Take(item)
 			s.tables[node].Begin(s.world.Now, choice.Backend.Name, item.Value.blocks)
-			index := slices.IndexFunc(s.engines, func(one *simulatedEngine) bool { return one.name == choice.Backend.Name })
+			index := slices.IndexFunc(s.engines, func(engine *simulatedEngine) bool { return engine.name == choice.Backend.Name })
 			s.dispatch(item.Value, s.engines[index])
 			placed = true
 			break
@@ -205,13 +205,13 @@
 
 func (s *RoutingSimulation) dispatch(job *simulatedJob, target *simulatedEngine) {
 	job.engine = target
-	s.flights[job.node][target]++
+	s.inFlight[job.node][target]++
 	target.waiting = append(target.waiting, job)
-	s.start(target)
+	s.startJobs(target)
 }
 
-// start fills an engine's free slots, urgent jobs first.
-func (s *RoutingSimulation) start(target *simulatedEngine) {
+// startJobs fills an engine's free slots, urgent jobs first.
+func (s *RoutingSimulation) startJobs(target *simulatedEngine) {
 	for target.running < routingSlots && len(target.waiting) > 0 {
 		index := 0
 		for position, job := range target.waiting {
@@ -222,28 +222,28 @@
 		job := target.waiting[index]
 		target.waiting = slices.Delete(target.waiting, index, index+1)
 		target.running++
-		missed := target.use(job.blocks)
+		missed := target.useBlocks(job.blocks)
 		s.hits += len(job.blocks) - missed
 		s.blocks += len(job.blocks)
-		first := (time.Duration(missed)*routingPrefill + routingStep) * target.slow
-		s.first[job.class] = append(s.first[job.class], s.world.Now+first-job.arrived)
-		s.world.After(first+time.Duration(job.output)*routingStep*target.slow, func() { s.end(job) })
+		first := (time.Duration(missed)*routingPrefill + routingStep) * target.slowdown
+		s.firstTokenTimes[job.class] = append(s.firstTokenTimes[job.class], s.world.Now+first-job.arrived)
+		s.world.After(first+time.Duration(job.output)*routingStep*target.slowdown, func() { s.finishJob(job) })
 	}
 }
 
-func (s *RoutingSimulation) end(job *simulatedJob) {
+func (s *RoutingSimulation) finishJob(job *simulatedJob) {
 	job.engine.running--
 	s.tokens += job.output
-	s.flights[job.node][job.engine]--
+	s.inFlight[job.node][job.engine]--
 	s.tables[job.node].End(s.world.Now, job.engine.name, routing.Succeeded)
-	s.start(job.engine)
+	s.startJobs(job.engine)
 	if s.options.Policy == RoutingOwn {
-		s.place(job.node)
+		s.placeJobs(job.node)
 	}
 }
 
-// use returns how many of the blocks were not cached, and caches them.
-func (e *simulatedEngine) use(blocks []uint64) int {
+// useBlocks returns how many of the blocks were not cached, and caches them.
+func (e *simulatedEngine) useBlocks(blocks []uint64) int {
 	missed := 0
 	for _, block := range blocks {
 		if element, cached := e.cache[block]; cached {
@@ -253,7 +253,7 @@
 		missed++
 		e.cache[block] = e.recent.PushFront(block)
 	}
-	for e.recent.Len() > routingCache {
+	for e.recent.Len() > routingCacheBlocks {
 		delete(e.cache, e.recent.Remove(e.recent.Back()).(uint64))
 	}
 	return missed
@@ -261,21 +261,21 @@
 
 // report sends each engine's load, as it was routingReportLag ago, to each node.
 func (s *RoutingSimulation) report() bool {
-	for _, one := range s.engines {
-		one.reported, one.next = one.next, routing.Report{Running: one.running, Queued: len(one.waiting)}
+	for _, engine := range s.engines {
+		engine.reported, engine.next = engine.next, routing.Report{Running: engine.running, Queued: len(engine.waiting)}
 		for node, table := range s.tables {
-			report := one.reported
-			report.OwnInFlight = min(s.flights[node][one], report.Running+report.Queued)
-			table.TakeReport(s.world.Now, one.name, report)
+			report := engine.reported
+			report.OwnInFlight = min(s.inFlight[node][engine], report.Running+report.Queued)
+			table.TakeReport(s.world.Now, engine.name, report)
 		}
 	}
 	return true
 }
 
 func (s *RoutingSimulation) finish() RoutingResult {
-	s.result.Requests = s.number
-	s.result.UrgentP50, s.result.UrgentP95 = quantile(s.first[queueing.Urgent], 50), quantile(s.first[queueing.Urgent], 95)
-	s.result.BatchP50, s.result.BatchP95 = quantile(s.first[queueing.Batch], 50), quantile(s.first[queueing.Batch], 95)
+	s.result.Requests = s.jobCount
+	s.result.UrgentP50, s.result.UrgentP95 = quantile(s.firstTokenTimes[queueing.Urgent], 50), quantile(s.firstTokenTimes[queueing.Urgent], 95)
+	s.result.BatchP50, s.result.BatchP95 = quantile(s.firstTokenTimes[queueing.Batch], 50), quantile(s.firstTokenTimes[queueing.Batch], 95)
 	s.result.CacheHits = float64(s.hits) / float64(max(1, s.blocks))
 	s.result.Tokens = float64(s.tokens) / routingRunTime.Seconds()
 	return s.result
--- a/internal/lab/simulate/routing_test.go
+++ b/internal/lab/simulate/routing_test.go
@@ -10,7 +10,7 @@
 // Guards against routing that does worse than the baselines. The product's policy must find more
 // prompt blocks cached, and its waits may exceed those of the better baseline only by a bounded
 // part.
-func TestRoutingAgainstTheBaselines(t *testing.T) {
+func TestRoutingIsNotWorseThanBaselines(t *testing.T) {
 	t.Parallel()
 	const allowance = 50 * time.Millisecond
 	for _, load := range []float64{0.5, 0.8, 1.0, 1.3} {
--- a/internal/lab/simulate/upgrade.go
+++ b/internal/lab/simulate/upgrade.go
@@ -38,16 +38,17 @@
 )
 
 const (
-	upgradeBegins = 6 * time.Second
+	upgradeStart = 6 * time.Second
 	// helloInterval is the time between two hellos of a node.
 	helloInterval   = 600 * time.Millisecond
-	upgradeSettling = 4 * time.Second
-	// goingBack is the share of the upgraded nodes, when chosen again, that are to be downgraded.
-	goingBack = 0.3
-	// backWait is how long the operator leaves a node stopped before checking whether the log's
+	raiseSettleTime = 4 * time.Second
+	// downgradeShare is the share of the upgraded nodes, when chosen again, that are to be
+	// downgraded.
+	downgradeShare = 0.3
+	// downgradeWait is how long the operator leaves a node stopped before checking whether the log's
 	// version was raised. By then no node counts the stopped node as reachable, so that the version
 	// can't be raised any more.
-	backWait = roster.AliveFor + time.Second
+	downgradeWait = roster.AliveFor + time.Second
 )
 
 // upgradedBuild is the log version that a node's build reads, and what the node knows of the
@@ -55,9 +56,9 @@
 type upgradedBuild struct {
 	// reads is the newest version of the log that the node's build reads.
 	reads machine.LogVersion
-	// heard holds the last hello of each node, by name.
-	heard map[string]hello
-	raise logversion.Raise
+	// hellos holds the last hello of each node, by name.
+	hellos map[string]hello
+	raise  logversion.Raise
 }
 
 type hello struct {
@@ -69,37 +70,37 @@
 type upgrade struct {
 	*ConsensusSimulation
 	defect UpgradeDefect
-	// held are the nodes that the operator keeps stopped. The restart that ends a fault does not
+	// stopped are the nodes that the operator keeps stopped. The restart that ends a fault does not
 	// start them.
-	held map[*controlNode]bool
+	stopped map[*controlNode]bool
 }
 
 // RunUpgrade simulates a group whose nodes are upgraded one after the other, and some downgraded
 // again, during the faults of RunConsensus. It runs one seed.
 func RunUpgrade(seed uint64, defect UpgradeDefect) *World {
 	simulation := newConsensusSimulation(seed, NoDefect)
-	u := &upgrade{ConsensusSimulation: simulation, defect: defect, held: map[*controlNode]bool{}}
+	u := &upgrade{ConsensusSimulation: simulation, defect: defect, stopped: map[*controlNode]bool{}}
 	simulation.upgrade = u
-	simulation.World.Every(helloInterval, u.sayHello)
+	simulation.World.Every(helloInterval, u.sendHellos)
 	simulation.World.Every(helloInterval, u.raiseVersion)
-	simulation.World.After(upgradeBegins, u.replaceNext)
+	simulation.World.After(upgradeStart, u.replaceNext)
 	simulation.run()
 	u.checkRaised()
 	return simulation.World
 }
 
-// sayHello sends the log version that each running node's build reads to all nodes.
-func (u *upgrade) sayHello() bool {
+// sendHellos sends the log version that each running node's build reads to all nodes.
+func (u *upgrade) sendHellos() bool {
 	for _, from := range u.nodes {
-		if from.replica == nil || from.frozen {
+		if from.replica == nil || from.isFrozen {
 			continue
 		}
-		said := hello{at: u.World.Now, reads: from.build.reads}
+		message := hello{at: u.World.Now, reads: from.build.reads}
 		for _, to := range u.nodes {
-			life := to.life
+			incarnation := to.incarnation
 			u.network.Send(from.name, to.name, func() {
-				if to.life == life && to.replica != nil && !to.frozen {
-					to.build.hear(from.name, said)
+				if to.incarnation == incarnation && to.replica != nil && !to.isFrozen {
+					to.build.receiveHello(from.name, message)
 				}
 			})
 		}
@@ -107,22 +108,22 @@
 	return true
 }
 
-func (b *upgradedBuild) hear(from string, said hello) {
-	if b.heard == nil {
-		b.heard = map[string]hello{}
+func (b *upgradedBuild) receiveHello(from string, message hello) {
+	if b.hellos == nil {
+		b.hellos = map[string]hello{}
 	}
-	b.heard[from] = said
+	b.hellos[from] = message
 }
 
 // raiseVersion does what the replica's duty does at each node of the newer build.
 func (u *upgrade) raiseVersion() bool {
 	for _, node := range u.nodes {
-		if node.replica == nil || node.frozen || node.build.reads < machine.OwnLogVersion {
+		if node.replica == nil || node.isFrozen || node.build.reads < machine.OwnLogVersion {
 			continue
 		}
 		core := node.replica.Core()
-		node.build.look(u.World.Now, core.Configuration().Members)
-		isDue := node.build.raise.IsDue(u.World.Now, upgradeSettling) || u.defect == RaiseForTheLeaderAlone
+		node.build.updateRaise(u.World.Now, core.Configuration().Members)
+		isDue := node.build.raise.IsDue(u.World.Now, raiseSettleTime) || u.defect == RaiseForTheLeaderAlone
 		if core.Role() != consensus.Leader || node.machine.version >= machine.OwnLogVersion || !isDue {
 			continue
 		}
@@ -136,24 +137,24 @@
 	return true
 }
 
-// look passes the nodes that are reachable, and the members, to the raise.
-func (b *upgradedBuild) look(now time.Duration, members []consensus.Member) {
-	var heard []logversion.Control
-	for name, said := range b.heard {
-		if now-said.at <= roster.AliveFor {
-			heard = append(heard, logversion.Control{Address: name, Reads: said.reads})
+// updateRaise passes the nodes that are reachable, and the members, to the raise.
+func (b *upgradedBuild) updateRaise(now time.Duration, members []consensus.Member) {
+	var reachable []logversion.Control
+	for name, message := range b.hellos {
+		if now-message.at <= roster.AliveFor {
+			reachable = append(reachable, logversion.Control{Address: name, Reads: message.reads})
 		}
 	}
-	var names []string
+	var memberNames []string
 	for _, member := range members {
-		names = append(names, member.Node)
+		memberNames = append(memberNames, member.Node)
 	}
-	b.raise.Look(now, heard, names)
+	b.raise.Look(now, reachable, memberNames)
 }
 
-// needs draws the log version that a write at the leader needs. One in two writes is a newer
+// neededVersion draws the log version that a write at the leader needs. One in two writes is a newer
 // command, if the log may hold those.
-func (u *upgrade) needs(world *World, leader *controlNode) machine.LogVersion {
+func (u *upgrade) neededVersion(world *World, leader *controlNode) machine.LogVersion {
 	if u == nil {
 		return machine.VersionFirst
 	}
@@ -172,7 +173,7 @@
 	}
 	next := func() { u.World.After(u.World.Between(time.Second, 6*time.Second), u.replaceNext) }
 	node := u.nodes[u.World.Random.IntN(len(u.nodes))]
-	if len(u.held) > 0 || node.replica == nil || node.frozen {
+	if len(u.stopped) > 0 || node.replica == nil || node.isFrozen {
 		next()
 		return
 	}
@@ -181,103 +182,103 @@
 	case node.build.reads == machine.VersionFirst:
 		u.World.Fault("upgraded")
 		u.stop(node, restart, func() { u.start(node, machine.OwnLogVersion) })
-	case !u.World.Chance(goingBack):
+	case !u.World.Chance(downgradeShare):
 	case u.defect == LookBeforeTheStop:
 		if leader != nil {
 			isFirst := leader.machine.version == machine.VersionFirst
-			u.stop(node, restart, func() { u.startAgain(node, isFirst) })
+			u.stop(node, restart, func() { u.startWithBuild(node, isFirst) })
 		}
 	default:
-		u.stop(node, backWait, func() { u.lookBeforeGoingBack(node) })
+		u.stop(node, downgradeWait, func() { u.checkBeforeDowngrade(node) })
 	}
 	next()
 }
 
 // stop stops a node as the operator does, and calls then after a delay.
-func (u *upgrade) stop(node *controlNode, lasting time.Duration, then func()) {
-	u.held[node] = true
+func (u *upgrade) stop(node *controlNode, duration time.Duration, then func()) {
+	u.stopped[node] = true
 	u.kill(node)
-	u.World.After(lasting, then)
+	u.World.After(duration, then)
 }
 
 func (u *upgrade) start(node *controlNode, reads machine.LogVersion) {
-	delete(u.held, node)
+	delete(u.stopped, node)
 	node.build = upgradedBuild{reads: reads, raise: logversion.New(false)}
 	u.restart(node)
 }
 
-// lookBeforeGoingBack checks whether the log's version was raised, and starts a stopped node with
+// checkBeforeDowngrade checks whether the log's version was raised, and starts a stopped node with
 // the earlier build if it was not.
-func (u *upgrade) lookBeforeGoingBack(node *controlNode) {
+func (u *upgrade) checkBeforeDowngrade(node *controlNode) {
 	leader := u.leader()
 	switch {
-	case !u.held[node]:
+	case !u.stopped[node]:
 	case u.defect == BackWithoutLooking:
 		u.start(node, machine.VersionFirst)
 	case leader == nil:
-		u.World.After(time.Second, func() { u.lookBeforeGoingBack(node) })
+		u.World.After(time.Second, func() { u.checkBeforeDowngrade(node) })
 	default:
-		u.look(leader, func(version machine.LogVersion, err error) {
+		u.readVersion(leader, func(version machine.LogVersion, err error) {
 			if err != nil {
-				u.World.After(time.Second, func() { u.lookBeforeGoingBack(node) })
+				u.World.After(time.Second, func() { u.checkBeforeDowngrade(node) })
 				return
 			}
 			isWaitedFor := slices.Contains(leader.build.raise.WaitsFor(), node.name) || u.defect == BackThoughNobodyWaits
-			u.startAgain(node, isWaitedFor && version == machine.VersionFirst)
+			u.startWithBuild(node, isWaitedFor && version == machine.VersionFirst)
 		})
 	}
 }
 
-// errNoAnswer is returned if the leader did not respond to the operator in time.
-var errNoAnswer = errors.New("no response from the leader")
+// errNoResponse is returned if the leader did not respond to the operator in time.
+var errNoResponse = errors.New("no response from the leader")
 
-// look reads the log's version once the leader has committed a write: all earlier proposals are
-// committed by then, or never will be.
-func (u *upgrade) look(leader *controlNode, then func(machine.LogVersion, error)) {
-	isAnswered := false
-	answer := func(err error) {
-		if isAnswered {
+// readVersion reads the log's version once the leader has committed a write: all earlier proposals
+// are committed by then, or never will be.
+func (u *upgrade) readVersion(leader *controlNode, then func(machine.LogVersion, error)) {
+	isFinished := false
+	finish := func(err error) {
+		if isFinished {
 			return
 		}
-		isAnswered = true
+		isFinished = true
 		then(leader.machine.version, err)
 	}
-	u.World.After(2*time.Second, func() { answer(errNoAnswer) })
+	u.World.After(2*time.Second, func() { finish(errNoResponse) })
 	if u.defect == LookWithoutAWrite {
-		leader.replica.Read(answer)
+		leader.replica.Read(finish)
 	} else {
 		data, err := msgpack.Marshal(&registerCommand{IsMarker: true})
 		if err != nil {
 			panic(err)
 		}
-		leader.replica.Propose(data, func(_ any, err error) { answer(err) })
+		leader.replica.Propose(data, func(_ any, err error) { finish(err) })
 	}
 	u.flush(leader)
 }
 
-// startAgain starts a stopped node with the earlier build if goesBack is set, and otherwise with
-// the one it had.
-func (u *upgrade) startAgain(node *controlNode, goesBack bool) {
-	if !u.held[node] {
+// startWithBuild starts a stopped node with the earlier build if isDowngrade is set, and otherwise
+// with the one it had.
+func (u *upgrade) startWithBuild(node *controlNode, isDowngrade bool) {
+	if !u.stopped[node] {
 		return
 	}
 	reads := machine.OwnLogVersion
-	if goesBack {
+	if isDowngrade {
 		u.World.Fault("went_back")
 		reads = machine.VersionFirst
 	}
 	u.start(node, reads)
 }
 
-// finish upgrades all nodes to the newer build.
-func (u *upgrade) finish() {
+// upgradeAll upgrades all nodes to the newer build.
+func (u *upgrade) upgradeAll() {
 	for _, node := range u.nodes {
 		if node.build.reads < machine.OwnLogVersion {
 			u.kill(node)
 			u.start(node, machine.OwnLogVersion)
 		}
 	}
-	clear(u.held)
+	clear(u.stopped)
 }
 
 // checkRaised checks that the log's version was raised at all nodes, which have the newer build.
--- a/internal/lab/simulate/upgrade_test.go
+++ b/internal/lab/simulate/upgrade_test.go
@@ -9,11 +9,11 @@
 // Guards against replicas that have to apply a command that their build can't read, or that diverge
 // from the others, and against a log version that is not raised although all have the newer build.
 // The nodes are upgraded in random order.
-func TestGroupOfTwoBuildsHoldsOneLogUnderFaults(t *testing.T) {
+func TestMixedBuildsKeepOneLogUnderFaults(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunUpgrade(seed, UpgradeNoDefect) })
 }
 
-func TestUpgradeSimulationNoticesDefects(t *testing.T) {
+func TestUpgradeSimulationDetectsDefects(t *testing.T) {
 	t.Parallel()
 	for name, defect := range map[string]UpgradeDefect{
 		"raise for the leader alone": RaiseForTheLeaderAlone, "newer without raise": NewerWithoutRaise, "back without looking": BackWithoutLooking,
@@ -28,7 +28,7 @@
 // operator stopped a machine, waited and read the version while a raise that was proposed earlier
 // was not committed yet: only an acknowledged write shows that no raise is in progress. Or the
 // machine had lost its disk and was no member yet, so that the raise did not wait for it.
-func TestGoingBackMayBeOvertakenByARaise(t *testing.T) {
+func TestUnsafeDowngradesRaceWithVersionRaise(t *testing.T) {
 	t.Parallel()
 	assert.ErrorContains(t, RunUpgrade(927, LookWithoutAWrite).Broken, "can't read")
 	for _, seed := range []uint64{4406, 5356} {
--- a/internal/lab/simulate/world.go
+++ b/internal/lab/simulate/world.go
@@ -132,8 +132,8 @@
 	MinimumDelay, MaximumDelay time.Duration
 	// Loss and Duplication are the probabilities that a message is lost or delivered twice.
 	Loss, Duplication float64
-	// cut holds the directed pairs of nodes between which all messages are lost.
-	cut map[link]bool
+	// blocked holds the directed pairs of nodes between which all messages are lost.
+	blocked map[link]bool
 	// Messages counts the messages sent.
 	Messages int
 }
@@ -144,7 +144,7 @@
 func NewNetwork(world *World) *Network {
 	return &Network{
 		world: world, MinimumDelay: 200 * time.Microsecond, MaximumDelay: 2 * time.Millisecond,
-		cut: map[link]bool{},
+		blocked: map[link]bool{},
 	}
 }
 
@@ -164,7 +164,7 @@
 	}
 	for range copies {
 		n.world.After(n.world.Between(n.MinimumDelay, n.MaximumDelay), func() {
-			if !n.cut[link{from, to}] {
+			if !n.blocked[link{from, to}] {
 				deliver()
 			}
 		})
@@ -172,7 +172,7 @@
 }
 
 // CutOneWay drops all messages from one node to another until Heal.
-func (n *Network) CutOneWay(from, to string) { n.cut[link{from, to}] = true }
+func (n *Network) CutOneWay(from, to string) { n.blocked[link{from, to}] = true }
 
 // CutBetween partitions two groups of nodes from each other in both directions.
 func (n *Network) CutBetween(left, right []string) {
@@ -185,9 +185,9 @@
 }
 
 // Heal ends all partitions.
-func (n *Network) Heal() { n.cut = map[link]bool{} }
+func (n *Network) Heal() { n.blocked = map[link]bool{} }
 
 // Reachable reports whether messages from one node reach another.
-func (n *Network) Reachable(from, to string) bool { return !n.cut[link{from, to}] }
+func (n *Network) Reachable(from, to string) bool { return !n.blocked[link{from, to}] }
 
 func sortNames(names []string) { sort.Strings(names) }
