--- a/internal/lab/labcli/backoff.go
+++ b/internal/lab/labcli/backoff.go
@@ -18,7 +18,7 @@
 	simulate.PausesIgnored, simulate.HardEnd, simulate.SpreadEnd, simulate.RankedEnd, simulate.Trials, simulate.SpreadTrials, simulate.SharedTrials,
 }
 
-var backoffScenarios = []simulate.BackoffScenario{simulate.ThirdIll, simulate.ZoneIll, simulate.AllIll, simulate.Wave}
+var backoffScenarios = []simulate.BackoffScenario{simulate.ThirdOverloaded, simulate.ZoneOverloaded, simulate.AllOverloaded, simulate.Wave}
 
 func backoffCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
--- a/internal/lab/labcli/limits.go
+++ b/internal/lab/labcli/limits.go
@@ -18,7 +18,7 @@
 // limitRates are the limits that engines name in the table, in requests a second.
 var limitRates = []float64{0.1, 1, 5, 50}
 
-var limitPolicies = []simulate.LimitPolicy{simulate.EachForItself, simulate.EqualParts, simulate.FewSenders, simulate.HolderPermits}
+var limitPolicies = []simulate.LimitPolicy{simulate.EachForItself, simulate.EqualParts, simulate.FewSenders, simulate.IssuerPermits}
 
 func limitsCommand(out io.Writer) *cli.Command {
 	return &cli.Command{
@@ -84,7 +84,7 @@
 		}
 		used += one.Used() / float64(seeds)
 		bytes, messages = bytes+one.Bytes, messages+one.Messages
-		longest = max(longest, one.LongestWait(0.99))
+		longest = max(longest, one.WaitQuantile(0.99))
 	}
 	traffic := "even"
 	if options.IsOneSided {
--- a/internal/lab/labcli/prove.go
+++ b/internal/lab/labcli/prove.go
@@ -21,12 +21,12 @@
 	"budgets": func(seed uint64) *simulate.World {
 		return simulate.RunBudgets(simulate.BudgetOptions{Seed: seed, Limit: 400_000, TopUp: 200_000, Faults: true, Rate: 25}).World
 	},
-	"lost-lives":      lostLives(simulate.LostLivesOptions{}),
-	"suspended-lives": lostLives(simulate.LostLivesOptions{Suspended: true}),
-	"pooled-lives":    lostLives(simulate.LostLivesOptions{Pooled: true}),
+	"lost-lives":      lostLives(simulate.CrashOptions{}),
+	"suspended-lives": lostLives(simulate.CrashOptions{Suspended: true}),
+	"pooled-lives":    lostLives(simulate.CrashOptions{Pooled: true}),
 	"poison": func(seed uint64) *simulate.World {
 		return simulate.RunPoison(simulate.PoisonOptions{
-			Seed: seed, Policy: simulate.WeighEndsUncarried, Poison: 1 + int(seed%2), Failures: seed%3 == 0, Popular: seed%3 == 0, Hidden: seed%5 == 0,
+			Seed: seed, Policy: simulate.WeighCrashesWithoutRetries, Poison: 1 + int(seed%2), Failures: seed%3 == 0, Popular: seed%3 == 0, Hidden: seed%5 == 0,
 		}).World
 	},
 	"backoff":          backoffOf,
@@ -38,18 +38,18 @@
 }
 
 // lostLives runs seeds of lost lives with some options.
-func lostLives(options simulate.LostLivesOptions) func(seed uint64) *simulate.World {
+func lostLives(options simulate.CrashOptions) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		one := options
 		one.Seed = seed
-		return simulate.RunLostLives(one).World
+		return simulate.RunCrashes(one).World
 	}
 }
 
 // backoffOf runs a seed of engines that ask for pauses beside faults: in turn all scenarios,
 // and pauses of all lengths.
 func backoffOf(seed uint64) *simulate.World {
-	scenarios := []simulate.BackoffScenario{simulate.ThirdIll, simulate.ZoneIll, simulate.AllIll, simulate.Wave}
+	scenarios := []simulate.BackoffScenario{simulate.ThirdOverloaded, simulate.ZoneOverloaded, simulate.AllOverloaded, simulate.Wave}
 	pauses := []time.Duration{500 * time.Millisecond, 3 * time.Second, 30 * time.Second}
 	return simulate.RunBackoff(simulate.BackoffOptions{
 		Seed: seed, Policy: simulate.SpreadTrials, Return: backoff.DefaultReturn, Nodes: 8, Load: 0.6, Faults: true, AsksWhenFull: seed%2 == 0,
@@ -62,7 +62,7 @@
 func limitsOf(isUnsettled bool) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		return simulate.RunLimits(simulate.LimitOptions{
-			Seed: seed, Policy: simulate.HolderPermits, Nodes: 8, PerSecond: limitRates[seed%uint64(len(limitRates))], IsOneSided: seed%3 == 0,
+			Seed: seed, Policy: simulate.IssuerPermits, Nodes: 8, PerSecond: limitRates[seed%uint64(len(limitRates))], IsOneSided: seed%3 == 0,
 			Faults: true, IsUnsettled: isUnsettled,
 		}).World
 	}
--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -37,12 +37,12 @@
 
 // Scenarios of RunBackoff.
 const (
-	// ThirdIll: a third of the engines at the same time.
-	ThirdIll BackoffScenario = "third"
-	// ZoneIll: all engines of one zone.
-	ZoneIll BackoffScenario = "zone"
-	// AllIll: all engines of the service.
-	AllIll BackoffScenario = "all"
+	// ThirdOverloaded: a third of the engines at the same time.
+	ThirdOverloaded BackoffScenario = "third"
+	// ZoneOverloaded: all engines of one zone.
+	ZoneOverloaded BackoffScenario = "zone"
+	// AllOverloaded: all engines of the service.
+	AllOverloaded BackoffScenario = "all"
 	// Wave: one engine after the other.
 	Wave BackoffScenario = "wave"
 )
--- a/internal/lab/simulate/backoff_test.go
+++ b/internal/lab/simulate/backoff_test.go
@@ -13,7 +13,7 @@
 // backoffSeedsInCI is the number of seeds of each case with eight nodes.
 const backoffSeedsInCI = 3
 
-var backoffScenarios = []BackoffScenario{ThirdIll, ZoneIll, AllIll, Wave}
+var backoffScenarios = []BackoffScenario{ThirdOverloaded, ZoneOverloaded, AllOverloaded, Wave}
 
 func runBackoff(policy BackoffPolicy, scenario BackoffScenario, pause time.Duration, change func(*BackoffOptions)) BackoffResult {
 	options := BackoffOptions{Policy: policy, Scenario: scenario, Nodes: 8, Pause: pause, Load: 0.6, Return: backoff.DefaultReturn}
@@ -50,14 +50,14 @@
 
 func TestManyNodesRespectPauses(t *testing.T) {
 	t.Parallel()
-	result := runBackoff(SpreadTrials, ThirdIll, 3*time.Second, func(o *BackoffOptions) { o.Nodes, o.Faults = 60, true })
+	result := runBackoff(SpreadTrials, ThirdOverloaded, 3*time.Second, func(o *BackoffOptions) { o.Nodes, o.Faults = 60, true })
 	assert.NilError(t, result.Broken)
 }
 
 // The simulation detects nodes that ignore pauses.
 func TestSimulationDetectsIgnoredPauses(t *testing.T) {
 	t.Parallel()
-	result := runBackoff(PausesIgnored, ThirdIll, 3*time.Second, func(*BackoffOptions) {})
+	result := runBackoff(PausesIgnored, ThirdOverloaded, 3*time.Second, func(*BackoffOptions) {})
 	assert.Assert(t, result.InPause > pausecheck.Allowed, "%d", result.InPause)
 }
 
@@ -67,7 +67,7 @@
 	t.Parallel()
 	later := func(policy BackoffPolicy) (asked int, inTime float64) {
 		for seed := range uint64(backoffSeedsInCI) {
-			result := runBackoff(policy, AllIll, 3*time.Second, func(o *BackoffOptions) { o.Seed, o.AsksWhenFull = seed, true })
+			result := runBackoff(policy, AllOverloaded, 3*time.Second, func(o *BackoffOptions) { o.Seed, o.AsksWhenFull = seed, true })
 			asked += result.Later
 			inTime += float64(result.InTime) / float64(result.Sent) / backoffSeedsInCI
 		}
@@ -86,7 +86,7 @@
 	t.Parallel()
 	refused := func(policy BackoffPolicy) (count, asked int) {
 		for seed := range uint64(backoffSeedsInCI) {
-			result := runBackoff(policy, ThirdIll, 500*time.Millisecond, func(o *BackoffOptions) { o.Seed = seed })
+			result := runBackoff(policy, ThirdOverloaded, 500*time.Millisecond, func(o *BackoffOptions) { o.Seed = seed })
 			count, asked = count+result.Refused, asked+result.Asked
 		}
 		return count, asked
--- a/internal/lab/simulate/backoffengine.go
+++ b/internal/lab/simulate/backoffengine.go
@@ -38,11 +38,11 @@
 		w.engines[engine.instance.ID], w.engineList = engine, append(w.engineList, engine)
 		engine.overloadedFrom = backoffWarmUp
 		switch w.options.Scenario {
-		case ThirdIll:
+		case ThirdOverloaded:
 			engine.overloadedFor = durationIf(number < count/3, backoffOverloadTime)
-		case ZoneIll:
+		case ZoneOverloaded:
 			engine.overloadedFor = durationIf(number%backoffZones == 0, backoffOverloadTime)
-		case AllIll:
+		case AllOverloaded:
 			engine.overloadedFor = backoffOverloadTime / 2
 		case Wave:
 			engine.overloadedFrom += time.Duration(number) * backoffOverloadTime / time.Duration(count)
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -473,7 +473,7 @@
 			outside = append(outside, name)
 		}
 	}
-	s.network.CutBetween(inside, append(outside, rootName))
+	s.network.Partition(inside, append(outside, rootName))
 	duration := s.world.Between(2*time.Second, 15*time.Second)
 	s.disturbedUntil = s.world.Now + duration + 5*time.Second
 	s.world.After(duration, s.healPartition)
--- a/internal/lab/simulate/claims.go
+++ b/internal/lab/simulate/claims.go
@@ -280,7 +280,7 @@
 	case 2:
 		s.World.Fault("one-way cut")
 		other := s.names[s.World.Random.IntN(len(s.names))]
-		s.network.CutOneWay(node.name, other)
+		s.network.PartitionOneWay(node.name, other)
 		s.World.After(s.World.Between(100*time.Millisecond, time.Second), s.network.Heal)
 	}
 }
--- a/internal/lab/simulate/consensus.go
+++ b/internal/lab/simulate/consensus.go
@@ -424,11 +424,11 @@
 	switch s.World.Random.IntN(6) {
 	case 0:
 		s.World.Fault("cut")
-		s.network.CutBetween([]string{node.name}, names)
+		s.network.Partition([]string{node.name}, names)
 		s.World.After(s.World.Between(time.Second, 8*time.Second), s.network.Heal)
 	case 1:
 		s.World.Fault("one-way cut")
-		s.network.CutOneWay(node.name, names[0])
+		s.network.PartitionOneWay(node.name, names[0])
 		s.World.After(s.World.Between(time.Second, 8*time.Second), s.network.Heal)
 	case 2:
 		s.World.Fault("freeze")
--- a/internal/lab/simulate/crashes.go
+++ b/internal/lab/simulate/crashes.go
@@ -13,24 +13,24 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// LostLivesDefect is a deliberate defect that the simulation must detect.
-type LostLivesDefect int
+// CrashDefect is a deliberate defect that the simulation must detect.
+type CrashDefect int
 
 // Defects of RunLostLives.
 const (
-	// NoLostLivesDefect runs the real code.
-	NoLostLivesDefect LostLivesDefect = iota
-	// SilenceIgnored takes the time since an incarnation's last contact with the root for 0, so
+	// CrashNoDefect runs the real code.
+	CrashNoDefect CrashDefect = iota
+	// LastContactIgnored takes the time since an incarnation's last contact with the root for 0, so
 	// that a crashed incarnation is charged only its allowance.
-	SilenceIgnored
-	// ClocksBelieved trusts the wall clock of a single control node.
-	ClocksBelieved
+	LastContactIgnored
+	// SingleClockTrusted trusts the wall clock of a single control node.
+	SingleClockTrusted
 )
 
-// LostLivesOptions configures a run of RunLostLives.
-type LostLivesOptions struct {
+// CrashOptions configures a run of RunLostLives.
+type CrashOptions struct {
 	Seed   uint64
-	Defect LostLivesDefect
+	Defect CrashDefect
 	// WholeGrants is the policy before allowances were introduced: a crashed incarnation is charged
 	// all that it held.
 	WholeGrants bool
@@ -46,8 +46,8 @@
 	Length time.Duration
 }
 
-// LostLivesResult is the result of RunLostLives, in requests and tokens.
-type LostLivesResult struct {
+// CrashResult is the result of RunLostLives, in requests and tokens.
+type CrashResult struct {
 	World                     *World
 	Requests, Served, Refused int
 	// Used is the tokens that ran, Wasted those that crashed incarnations were charged beyond
@@ -108,8 +108,8 @@
 // crashSimulation lets entry nodes draw on budgets while they and the root's leader are killed,
 // together or one before the other, partitioned, and delayed.
 type crashSimulation struct {
-	options  LostLivesOptions
-	result   LostLivesResult
+	options  CrashOptions
+	result   CrashResult
 	world    *World
 	network  *Network
 	accounts *accounts.Accounts
@@ -127,9 +127,9 @@
 	used    map[string]uint64
 }
 
-// RunLostLives simulates entry nodes and leaders that crash, and the accounts that are closed for
+// RunCrashes simulates entry nodes and leaders that crash, and the accounts that are closed for
 // crashed incarnations. It runs one seed.
-func RunLostLives(options LostLivesOptions) LostLivesResult {
+func RunCrashes(options CrashOptions) CrashResult {
 	s := &crashSimulation{
 		options: options, world: NewWorld(options.Seed), accounts: accounts.New(), budgets: []string{"one", "other"},
 		crashed: map[accounts.HolderID]*escrow.Holder{}, used: map[string]uint64{},
@@ -386,7 +386,7 @@
 		}
 	}
 	ownWall := s.wallClocks[leader].read(s.world.Now)
-	if s.options.Defect == ClocksBelieved || clocks.Agree(ownWall, others, len(s.wallClocks)) {
+	if s.options.Defect == SingleClockTrusted || clocks.Agree(ownWall, others, len(s.wallClocks)) {
 		reading.WallMS = ownWall
 	}
 	return reading
@@ -447,7 +447,7 @@
 		if !known && s.world.Now-leadsSince < 3*time.Second {
 			continue
 		}
-		if s.options.Defect == SilenceIgnored {
+		if s.options.Defect == LastContactIgnored {
 			sinceContact = 0
 		}
 		s.closeAccounts(id, holder, sinceContact)
--- a/internal/lab/simulate/crashes_test.go
+++ b/internal/lab/simulate/crashes_test.go
@@ -7,19 +7,19 @@
 	"gotest.tools/v3/assert"
 )
 
-func runCrashes(defect LostLivesDefect) func(seed uint64) *World {
-	return func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Defect: defect}).World }
+func runCrashes(defect CrashDefect) func(seed uint64) *World {
+	return func(seed uint64) *World { return RunCrashes(CrashOptions{Seed: seed, Defect: defect}).World }
 }
 
 // Guards against incarnations that are charged less than they used, and budgets that are exceeded,
 // regardless of which processes crash in which order and how the clocks jump.
 func TestCrashedIncarnationsAreChargedAllTheyUsed(t *testing.T) {
-	runSeeds(t, seedsInCI, runCrashes(NoLostLivesDefect))
+	runSeeds(t, seedsInCI, runCrashes(CrashNoDefect))
 }
 
 // The same with budgets that are left to pool holders, which crash and are partitioned as all nodes.
 func TestCrashedIncarnationsWithPoolsAreChargedAllTheyUsed(t *testing.T) {
-	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Pooled: true}).World })
+	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunCrashes(CrashOptions{Seed: seed, Pooled: true}).World })
 }
 
 // Guards against an incarnation that is charged fewer tokens than it used, 17,371 of 19,894 when it
@@ -30,22 +30,22 @@
 func TestIncarnationIsChargedForTimeOfLeaderSuspension(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1532, 1732} {
-		assert.NilError(t, RunLostLives(LostLivesOptions{Seed: seed, Suspended: true}).World.Broken, "seed %d", seed)
+		assert.NilError(t, RunCrashes(CrashOptions{Seed: seed, Suspended: true}).World.Broken, "seed %d", seed)
 	}
 }
 
 // The same over all seeds of CI, with machines that are suspended for seconds, the leader's among
 // them.
 func TestCrashedIncarnationsAreChargedAllTheyUsedDespiteSuspensions(t *testing.T) {
-	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunLostLives(LostLivesOptions{Seed: seed, Suspended: true}).World })
+	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunCrashes(CrashOptions{Seed: seed, Suspended: true}).World })
 }
 
 func TestSimulationDetectsIgnoredTimeSinceLastContact(t *testing.T) {
-	assert.Assert(t, brokenSeed(t, 100, runCrashes(SilenceIgnored)) != nil)
+	assert.Assert(t, brokenSeed(t, 100, runCrashes(LastContactIgnored)) != nil)
 }
 
 func TestSimulationDetectsTrustInJumpingClock(t *testing.T) {
-	assert.Assert(t, brokenSeed(t, 300, runCrashes(ClocksBelieved)) != nil)
+	assert.Assert(t, brokenSeed(t, 300, runCrashes(SingleClockTrusted)) != nil)
 }
 
 // With allowances, a crash charges little, which is why they exist. Nodes may then hold much more
@@ -53,10 +53,10 @@
 // that have to wait for the log.
 func TestAllowancesWasteHalfOfWhatWholeGrantsWasteAndServeAsMuch(t *testing.T) {
 	t.Parallel()
-	var sums [2]LostLivesResult
+	var sums [2]CrashResult
 	for position, whole := range []bool{false, true} {
 		for seed := range uint64(40) {
-			result := RunLostLives(LostLivesOptions{Seed: seed, WholeGrants: whole, Sudden: true, Length: 40 * time.Second})
+			result := RunCrashes(CrashOptions{Seed: seed, WholeGrants: whole, Sudden: true, Length: 40 * time.Second})
 			assert.NilError(t, result.World.Broken)
 			sums[position].Requests += result.Requests
 			sums[position].Served += result.Served
@@ -68,15 +68,15 @@
 	t.Logf("allowances: %d of %d served, %d tokens used, %d wasted; whole grants: %d of %d, %d, %d",
 		allowances.Served, allowances.Requests, allowances.Used, allowances.Wasted, whole.Served, whole.Requests, whole.Used, whole.Wasted)
 	assert.Assert(t, allowances.Wasted < whole.Wasted/2)
-	share := func(of LostLivesResult) float64 { return float64(of.Served) / float64(of.Requests) }
+	share := func(of CrashResult) float64 { return float64(of.Served) / float64(of.Requests) }
 	assert.Assert(t, share(allowances) > 0.995*share(whole))
 }
 
 // Guards against runs that the seed does not determine: a failing seed must be reproducible.
 func TestCrashSimulationIsReproducible(t *testing.T) {
-	first := RunLostLives(LostLivesOptions{Seed: 3})
+	first := RunCrashes(CrashOptions{Seed: 3})
 	for range 3 {
-		again := RunLostLives(LostLivesOptions{Seed: 3})
+		again := RunCrashes(CrashOptions{Seed: 3})
 		assert.Equal(t, again.World.Steps, first.World.Steps)
 		assert.Equal(t, again.Used, first.Used)
 		assert.Equal(t, again.Served, first.Served)
--- a/internal/lab/simulate/crashfaults.go
+++ b/internal/lab/simulate/crashfaults.go
@@ -11,7 +11,7 @@
 		kind = []int{0, 2, 4, 5}[s.world.Random.IntN(4)]
 		down /= 2
 	}
-	if s.options.Defect == ClocksBelieved {
+	if s.options.Defect == SingleClockTrusted {
 		kind = []int{2, 3, 6, 6}[s.world.Random.IntN(4)]
 	}
 	if s.options.Suspended && s.world.Chance(0.5) {
@@ -133,6 +133,6 @@
 		}
 		outside = append(outside, node.name)
 	}
-	s.network.CutBetween(inside, outside)
+	s.network.Partition(inside, outside)
 	s.world.After(s.world.Between(time.Second, 9*time.Second), s.network.Heal)
 }
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -12,15 +12,15 @@
 
 // Policies of RunHeavyCaller.
 const (
-	// TakeAll serves all requests.
-	TakeAll HeavyCallerPolicy = iota
+	// ServeAll serves all requests.
+	ServeAll HeavyCallerPolicy = iota
 	// ShedByReadiness reports the node as not ready for further callers while its link is full,
 	// see overload.Shedder.
 	ShedByReadiness
-	// TurnAwayHeavy refuses requests of heavy callers, see overload.Gate.
-	TurnAwayHeavy
-	// TurnAwayAndShed does both.
-	TurnAwayAndShed
+	// RefuseHeavy refuses requests of heavy callers, see overload.Gate.
+	RefuseHeavy
+	// RefuseHeavyAndShed does both.
+	RefuseHeavyAndShed
 )
 
 // HeavyCallerOptions configures a run of RunHeavyCaller: a zone of small entry nodes, callers that
@@ -172,7 +172,7 @@
 
 func (s *heavyCallerSimulation) admit(number int, request *callerRequest) {
 	machine := s.machines[number]
-	usesGate := s.options.Policy == TurnAwayHeavy || s.options.Policy == TurnAwayAndShed
+	usesGate := s.options.Policy == RefuseHeavy || s.options.Policy == RefuseHeavyAndShed
 	if !machine.gate.LetsIn(s.world.Now, fmt.Sprint(request.caller), request.bytes, !usesGate) {
 		s.queueStage(machine, func() { s.refuse(number, request) })
 		return
@@ -243,7 +243,7 @@
 }
 
 func (s *heavyCallerSimulation) readLinks() bool {
-	if s.options.Policy != ShedByReadiness && s.options.Policy != TurnAwayAndShed {
+	if s.options.Policy != ShedByReadiness && s.options.Policy != RefuseHeavyAndShed {
 		return false
 	}
 	for _, machine := range s.machines {
--- a/internal/lab/simulate/heavycaller_test.go
+++ b/internal/lab/simulate/heavycaller_test.go
@@ -37,7 +37,7 @@
 				share, name, total.Requests, ratio(total.InTime, total.Requests), ratio(total.Late, total.Requests), ratio(total.LightLate, total.LightRequests),
 				ratio(total.Refused, total.Requests), ratio(total.TurnedAway, total.Requests), total.Moves, total.MostWaiting)
 		}
-		assert.Assert(t, lostShare[TurnAwayHeavy] < 0.01, "%.4f of the requests were late or refused", lostShare[TurnAwayHeavy])
+		assert.Assert(t, lostShare[RefuseHeavy] < 0.01, "%.4f of the requests were late or refused", lostShare[RefuseHeavy])
 		if share == 0.7 {
 			// The load is high enough for the earlier policy, readiness alone, to fail.
 			assert.Assert(t, lostShare[ShedByReadiness] > 0.2, "only %.4f are lost without a gate", lostShare[ShedByReadiness])
--- a/internal/lab/simulate/lending.go
+++ b/internal/lab/simulate/lending.go
@@ -10,31 +10,31 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// CutLoansPolicy is how entry nodes that are partitioned from the core find tokens that other
+// LendingPolicy is how entry nodes that are partitioned from the core find tokens that other
 // nodes hold.
-type CutLoansPolicy int
+type LendingPolicy int
 
 // Policies of RunCutLoans.
 const (
 	// SearchNeighbours requests loans from the neighbours in rounds, see package escrow.
-	SearchNeighbours CutLoansPolicy = iota
+	SearchNeighbours LendingPolicy = iota
 	// PoolInZone lets two nodes of each zone hold a budget for all nodes that need little of it.
 	PoolInZone
-	// OneHolder has a single holder of all budgets: the upper bound of what a policy can serve.
-	OneHolder
+	// SingleHolder has a single holder of all budgets: the upper bound of what a policy can serve.
+	SingleHolder
 )
 
-// CutLoansOptions configures a run of RunCutLoans: zones of entry nodes, callers that a hash
+// LendingOptions configures a run of RunCutLoans: zones of entry nodes, callers that a hash
 // spreads over them, prepaid tokens for twice the run, and a partition of all nodes from the core.
-type CutLoansOptions struct {
+type LendingOptions struct {
 	Seed   uint64
-	Policy CutLoansPolicy
+	Policy LendingPolicy
 	// NodesAZone is the number of entry nodes in each of five zones.
 	NodesAZone int
 }
 
-// CutLoansResult counts the requests and messages during the partition.
-type CutLoansResult struct {
+// LendingResult counts the requests and messages during the partition.
+type LendingResult struct {
 	World *World
 	// Requests and Refused count first tries, Returns the refused requests that were retried at
 	// another node, and ReturnsRefused those that were refused again there.
@@ -84,8 +84,8 @@
 }
 
 type lendingSimulation struct {
-	options   CutLoansOptions
-	result    CutLoansResult
+	options   LendingOptions
+	result    LendingResult
 	world     *World
 	nodes     []*lendingNode
 	callers   []lendingCaller
@@ -97,9 +97,9 @@
 	pools     map[zonePool][]*lendingNode
 }
 
-// RunCutLoans simulates lending between entry nodes that are partitioned from the core. It runs one
+// RunLending simulates lending between entry nodes that are partitioned from the core. It runs one
 // seed.
-func RunCutLoans(options CutLoansOptions) CutLoansResult {
+func RunLending(options LendingOptions) LendingResult {
 	s := &lendingSimulation{
 		options: options, world: NewWorld(options.Seed), accounts: accounts.New(), links: map[link]bool{}, pools: map[zonePool][]*lendingNode{},
 	}
@@ -120,7 +120,7 @@
 
 func (s *lendingSimulation) bootNodes() {
 	count := lendingZones * s.options.NodesAZone
-	if s.options.Policy == OneHolder {
+	if s.options.Policy == SingleHolder {
 		count = 1
 	}
 	for number := range count {
--- a/internal/lab/simulate/lending_test.go
+++ b/internal/lab/simulate/lending_test.go
@@ -13,11 +13,11 @@
 func TestPoolsReduceRefusalsDuringPartition(t *testing.T) {
 	t.Parallel()
 	names := []string{"search", "pool", "one holder"}
-	results := make([]CutLoansResult, len(names))
+	results := make([]LendingResult, len(names))
 	var runs sync.WaitGroup
 	for policy := range names {
 		runs.Go(func() {
-			results[policy] = RunCutLoans(CutLoansOptions{Seed: 1, Policy: CutLoansPolicy(policy), NodesAZone: 60})
+			results[policy] = RunLending(LendingOptions{Seed: 1, Policy: LendingPolicy(policy), NodesAZone: 60})
 		})
 	}
 	runs.Wait()
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -15,22 +15,22 @@
 
 // Policies of RunPoison.
 const (
-	// ForgetRequests records nothing against a request.
-	ForgetRequests PoisonPolicy = iota
+	// RecordNothing records nothing against a request.
+	RecordNothing PoisonPolicy = iota
 	// CountPresence refuses a request that was present at three crashes, regardless of which other
 	// requests were.
 	CountPresence
-	// WeighEnds weighs crashes as quarantine.Tracker does.
-	WeighEnds
-	// WeighEndsAlone also sends a suspected request to the engine with the fewest runs, and avoids
+	// WeighCrashes weighs crashes as quarantine.Tracker does.
+	WeighCrashes
+	// WeighCrashesIsolated also sends a suspected request to the engine with the fewest runs, and avoids
 	// engines that run another suspected request.
-	WeighEndsAlone
-	// WeighEndsUncarried is WeighEnds, but nodes don't retry a suspected request: its caller may.
-	WeighEndsUncarried
+	WeighCrashesIsolated
+	// WeighCrashesWithoutRetries is WeighEnds, but nodes don't retry a suspected request: its caller may.
+	WeighCrashesWithoutRetries
 )
 
 // usesTracker reports whether the policy uses the trackers.
-func (p PoisonPolicy) usesTracker() bool { return p >= WeighEnds }
+func (p PoisonPolicy) usesTracker() bool { return p >= WeighCrashes }
 
 // PoisonOptions configures a run of RunPoison: entry nodes, control nodes that pass their crash
 // reports on to each other, engines that run streams, and callers.
@@ -232,7 +232,7 @@
 // refuses reports whether the policy refuses a request at a node.
 func (w *poisonWorld) refuses(node *poisonNode, request *poisonRequest) bool {
 	switch w.options.Policy {
-	case ForgetRequests:
+	case RecordNothing:
 		return false
 	case CountPresence:
 		return len(w.presence[quarantine.FingerprintOfRequest(request.body)]) >= 3
@@ -261,7 +261,7 @@
 	if len(up) == 0 {
 		return nil
 	}
-	if w.options.Policy == WeighEndsAlone && node.guard.Standing(request.body) == quarantine.Suspected {
+	if w.options.Policy == WeighCrashesIsolated && node.guard.Standing(request.body) == quarantine.Suspected {
 		return slices.MinFunc(up, func(a, b *poisonEngine) int { return a.load(node) - b.load(node) })
 	}
 	one, other := up[w.Random.IntN(len(up))], up[w.Random.IntN(len(up))]
@@ -366,7 +366,7 @@
 // caller.
 func (w *poisonWorld) retryAtNode(run *poisonRun) {
 	status := run.node.guard.Standing(run.request.body)
-	mayCarry := w.options.Policy != WeighEndsUncarried || status != quarantine.Suspected
+	mayCarry := w.options.Policy != WeighCrashesWithoutRetries || status != quarantine.Suspected
 	if run.attempts < maximumAttempts && mayCarry && !w.refuses(run.node, run.request) {
 		w.send(run.node, run.request, run.attempts+1)
 		return
--- a/internal/lab/simulate/poison_test.go
+++ b/internal/lab/simulate/poison_test.go
@@ -35,7 +35,7 @@
 		"beside failures": {Poison: 1, Failures: true, Popular: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			options.Policy = WeighEndsUncarried
+			options.Policy = WeighCrashesWithoutRetries
 			sum := sumPoisonRuns(t, options)
 			assert.Assert(t, sum.LateRuns <= maximumLateRuns)
 			assert.Assert(t, sum.Refused*1000 <= sum.Requests, "%d of %d requests were taken for poison", sum.Refused, sum.Requests)
@@ -46,7 +46,7 @@
 
 func TestOtherEngineFailuresQuarantineNoRequest(t *testing.T) {
 	t.Parallel()
-	sum := sumPoisonRuns(t, PoisonOptions{Policy: WeighEndsUncarried, Failures: true, Popular: true})
+	sum := sumPoisonRuns(t, PoisonOptions{Policy: WeighCrashesWithoutRetries, Failures: true, Popular: true})
 	assert.Equal(t, sum.Refused, 0)
 }
 
@@ -60,7 +60,7 @@
 // The behaviour before the quarantine: nothing is recorded against a request.
 func TestPoisonRequestsKeepCrashingEnginesWithoutQuarantine(t *testing.T) {
 	t.Parallel()
-	sum := sumPoisonRuns(t, PoisonOptions{Policy: ForgetRequests, Poison: 1})
+	sum := sumPoisonRuns(t, PoisonOptions{Policy: RecordNothing, Poison: 1})
 	assert.Assert(t, sum.LateRuns > 50*maximumLateRuns/3)
 	assert.Assert(t, sum.Served*2 < sum.Requests)
 }
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -25,8 +25,8 @@
 	// FewSenders lets as many nodes send as the limit allows requests a second, chosen by
 	// rendezvous hashing, each with an equal part of the limit.
 	FewSenders LimitPolicy = "few_senders"
-	// HolderPermits lets one node issue permits, as ratelimit.Limits does.
-	HolderPermits LimitPolicy = "holder_permits"
+	// IssuerPermits lets one node issue permits, as ratelimit.Limits does.
+	IssuerPermits LimitPolicy = "holder_permits"
 )
 
 // LimitOptions configures a run of RunLimits.
@@ -303,7 +303,7 @@
 
 // sendIfAllowed sends a request to an engine if the policy permits.
 func (n *limitNode) sendIfAllowed(engine *limitEngine) {
-	if n.world.options.Policy == HolderPermits {
+	if n.world.options.Policy == IssuerPermits {
 		n.requestPermit(engine)
 		return
 	}
@@ -517,8 +517,8 @@
 	w.result.Worst, w.result.Allowed = fullest.Got, fullest.Allowed
 }
 
-// LongestWait returns the quantile of Waits for the given part, which is between 0 and 1.
-func (r LimitResult) LongestWait(part float64) time.Duration {
+// WaitQuantile returns the quantile of Waits for the given part, which is between 0 and 1.
+func (r LimitResult) WaitQuantile(part float64) time.Duration {
 	if len(r.Waits) == 0 {
 		return 0
 	}
--- a/internal/lab/simulate/ratelimit_test.go
+++ b/internal/lab/simulate/ratelimit_test.go
@@ -18,7 +18,7 @@
 			for _, isOneSided := range []bool{false, true} {
 				for seed := range seeds {
 					result := RunLimits(LimitOptions{
-						Seed: seed, Policy: HolderPermits, Nodes: nodes, PerSecond: perSecond, IsOneSided: isOneSided, Faults: true,
+						Seed: seed, Policy: IssuerPermits, Nodes: nodes, PerSecond: perSecond, IsOneSided: isOneSided, Faults: true,
 					})
 					assert.NilError(t, result.Broken, "%d nodes, seed %d", nodes, seed)
 				}
@@ -33,7 +33,7 @@
 	t.Parallel()
 	for _, perSecond := range []float64{0.1, 1, 5, 50} {
 		for seed := range uint64(limitSeedsInCI) {
-			result := RunLimits(LimitOptions{Seed: seed, Policy: HolderPermits, Nodes: 8, PerSecond: perSecond, Faults: true, IsUnsettled: true})
+			result := RunLimits(LimitOptions{Seed: seed, Policy: IssuerPermits, Nodes: 8, PerSecond: perSecond, Faults: true, IsUnsettled: true})
 			assert.NilError(t, result.Broken, "%g a second, seed %d", perSecond, seed)
 		}
 	}
@@ -44,10 +44,10 @@
 	t.Parallel()
 	for _, perSecond := range []float64{1, 5} {
 		for _, isOneSided := range []bool{false, true} {
-			result := RunLimits(LimitOptions{Seed: 1, Policy: HolderPermits, Nodes: 60, PerSecond: perSecond, IsOneSided: isOneSided})
+			result := RunLimits(LimitOptions{Seed: 1, Policy: IssuerPermits, Nodes: 60, PerSecond: perSecond, IsOneSided: isOneSided})
 			assert.NilError(t, result.Broken)
 			assert.Assert(t, result.Used() >= 0.8, "%g a second: %.2f of the limits used", perSecond, result.Used())
-			assert.Assert(t, result.LongestWait(0.99) <= limitMaximumWait+limitMaximumWait/2, "waited %s", result.LongestWait(0.99))
+			assert.Assert(t, result.WaitQuantile(0.99) <= limitMaximumWait+limitMaximumWait/2, "waited %s", result.WaitQuantile(0.99))
 		}
 	}
 }
@@ -71,7 +71,7 @@
 func TestBytesForPermitsDoNotGrowWithTheNodes(t *testing.T) {
 	t.Parallel()
 	bytesOf := func(nodes int) int {
-		result := RunLimits(LimitOptions{Seed: 1, Policy: HolderPermits, Nodes: nodes, PerSecond: 5})
+		result := RunLimits(LimitOptions{Seed: 1, Policy: IssuerPermits, Nodes: nodes, PerSecond: 5})
 		assert.NilError(t, result.Broken)
 		return result.Bytes
 	}
@@ -85,6 +85,6 @@
 // engine with a limit in one burst: 9 requests beside the 5 that had permits.
 func TestRestartedNodeReceivesLimitsInEffect(t *testing.T) {
 	t.Parallel()
-	result := RunLimits(LimitOptions{Seed: 245, Policy: HolderPermits, Nodes: 8, PerSecond: 1, Faults: true})
+	result := RunLimits(LimitOptions{Seed: 245, Policy: IssuerPermits, Nodes: 8, PerSecond: 1, Faults: true})
 	assert.NilError(t, result.Broken)
 }
--- a/internal/lab/simulate/rollout.go
+++ b/internal/lab/simulate/rollout.go
@@ -33,8 +33,8 @@
 	// EnginesCrash: a seventh of the instances of both versions crash and are gone for three
 	// seconds.
 	EnginesCrash RolloutFault = "engines_crash"
-	// EnginesIll: a seventh of the instances of both versions fail two of five responses.
-	EnginesIll RolloutFault = "engines_ill"
+	// EnginesUnhealthy: a seventh of the instances of both versions fail two of five responses.
+	EnginesUnhealthy RolloutFault = "engines_ill"
 	// EnginesSlow: all instances of both versions take three times as long for three
 	// seconds, as in a burst.
 	EnginesSlow RolloutFault = "engines_slow"
@@ -46,7 +46,7 @@
 
 // RolloutFaults lists all faults during a rollout.
 func RolloutFaults() []RolloutFault {
-	return []RolloutFault{NoRolloutFault, EnginesCrash, EnginesIll, EnginesSlow, NodeFreezes, LeaderLost}
+	return []RolloutFault{NoRolloutFault, EnginesCrash, EnginesUnhealthy, EnginesSlow, NodeFreezes, LeaderLost}
 }
 
 // RolloutOptions configures a run of RunRollout.
@@ -278,7 +278,7 @@
 	response.IsFailed = w.random.Float64() < natural
 	inFault := now >= w.faultAt && now < w.faultAt+faultDuration
 	switch {
-	case inFault && w.options.Fault == EnginesIll && w.unhealthy[response.Instance]:
+	case inFault && w.options.Fault == EnginesUnhealthy && w.unhealthy[response.Instance]:
 		response.IsFailed = response.IsFailed || w.random.Float64() < unhealthyFailureShare
 	case inFault && w.options.Fault == EnginesSlow:
 		response.First = time.Duration(float64(response.First) * slowdownFactor)
--- a/internal/lab/simulate/upgrade.go
+++ b/internal/lab/simulate/upgrade.go
@@ -25,16 +25,16 @@
 	RaiseForTheLeaderAlone
 	// NewerWithoutRaise proposes newer commands regardless of the log's version.
 	NewerWithoutRaise
-	// BackWithoutLooking downgrades a node without checking whether the log's version was raised.
-	BackWithoutLooking
-	// LookBeforeTheStop checks the log's version while the node still runs.
-	LookBeforeTheStop
-	// LookWithoutAWrite checks the log's version with a read. A raise that was proposed before the
+	// DowngradeWithoutCheck downgrades a node without checking whether the log's version was raised.
+	DowngradeWithoutCheck
+	// CheckBeforeStop checks the log's version while the node still runs.
+	CheckBeforeStop
+	// CheckWithRead checks the log's version with a read. A raise that was proposed before the
 	// read and is not committed yet may follow it.
-	LookWithoutAWrite
-	// BackThoughNobodyWaits downgrades a node that the raise does not wait for: one that lost its
+	CheckWithRead
+	// DowngradeUnawaitedNode downgrades a node that the raise does not wait for: one that lost its
 	// disk and is not a member of the group yet.
-	BackThoughNobodyWaits
+	DowngradeUnawaitedNode
 )
 
 const (
@@ -183,7 +183,7 @@
 		u.World.Fault("upgraded")
 		u.stop(node, restart, func() { u.start(node, machine.OwnLogVersion) })
 	case !u.World.Chance(downgradeShare):
-	case u.defect == LookBeforeTheStop:
+	case u.defect == CheckBeforeStop:
 		if leader != nil {
 			isFirst := leader.machine.version == machine.VersionFirst
 			u.stop(node, restart, func() { u.startWithBuild(node, isFirst) })
@@ -213,7 +213,7 @@
 	leader := u.leader()
 	switch {
 	case !u.stopped[node]:
-	case u.defect == BackWithoutLooking:
+	case u.defect == DowngradeWithoutCheck:
 		u.start(node, machine.VersionFirst)
 	case leader == nil:
 		u.World.After(time.Second, func() { u.checkBeforeDowngrade(node) })
@@ -223,7 +223,7 @@
 				u.World.After(time.Second, func() { u.checkBeforeDowngrade(node) })
 				return
 			}
-			isWaitedFor := slices.Contains(leader.build.raise.WaitsFor(), node.name) || u.defect == BackThoughNobodyWaits
+			isWaitedFor := slices.Contains(leader.build.raise.WaitsFor(), node.name) || u.defect == DowngradeUnawaitedNode
 			u.startWithBuild(node, isWaitedFor && version == machine.VersionFirst)
 		})
 	}
@@ -244,7 +244,7 @@
 		then(leader.machine.version, err)
 	}
 	u.World.After(2*time.Second, func() { finish(errNoResponse) })
-	if u.defect == LookWithoutAWrite {
+	if u.defect == CheckWithRead {
 		leader.replica.Read(finish)
 	} else {
 		data, err := msgpack.Marshal(&registerCommand{IsMarker: true})
--- a/internal/lab/simulate/upgrade_test.go
+++ b/internal/lab/simulate/upgrade_test.go
@@ -16,8 +16,8 @@
 func TestUpgradeSimulationDetectsDefects(t *testing.T) {
 	t.Parallel()
 	for name, defect := range map[string]UpgradeDefect{
-		"raise for the leader alone": RaiseForTheLeaderAlone, "newer without raise": NewerWithoutRaise, "back without looking": BackWithoutLooking,
-		"look before the stop": LookBeforeTheStop,
+		"raise for the leader alone": RaiseForTheLeaderAlone, "newer without raise": NewerWithoutRaise, "back without looking": DowngradeWithoutCheck,
+		"look before the stop": CheckBeforeStop,
 	} {
 		broken := brokenSeed(t, 200, func(seed uint64) *World { return RunUpgrade(seed, defect) })
 		assert.ErrorContains(t, broken, "can't read", name)
@@ -30,8 +30,8 @@
 // machine had lost its disk and was no member yet, so that the raise did not wait for it.
 func TestUnsafeDowngradesRaceWithVersionRaise(t *testing.T) {
 	t.Parallel()
-	assert.ErrorContains(t, RunUpgrade(927, LookWithoutAWrite).Broken, "can't read")
+	assert.ErrorContains(t, RunUpgrade(927, CheckWithRead).Broken, "can't read")
 	for _, seed := range []uint64{4406, 5356} {
-		assert.ErrorContains(t, RunUpgrade(seed, BackThoughNobodyWaits).Broken, "can't read")
+		assert.ErrorContains(t, RunUpgrade(seed, DowngradeUnawaitedNode).Broken, "can't read")
 	}
 }
--- a/internal/lab/simulate/world.go
+++ b/internal/lab/simulate/world.go
@@ -171,15 +171,15 @@
 	}
 }
 
-// CutOneWay drops all messages from one node to another until Heal.
-func (n *Network) CutOneWay(from, to string) { n.blocked[link{from, to}] = true }
+// PartitionOneWay drops all messages from one node to another until Heal.
+func (n *Network) PartitionOneWay(from, to string) { n.blocked[link{from, to}] = true }
 
-// CutBetween partitions two groups of nodes from each other in both directions.
-func (n *Network) CutBetween(left, right []string) {
+// Partition partitions two groups of nodes from each other in both directions.
+func (n *Network) Partition(left, right []string) {
 	for _, one := range left {
 		for _, other := range right {
-			n.CutOneWay(one, other)
-			n.CutOneWay(other, one)
+			n.PartitionOneWay(one, other)
+			n.PartitionOneWay(other, one)
 		}
 	}
 }
