--- a/internal/lab/simulate/crashes.go
+++ b/internal/lab/simulate/crashes.go
@@ -16,7 +16,7 @@
 // CrashDefect is a deliberate defect that the simulation must detect.
 type CrashDefect int
 
-// Defects of RunLostLives.
+// Defects of RunCrashes.
 const (
 	// CrashNoDefect runs the real code.
 	CrashNoDefect CrashDefect = iota
@@ -27,7 +27,7 @@
 	SingleClockTrusted
 )
 
-// CrashOptions configures a run of RunLostLives.
+// CrashOptions configures a run of RunCrashes.
 type CrashOptions struct {
 	Seed   uint64
 	Defect CrashDefect
@@ -46,7 +46,7 @@
 	Length time.Duration
 }
 
-// CrashResult is the result of RunLostLives, in requests and tokens.
+// CrashResult is the result of RunCrashes, in requests and tokens.
 type CrashResult struct {
 	World                     *World
 	Requests, Served, Refused int
--- a/internal/lab/simulate/crashfaults.go
+++ b/internal/lab/simulate/crashfaults.go
@@ -5,11 +5,11 @@
 // injectFault injects one fault and schedules the next one. Faults may overlap.
 func (s *crashSimulation) injectFault() {
 	s.world.After(s.world.Between(time.Second, 7*time.Second), s.injectFault)
-	down := s.world.Between(100*time.Millisecond, 3*time.Second)
+	downtime := s.world.Between(100*time.Millisecond, 3*time.Second)
 	kind := s.world.Random.IntN(7)
 	if s.options.Sudden {
 		kind = []int{0, 2, 4, 5}[s.world.Random.IntN(4)]
-		down /= 2
+		downtime /= 2
 	}
 	if s.options.Defect == SingleClockTrusted {
 		kind = []int{2, 3, 6, 6}[s.world.Random.IntN(4)]
@@ -23,19 +23,19 @@
 		s.world.Fault("node killed")
 		node := s.nodes[s.world.Random.IntN(len(s.nodes))]
 		s.kill(node)
-		s.world.After(down, func() { s.boot(node) })
+		s.world.After(downtime, func() { s.boot(node) })
 	case 1:
 		s.world.Fault("leader lost")
-		s.stopLeader(down)
+		s.stopLeader(downtime)
 	case 2:
 		s.world.Fault("all off")
-		s.killAll(down)
+		s.killAll(downtime)
 	case 3:
 		// The root becomes unreachable first; the nodes continue until they are killed as well.
 		s.world.Fault("leader lost, then all off")
 		before := s.world.Between(0, 4*time.Second)
-		s.stopLeader(before + down)
-		s.world.After(before, func() { s.killAll(down) })
+		s.stopLeader(before + downtime)
+		s.world.After(before, func() { s.killAll(downtime) })
 	case 4:
 		s.world.Fault("all cut from the root")
 		s.partition(func(*spendingNode) bool { return true })
@@ -63,14 +63,14 @@
 }
 
 // stopLeader ends the leader. After a delay another process leads, possibly on the same machine.
-func (s *crashSimulation) stopLeader(down time.Duration) { s.replaceLeader(down, nil) }
+func (s *crashSimulation) stopLeader(downtime time.Duration) { s.replaceLeader(downtime, nil) }
 
 // replaceLeader ends the leader. After a delay follower leads, which led before, or a new process if
 // follower is nil.
-func (s *crashSimulation) replaceLeader(down time.Duration, follower *rootProcess) {
+func (s *crashSimulation) replaceLeader(downtime time.Duration, follower *rootProcess) {
 	s.root = nil
 	process := s.process
-	s.world.After(down, func() {
+	s.world.After(downtime, func() {
 		if s.process == process && s.root == nil {
 			s.startLeader(follower)
 		}
@@ -112,13 +112,13 @@
 	}
 }
 
-func (s *crashSimulation) killAll(down time.Duration) {
+func (s *crashSimulation) killAll(downtime time.Duration) {
 	if s.root != nil {
-		s.stopLeader(down + s.world.Between(0, time.Second))
+		s.stopLeader(downtime + s.world.Between(0, time.Second))
 	}
 	for _, node := range s.nodes {
 		s.kill(node)
-		s.world.After(down+s.world.Between(0, 300*time.Millisecond), func() { s.boot(node) })
+		s.world.After(downtime+s.world.Between(0, 300*time.Millisecond), func() { s.boot(node) })
 	}
 }
 
--- a/internal/lab/simulate/heavycaller_test.go
+++ b/internal/lab/simulate/heavycaller_test.go
@@ -30,10 +30,10 @@
 func TestHeavyCallerDoesNotDelayItsNode(t *testing.T) {
 	for _, share := range []float64{0.4, 0.55, 0.7} {
 		lostShare := map[HeavyCallerPolicy]float64{}
-		for policy, name := range []string{"take all", "readiness", "turn away", "both"} {
+		for policy, name := range []string{"serve all", "readiness", "refuse heavy", "both"} {
 			total := runHeavyCallers(HeavyCallerPolicy(policy), share)
 			lostShare[HeavyCallerPolicy(policy)] = ratio(total.Late+total.Refused, total.Requests)
-			t.Logf("share %.2f, %-9s: %d requests, in time %.4f, late %.4f (of light callers' %.4f), refused %.4f, turned away %.4f, moves %d, most waiting %d",
+			t.Logf("share %.2f, %-9s: %d requests, in time %.4f, late %.4f (of light callers' %.4f), refused %.4f, first tries refused %.4f, moves %d, maximum waiting %d",
 				share, name, total.Requests, ratio(total.InTime, total.Requests), ratio(total.Late, total.Requests), ratio(total.LightLate, total.LightRequests),
 				ratio(total.Refused, total.Requests), ratio(total.TurnedAway, total.Requests), total.Moves, total.MostWaiting)
 		}
--- a/internal/lab/simulate/lending.go
+++ b/internal/lab/simulate/lending.go
@@ -14,7 +14,7 @@
 // nodes hold.
 type LendingPolicy int
 
-// Policies of RunCutLoans.
+// Policies of RunLending.
 const (
 	// SearchNeighbours requests loans from the neighbours in rounds, see package escrow.
 	SearchNeighbours LendingPolicy = iota
@@ -24,7 +24,7 @@
 	SingleHolder
 )
 
-// LendingOptions configures a run of RunCutLoans: zones of entry nodes, callers that a hash
+// LendingOptions configures a run of RunLending: zones of entry nodes, callers that a hash
 // spreads over them, prepaid tokens for twice the run, and a partition of all nodes from the core.
 type LendingOptions struct {
 	Seed   uint64
--- a/internal/lab/simulate/lending_test.go
+++ b/internal/lab/simulate/lending_test.go
@@ -25,7 +25,7 @@
 	for policy, result := range results {
 		assert.NilError(t, result.World.Broken)
 		refused[policy], messages[policy] = ratio(result.Refused, result.Requests), ratio(result.Messages, result.Requests)
-		t.Logf("%-10s: %d requests, refused %.4f (free in the zone %.4f), returns refused %.4f of %d, messages %.2f a request, links %d, most received %d",
+		t.Logf("%-10s: %d requests, refused %.4f (free in the zone %.4f), retries refused %.4f of %d, messages %.2f a request, links %d, maximum received %d",
 			names[policy], result.Requests, refused[policy], ratio(result.FreeInZone, result.Requests),
 			ratio(result.ReturnsRefused, result.Returns), result.Returns, messages[policy], result.Links, result.MostReceived)
 	}
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -22,10 +22,11 @@
 	CountPresence
 	// WeighCrashes weighs crashes as quarantine.Tracker does.
 	WeighCrashes
-	// WeighCrashesIsolated also sends a suspected request to the engine with the fewest runs, and avoids
-	// engines that run another suspected request.
+	// WeighCrashesIsolated also sends a suspected request to the engine with the fewest runs, and
+	// avoids engines that run another suspected request.
 	WeighCrashesIsolated
-	// WeighCrashesWithoutRetries is WeighEnds, but nodes don't retry a suspected request: its caller may.
+	// WeighCrashesWithoutRetries is WeighCrashes, but nodes don't retry a suspected request: its
+	// caller may.
 	WeighCrashesWithoutRetries
 )
 
@@ -366,8 +367,8 @@
 // caller.
 func (w *poisonWorld) retryAtNode(run *poisonRun) {
 	status := run.node.guard.Standing(run.request.body)
-	mayCarry := w.options.Policy != WeighCrashesWithoutRetries || status != quarantine.Suspected
-	if run.attempts < maximumAttempts && mayCarry && !w.refuses(run.node, run.request) {
+	mayRetry := w.options.Policy != WeighCrashesWithoutRetries || status != quarantine.Suspected
+	if run.attempts < maximumAttempts && mayRetry && !w.refuses(run.node, run.request) {
 		w.send(run.node, run.request, run.attempts+1)
 		return
 	}
@@ -391,7 +392,7 @@
 func (w *poisonWorld) recordLateRun(request *poisonRequest) {
 	fingerprint := quarantine.FingerprintOfRequest(request.body)
 	w.Checks++
-	if ends := w.crashTimes[fingerprint]; len(ends) >= 3 && w.Now > ends[2]+poisonContact {
+	if crashes := w.crashTimes[fingerprint]; len(crashes) >= 3 && w.Now > crashes[2]+poisonContact {
 		w.lateRuns[fingerprint]++
 	}
 	if w.options.Policy.usesTracker() && !w.options.Cut && w.lateRuns[fingerprint] > maximumLateRuns {
--- a/internal/lab/simulate/routing_test.go
+++ b/internal/lab/simulate/routing_test.go
@@ -23,11 +23,11 @@
 					result.UrgentP50.Milliseconds(), result.UrgentP95.Milliseconds(), result.BatchP50.Milliseconds(), result.BatchP95.Milliseconds(),
 					100*result.CacheHits, result.Tokens)
 			}
-			own, plain := results[RoutingOwn], results[RoutingLeastInFlight]
-			assert.Assert(t, own.CacheHits > plain.CacheHits, "load %v slow %v", load, slow)
-			assert.Assert(t, own.UrgentP95 <= plain.UrgentP95*115/100+allowance, "load %v slow %v", load, slow)
-			assert.Assert(t, own.BatchP95 <= plain.BatchP95*105/100+allowance, "load %v slow %v", load, slow)
-			assert.Assert(t, own.Tokens >= plain.Tokens*0.99, "load %v slow %v", load, slow)
+			own, baseline := results[RoutingOwn], results[RoutingLeastInFlight]
+			assert.Assert(t, own.CacheHits > baseline.CacheHits, "load %v slow %v", load, slow)
+			assert.Assert(t, own.UrgentP95 <= baseline.UrgentP95*115/100+allowance, "load %v slow %v", load, slow)
+			assert.Assert(t, own.BatchP95 <= baseline.BatchP95*105/100+allowance, "load %v slow %v", load, slow)
+			assert.Assert(t, own.Tokens >= baseline.Tokens*0.99, "load %v slow %v", load, slow)
 		}
 	}
 }
--- a/internal/lab/simulate/upgrade_test.go
+++ b/internal/lab/simulate/upgrade_test.go
@@ -16,8 +16,8 @@
 func TestUpgradeSimulationDetectsDefects(t *testing.T) {
 	t.Parallel()
 	for name, defect := range map[string]UpgradeDefect{
-		"raise for the leader alone": RaiseForTheLeaderAlone, "newer without raise": NewerWithoutRaise, "back without looking": DowngradeWithoutCheck,
-		"look before the stop": CheckBeforeStop,
+		"raise for the leader alone": RaiseForTheLeaderAlone, "newer without raise": NewerWithoutRaise, "downgrade without check": DowngradeWithoutCheck,
+		"check before the stop": CheckBeforeStop,
 	} {
 		broken := brokenSeed(t, 200, func(seed uint64) *World { return RunUpgrade(seed, defect) })
 		assert.ErrorContains(t, broken, "can't read", name)
