--- a/internal/daemon/async.go
+++ b/internal/daemon/async.go
@@ -9,11 +9,11 @@
 	"github.com/ravenway/ravenway/internal/ring"
 )
 
-// asyncLines is the number of log lines that may wait to be written.
+// asyncLines is the maximum number of log lines that wait to be written.
 const asyncLines = 4096
 
-// asyncWriter writes lines in a goroutine of its own, so that a slow reader of
-// the log holds nobody up. What does not fit is dropped and counted in a line.
+// asyncWriter writes lines in a separate goroutine, so that a slow reader of the log blocks no
+// caller. Lines that do not fit into the queue are dropped, and a log line reports their number.
 type asyncWriter struct {
 	lines   *ring.Ring[[]byte]
 	dropped atomic.Int64
@@ -26,7 +26,7 @@
 	return writer
 }
 
-// Write implements io.Writer: one call is one line. It never waits.
+// Write implements io.Writer: one call is one line. It never blocks.
 func (w *asyncWriter) Write(line []byte) (int, error) {
 	if !w.lines.Offer(append([]byte(nil), line...)) {
 		w.dropped.Add(1)
@@ -47,10 +47,10 @@
 	}
 }
 
-// closeWait bounds the wait for a slow reader at the end.
+// closeWait is the maximum time that close waits for a slow reader.
 const closeWait = 200 * time.Millisecond
 
-// close writes what waits.
+// close writes the queued lines, for at most closeWait.
 func (w *asyncWriter) close() {
 	w.lines.Offer(nil)
 	select {
--- a/internal/daemon/async_test.go
+++ b/internal/daemon/async_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// slowReader takes nothing until it is let go.
+// slowReader blocks each write until letGo is closed.
 type slowReader struct {
 	letGo chan struct{}
 	mutex sync.Mutex
@@ -40,7 +40,7 @@
 	assert.Assert(t, strings.Contains(reader.got.String(), "event=log_lines_dropped count="))
 }
 
-// drained waits until nothing waits to be written.
+// drained returns a channel that is closed once the queue of lines is empty.
 func drained(writer *asyncWriter) chan struct{} {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -7,22 +7,22 @@
 	"github.com/ravenway/ravenway/internal/protocol/peer"
 )
 
-// Build describes the program that runs: the commit that it was built from where the build
-// tells it, the Go version, and the dialect of its messages, by which the nodes of a fleet
-// that is being upgraded tell each other apart.
+// Build describes the running program: the commit that it was built from if the build recorded
+// it, the Go version, and the protocol version of its messages. During an upgrade the nodes of a
+// fleet recognize each other's builds by the protocol version.
 type Build struct {
 	Commit, Go string
 	IsModified bool
 	Dialect    peer.Dialect
 }
 
-// shortCommit is the length of a commit's name that people read.
+// shortCommit is the length of an abbreviated commit hash.
 const shortCommit = 8
 
-// unknownCommit stands for the commit of a program whose build doesn't tell.
+// unknownCommit is the commit of a program whose build did not record one.
 const unknownCommit = "unknown"
 
-// ShortCommit is the beginning of the commit's name, "" if it is not known.
+// ShortCommit returns the abbreviated commit hash, or "" if the commit is not known.
 func (b Build) ShortCommit() string {
 	if b.Commit == unknownCommit {
 		return ""
@@ -30,7 +30,7 @@
 	return b.Commit[:min(len(b.Commit), shortCommit)]
 }
 
-// ReadBuild reads what the build left in the program.
+// ReadBuild reads the build information that is embedded in the program.
 func ReadBuild() Build {
 	build := Build{Commit: unknownCommit, Dialect: peer.OwnDialect}
 	information, found := debug.ReadBuildInfo()
@@ -49,7 +49,7 @@
 	return build
 }
 
-// String is one line for people.
+// String returns a one-line description for operators.
 func (b Build) String() string {
 	modified := ""
 	if b.IsModified {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,5 @@
-// Package daemon runs a node as a process: it reads the settings and secrets,
-// opens the listeners and the data folder, and turns signals into a planned
-// stop.
+// Package daemon runs a node as a process. It reads the settings and secrets, opens the listeners
+// and the data folder, and translates signals into a graceful stop.
 package daemon
 
 import (
@@ -21,7 +20,7 @@
 	"github.com/ravenway/ravenway/internal/state/disk"
 )
 
-// Run runs the daemon until a planned stop ends or the node fails.
+// Run runs the daemon until a graceful stop is complete or the node fails.
 func Run(ctx context.Context, path string, dialects Dialects) error {
 	loaded, err := settings.Load(path)
 	if err != nil {
@@ -52,19 +51,19 @@
 	return started.Run(ctx)
 }
 
-// planStop waits for every stream. A second signal says what would be cut; a
-// third one cuts it.
+// planStop stops the node gracefully: it waits for all streams, at most for Limits.StopTimeout. A
+// second signal prints how many requests would be aborted; a third one aborts them.
 func planStop(ctx context.Context, stopping *node.Node, loaded *settings.Settings, signals <-chan os.Signal) {
 	ctx, cancel := context.WithTimeout(ctx, loaded.Limits.StopTimeout)
 	defer cancel()
 	go func() {
 		<-signals
-		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests are in progress and would be cut; signal once more to cut them\n", stopping.ActiveStreams())
+		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests are in progress and would be aborted; signal once more to abort them\n", stopping.ActiveStreams())
 		<-signals
 		cancel()
 	}()
 	if cut := stopping.Stop(ctx); cut > 0 {
-		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests were cut\n", cut)
+		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests were aborted\n", cut)
 	}
 }
 
@@ -93,7 +92,7 @@
 	return options, err
 }
 
-// openListeners opens all listeners and reports all that can't be opened.
+// openListeners opens all listeners. The error names every listener that can't be opened.
 func openListeners(loaded *settings.Settings) (node.Listeners, error) {
 	var problems []error
 	open := func(key, address string) net.Listener {
@@ -114,9 +113,9 @@
 	return opened, errors.Join(problems...)
 }
 
-// loadTLS returns the settings of the peer and operator listeners, nil without
-// certificates. Peers prove who they are with certificates; operators with
-// their token.
+// loadTLS returns the TLS configurations of the peer and operator listeners, or nil if no
+// certificate is configured. Peers authenticate with client certificates, operators with their
+// token.
 func loadTLS(security settings.Security) (peer, operators *tls.Config, err error) {
 	if security.TLSCertificateFile == "" {
 		return nil, nil, nil
@@ -143,11 +142,11 @@
 	return peer, operators, nil
 }
 
-// timeFormat shows milliseconds: the order of events on several nodes matters.
+// timeFormat includes milliseconds, so that events of several nodes can be put in order.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// newLogger writes one line of key=value pairs an event to the standard output.
-// It never waits for the reader; close writes what is left.
+// newLogger returns a logger that writes one line of key=value pairs per event to the standard
+// output. It never waits for the reader; closeLog writes the lines that are still queued.
 func newLogger(loaded *settings.Settings) (logger zerolog.Logger, closeLog func()) {
 	level, err := zerolog.ParseLevel(loaded.Log.Level)
 	if err != nil {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	// settingsPoll is how often the settings file is looked at: it may change
-	// without a signal.
+	// settingsPoll is the interval at which the settings file is checked for changes: it can
+	// change without a signal.
 	settingsPoll = 2 * time.Second
-	// stopReserve is the part of the grace that is left when a planned stop
-	// must be over.
+	// stopReserve is the part of the stop grace period that must be left when a graceful stop
+	// ends.
 	stopReserve = 500 * time.Millisecond
 )
 
-// Dialects are the wire interfaces by their name in the settings.
+// Dialects maps names in the settings to wire interfaces.
 type Dialects map[string]gateway.Dialect
 
-// runFleet runs a node that finds the others from seeds.
+// runFleet runs a node that discovers the others from seeds.
 func runFleet(ctx context.Context, path string, loaded *settings.Settings, dialects Dialects) error {
 	dialect, found := dialects[loaded.Fleet.Dialect]
 	if !found {
@@ -78,21 +78,21 @@
 }
 
 const (
-	// heapShare is the part of the memory that the heap may take before the
-	// garbage collector works without a pause; the rest is for stacks, buffers
-	// of the kernel, and what the collector is behind by.
+	// heapShare is the fraction of the memory that the heap can use before the garbage collector
+	// runs continuously. The remainder is for stacks, kernel buffers, and garbage that the
+	// collector has not freed yet.
 	heapShare  = 0.7
 	bytesPerMB = 1 << 20
 )
 
-// limitMemory keeps the heap well below what the process may use.
+// limitMemory sets the heap limit well below the process's memory in MiB; 0 sets no limit.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(megabytes) * bytesPerMB))
 	}
 }
 
-// watchSettings takes changed settings until a signal asks for a stop.
+// watchSettings applies changed settings until a signal requests a stop. SIGHUP reloads them.
 func watchSettings(ctx context.Context, path string, node *gateway.Node, signals <-chan os.Signal) {
 	ticker := time.NewTicker(settingsPoll)
 	defer ticker.Stop()
@@ -113,7 +113,7 @@
 		seen = modified(path)
 		changed, err := settings.Load(path)
 		if err != nil {
-			// The settings in force stay; a half-written file is read again.
+			// The active settings stay in effect; a half-written file is read again once it changes.
 			node.Refuse(err)
 			continue
 		}
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -9,10 +9,10 @@
 	"strings"
 )
 
-// firstKeys stand first in each line, in this order.
+// firstKeys are the keys at the start of each line, in this order.
 var firstKeys = []string{"time", "level", "node", "event"}
 
-// keyValueWriter turns zerolog's JSON events into lines of key=value pairs.
+// keyValueWriter converts zerolog's JSON events to lines of key=value pairs.
 type keyValueWriter struct{ writer io.Writer }
 
 func newKeyValueWriter(writer io.Writer) io.Writer { return &keyValueWriter{writer: writer} }
@@ -46,7 +46,7 @@
 	return len(event), nil
 }
 
-// formatValue leaves simple words bare and quotes everything else.
+// formatValue returns a value unquoted if it is one simple word, and quoted otherwise.
 func formatValue(raw json.RawMessage) string {
 	var text string
 	if err := json.Unmarshal(raw, &text); err != nil {
