--- a/internal/daemon/async.go
+++ b/internal/daemon/async.go
@@ -9,8 +9,8 @@
 	"github.com/ravenway/ravenway/internal/ring"
 )
 
-// asyncLines is the maximum number of log lines that wait to be written.
-const asyncLines = 4096
+// logQueueCapacity is the maximum number of log lines that wait to be written.
+const logQueueCapacity = 4096
 
 // asyncWriter writes lines in a separate goroutine, so that a slow reader of the log blocks no
 // caller. Lines that do not fit into the queue are dropped, and a log line reports their number.
@@ -21,7 +21,7 @@
 }
 
 func newAsyncWriter(out io.Writer) *asyncWriter {
-	writer := &asyncWriter{lines: ring.New[[]byte]("log", asyncLines), done: make(chan struct{})}
+	writer := &asyncWriter{lines: ring.New[[]byte]("log", logQueueCapacity), done: make(chan struct{})}
 	go writer.run(out)
 	return writer
 }
@@ -47,14 +47,14 @@
 	}
 }
 
-// closeWait is the maximum time that close waits for a slow reader.
-const closeWait = 200 * time.Millisecond
+// closeTimeout is the maximum time that close waits for a slow reader.
+const closeTimeout = 200 * time.Millisecond
 
-// close writes the queued lines, for at most closeWait.
+// close writes the queued lines, for at most closeTimeout.
 func (w *asyncWriter) close() {
 	w.lines.Offer(nil)
 	select {
 	case <-w.done:
-	case <-time.After(closeWait):
+	case <-time.After(closeTimeout):
 	}
 }
--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -16,8 +16,8 @@
 	Dialect    peer.Dialect
 }
 
-// shortCommit is the length of an abbreviated commit hash.
-const shortCommit = 8
+// shortCommitLength is the length of an abbreviated commit hash.
+const shortCommitLength = 8
 
 // unknownCommit is the commit of a program whose build did not record one.
 const unknownCommit = "unknown"
@@ -27,7 +27,7 @@
 	if b.Commit == unknownCommit {
 		return ""
 	}
-	return b.Commit[:min(len(b.Commit), shortCommit)]
+	return b.Commit[:min(len(b.Commit), shortCommitLength)]
 }
 
 // ReadBuild reads the build information that is embedded in the program.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -27,15 +27,15 @@
 		return err
 	}
 	if loaded.IsOpenFleet() {
-		return runFleet(ctx, path, loaded, dialects)
+		return runWithDiscovery(ctx, path, loaded, dialects)
 	}
 	logger, closeLog := newLogger(loaded)
 	defer closeLog()
-	options, err := prepare(loaded, logger)
+	options, err := nodeOptions(loaded, logger)
 	if err != nil {
 		return err
 	}
-	started, err := node.New(options)
+	runningNode, err := node.New(options)
 	if err != nil {
 		return fmt.Errorf("starting node %s: %w", loaded.Node.Name, err)
 	}
@@ -45,29 +45,29 @@
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
 	go func() {
 		<-signals
-		planStop(ctx, started, loaded, signals)
+		stopGracefully(ctx, runningNode, loaded, signals)
 		cancel()
 	}()
-	return started.Run(ctx)
+	return runningNode.Run(ctx)
 }
 
-// planStop stops the node gracefully: it waits for all streams, at most for Limits.StopTimeout. A
+// stopGracefully stops the node gracefully: it waits for all streams, at most for Limits.StopTimeout. A
 // second signal prints how many requests would be aborted; a third one aborts them.
-func planStop(ctx context.Context, stopping *node.Node, loaded *settings.Settings, signals <-chan os.Signal) {
+func stopGracefully(ctx context.Context, stoppingNode *node.Node, loaded *settings.Settings, signals <-chan os.Signal) {
 	ctx, cancel := context.WithTimeout(ctx, loaded.Limits.StopTimeout)
 	defer cancel()
 	go func() {
 		<-signals
-		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests are in progress and would be aborted; signal once more to abort them\n", stopping.ActiveStreams())
+		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests are in progress and would be aborted; signal once more to abort them\n", stoppingNode.ActiveStreams())
 		<-signals
 		cancel()
 	}()
-	if cut := stopping.Stop(ctx); cut > 0 {
-		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests were aborted\n", cut)
+	if aborted := stoppingNode.Stop(ctx); aborted > 0 {
+		fmt.Fprintf(os.Stderr, "ravenwayd: %d requests were aborted\n", aborted)
 	}
 }
 
-func prepare(loaded *settings.Settings, logger zerolog.Logger) (node.Options, error) {
+func nodeOptions(loaded *settings.Settings, logger zerolog.Logger) (node.Options, error) {
 	options := node.Options{Settings: loaded, Logger: logger}
 	var err error
 	if options.PeerKey, err = settings.ReadSecret(loaded.Security.PeerKeyFile); err != nil {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	// settingsPoll is the interval at which the settings file is checked for changes: it can
+	// settingsPollInterval is the interval at which the settings file is checked for changes: it can
 	// change without a signal.
-	settingsPoll = 2 * time.Second
-	// stopReserve is the part of the stop grace period that must be left when a graceful stop
+	settingsPollInterval = 2 * time.Second
+	// stopMargin is the part of the stop grace period that must be left when a graceful stop
 	// ends.
-	stopReserve = 500 * time.Millisecond
+	stopMargin = 500 * time.Millisecond
 )
 
 // Dialects maps names in the settings to wire interfaces.
 type Dialects map[string]gateway.Dialect
 
-// runFleet runs a node that discovers the others from seeds.
-func runFleet(ctx context.Context, path string, loaded *settings.Settings, dialects Dialects) error {
+// runWithDiscovery runs a node that discovers the others from seeds.
+func runWithDiscovery(ctx context.Context, path string, loaded *settings.Settings, dialects Dialects) error {
 	dialect, found := dialects[loaded.Fleet.Dialect]
 	if !found {
 		return settings.Findings{{File: path, Key: "fleet.dialect", Problem: fmt.Sprintf("%q is not known", loaded.Fleet.Dialect)}}
@@ -56,10 +56,10 @@
 		}
 		options.FileSystem = folder
 	}
-	if options.Listeners, err = openFleetListeners(loaded); err != nil {
+	if options.Listeners, err = openDiscoveryListeners(loaded); err != nil {
 		return err
 	}
-	started, err := gateway.New(options)
+	runningNode, err := gateway.New(options)
 	if err != nil {
 		return fmt.Errorf("starting node %s: %w", loaded.Node.Name, err)
 	}
@@ -68,35 +68,35 @@
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	go func() {
-		watchSettings(ctx, path, started, signals)
-		stopping, cancelStop := context.WithTimeout(ctx, loaded.Bounds.StopGrace-stopReserve)
+		watchSettings(ctx, path, runningNode, signals)
+		stopContext, cancelStop := context.WithTimeout(ctx, loaded.Bounds.StopGrace-stopMargin)
 		defer cancelStop()
-		started.Stop(stopping)
+		runningNode.Stop(stopContext)
 		cancel()
 	}()
-	return started.Run(ctx)
+	return runningNode.Run(ctx)
 }
 
 const (
-	// heapShare is the fraction of the memory that the heap can use before the garbage collector
+	// heapFraction is the fraction of the memory that the heap can use before the garbage collector
 	// runs continuously. The remainder is for stacks, kernel buffers, and garbage that the
 	// collector has not freed yet.
-	heapShare  = 0.7
-	bytesPerMB = 1 << 20
+	heapFraction = 0.7
+	bytesPerMB   = 1 << 20
 )
 
 // limitMemory sets the heap limit well below the process's memory in MiB; 0 sets no limit.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
-		debug.SetMemoryLimit(int64(heapShare * float64(megabytes) * bytesPerMB))
+		debug.SetMemoryLimit(int64(heapFraction * float64(megabytes) * bytesPerMB))
 	}
 }
 
 // watchSettings applies changed settings until a signal requests a stop. SIGHUP reloads them.
 func watchSettings(ctx context.Context, path string, node *gateway.Node, signals <-chan os.Signal) {
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	seen := modified(path)
+	loadedTime := modificationTime(path)
 	for {
 		select {
 		case <-ctx.Done():
@@ -106,11 +106,11 @@
 				return
 			}
 		case <-ticker.C:
-			if modified(path) == seen {
+			if modificationTime(path) == loadedTime {
 				continue
 			}
 		}
-		seen = modified(path)
+		loadedTime = modificationTime(path)
 		changed, err := settings.Load(path)
 		if err != nil {
 			// The active settings stay in effect; a half-written file is read again once it changes.
@@ -121,7 +121,7 @@
 	}
 }
 
-func modified(path string) time.Time {
+func modificationTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
@@ -129,13 +129,13 @@
 	return info.ModTime()
 }
 
-func openFleetListeners(loaded *settings.Settings) (gateway.Listeners, error) {
+func openDiscoveryListeners(loaded *settings.Settings) (gateway.Listeners, error) {
 	var opened gateway.Listeners
 	peers := loaded.Listen.Peers
 	if loaded.Listen.PeersBind != "" {
 		peers = loaded.Listen.PeersBind
 	}
-	for key, one := range map[string]struct {
+	for key, endpoint := range map[string]struct {
 		address  string
 		listener *net.Listener
 	}{
@@ -147,14 +147,14 @@
 		"listen.operators": {loaded.Listen.Operators, &opened.Operators},
 		"listen.debug":     {loaded.Listen.Debug, &opened.Debug},
 	} {
-		if one.address == "" {
+		if endpoint.address == "" {
 			continue
 		}
-		listener, err := net.Listen("tcp", one.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
 			return opened, fmt.Errorf("%s: %w", key, err)
 		}
-		*one.listener = listener
+		*endpoint.listener = listener
 	}
 	return opened, nil
 }
--- a/internal/daemon/log.go
+++ b/internal/daemon/log.go
@@ -9,8 +9,8 @@
 	"strings"
 )
 
-// firstKeys are the keys at the start of each line, in this order.
-var firstKeys = []string{"time", "level", "node", "event"}
+// leadingKeys are the keys at the start of each line, in this order.
+var leadingKeys = []string{"time", "level", "node", "event"}
 
 // keyValueWriter converts zerolog's JSON events to lines of key=value pairs.
 type keyValueWriter struct{ writer io.Writer }
@@ -25,13 +25,13 @@
 	}
 	keys := make([]string, 0, len(fields))
 	for key := range fields {
-		if !slices.Contains(firstKeys, key) {
+		if !slices.Contains(leadingKeys, key) {
 			keys = append(keys, key)
 		}
 	}
 	slices.Sort(keys)
 	var line bytes.Buffer
-	for _, key := range append(slices.Clone(firstKeys), keys...) {
+	for _, key := range append(slices.Clone(leadingKeys), keys...) {
 		if value, found := fields[key]; found {
 			if line.Len() > 0 {
 				line.WriteByte(' ')
