--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,7 +11,7 @@
 
 const maximumPort = 65535
 
-// minimumPeerKeyBytes is the least length of the shared peer key.
+// minimumPeerKeyBytes is the minimum length of the shared peer key.
 const minimumPeerKeyBytes = 32
 
 var (
@@ -38,7 +38,7 @@
 	s.Quarantine.Requests = cmp.Or(s.Quarantine.Requests, DefaultQuarantineRequests)
 }
 
-// check looks at what the types can't say.
+// check validates values and the relations between settings, which the types can't express.
 func (p *parser) check(s *Settings) {
 	p.checkNode(s)
 	p.checkControl(s)
@@ -145,7 +145,7 @@
 			p.address(key+".address", peer.Address)
 		}
 		if first, doubled := seen[peer.Name]; doubled && peer.Name != "" {
-			p.find(key+".name", "%q stands at peers[%d] already", peer.Name, first)
+			p.find(key+".name", "%q is listed at peers[%d] already", peer.Name, first)
 		}
 		seen[peer.Name] = position
 		if peer.Control {
@@ -161,7 +161,7 @@
 	}
 }
 
-// checkFleet holds a node that finds the others from seeds.
+// checkFleet validates the settings of a node that discovers the others from seeds.
 func (p *parser) checkFleet(s *Settings) {
 	p.require("listen.peers", s.Listen.Peers)
 	if s.HasRole(RoleEntry) {
@@ -178,7 +178,7 @@
 		p.address(key, address)
 	}
 	if s.Listen.Debug != "" && !isLoopback(s.Listen.Debug) {
-		p.find("listen.debug", "%q is not a loopback address; profiles tell what the process holds in memory", s.Listen.Debug)
+		p.find("listen.debug", "%q is not a loopback address; profiles expose the contents of the process's memory", s.Listen.Debug)
 	}
 	if s.Listen.Operators != "" && !isLoopback(s.Listen.Operators) && s.Security.OperatorTokenFile == "" {
 		p.find("listen.operators", "needs security.operator_token_file for an address that is not loopback")
@@ -209,7 +209,7 @@
 	}
 }
 
-// checkSelf holds this node's own entry to the rest of the file.
+// checkSelf checks that this node's own entry in peers agrees with the other settings.
 func (p *parser) checkSelf(s *Settings, key string, peer Peer) {
 	if peer.Name != s.Node.Name {
 		return
@@ -218,7 +218,7 @@
 		p.find(key+".zone", "%q is not node.zone, %q", peer.Zone, s.Node.Zone)
 	}
 	if peer.Control != s.HasRole(RoleControl) {
-		p.find(key+".control", "%v does not agree with node.roles", peer.Control)
+		p.find(key+".control", "%v contradicts node.roles", peer.Control)
 	}
 }
 
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -12,10 +12,10 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Finding is one thing wrong with a settings file.
+// Finding is one error in a settings file.
 type Finding struct {
 	File string
-	// Line is 0 if the finding is about something that is missing.
+	// Line is 0 if the finding is about a missing setting.
 	Line    int
 	Key     string
 	Problem string
@@ -33,10 +33,10 @@
 	return fmt.Sprintf("%s: %s: %s", place, f.Key, f.Problem)
 }
 
-// Findings are all that is wrong with a file.
+// Findings are all errors in a file.
 type Findings []Finding
 
-// Error implements error: one line a finding.
+// Error implements error: one line per finding.
 func (f Findings) Error() string {
 	lines := make([]string, len(f))
 	for position, finding := range f {
@@ -45,8 +45,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse checks a file's content and returns the settings with defaults filled
-// in. The error is Findings.
+// Parse validates a file's content and returns the settings with defaults filled in. The error is
+// of type Findings.
 func Parse(file string, content []byte) (*Settings, error) {
 	var raw map[string]any
 	if err := toml.Unmarshal(content, &raw); err != nil {
@@ -70,7 +70,7 @@
 	return settings, nil
 }
 
-// parser fills in settings and collects findings.
+// parser decodes settings and collects findings.
 type parser struct {
 	file         string
 	lines        map[string]int
@@ -82,7 +82,7 @@
 	p.findings = append(p.findings, Finding{File: p.file, Line: p.lines[key], Key: key, Problem: fmt.Sprintf(format, arguments...)})
 }
 
-// table fills a struct from a TOML table.
+// table decodes a TOML table into a struct.
 func (p *parser) table(prefix string, raw map[string]any, target reflect.Value) {
 	fields := map[string]reflect.Value{}
 	for position := range target.NumField() {
@@ -166,7 +166,7 @@
 	target.Set(list)
 }
 
-// names fills a map from a table whose keys are names.
+// names decodes a table whose keys are names into a map.
 func (p *parser) names(key string, raw map[string]any, target reflect.Value) {
 	named := reflect.MakeMapWithSize(target.Type(), len(raw))
 	for _, name := range slices.Sorted(maps.Keys(raw)) {
@@ -200,7 +200,7 @@
 	return prefix + "." + name
 }
 
-// indexLines notes the line of each key, with lists of tables counted from 0.
+// indexLines returns the line of each key. Entries of lists of tables are numbered from 0.
 func indexLines(content []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,5 @@
-// Package settings reads and checks a daemon's settings file. Everything wrong
-// with a file is found and reported at once, each with its line and key, and
-// with what is allowed there.
+// Package settings reads and validates a daemon's settings file. All errors in a file are reported
+// together, each with its line and key, and with the allowed values.
 package settings
 
 import (
@@ -12,7 +11,7 @@
 
 // Roles of a daemon.
 const (
-	// RoleEntry takes callers, routes and streams.
+	// RoleEntry accepts callers' requests, routes them and streams the responses.
 	RoleEntry = "entry"
 	// RoleControl holds a replica of the durable state. It needs a data folder.
 	RoleControl = "control"
@@ -21,8 +20,8 @@
 // Profiles of a daemon.
 const (
 	ProfileDevelopment = "development"
-	// ProfileProduction refuses to start with an open operator or peer listener
-	// on an address that is not loopback.
+	// ProfileProduction refuses to start with an operator or peer listener that is on an address
+	// other than loopback and is not secured by a token or by TLS.
 	ProfileProduction = "production"
 )
 
@@ -37,17 +36,17 @@
 	DefaultStopTimeout      = 10 * time.Minute
 	DefaultStopGrace        = 8 * time.Second
 	DefaultRetryWindow      = 10 * time.Second
-	// DefaultUpgradeSettling is about as long as it takes to see that a fleet serves.
+	// DefaultUpgradeSettling is about the time that it takes to see that a fleet serves requests.
 	DefaultUpgradeSettling = 10 * time.Second
 	// DefaultExposureShare is what the users' deployments allow.
 	DefaultExposureShare = 0.1
-	// DefaultQuarantineMemory makes a request that goes on ending engines cost one of
-	// them in half an hour, 48 a day.
+	// DefaultQuarantineMemory limits a request that keeps crashing engines to one engine in half
+	// an hour, 48 a day.
 	DefaultQuarantineMemory   = 30 * time.Minute
 	DefaultQuarantineRequests = 1024
 )
 
-// Settings is a daemon's settings file.
+// Settings is the content of a daemon's settings file.
 type Settings struct {
 	Node    Node    `toml:"node"`
 	Listen  Listen  `toml:"listen"`
@@ -55,7 +54,7 @@
 	Peers   []Peer  `toml:"peers"`
 	Fleet   Fleet   `toml:"fleet"`
 	Bounds  Bounds  `toml:"bounds"`
-	// Quarantine may be left out.
+	// Quarantine is optional.
 	Quarantine Quarantine `toml:"quarantine"`
 	Security   Security   `toml:"security"`
 	Platform   Platform   `toml:"platform"`
@@ -63,12 +62,12 @@
 	Log        Log        `toml:"log"`
 }
 
-// Node says who this daemon is.
+// Node identifies this daemon.
 type Node struct {
 	// Name is unique in the fleet and stays the same when the machine is
 	// replaced.
 	Name string `toml:"name"`
-	// Zone is where the machine stands.
+	// Zone is the zone of the machine.
 	Zone string `toml:"zone"`
 	// Roles are "entry", "control" or both.
 	Roles []string `toml:"roles"`
@@ -78,88 +77,86 @@
 
 // Listen holds the addresses (host:port) that the daemon serves.
 type Listen struct {
-	// Callers is for tenants' requests. Needed by the entry role.
+	// Callers is for tenants' requests. The entry role requires it.
 	Callers string `toml:"callers"`
 	// Operators is for the command line and other tools.
 	Operators string `toml:"operators"`
 	// Peers is for the fleet's other daemons.
 	Peers string `toml:"peers"`
-	// PeersBind is where the peer listener is opened if that is not the address
-	// that the others dial: behind a relay or a translation of addresses. Only
-	// with fleet.dialect.
+	// PeersBind is the address that the peer listener binds to if the others dial a different
+	// one: behind a relay or network address translation. Only with fleet.dialect.
 	PeersBind string `toml:"peers_bind"`
 	// Health is for health checks and metrics.
 	Health string `toml:"health"`
-	// Ready is where the platform asks whether an entry node should get
-	// callers. Only with fleet.dialect.
+	// Ready is for the platform's readiness probe: whether an entry node should get callers.
+	// Only with fleet.dialect.
 	Ready string `toml:"ready"`
 	// Control is for engines and operators of a control node. Only with
 	// fleet.dialect.
 	Control string `toml:"control"`
-	// Debug serves profiles of the process (Go's /debug/pprof), on a loopback address
-	// only. It is off if it is empty. Only with fleet.dialect.
+	// Debug serves profiles of the process (Go's /debug/pprof), on a loopback address only. Empty
+	// disables it. Only with fleet.dialect.
 	Debug string `toml:"debug"`
 }
 
-// Fleet is for nodes that find each other from seeds, in place of peers.
+// Fleet configures nodes that discover each other from seeds instead of from a list of peers.
 type Fleet struct {
-	// Dialect names the wire interface to callers, engines and operators. It
-	// turns on everything else here.
+	// Dialect names the wire interface to callers, engines and operators. It enables discovery
+	// and all other settings here.
 	Dialect string `toml:"dialect"`
-	// Seeds are listeners (host:port) of a few control nodes; they may be
-	// exchanged while the node runs.
+	// Seeds are listeners (host:port) of a few control nodes; they can be replaced while the node
+	// runs.
 	Seeds []string `toml:"seeds"`
 	// PeerPort is the port of the seeds' peer listeners.
 	PeerPort int `toml:"peer_port"`
-	// Zones are all zones of the fleet; operators' orders for others are refused.
-	// Without them an order is for any zone in which a node or an instance was heard.
+	// Zones are all zones of the fleet; operators' orders for others are refused. If it is empty,
+	// orders are accepted for any zone in which a node or an instance is known.
 	Zones []string `toml:"zones"`
-	// Regions are the regions in which the zones stand, by zone. Requests that are bound
-	// to regions are served in zones that stand here only.
+	// Regions maps each zone to its region. Requests that are restricted to regions are served
+	// only in zones that are listed here.
 	Regions map[string]string `toml:"regions"`
-	// FirstStart tells that the whole system starts for the first time, with
-	// empty disks: the control group may be founded.
+	// FirstStart indicates that the whole system starts for the first time, with empty disks: the
+	// control group may be bootstrapped.
 	FirstStart bool `toml:"first_start"`
-	// UpgradeSettling is how long all control nodes must have run a newer build before the
-	// replicated log holds what the earlier one can't read. Until then the fleet may be
-	// given the earlier build again.
+	// UpgradeSettling is how long all control nodes must have run a newer build before entries
+	// that the earlier build can't read are written to the replicated log. Until then the fleet
+	// can be downgraded to the earlier build.
 	UpgradeSettling time.Duration `toml:"upgrade_settling"`
 }
 
-// Bounds are the promises that the platform's users were given. Only with
-// fleet.dialect.
+// Bounds are the service guarantees given to the platform's users. Only with fleet.dialect.
 type Bounds struct {
-	// StopGrace is the time from the signal to stop until the process is killed.
+	// StopGrace is the time from the stop signal until the process is killed.
 	StopGrace time.Duration `toml:"stop_grace"`
-	// In each RetryWindow the nodes together send at most RetryRatio of a
-	// service's requests, plus RetrySlack, to a second instance.
+	// RetryWindow is the period of the retry budget: in each one the nodes together send at most
+	// RetryRatio of a service's requests, plus RetrySlack requests, to a second instance.
 	RetryWindow time.Duration `toml:"retry_window"`
 	RetryRatio  float64       `toml:"retry_ratio"`
 	RetrySlack  float64       `toml:"retry_slack"`
-	// ExposureShare is the most of a service's requests that a version of its engines may
-	// get that turns out to be bad.
+	// ExposureShare is the maximum fraction of a service's requests, from 0 to 1, that a faulty
+	// version of its engines may get.
 	ExposureShare float64 `toml:"exposure_share"`
 }
 
-// Quarantine is for requests that end the engines which run them. Only with
-// fleet.dialect.
+// Quarantine configures the quarantine of poison requests, which crash the engines that run them.
+// Only with fleet.dialect.
 type Quarantine struct {
-	// Memory is how long an engine's end counts against the requests that were there,
-	// and how long a quarantine lasts after the last one.
+	// Memory is how long an engine's crash counts against the requests that were in flight there,
+	// and how long a quarantine lasts after the last crash.
 	Memory time.Duration `toml:"memory"`
-	// Requests is the most requests that something is held against, at some 300 bytes
-	// each. Beyond it those at the fewest ends are forgotten first.
+	// Requests is the maximum number of requests with recorded crashes, at some 300 bytes each.
+	// Beyond it the requests with the fewest crashes are dropped first.
 	Requests int `toml:"requests"`
 }
 
 // Control configures the replica of the durable state.
 type Control struct {
-	// DataDir is the one folder that holds everything that must survive.
+	// DataDir is the only folder with durable data.
 	DataDir string `toml:"data_dir"`
-	// Bootstrap makes this node found the group, once, when all control nodes
-	// are reached and all of their folders are empty. Exactly one node has it.
+	// Bootstrap makes this node bootstrap the control group, once, when all control nodes are
+	// reachable and all of their folders are empty. Exactly one node has it set.
 	Bootstrap bool `toml:"bootstrap"`
-	// DeadAfter is the silence after which a node's unused grants are reclaimed.
+	// DeadAfter is the time since a node's last contact after which its unused grants are reclaimed.
 	DeadAfter time.Duration `toml:"dead_after"`
 }
 
@@ -169,7 +166,7 @@
 	Zone string `toml:"zone"`
 	// Address (host:port) is the other daemon's peer listener.
 	Address string `toml:"address"`
-	// Control tells that it holds a replica.
+	// Control indicates that the daemon holds a replica.
 	Control bool `toml:"control"`
 }
 
@@ -187,30 +184,30 @@
 
 // Platform names the platform's services.
 type Platform struct {
-	// MachinesURL is where the list of live and leaving machines is served.
+	// MachinesURL is the URL of the list of live and leaving machines.
 	MachinesURL string `toml:"machines_url"`
 }
 
-// Limits bounds what callers can take up.
+// Limits bounds the resources that callers can use.
 type Limits struct {
-	// MaxBodyBytes of a request; services may have lower ones.
+	// MaxBodyBytes is the maximum size of a request's body; services can have lower limits.
 	MaxBodyBytes int64 `toml:"max_body_bytes"`
-	// BodyTimeout is how long a request's body may take to arrive.
+	// BodyTimeout is the maximum time for a request's body to arrive.
 	BodyTimeout time.Duration `toml:"body_timeout"`
-	// MaxStreams is the most requests in progress.
+	// MaxStreams is the maximum number of requests in flight.
 	MaxStreams int `toml:"max_streams"`
-	// AnswerStoreBytes bounds the answers kept for retries.
+	// AnswerStoreBytes is the maximum size of the responses that are kept for retries.
 	AnswerStoreBytes int64 `toml:"answer_store_bytes"`
-	// RequestDeadline is the wait for the first byte if the caller names none.
+	// RequestDeadline is the maximum wait for the first byte if the caller sets no deadline.
 	RequestDeadline time.Duration `toml:"request_deadline"`
-	// StopTimeout is how long a planned stop waits for streams before it says
-	// what it would cut.
+	// StopTimeout is the maximum time that a graceful stop waits for streams before it aborts
+	// them.
 	StopTimeout time.Duration `toml:"stop_timeout"`
-	// MemoryMB is what the process may use, in MiB; 0 means that it is not
-	// bounded. The garbage collector works harder as its use comes near.
+	// MemoryMB is the memory that the process can use, in MiB; 0 means no limit. The garbage
+	// collector runs more often as memory use approaches it.
 	MemoryMB int `toml:"memory_mb"`
-	// LinkMbps is what the machine's link carries in each direction, in megabits
-	// a second; 0 means that it is not known.
+	// LinkMbps is the bandwidth of the machine's link in each direction, in megabits per second;
+	// 0 means that it is not known.
 	LinkMbps float64 `toml:"link_mbps"`
 }
 
@@ -220,10 +217,10 @@
 	Level string `toml:"level"`
 }
 
-// IsOpenFleet tells whether the node finds the others from seeds.
+// IsOpenFleet reports whether the node discovers the others from seeds.
 func (s *Settings) IsOpenFleet() bool { return s.Fleet.Dialect != "" }
 
-// HasRole tells whether the daemon has a role.
+// HasRole reports whether the daemon has a role.
 func (s *Settings) HasRole(role string) bool {
 	for _, own := range s.Node.Roles {
 		if own == role {
@@ -233,8 +230,8 @@
 	return false
 }
 
-// Load reads and checks a file. The error is Findings if the file could be
-// read but is wrong.
+// Load reads and validates a file. The error is of type Findings if the file could be read but is
+// invalid.
 func Load(path string) (*Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
@@ -243,7 +240,7 @@
 	return Parse(path, content)
 }
 
-// ReadSecret reads a secret's file without surrounding white space.
+// ReadSecret reads a secret from a file and trims surrounding white space.
 func ReadSecret(path string) ([]byte, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -16,8 +16,9 @@
 	templateGap     = regexp.MustCompile(`\{\{([a-z_.0-9@,]+)\}\}`)
 )
 
-// fillTemplate fills the platform's gaps: values by their dotted names; a section stands
-// once for each entry of a list or table, or once if its value is given.
+// fillTemplate renders a settings template as the platform does. Placeholders get the values of
+// their dotted names; a section is rendered once for each entry of a list or table, or once if its
+// value is set.
 func fillTemplate(template string, values map[string]any) string {
 	filled := templateSection.ReplaceAllStringFunc(template, func(section string) string {
 		parts := templateSection.FindStringSubmatch(section)
@@ -46,7 +47,7 @@
 	})
 }
 
-// The settings that the platform fills in for a node of each role are settings.
+// Guards against a template whose rendered settings for a node of either role are invalid.
 func TestTemplateOfThePlatformIsReadOnceItIsFilled(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.toml.template")
 	assert.NilError(t, err)
