--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -43,39 +43,39 @@
 	p.checkNode(s)
 	p.checkControl(s)
 	if s.IsOpenFleet() {
-		p.checkFleet(s)
+		p.checkDiscovery(s)
 	} else {
 		p.checkListen(s)
 		p.checkPeers(s)
 	}
 	p.checkSecurity(s)
 	p.checkLimits(s)
-	p.oneOf("log.level", s.Log.Level, allLevels)
+	p.checkOneOf("log.level", s.Log.Level, allLevels)
 }
 
 func (p *parser) require(key, value string) bool {
 	if value == "" {
-		p.find(key, "is missing")
+		p.addFinding(key, "is missing")
 		return false
 	}
 	return true
 }
 
-func (p *parser) oneOf(key, value string, allowed []string) {
+func (p *parser) checkOneOf(key, value string, allowed []string) {
 	if !slices.Contains(allowed, value) {
-		p.find(key, "%q is none of %s", value, strings.Join(allowed, ", "))
+		p.addFinding(key, "%q is none of %s", value, strings.Join(allowed, ", "))
 	}
 }
 
 func (p *parser) checkNode(s *Settings) {
 	p.require("node.name", s.Node.Name)
 	p.require("node.zone", s.Node.Zone)
-	p.oneOf("node.profile", s.Node.Profile, allProfiles)
+	p.checkOneOf("node.profile", s.Node.Profile, allProfiles)
 	if len(s.Node.Roles) == 0 {
-		p.find("node.roles", "is missing; allowed: %s", strings.Join(allRoles, ", "))
+		p.addFinding("node.roles", "is missing; allowed: %s", strings.Join(allRoles, ", "))
 	}
 	for _, role := range s.Node.Roles {
-		p.oneOf("node.roles", role, allRoles)
+		p.checkOneOf("node.roles", role, allRoles)
 	}
 }
 
@@ -86,32 +86,32 @@
 	p.require("listen.operators", s.Listen.Operators)
 	p.require("listen.peers", s.Listen.Peers)
 	p.require("listen.health", s.Listen.Health)
-	p.address("listen.callers", s.Listen.Callers)
-	p.address("listen.operators", s.Listen.Operators)
-	p.address("listen.peers", s.Listen.Peers)
-	p.address("listen.health", s.Listen.Health)
+	p.checkAddress("listen.callers", s.Listen.Callers)
+	p.checkAddress("listen.operators", s.Listen.Operators)
+	p.checkAddress("listen.peers", s.Listen.Peers)
+	p.checkAddress("listen.health", s.Listen.Health)
 	if s.Node.Profile != ProfileProduction {
 		return
 	}
 	if !isLoopback(s.Listen.Operators) && s.Security.OperatorTokenFile == "" {
-		p.find("listen.operators", "profile production needs security.operator_token_file for an address that is not loopback")
+		p.addFinding("listen.operators", "profile production needs security.operator_token_file for an address that is not loopback")
 	}
 	if !isLoopback(s.Listen.Peers) && s.Security.TLSCertificateFile == "" {
-		p.find("listen.peers", "profile production needs security.tls_certificate_file for an address that is not loopback")
+		p.addFinding("listen.peers", "profile production needs security.tls_certificate_file for an address that is not loopback")
 	}
 }
 
-func (p *parser) address(key, address string) {
+func (p *parser) checkAddress(key, address string) {
 	if address == "" {
 		return
 	}
 	host, port, err := net.SplitHostPort(address)
 	if err != nil || port == "" {
-		p.find(key, "%q is not host:port", address)
+		p.addFinding(key, "%q is not host:port", address)
 		return
 	}
 	if net.ParseIP(host) == nil {
-		p.find(key, "%q: the host must be an IP number", address)
+		p.addFinding(key, "%q: the host must be an IP number", address)
 	}
 }
 
@@ -130,39 +130,39 @@
 		return
 	}
 	if s.Control.DataDir != "" || s.Control.Bootstrap {
-		p.find("control", "is only for role %q", RoleControl)
+		p.addFinding("control", "is only for role %q", RoleControl)
 	}
 }
 
 func (p *parser) checkPeers(s *Settings) {
-	seen := map[string]int{}
-	controls := 0
+	positions := map[string]int{}
+	controlNodes := 0
 	for position, peer := range s.Peers {
 		key := fmt.Sprintf("peers[%d]", position)
 		p.require(key+".name", peer.Name)
 		p.require(key+".zone", peer.Zone)
 		if p.require(key+".address", peer.Address) {
-			p.address(key+".address", peer.Address)
+			p.checkAddress(key+".address", peer.Address)
 		}
-		if first, doubled := seen[peer.Name]; doubled && peer.Name != "" {
-			p.find(key+".name", "%q is listed at peers[%d] already", peer.Name, first)
+		if first, isDuplicate := positions[peer.Name]; isDuplicate && peer.Name != "" {
+			p.addFinding(key+".name", "%q is listed at peers[%d] already", peer.Name, first)
 		}
-		seen[peer.Name] = position
+		positions[peer.Name] = position
 		if peer.Control {
-			controls++
+			controlNodes++
 		}
 		p.checkSelf(s, key, peer)
 	}
-	if _, found := seen[s.Node.Name]; !found {
-		p.find("peers", "does not list this node, %q", s.Node.Name)
+	if _, found := positions[s.Node.Name]; !found {
+		p.addFinding("peers", "does not list this node, %q", s.Node.Name)
 	}
-	if controls == 0 {
-		p.find("peers", "lists no control node")
+	if controlNodes == 0 {
+		p.addFinding("peers", "lists no control node")
 	}
 }
 
-// checkFleet validates the settings of a node that discovers the others from seeds.
-func (p *parser) checkFleet(s *Settings) {
+// checkDiscovery validates the settings of a node that discovers the others from seeds.
+func (p *parser) checkDiscovery(s *Settings) {
 	p.require("listen.peers", s.Listen.Peers)
 	if s.HasRole(RoleEntry) {
 		p.require("listen.callers", s.Listen.Callers)
@@ -175,37 +175,37 @@
 		"listen.peers": s.Listen.Peers, "listen.peers_bind": s.Listen.PeersBind, "listen.callers": s.Listen.Callers, "listen.ready": s.Listen.Ready, "listen.debug": s.Listen.Debug,
 		"listen.control": s.Listen.Control, "listen.health": s.Listen.Health, "listen.operators": s.Listen.Operators,
 	} {
-		p.address(key, address)
+		p.checkAddress(key, address)
 	}
 	if s.Listen.Debug != "" && !isLoopback(s.Listen.Debug) {
-		p.find("listen.debug", "%q is not a loopback address; profiles expose the contents of the process's memory", s.Listen.Debug)
+		p.addFinding("listen.debug", "%q is not a loopback address; profiles expose the contents of the process's memory", s.Listen.Debug)
 	}
 	if s.Listen.Operators != "" && !isLoopback(s.Listen.Operators) && s.Security.OperatorTokenFile == "" {
-		p.find("listen.operators", "needs security.operator_token_file for an address that is not loopback")
+		p.addFinding("listen.operators", "needs security.operator_token_file for an address that is not loopback")
 	}
 	if len(s.Fleet.Seeds) == 0 {
-		p.find("fleet.seeds", "is missing")
+		p.addFinding("fleet.seeds", "is missing")
 	}
 	for position, seed := range s.Fleet.Seeds {
-		p.address(fmt.Sprintf("fleet.seeds[%d]", position), seed)
+		p.checkAddress(fmt.Sprintf("fleet.seeds[%d]", position), seed)
 	}
 	if s.Fleet.PeerPort < 1 || s.Fleet.PeerPort > maximumPort {
-		p.find("fleet.peer_port", "must be a port from 1 to %d", maximumPort)
+		p.addFinding("fleet.peer_port", "must be a port from 1 to %d", maximumPort)
 	}
 	if len(s.Peers) > 0 {
-		p.find("peers", "can't be given together with fleet.dialect")
+		p.addFinding("peers", "can't be given together with fleet.dialect")
 	}
 	if s.Bounds.ExposureShare < 0 || s.Bounds.ExposureShare > 1 {
-		p.find("bounds.exposure_share", "must be from 0 to 1, not %v", s.Bounds.ExposureShare)
+		p.addFinding("bounds.exposure_share", "must be from 0 to 1, not %v", s.Bounds.ExposureShare)
 	}
 	if s.Bounds.RetryRatio < 0 || s.Bounds.RetrySlack < 0 {
-		p.find("bounds", "retry_ratio and retry_slack can't be below 0")
+		p.addFinding("bounds", "retry_ratio and retry_slack can't be below 0")
 	}
 	if s.Quarantine.Memory < 0 {
-		p.find("quarantine.memory", "must be above 0")
+		p.addFinding("quarantine.memory", "must be above 0")
 	}
 	if s.Quarantine.Requests < 0 {
-		p.find("quarantine.requests", "must be above 0")
+		p.addFinding("quarantine.requests", "must be above 0")
 	}
 }
 
@@ -215,54 +215,54 @@
 		return
 	}
 	if peer.Zone != s.Node.Zone {
-		p.find(key+".zone", "%q is not node.zone, %q", peer.Zone, s.Node.Zone)
+		p.addFinding(key+".zone", "%q is not node.zone, %q", peer.Zone, s.Node.Zone)
 	}
 	if peer.Control != s.HasRole(RoleControl) {
-		p.find(key+".control", "%v contradicts node.roles", peer.Control)
+		p.addFinding(key+".control", "%v contradicts node.roles", peer.Control)
 	}
 }
 
 func (p *parser) checkSecurity(s *Settings) {
 	if p.require("security.peer_key_file", s.Security.PeerKeyFile) {
-		p.secret("security.peer_key_file", s.Security.PeerKeyFile, minimumPeerKeyBytes)
+		p.checkSecret("security.peer_key_file", s.Security.PeerKeyFile, minimumPeerKeyBytes)
 	}
 	if s.Security.OperatorTokenFile != "" {
-		p.secret("security.operator_token_file", s.Security.OperatorTokenFile, 1)
+		p.checkSecret("security.operator_token_file", s.Security.OperatorTokenFile, 1)
 	}
 	files := []string{s.Security.TLSCertificateFile, s.Security.TLSKeyFile, s.Security.TLSAuthorityFile}
 	if slices.Contains(files, "") && strings.Join(files, "") != "" {
-		p.find("security", "tls_certificate_file, tls_key_file and tls_authority_file are needed together")
+		p.addFinding("security", "tls_certificate_file, tls_key_file and tls_authority_file are needed together")
 	}
 }
 
-func (p *parser) secret(key, path string, minimum int) {
+func (p *parser) checkSecret(key, path string, minimum int) {
 	secret, err := ReadSecret(path)
 	if err != nil {
-		p.find(key, "%v", err)
+		p.addFinding(key, "%v", err)
 		return
 	}
 	if len(secret) < minimum {
-		p.find(key, "the secret in %s has %d bytes; at least %d are needed", path, len(secret), minimum)
+		p.addFinding(key, "the secret in %s has %d bytes; at least %d are needed", path, len(secret), minimum)
 	}
 	if info, err := os.Stat(path); err == nil && info.Mode().Perm()&0o077 != 0 && p.isProduction {
-		p.find(key, "%s can be read by others; its mode must be 0600", path)
+		p.addFinding(key, "%s can be read by others; its mode must be 0600", path)
 	}
 }
 
 func (p *parser) checkLimits(s *Settings) {
 	if s.Limits.MaxBodyBytes < 0 {
-		p.find("limits.max_body_bytes", "must be above 0")
+		p.addFinding("limits.max_body_bytes", "must be above 0")
 	}
 	if s.Limits.MemoryMB < 0 {
-		p.find("limits.memory_mb", "can't be below 0")
+		p.addFinding("limits.memory_mb", "can't be below 0")
 	}
 	if s.Limits.LinkMbps < 0 {
-		p.find("limits.link_mbps", "can't be below 0")
+		p.addFinding("limits.link_mbps", "can't be below 0")
 	}
 	if s.Limits.MaxStreams < 0 {
-		p.find("limits.max_streams", "must be above 0")
+		p.addFinding("limits.max_streams", "must be above 0")
 	}
 	if s.Limits.AnswerStoreBytes < 0 {
-		p.find("limits.answer_store_bytes", "must be above 0")
+		p.addFinding("limits.answer_store_bytes", "must be above 0")
 	}
 }
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -59,7 +59,7 @@
 	}
 	settings := &Settings{}
 	parser := &parser{file: file, lines: indexLines(content)}
-	parser.table("", raw, reflect.ValueOf(settings).Elem())
+	parser.decodeTable("", raw, reflect.ValueOf(settings).Elem())
 	settings.setDefaults()
 	parser.isProduction = settings.Node.Profile == ProfileProduction
 	parser.check(settings)
@@ -78,12 +78,12 @@
 	findings     Findings
 }
 
-func (p *parser) find(key, format string, arguments ...any) {
+func (p *parser) addFinding(key, format string, arguments ...any) {
 	p.findings = append(p.findings, Finding{File: p.file, Line: p.lines[key], Key: key, Problem: fmt.Sprintf(format, arguments...)})
 }
 
-// table decodes a TOML table into a struct.
-func (p *parser) table(prefix string, raw map[string]any, target reflect.Value) {
+// decodeTable decodes a TOML table into a struct.
+func (p *parser) decodeTable(prefix string, raw map[string]any, target reflect.Value) {
 	fields := map[string]reflect.Value{}
 	for position := range target.NumField() {
 		fields[target.Type().Field(position).Tag.Get("toml")] = target.Field(position)
@@ -92,32 +92,32 @@
 		key := joinKey(prefix, name)
 		field, known := fields[name]
 		if !known {
-			p.find(key, "is not a setting; allowed here: %s", strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
+			p.addFinding(key, "is not a setting; allowed here: %s", strings.Join(slices.Sorted(maps.Keys(fields)), ", "))
 			continue
 		}
-		p.value(key, raw[name], field)
+		p.decodeValue(key, raw[name], field)
 	}
 }
 
-func (p *parser) value(key string, raw any, target reflect.Value) {
+func (p *parser) decodeValue(key string, raw any, target reflect.Value) {
 	if target.Type() == reflect.TypeFor[time.Duration]() {
-		p.duration(key, raw, target)
+		p.decodeDuration(key, raw, target)
 		return
 	}
 	switch target.Kind() {
 	case reflect.Struct:
 		if table, isTable := raw.(map[string]any); isTable {
-			p.table(key, table, target)
+			p.decodeTable(key, table, target)
 			return
 		}
 	case reflect.Map:
 		if table, isTable := raw.(map[string]any); isTable {
-			p.names(key, table, target)
+			p.decodeMap(key, table, target)
 			return
 		}
 	case reflect.Slice:
 		if list, isList := raw.([]any); isList {
-			p.list(key, list, target)
+			p.decodeList(key, list, target)
 			return
 		}
 	case reflect.String:
@@ -126,8 +126,8 @@
 			return
 		}
 	case reflect.Bool:
-		if truth, isTruth := raw.(bool); isTruth {
-			target.SetBool(truth)
+		if boolean, isBoolean := raw.(bool); isBoolean {
+			target.SetBool(boolean)
 			return
 		}
 	case reflect.Float64:
@@ -145,33 +145,33 @@
 			return
 		}
 	}
-	p.find(key, "must be a %s, not %v", kindName(target.Kind()), raw)
+	p.addFinding(key, "must be a %s, not %v", kindName(target.Kind()), raw)
 }
 
-func (p *parser) duration(key string, raw any, target reflect.Value) {
+func (p *parser) decodeDuration(key string, raw any, target reflect.Value) {
 	text, isText := raw.(string)
 	duration, err := time.ParseDuration(text)
 	if !isText || err != nil || duration <= 0 {
-		p.find(key, `must be a duration above 0 such as "30s", not %v`, raw)
+		p.addFinding(key, `must be a duration above 0 such as "30s", not %v`, raw)
 		return
 	}
 	target.SetInt(int64(duration))
 }
 
-func (p *parser) list(key string, raw []any, target reflect.Value) {
+func (p *parser) decodeList(key string, raw []any, target reflect.Value) {
 	list := reflect.MakeSlice(target.Type(), len(raw), len(raw))
 	for position, element := range raw {
-		p.value(fmt.Sprintf("%s[%d]", key, position), element, list.Index(position))
+		p.decodeValue(fmt.Sprintf("%s[%d]", key, position), element, list.Index(position))
 	}
 	target.Set(list)
 }
 
-// names decodes a table whose keys are names into a map.
-func (p *parser) names(key string, raw map[string]any, target reflect.Value) {
+// decodeMap decodes a table whose keys are names into a map.
+func (p *parser) decodeMap(key string, raw map[string]any, target reflect.Value) {
 	named := reflect.MakeMapWithSize(target.Type(), len(raw))
 	for _, name := range slices.Sorted(maps.Keys(raw)) {
 		value := reflect.New(target.Type().Elem()).Elem()
-		p.value(joinKey(key, name), raw[name], value)
+		p.decodeValue(joinKey(key, name), raw[name], value)
 		named.SetMapIndex(reflect.ValueOf(name), value)
 	}
 	target.Set(named)
--- a/internal/settings/template_test.go
+++ b/internal/settings/template_test.go
@@ -12,15 +12,15 @@
 )
 
 var (
-	templateSection = regexp.MustCompile(`(?s)\{\{#([a-z_.]+)\}\}(.*?)\{\{/([a-z_.]+)\}\}`)
-	templateGap     = regexp.MustCompile(`\{\{([a-z_.0-9@,]+)\}\}`)
+	templateSection     = regexp.MustCompile(`(?s)\{\{#([a-z_.]+)\}\}(.*?)\{\{/([a-z_.]+)\}\}`)
+	templatePlaceholder = regexp.MustCompile(`\{\{([a-z_.0-9@,]+)\}\}`)
 )
 
-// fillTemplate renders a settings template as the platform does. Placeholders get the values of
+// renderTemplate renders a settings template as the platform does. Placeholders get the values of
 // their dotted names; a section is rendered once for each entry of a list or table, or once if its
 // value is set.
-func fillTemplate(template string, values map[string]any) string {
-	filled := templateSection.ReplaceAllStringFunc(template, func(section string) string {
+func renderTemplate(template string, values map[string]any) string {
+	rendered := templateSection.ReplaceAllStringFunc(template, func(section string) string {
 		parts := templateSection.FindStringSubmatch(section)
 		switch value := values[parts[1]].(type) {
 		case nil:
@@ -39,8 +39,8 @@
 		}
 		return parts[2]
 	})
-	return templateGap.ReplaceAllStringFunc(filled, func(gap string) string {
-		if value, found := values[templateGap.FindStringSubmatch(gap)[1]]; found {
+	return templatePlaceholder.ReplaceAllStringFunc(rendered, func(placeholder string) string {
+		if value, found := values[templatePlaceholder.FindStringSubmatch(placeholder)[1]]; found {
 			return fmt.Sprint(value)
 		}
 		return ""
@@ -48,7 +48,7 @@
 }
 
 // Guards against a template whose rendered settings for a node of either role are invalid.
-func TestTemplateOfThePlatformIsReadOnceItIsFilled(t *testing.T) {
+func TestRenderedPlatformTemplateIsValid(t *testing.T) {
 	template, err := os.ReadFile("../../deploy/settings.toml.template")
 	assert.NilError(t, err)
 	key := filepath.Join(t.TempDir(), "peer.key")
@@ -58,24 +58,24 @@
 		"seeds": []string{"0=10.1.0.12:8425", "1=10.2.0.7:8425"}, "zones": []string{"a=north", "b=south"},
 		"limits.memory_mb": 184, "limits.link_mbps": 10.0, "bounds.grace_s": 8, "bounds.retry_window_s": 10, "bounds.retry_ratio": 0.2, "bounds.retry_slack": 170,
 	}
-	for role, own := range map[string]map[string]any{
+	for role, roleValues := range map[string]map[string]any{
 		"entry":   {"listen.front": "10.1.0.9:8428", "listen.ready": "10.1.0.9:8423"},
 		"control": {"listen.control": "10.1.0.9:8425", "data_dir": "/data/control", "bounds.exposure_share": 0.1},
 	} {
 		values["role"] = role
-		for name, value := range own {
+		for name, value := range roleValues {
 			values[name] = value
 		}
-		text := strings.Replace(fillTemplate(string(template), values), `"deploy/peer.key"`, fmt.Sprintf("%q", key), 1)
-		read, err := Parse("filled.toml", []byte(text))
+		text := strings.Replace(renderTemplate(string(template), values), `"deploy/peer.key"`, fmt.Sprintf("%q", key), 1)
+		parsed, err := Parse("filled.toml", []byte(text))
 		assert.NilError(t, err, text)
-		assert.DeepEqual(t, read.Fleet.Regions, map[string]string{"a": "north", "b": "south"})
-		assert.DeepEqual(t, read.Fleet.Zones, []string{"a", "b"})
-		assert.Equal(t, read.Bounds.ExposureShare, 0.1)
-		for name := range own {
+		assert.DeepEqual(t, parsed.Fleet.Regions, map[string]string{"a": "north", "b": "south"})
+		assert.DeepEqual(t, parsed.Fleet.Zones, []string{"a", "b"})
+		assert.Equal(t, parsed.Bounds.ExposureShare, 0.1)
+		for name := range roleValues {
 			delete(values, name)
 		}
 	}
-	_, err = Parse("filled.toml", []byte(strings.Replace(fillTemplate(string(template), values), `"a" = "north"`, `"a" = 3`, 1)))
+	_, err = Parse("filled.toml", []byte(strings.Replace(renderTemplate(string(template), values), `"a" = "north"`, `"a" = 3`, 1)))
 	assert.ErrorContains(t, err, "fleet.regions.a: must be a text, not 3")
 }
