--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -1,8 +1,7 @@
-// Package operatorcli is the operators' command line.
+// Package operatorcli implements the operators' command line.
 //
-// Exit codes: 0 done; 1 refused or failed; 2 wrong usage; 3 conflict with
-// another operator's change; 4 the outcome is not known (run the printed
-// command again with the same operation id).
+// Exit codes: 0 success; 1 refused or failed; 2 wrong usage; 3 conflict with another operator's
+// change; 4 the outcome is not known (run the printed command again with the same operation id).
 package operatorcli
 
 import (
@@ -55,7 +54,7 @@
 	return ExitFailed
 }
 
-// session is what a command works with.
+// session holds the clients and the output of one run of a command.
 type session struct {
 	out     io.Writer
 	json    bool
@@ -67,7 +66,7 @@
 	client  ravenwayv1connect.OperatorServiceClient
 }
 
-// requestTimeout bounds one call to one daemon.
+// requestTimeout is the maximum duration of one call to one daemon.
 const requestTimeout = 15 * time.Second
 
 func newSession(out io.Writer, command *cli.Command) (*session, error) {
@@ -92,7 +91,7 @@
 	return opened, nil
 }
 
-// tokenTransport adds the operator's token.
+// tokenTransport adds the operator's bearer token to each request.
 type tokenTransport struct {
 	token string
 	next  http.RoundTripper
@@ -107,7 +106,7 @@
 	return t.next.RoundTrip(request)
 }
 
-// operationID returns the id given on the command line, or a new one.
+// operationID returns the id from the command line, or a newly generated one.
 func operationID(command *cli.Command) string {
 	if id := command.String("operation-id"); id != "" {
 		return id
@@ -115,9 +114,8 @@
 	return uuid.NewString()
 }
 
-// call asks each server in turn until one answers. A change whose answer was
-// lost is sent again to the next server with the same operation id, which is
-// safe.
+// call sends a request to each server in turn until one responds. A change whose response was lost
+// is sent again to the next server, which is safe, since it has the same operation id.
 func call[Q, A any](ctx context.Context, s *session, ask func(ravenwayv1connect.OperatorServiceClient) func(context.Context, *connect.Request[Q]) (*connect.Response[A], error), question *Q) (*A, error) {
 	var problems []string
 	unknown := false
@@ -138,10 +136,10 @@
 	if unknown {
 		return nil, exitWith(ExitUnknownOutcome, "the outcome is not known:\n%s", strings.Join(problems, "\n"))
 	}
-	return nil, exitWith(ExitFailed, "no server answered:\n%s", strings.Join(problems, "\n"))
+	return nil, exitWith(ExitFailed, "no server responded:\n%s", strings.Join(problems, "\n"))
 }
 
-// show prints a message as JSON if asked to, or else runs the table.
+// show prints a message as JSON if the session's output is JSON; otherwise it runs table.
 func (s *session) show(message proto.Message, table func()) error {
 	if !s.json {
 		table()
@@ -155,14 +153,14 @@
 	return err
 }
 
-// NewClient makes a client of one daemon's operator listener.
+// NewClient returns a client of one daemon's operator listener.
 func NewClient(address, token string) ravenwayv1connect.OperatorServiceClient {
 	httpClient := &http.Client{Timeout: requestTimeout, Transport: &tokenTransport{token: token, next: http.DefaultTransport}}
 	return ravenwayv1connect.NewOperatorServiceClient(httpClient, "http://"+address)
 }
 
-// TokenFromEnvironment reads the operator token from the file that
-// RAVENWAY_TOKEN_FILE names, or returns "".
+// TokenFromEnvironment reads the operator token from the file that RAVENWAY_TOKEN_FILE names. It
+// returns "" if the file can't be read.
 func TokenFromEnvironment() string {
 	content, err := os.ReadFile(os.Getenv("RAVENWAY_TOKEN_FILE"))
 	if err != nil {
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -20,10 +20,10 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// Client methods, named for call.
+// client is the generated client; its methods are passed to call.
 type client = ravenwayv1connect.OperatorServiceClient
 
-// Command is the whole command line.
+// Command returns the root command, which writes its output to out.
 func Command(out io.Writer) *cli.Command {
 	action := func(run func(context.Context, *session, *cli.Command) error) cli.ActionFunc {
 		return func(ctx context.Context, command *cli.Command) error {
@@ -40,12 +40,12 @@
 		Usage:                 "operate a ravenway fleet",
 		EnableShellCompletion: true,
 		Flags: []cli.Flag{
-			&cli.StringSliceFlag{Name: "server", Value: []string{"127.0.0.1:7102"}, Sources: cli.EnvVars("RAVENWAY_SERVER"), Usage: "operator listener of a daemon; more than one are tried in turn"},
+			&cli.StringSliceFlag{Name: "server", Value: []string{"127.0.0.1:7102"}, Sources: cli.EnvVars("RAVENWAY_SERVER"), Usage: "operator listener of a daemon; several are tried in turn"},
 			&cli.StringFlag{Name: "token-file", Sources: cli.EnvVars("RAVENWAY_TOKEN_FILE"), Usage: "file with the operator token"},
 			&cli.StringFlag{Name: "output", Value: "table", Usage: "table or json"},
 		},
 		Commands: []*cli.Command{
-			{Name: "apply", Usage: "change the catalog to what a TOML or JSON file says", ArgsUsage: "FILE",
+			{Name: "apply", Usage: "change the catalog as a TOML or JSON file specifies", ArgsUsage: "FILE",
 				Flags: append(waitFlags(), operation,
 					&cli.Uint64Flag{Name: "base", Usage: "revision that the change was made from (default: the current one)"}),
 				Action: action(apply)},
@@ -55,49 +55,49 @@
 			{Name: "budget", Usage: "show and change prepaid budgets", Commands: []*cli.Command{
 				{Name: "get", Usage: "show one budget or all", ArgsUsage: "[BUDGET]", Action: action(getBudgets)},
 				{Name: "top-up", Usage: "add tokens to a limit", ArgsUsage: "BUDGET TOKENS", Flags: []cli.Flag{operation}, Action: action(topUpBudget)},
-				{Name: "lower", Usage: "take tokens off a limit", ArgsUsage: "BUDGET TOKENS", Flags: []cli.Flag{operation}, Action: action(lowerBudget)},
+				{Name: "lower", Usage: "subtract tokens from a limit", ArgsUsage: "BUDGET TOKENS", Flags: []cli.Flag{operation}, Action: action(lowerBudget)},
 			}},
 			{Name: "tenant", Usage: "tenants' keys", Commands: []*cli.Command{
-				{Name: "key", Usage: "make a new API key and print it with its hash", Action: action(makeKey)},
+				{Name: "key", Usage: "generate an API key and print it with its hash", Action: action(makeKey)},
 			}},
 			{Name: "backend", Usage: "back ends", Commands: []*cli.Command{
-				{Name: "drain", Usage: "give a back end no new work", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(drainTo(true))},
-				{Name: "resume", Usage: "give a drained back end work again", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(drainTo(false))},
+				{Name: "drain", Usage: "send a back end no new work", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(drainTo(true))},
+				{Name: "resume", Usage: "send a drained back end work again", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(drainTo(false))},
 				{Name: "order", Usage: "order a back end to load a model or adapter, or to change role", ArgsUsage: "BACKEND load-model|load-adapter|change-role TARGET [VERSION]", Flags: []cli.Flag{operation}, Action: action(order)},
-				{Name: "orders", Usage: "show orders and what became of them", Action: action(getOrders)},
+				{Name: "orders", Usage: "show orders and their outcomes", Action: action(getOrders)},
 			}},
-			{Name: "zone", Usage: "take zones out of use and back", Commands: []*cli.Command{
-				{Name: "evacuate", Usage: "give the zone's instances no new requests", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(orderZone(true))},
-				{Name: "restore", Usage: "give them requests again", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(orderZone(false))},
+			{Name: "zone", Usage: "evacuate zones and restore them", Commands: []*cli.Command{
+				{Name: "evacuate", Usage: "send the zone's instances no new requests", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(orderZone(true))},
+				{Name: "restore", Usage: "send the zone's instances requests again", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(orderZone(false))},
 			}},
 			{Name: "rollout", Usage: "move a service's work to back ends of another version", Commands: []*cli.Command{
-				{Name: "start", Usage: "order it: few requests first, all once the version is as good as the old one; else it is rolled back", ArgsUsage: "SERVICE VERSION",
-					Flags: []cli.Flag{&cli.DurationFlag{Name: "within", Value: time.Minute, Usage: "the time until it has to have ended"}}, Action: action(startRollout)},
+				{Name: "start", Usage: "order a rollout: few requests first, all once the version is as good as the old one; otherwise it is rolled back", ArgsUsage: "SERVICE VERSION",
+					Flags: []cli.Flag{&cli.DurationFlag{Name: "within", Value: time.Minute, Usage: "maximum duration of the rollout"}}, Action: action(startRollout)},
 				{Name: "list", Usage: "show the newest rollout of each service", Action: action(listRollouts)},
 			}},
-			{Name: "quarantine", Usage: "requests that end the engines which run them", Commands: []*cli.Command{
-				{Name: "list", Usage: "show what is held against requests; a control node knows what all nodes saw", Action: action(getQuarantine)},
-				{Name: "release", Usage: "forget the ends of a request: it may reach engines again", ArgsUsage: "FINGERPRINT", Action: action(releaseQuarantined)},
+			{Name: "quarantine", Usage: "poison requests, which crash the engines that run them", Commands: []*cli.Command{
+				{Name: "list", Usage: "show the crashes recorded against requests; a control node knows the reports of all nodes", Action: action(getQuarantine)},
+				{Name: "release", Usage: "delete the crashes recorded against a request: it can reach engines again", ArgsUsage: "FINGERPRINT", Action: action(releaseQuarantined)},
 			}},
-			{Name: "limits", Usage: "limits that instances in need name", Commands: []*cli.Command{
-				{Name: "list", Usage: "show what an entry node knows of them, the scarcest first", Action: action(getLimits)},
+			{Name: "limits", Usage: "rate limits that overloaded instances name", Commands: []*cli.Command{
+				{Name: "list", Usage: "show the rate limits that an entry node knows, the scarcest first", Action: action(getLimits)},
 			}},
-			{Name: "pauses", Usage: "pauses that instances ask entry nodes for, and instances that leave", Commands: []*cli.Command{
-				{Name: "list", Usage: "show what an entry node was asked for, the longest pause first", Action: action(getPauses)},
+			{Name: "pauses", Usage: "pauses that instances requested from entry nodes, and leaving instances", Commands: []*cli.Command{
+				{Name: "list", Usage: "show the pauses requested from an entry node, the longest first", Action: action(getPauses)},
 			}},
 			{Name: "explain", Usage: "show how a request was routed, from a node or from its logs", ArgsUsage: "REQUEST",
-				Flags:  []cli.Flag{&cli.StringSliceFlag{Name: "log", Usage: "log file of a node in place of asking it; - is the standard input"}},
+				Flags:  []cli.Flag{&cli.StringSliceFlag{Name: "log", Usage: "log file of a node to read instead of querying the node; - is the standard input"}},
 				Action: action(explain)},
 			{Name: "snapshot", Usage: "make a control node write a snapshot now", Action: action(snapshot)},
 		},
 	}
 }
 
-// waitFlags are those of commands whose order may be waited for.
+// waitFlags returns the flags of commands that can wait until their change is in effect.
 func waitFlags() []cli.Flag {
 	return []cli.Flag{
-		&cli.BoolFlag{Name: "wait", Usage: "return when it is in force on every reachable node"},
-		&cli.DurationFlag{Name: "wait-timeout", Value: 10 * time.Second, Usage: "longest wait"},
+		&cli.BoolFlag{Name: "wait", Usage: "return when the change is in effect on every reachable node"},
+		&cli.DurationFlag{Name: "wait-timeout", Value: 10 * time.Second, Usage: "maximum wait"},
 	}
 }
 
@@ -132,7 +132,7 @@
 	return answer.GetRevision(), err
 }
 
-// change sends a catalog change and says what became of it.
+// change sends a catalog change and prints its outcome.
 func (s *session) change(ctx context.Context, command *cli.Command, request *ravenwayv1.ApplyRequest) error {
 	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.ApplyRequest]) (*connect.Response[ravenwayv1.ApplyResponse], error) {
 		return c.Apply
@@ -163,13 +163,14 @@
 }
 
 const (
-	// reachableSilence is the silence after which a node is not waited for.
+	// reachableSilence is the time since a node's last contact after which it counts as unreachable
+	// and is not waited for.
 	reachableSilence = 3 * time.Second
 	waitPoll         = 200 * time.Millisecond
 )
 
-// waitInForce waits until a revision of what revisionAt tells is in force on every
-// reachable node, and names the ones that are not reached.
+// waitInForce waits until every reachable node has a revision in effect, and prints the names of the
+// unreachable ones. revisionAt returns the revision that is in effect on a node.
 func (s *session) waitInForce(ctx context.Context, what string, revision uint64, timeout time.Duration, revisionAt func(*ravenwayv1.NodeStatus) uint64) error {
 	deadline := time.Now().Add(timeout)
 	for {
@@ -191,7 +192,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return exitWith(ExitFailed, "%s %d is committed, but not yet in force on: %s; not reached: %s",
+			return exitWith(ExitFailed, "%s %d is committed, but not yet in effect on: %s; not reached: %s",
 				what, revision, strings.Join(behind, ", "), orNone(unreached))
 		}
 		time.Sleep(waitPoll)
@@ -288,20 +289,20 @@
 	})
 }
 
-// sayGroup tells how the group of control replicas stands.
+// sayGroup prints the status of the control group.
 func (s *session) sayGroup(answer *ravenwayv1.GetStatusResponse) {
 	leader := answer.GetLeader()
 	if leader == "" {
 		leader = "unknown"
 	}
 	quorumAge := time.Duration(answer.GetQuorumAgeMilliseconds()) * time.Millisecond
-	fmt.Fprintf(s.out, "as seen by %s: leader %s, term %d, commit %d, revision %d, last word of a quorum %v ago\n",
+	fmt.Fprintf(s.out, "as seen by %s: leader %s, term %d, commit %d, revision %d, last contact with a quorum %v ago\n",
 		answer.GetNode(), leader, answer.GetTerm(), answer.GetCommitIndex(), answer.GetRevision(), quorumAge)
 	if answer.GetVoters() > 0 {
 		fmt.Fprintf(s.out, "voters %d, of which %d hold every committed entry on disk\n", answer.GetVoters(), answer.GetCaughtUpVoters())
 	}
 	if version, newest := answer.GetLogVersion(), answer.GetNewestLogVersion(); version < newest {
-		fmt.Fprintf(s.out, "log version %d, to be raised to %d; the earlier build may be taken again until then", version, newest)
+		fmt.Fprintf(s.out, "log version %d, to be raised to %d; the fleet can be downgraded to the earlier build until then", version, newest)
 		if waiting := answer.GetLogVersionWaitsFor(); len(waiting) > 0 {
 			fmt.Fprintf(s.out, "; waits for %s", strings.Join(waiting, ", "))
 		}
@@ -406,7 +407,7 @@
 	})
 }
 
-// keyBytes is the length of a new API key.
+// keyBytes is the number of random bytes in a new API key.
 const keyBytes = 24
 
 func makeKey(_ context.Context, s *session, _ *cli.Command) error {
@@ -418,7 +419,7 @@
 	return nil
 }
 
-// drainTo sets a back end's draining mark and leaves the rest as it is.
+// drainTo returns a command that sets a back end's draining flag and keeps its other fields.
 func drainTo(draining bool) func(context.Context, *session, *cli.Command) error {
 	return func(ctx context.Context, s *session, command *cli.Command) error {
 		given, err := arguments(command, 1, 1)
--- a/internal/operatorcli/document.go
+++ b/internal/operatorcli/document.go
@@ -12,8 +12,8 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// ReadDocument reads a catalog file, TOML or (by its ending) JSON, in the
-// schema's own field names.
+// ReadDocument reads a catalog file, whose keys are the field names of the schema. A file with the
+// extension .json is JSON, any other file TOML.
 func ReadDocument(path string) (*ravenwayv1.CatalogDocument, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/operatorcli/limits.go
+++ b/internal/operatorcli/limits.go
@@ -11,7 +11,7 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// getLimits lists the limits that instances in need name.
+// getLimits lists the rate limits that overloaded instances name in their responses.
 func getLimits(ctx context.Context, s *session, _ *cli.Command) error {
 	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetLimitsRequest]) (*connect.Response[ravenwayv1.GetLimitsResponse], error) {
 		return c.GetLimits
--- a/internal/operatorcli/logs.go
+++ b/internal/operatorcli/logs.go
@@ -10,22 +10,22 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// contextWindow is how long before and after a request's own lines others are
+// contextWindow is the time before and after a request's own lines within which other lines are
 // shown that may have caused them.
 const contextWindow = 3 * time.Second
 
-// contextEvents are the events that change what a node believes.
+// contextEvents are the events that change a node's view of the fleet.
 var contextEvents = []string{
 	"instance", "document_in_force", "leadership", "node_heard", "node_lost", "stopping", "started", "disk_failed", "disk_unusable",
 	"lives_closed", "member_change", "reloaded", "loan_given", "account",
 }
 
-// errNotInLogs says that no line names a request.
-var errNotInLogs = errors.New("no line of the logs names the request: it was served as planned, its line was left out " +
+// errNotInLogs indicates that no log line names the request.
+var errNotInLogs = errors.New("no log line names the request: it was served as planned, its line was left out " +
 	"(see lines_left_out in event=summary), or it never reached these nodes")
 
-// explainFromLogs writes a request's own lines and, marked with "~", those around
-// them that may have caused what they say.
+// explainFromLogs writes a request's own lines and, marked with "~", the lines around them that may
+// explain them.
 func explainFromLogs(out io.Writer, lines []logs.Line, request string) error {
 	var own []logs.Line
 	for _, line := range lines {
@@ -55,8 +55,7 @@
 	return nil
 }
 
-// relatedWords are the names in a request's own lines: its node, tenant and
-// instances.
+// relatedWords returns the names in a request's own lines: of its node, tenant and instances.
 func relatedWords(own []logs.Line) []string {
 	var words []string
 	for _, line := range own {
--- a/internal/operatorcli/pauses.go
+++ b/internal/operatorcli/pauses.go
@@ -10,7 +10,7 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// getPauses lists the instances that asked a node for a pause, or leave.
+// getPauses lists the instances that requested a pause from a node, and those that are leaving.
 func getPauses(ctx context.Context, s *session, _ *cli.Command) error {
 	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetPausesRequest]) (*connect.Response[ravenwayv1.GetPausesResponse], error) {
 		return c.GetPauses
--- a/internal/operatorcli/quarantine.go
+++ b/internal/operatorcli/quarantine.go
@@ -12,7 +12,7 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// getQuarantine lists requests that were at the ends of engines.
+// getQuarantine lists the requests that were in flight at engines when they crashed.
 func getQuarantine(ctx context.Context, s *session, _ *cli.Command) error {
 	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetQuarantineRequest]) (*connect.Response[ravenwayv1.GetQuarantineResponse], error) {
 		return c.GetQuarantine
@@ -40,7 +40,7 @@
 	})
 }
 
-// releaseQuarantined forgets the ends of a request.
+// releaseQuarantined deletes the crashes recorded against a request.
 func releaseQuarantined(ctx context.Context, s *session, command *cli.Command) error {
 	given, err := arguments(command, 1, 1)
 	if err != nil {
--- a/internal/operatorcli/rollouts.go
+++ b/internal/operatorcli/rollouts.go
@@ -11,8 +11,8 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// startRollout orders a rollout. Sent again it is answered as under way, so it needs no
-// operation id.
+// startRollout orders a rollout. It needs no operation id: the response to a repeated order is that
+// the rollout is in progress.
 func startRollout(ctx context.Context, s *session, command *cli.Command) error {
 	given, err := arguments(command, 2, 2)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// listRollouts shows the rollouts that the answering node keeps to.
+// listRollouts shows the rollouts that are in effect on the responding node.
 func listRollouts(ctx context.Context, s *session, _ *cli.Command) error {
 	answer, err := s.status(ctx)
 	if err != nil {
--- a/internal/operatorcli/zones.go
+++ b/internal/operatorcli/zones.go
@@ -10,8 +10,8 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// orderZone evacuates or restores a zone. Sent again it changes nothing, so it
-// needs no operation id.
+// orderZone returns a command that evacuates or restores a zone. It needs no operation id, since a
+// repeated order changes nothing.
 func orderZone(evacuated bool) func(context.Context, *session, *cli.Command) error {
 	return func(ctx context.Context, s *session, command *cli.Command) error {
 		given, err := arguments(command, 1, 1)
