--- a/internal/operatorcli/client.go
+++ b/internal/operatorcli/client.go
@@ -116,31 +116,31 @@
 
 // call sends a request to each server in turn until one responds. A change whose response was lost
 // is sent again to the next server, which is safe, since it has the same operation id.
-func call[Q, A any](ctx context.Context, s *session, ask func(ravenwayv1connect.OperatorServiceClient) func(context.Context, *connect.Request[Q]) (*connect.Response[A], error), question *Q) (*A, error) {
-	var problems []string
+func call[Request, Response any](ctx context.Context, s *session, method func(ravenwayv1connect.OperatorServiceClient) func(context.Context, *connect.Request[Request]) (*connect.Response[Response], error), request *Request) (*Response, error) {
+	var failures []string
 	unknown := false
-	for _, one := range s.clients {
-		answer, err := ask(one.client)(ctx, connect.NewRequest(question))
+	for _, server := range s.clients {
+		response, err := method(server.client)(ctx, connect.NewRequest(request))
 		if err == nil {
-			return answer.Msg, nil
+			return response.Msg, nil
 		}
 		switch connect.CodeOf(err) {
 		case connect.CodeUnavailable, connect.CodeUnknown:
 		case connect.CodeDeadlineExceeded:
 			unknown = true
 		default:
-			return nil, exitWith(ExitFailed, "%s: %w", one.address, err)
+			return nil, exitWith(ExitFailed, "%s: %w", server.address, err)
 		}
-		problems = append(problems, fmt.Sprintf("%s: %v", one.address, err))
+		failures = append(failures, fmt.Sprintf("%s: %v", server.address, err))
 	}
 	if unknown {
-		return nil, exitWith(ExitUnknownOutcome, "the outcome is not known:\n%s", strings.Join(problems, "\n"))
+		return nil, exitWith(ExitUnknownOutcome, "the outcome is not known:\n%s", strings.Join(failures, "\n"))
 	}
-	return nil, exitWith(ExitFailed, "no server responded:\n%s", strings.Join(problems, "\n"))
+	return nil, exitWith(ExitFailed, "no server responded:\n%s", strings.Join(failures, "\n"))
 }
 
-// show prints a message as JSON if the session's output is JSON; otherwise it runs table.
-func (s *session) show(message proto.Message, table func()) error {
+// printMessage prints a message as JSON if the session's output is JSON; otherwise it runs table.
+func (s *session) printMessage(message proto.Message, table func()) error {
 	if !s.json {
 		table()
 		return nil
--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -58,17 +58,17 @@
 				{Name: "lower", Usage: "subtract tokens from a limit", ArgsUsage: "BUDGET TOKENS", Flags: []cli.Flag{operation}, Action: action(lowerBudget)},
 			}},
 			{Name: "tenant", Usage: "tenants' keys", Commands: []*cli.Command{
-				{Name: "key", Usage: "generate an API key and print it with its hash", Action: action(makeKey)},
+				{Name: "key", Usage: "generate an API key and print it with its hash", Action: action(generateKey)},
 			}},
 			{Name: "backend", Usage: "back ends", Commands: []*cli.Command{
-				{Name: "drain", Usage: "send a back end no new work", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(drainTo(true))},
-				{Name: "resume", Usage: "send a drained back end work again", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(drainTo(false))},
-				{Name: "order", Usage: "order a back end to load a model or adapter, or to change role", ArgsUsage: "BACKEND load-model|load-adapter|change-role TARGET [VERSION]", Flags: []cli.Flag{operation}, Action: action(order)},
+				{Name: "drain", Usage: "send a back end no new work", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(setDraining(true))},
+				{Name: "resume", Usage: "send a drained back end work again", ArgsUsage: "BACKEND", Flags: []cli.Flag{operation}, Action: action(setDraining(false))},
+				{Name: "order", Usage: "order a back end to load a model or adapter, or to change role", ArgsUsage: "BACKEND load-model|load-adapter|change-role TARGET [VERSION]", Flags: []cli.Flag{operation}, Action: action(sendOrder)},
 				{Name: "orders", Usage: "show orders and their outcomes", Action: action(getOrders)},
 			}},
 			{Name: "zone", Usage: "evacuate zones and restore them", Commands: []*cli.Command{
-				{Name: "evacuate", Usage: "send the zone's instances no new requests", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(orderZone(true))},
-				{Name: "restore", Usage: "send the zone's instances requests again", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(orderZone(false))},
+				{Name: "evacuate", Usage: "send the zone's instances no new requests", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(setEvacuated(true))},
+				{Name: "restore", Usage: "send the zone's instances requests again", ArgsUsage: "ZONE", Flags: waitFlags(), Action: action(setEvacuated(false))},
 			}},
 			{Name: "rollout", Usage: "move a service's work to back ends of another version", Commands: []*cli.Command{
 				{Name: "start", Usage: "order a rollout: few requests first, all once the version is as good as the old one; otherwise it is rolled back", ArgsUsage: "SERVICE VERSION",
@@ -101,9 +101,9 @@
 	}
 }
 
-func arguments(command *cli.Command, least, most int) ([]string, error) {
+func arguments(command *cli.Command, minimum, maximum int) ([]string, error) {
 	given := command.Args().Slice()
-	if len(given) < least || len(given) > most {
+	if len(given) < minimum || len(given) > maximum {
 		return nil, exitWith(ExitUsage, "usage: %s %s", command.FullName(), command.ArgsUsage)
 	}
 	return given, nil
@@ -124,17 +124,17 @@
 			return err
 		}
 	}
-	return s.change(ctx, command, request)
+	return s.applyChange(ctx, command, request)
 }
 
 func currentRevision(ctx context.Context, s *session) (uint64, error) {
-	answer, err := s.catalog(ctx)
-	return answer.GetRevision(), err
+	response, err := s.catalog(ctx)
+	return response.GetRevision(), err
 }
 
-// change sends a catalog change and prints its outcome.
-func (s *session) change(ctx context.Context, command *cli.Command, request *ravenwayv1.ApplyRequest) error {
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.ApplyRequest]) (*connect.Response[ravenwayv1.ApplyResponse], error) {
+// applyChange sends a catalog change and prints its outcome.
+func (s *session) applyChange(ctx context.Context, command *cli.Command, request *ravenwayv1.ApplyRequest) error {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.ApplyRequest]) (*connect.Response[ravenwayv1.ApplyResponse], error) {
 		return c.Apply
 	}, request)
 	if ExitCode(err) == ExitUnknownOutcome {
@@ -143,59 +143,59 @@
 	if err != nil {
 		return err
 	}
-	if answer.GetConflictRevision() > 0 || answer.GetConflictOperationId() != "" {
+	if response.GetConflictRevision() > 0 || response.GetConflictOperationId() != "" {
 		return exitWith(ExitConflict, "conflict: operation %s won with revision %d; nothing was changed",
-			answer.GetConflictOperationId(), answer.GetConflictRevision())
+			response.GetConflictOperationId(), response.GetConflictRevision())
 	}
-	if findings := answer.GetFindings(); len(findings) > 0 {
+	if findings := response.GetFindings(); len(findings) > 0 {
 		lines := make([]string, len(findings))
 		for position, finding := range findings {
 			lines[position] = fmt.Sprintf("%s: %s", finding.GetPlace(), finding.GetProblem())
 		}
 		return exitWith(ExitFailed, "nothing was changed; %d findings:\n%s", len(findings), strings.Join(lines, "\n"))
 	}
-	if err := s.show(answer, func() {
-		fmt.Fprintf(s.out, "revision %d (operation %s)\n", answer.GetRevision(), request.GetOperationId())
+	if err := s.printMessage(response, func() {
+		fmt.Fprintf(s.out, "revision %d (operation %s)\n", response.GetRevision(), request.GetOperationId())
 	}); err != nil || !command.Bool("wait") {
 		return err
 	}
-	return s.waitInForce(ctx, "revision", answer.GetRevision(), command.Duration("wait-timeout"), (*ravenwayv1.NodeStatus).GetRevision)
+	return s.waitUntilInEffect(ctx, "revision", response.GetRevision(), command.Duration("wait-timeout"), (*ravenwayv1.NodeStatus).GetRevision)
 }
 
 const (
-	// reachableSilence is the time since a node's last contact after which it counts as unreachable
+	// unreachableAfter is the time since a node's last contact after which it counts as unreachable
 	// and is not waited for.
-	reachableSilence = 3 * time.Second
-	waitPoll         = 200 * time.Millisecond
+	unreachableAfter = 3 * time.Second
+	waitPollInterval = 200 * time.Millisecond
 )
 
-// waitInForce waits until every reachable node has a revision in effect, and prints the names of the
-// unreachable ones. revisionAt returns the revision that is in effect on a node.
-func (s *session) waitInForce(ctx context.Context, what string, revision uint64, timeout time.Duration, revisionAt func(*ravenwayv1.NodeStatus) uint64) error {
+// waitUntilInEffect waits until every reachable node has a revision in effect, and prints the names
+// of the unreachable ones. revisionAt returns the revision that is in effect on a node.
+func (s *session) waitUntilInEffect(ctx context.Context, what string, revision uint64, timeout time.Duration, revisionAt func(*ravenwayv1.NodeStatus) uint64) error {
 	deadline := time.Now().Add(timeout)
 	for {
 		status, err := s.status(ctx)
 		if err != nil {
 			return err
 		}
-		var behind, unreached []string
+		var behind, unreachable []string
 		for _, node := range status.GetNodes() {
 			switch {
-			case time.Duration(node.GetSilentMilliseconds())*time.Millisecond > reachableSilence:
-				unreached = append(unreached, node.GetName())
+			case time.Duration(node.GetSilentMilliseconds())*time.Millisecond > unreachableAfter:
+				unreachable = append(unreachable, node.GetName())
 			case revisionAt(node) < revision:
 				behind = append(behind, node.GetName())
 			}
 		}
 		if len(behind) == 0 {
-			fmt.Fprintf(s.out, "in force on %d nodes; not reached: %s\n", len(status.GetNodes())-len(unreached), orNone(unreached))
+			fmt.Fprintf(s.out, "in force on %d nodes; not reached: %s\n", len(status.GetNodes())-len(unreachable), orNone(unreachable))
 			return nil
 		}
 		if time.Now().After(deadline) {
 			return exitWith(ExitFailed, "%s %d is committed, but not yet in effect on: %s; not reached: %s",
-				what, revision, strings.Join(behind, ", "), orNone(unreached))
+				what, revision, strings.Join(behind, ", "), orNone(unreachable))
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(waitPollInterval)
 	}
 }
 
@@ -215,7 +215,7 @@
 	if err != nil {
 		return err
 	}
-	return s.change(ctx, command, &ravenwayv1.ApplyRequest{
+	return s.applyChange(ctx, command, &ravenwayv1.ApplyRequest{
 		OperationId: operationID(command), BaseRevision: base,
 		Delete: []*ravenwayv1.ObjectReference{{Kind: given[0], Name: given[1]}},
 	})
@@ -228,14 +228,14 @@
 }
 
 func getCatalog(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := s.catalog(ctx)
+	response, err := s.catalog(ctx)
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() {
-		document := answer.GetCatalog()
-		fmt.Fprintf(s.out, "revision %d\n", answer.GetRevision())
-		s.table("KIND\tNAME\tDETAIL", func(row func(...any)) {
+	return s.printMessage(response, func() {
+		document := response.GetCatalog()
+		fmt.Fprintf(s.out, "revision %d\n", response.GetRevision())
+		s.printTable("KIND\tNAME\tDETAIL", func(row func(...any)) {
 			for _, tenant := range document.GetTenants() {
 				row("tenant", tenant.GetName(), fmt.Sprintf("weight %d, default budget %s, %d keys", tenant.GetWeight(), tenant.GetDefaultBudget(), len(tenant.GetApiKeyHashes())))
 			}
@@ -255,7 +255,7 @@
 	})
 }
 
-func (s *session) table(header string, fill func(row func(...any))) {
+func (s *session) printTable(header string, fill func(row func(...any))) {
 	writer := tabwriter.NewWriter(s.out, 0, 4, 2, ' ', 0)
 	fmt.Fprintln(writer, header)
 	fill(func(columns ...any) {
@@ -275,35 +275,35 @@
 }
 
 func getStatus(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := s.status(ctx)
+	response, err := s.status(ctx)
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() {
-		s.sayGroup(answer)
-		if zones := answer.GetEvacuatedZones(); len(zones) > 0 {
+	return s.printMessage(response, func() {
+		s.printGroup(response)
+		if zones := response.GetEvacuatedZones(); len(zones) > 0 {
 			fmt.Fprintf(s.out, "evacuated zones: %s\n", strings.Join(zones, ", "))
 		}
-		s.sayRollouts(answer)
-		s.sayNodes(answer.GetNodes())
+		s.printRollouts(response)
+		s.printNodes(response.GetNodes())
 	})
 }
 
-// sayGroup prints the status of the control group.
-func (s *session) sayGroup(answer *ravenwayv1.GetStatusResponse) {
-	leader := answer.GetLeader()
+// printGroup prints the status of the control group.
+func (s *session) printGroup(response *ravenwayv1.GetStatusResponse) {
+	leader := response.GetLeader()
 	if leader == "" {
 		leader = "unknown"
 	}
-	quorumAge := time.Duration(answer.GetQuorumAgeMilliseconds()) * time.Millisecond
+	quorumAge := time.Duration(response.GetQuorumAgeMilliseconds()) * time.Millisecond
 	fmt.Fprintf(s.out, "as seen by %s: leader %s, term %d, commit %d, revision %d, last contact with a quorum %v ago\n",
-		answer.GetNode(), leader, answer.GetTerm(), answer.GetCommitIndex(), answer.GetRevision(), quorumAge)
-	if answer.GetVoters() > 0 {
-		fmt.Fprintf(s.out, "voters %d, of which %d hold every committed entry on disk\n", answer.GetVoters(), answer.GetCaughtUpVoters())
+		response.GetNode(), leader, response.GetTerm(), response.GetCommitIndex(), response.GetRevision(), quorumAge)
+	if response.GetVoters() > 0 {
+		fmt.Fprintf(s.out, "voters %d, of which %d hold every committed entry on disk\n", response.GetVoters(), response.GetCaughtUpVoters())
 	}
-	if version, newest := answer.GetLogVersion(), answer.GetNewestLogVersion(); version < newest {
+	if version, newest := response.GetLogVersion(), response.GetNewestLogVersion(); version < newest {
 		fmt.Fprintf(s.out, "log version %d, to be raised to %d; the fleet can be downgraded to the earlier build until then", version, newest)
-		if waiting := answer.GetLogVersionWaitsFor(); len(waiting) > 0 {
+		if waiting := response.GetLogVersionWaitsFor(); len(waiting) > 0 {
 			fmt.Fprintf(s.out, "; waits for %s", strings.Join(waiting, ", "))
 		}
 		fmt.Fprintln(s.out)
@@ -312,19 +312,19 @@
 	}
 }
 
-func (s *session) sayNodes(nodes []*ravenwayv1.NodeStatus) {
-	s.table("NODE\tZONE\tCONTROL\tLEADER\tREVISION\tBUILD\tDIALECT\tSILENT\tSTATE", func(row func(...any)) {
+func (s *session) printNodes(nodes []*ravenwayv1.NodeStatus) {
+	s.printTable("NODE\tZONE\tCONTROL\tLEADER\tREVISION\tBUILD\tDIALECT\tSILENT\tSTATE", func(row func(...any)) {
 		for _, node := range nodes {
-			silent := time.Duration(node.GetSilentMilliseconds()) * time.Millisecond
+			sinceContact := time.Duration(node.GetSilentMilliseconds()) * time.Millisecond
 			state := "live"
 			if node.GetStopping() {
 				state = "stopping"
 			}
-			if silent > reachableSilence {
+			if sinceContact > unreachableAfter {
 				state = "not heard from"
 			}
 			row(node.GetName(), node.GetZone(), node.GetControl(), node.GetLeader(), node.GetRevision(), cmp.Or(node.GetBuild(), "unknown"),
-				node.GetDialect(), silent.Round(100*time.Millisecond), state)
+				node.GetDialect(), sinceContact.Round(100*time.Millisecond), state)
 		}
 	})
 }
@@ -334,18 +334,18 @@
 	if err != nil {
 		return err
 	}
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetBudgetsRequest]) (*connect.Response[ravenwayv1.GetBudgetsResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetBudgetsRequest]) (*connect.Response[ravenwayv1.GetBudgetsResponse], error) {
 		return c.GetBudgets
 	}, &ravenwayv1.GetBudgetsRequest{Budget: strings.Join(given, "")})
 	if err != nil {
 		return err
 	}
-	if len(given) == 1 && len(answer.GetBudgets()) == 0 {
+	if len(given) == 1 && len(response.GetBudgets()) == 0 {
 		return exitWith(ExitFailed, "budget %q does not exist", given[0])
 	}
-	return s.show(answer, func() {
-		s.table("BUDGET\tTENANT\tLIMIT\tSETTLED\tOF LOST NODES\tOUTSTANDING\tLEFT", func(row func(...any)) {
-			for _, budget := range answer.GetBudgets() {
+	return s.printMessage(response, func() {
+		s.printTable("BUDGET\tTENANT\tLIMIT\tSETTLED\tOF LOST NODES\tOUTSTANDING\tLEFT", func(row func(...any)) {
+			for _, budget := range response.GetBudgets() {
 				lost := budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole()
 				row(budget.GetBudget(), budget.GetTenant(), budget.GetLimit(), budget.GetSettled(), lost, budget.GetOutstanding(),
 					budget.GetLimit()-budget.GetSettled()-budget.GetOutstanding())
@@ -360,10 +360,10 @@
 		return err
 	}
 	id := operationID(command)
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.TopUpBudgetRequest]) (*connect.Response[ravenwayv1.BudgetChangeResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.TopUpBudgetRequest]) (*connect.Response[ravenwayv1.BudgetChangeResponse], error) {
 		return c.TopUpBudget
 	}, &ravenwayv1.TopUpBudgetRequest{OperationId: id, Budget: budget, Tokens: tokens})
-	return s.budgetChanged(id, answer, err)
+	return s.printBudgetChange(id, response, err)
 }
 
 func lowerBudget(ctx context.Context, s *session, command *cli.Command) error {
@@ -372,10 +372,10 @@
 		return err
 	}
 	id := operationID(command)
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.LowerBudgetRequest]) (*connect.Response[ravenwayv1.BudgetChangeResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.LowerBudgetRequest]) (*connect.Response[ravenwayv1.BudgetChangeResponse], error) {
 		return c.LowerBudget
 	}, &ravenwayv1.LowerBudgetRequest{OperationId: id, Budget: budget, Tokens: tokens})
-	return s.budgetChanged(id, answer, err)
+	return s.printBudgetChange(id, response, err)
 }
 
 func budgetArguments(command *cli.Command) (string, uint64, error) {
@@ -390,28 +390,28 @@
 	return given[0], tokens, nil
 }
 
-func (s *session) budgetChanged(id string, answer *ravenwayv1.BudgetChangeResponse, err error) error {
+func (s *session) printBudgetChange(id string, response *ravenwayv1.BudgetChangeResponse, err error) error {
 	if ExitCode(err) == ExitUnknownOutcome {
 		return exitWith(ExitUnknownOutcome, "%w\nrun again with --operation-id %s", err, id)
 	}
 	if err != nil {
 		return err
 	}
-	if answer.GetRefused() != "" {
-		return exitWith(ExitFailed, "refused: %s", answer.GetRefused())
+	if response.GetRefused() != "" {
+		return exitWith(ExitFailed, "refused: %s", response.GetRefused())
 	}
-	return s.show(answer, func() {
-		status := answer.GetStatus()
+	return s.printMessage(response, func() {
+		status := response.GetStatus()
 		fmt.Fprintf(s.out, "budget %s: limit %d, settled %d, outstanding %d (operation %s)\n",
 			status.GetBudget(), status.GetLimit(), status.GetSettled(), status.GetOutstanding(), id)
 	})
 }
 
-// keyBytes is the number of random bytes in a new API key.
-const keyBytes = 24
+// randomKeyBytes is the number of random bytes in a new API key.
+const randomKeyBytes = 24
 
-func makeKey(_ context.Context, s *session, _ *cli.Command) error {
-	secret := make([]byte, keyBytes)
+func generateKey(_ context.Context, s *session, _ *cli.Command) error {
+	secret := make([]byte, randomKeyBytes)
 	_, _ = rand.Read(secret)
 	key := "rw-" + hex.EncodeToString(secret)
 	digest := sha256.Sum256([]byte(key))
@@ -419,8 +419,8 @@
 	return nil
 }
 
-// drainTo returns a command that sets a back end's draining flag and keeps its other fields.
-func drainTo(draining bool) func(context.Context, *session, *cli.Command) error {
+// setDraining returns a command that sets a back end's draining flag and keeps its other fields.
+func setDraining(draining bool) func(context.Context, *session, *cli.Command) error {
 	return func(ctx context.Context, s *session, command *cli.Command) error {
 		given, err := arguments(command, 1, 1)
 		if err != nil {
@@ -435,7 +435,7 @@
 				continue
 			}
 			backend.Draining = draining
-			return s.change(ctx, command, &ravenwayv1.ApplyRequest{
+			return s.applyChange(ctx, command, &ravenwayv1.ApplyRequest{
 				OperationId: operationID(command), BaseRevision: current.GetRevision(),
 				Put: &ravenwayv1.CatalogDocument{Backends: []*ravenwayv1.Backend{backend}},
 			})
@@ -450,7 +450,7 @@
 	"change-role":  ravenwayv1.OrderKind_ORDER_KIND_CHANGE_ROLE,
 }
 
-func order(ctx context.Context, s *session, command *cli.Command) error {
+func sendOrder(ctx context.Context, s *session, command *cli.Command) error {
 	given, err := arguments(command, 3, 4)
 	if err != nil {
 		return err
@@ -463,31 +463,31 @@
 	if len(given) == 4 {
 		request.Version = given[3]
 	}
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.OrderRequest]) (*connect.Response[ravenwayv1.OrderResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.OrderRequest]) (*connect.Response[ravenwayv1.OrderResponse], error) {
 		return c.Order
 	}, request)
 	if err != nil {
 		return err
 	}
-	if answer.GetRefused() != "" {
-		return exitWith(ExitFailed, "refused: %s", answer.GetRefused())
+	if response.GetRefused() != "" {
+		return exitWith(ExitFailed, "refused: %s", response.GetRefused())
 	}
-	return s.show(answer, func() {
-		fmt.Fprintf(s.out, "order %d to %s is %s (operation %s)\n", answer.GetStatus().GetFence(), given[0], answer.GetStatus().GetState(), request.GetOperationId())
+	return s.printMessage(response, func() {
+		fmt.Fprintf(s.out, "order %d to %s is %s (operation %s)\n", response.GetStatus().GetFence(), given[0], response.GetStatus().GetState(), request.GetOperationId())
 	})
 }
 
 func getOrders(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetOrdersRequest]) (*connect.Response[ravenwayv1.GetOrdersResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetOrdersRequest]) (*connect.Response[ravenwayv1.GetOrdersResponse], error) {
 		return c.GetOrders
 	}, &ravenwayv1.GetOrdersRequest{})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() {
-		s.table("FENCE\tBACKEND\tKIND\tTARGET\tVERSION\tSTATE\tDETAIL", func(row func(...any)) {
-			for _, one := range answer.GetOrders() {
-				row(one.GetFence(), one.GetBackend(), one.GetKind(), one.GetTarget(), one.GetVersion(), one.GetState(), one.GetDetail())
+	return s.printMessage(response, func() {
+		s.printTable("FENCE\tBACKEND\tKIND\tTARGET\tVERSION\tSTATE\tDETAIL", func(row func(...any)) {
+			for _, entry := range response.GetOrders() {
+				row(entry.GetFence(), entry.GetBackend(), entry.GetKind(), entry.GetTarget(), entry.GetVersion(), entry.GetState(), entry.GetDetail())
 			}
 		})
 	})
@@ -505,26 +505,26 @@
 		}
 		return explainFromLogs(s.out, lines, given[0])
 	}
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.ExplainRequest]) (*connect.Response[ravenwayv1.ExplainResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.ExplainRequest]) (*connect.Response[ravenwayv1.ExplainResponse], error) {
 		return c.Explain
 	}, &ravenwayv1.ExplainRequest{RequestId: given[0]})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() {
-		fmt.Fprintf(s.out, "node %s decided:\n", answer.GetNode())
-		for _, line := range answer.GetDecisions() {
+	return s.printMessage(response, func() {
+		fmt.Fprintf(s.out, "node %s decided:\n", response.GetNode())
+		for _, line := range response.GetDecisions() {
 			fmt.Fprintln(s.out, "  "+line)
 		}
 	})
 }
 
 func snapshot(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.SnapshotRequest]) (*connect.Response[ravenwayv1.SnapshotResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.SnapshotRequest]) (*connect.Response[ravenwayv1.SnapshotResponse], error) {
 		return c.Snapshot
 	}, &ravenwayv1.SnapshotRequest{})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() { fmt.Fprintf(s.out, "snapshot at entry %d\n", answer.GetIndex()) })
+	return s.printMessage(response, func() { fmt.Fprintf(s.out, "snapshot at entry %d\n", response.GetIndex()) })
 }
--- a/internal/operatorcli/logs.go
+++ b/internal/operatorcli/logs.go
@@ -27,17 +27,17 @@
 // explainFromLogs writes a request's own lines and, marked with "~", the lines around them that may
 // explain them.
 func explainFromLogs(out io.Writer, lines []logs.Line, request string) error {
-	var own []logs.Line
+	var requestLines []logs.Line
 	for _, line := range lines {
 		if line.Fields["request"] == request {
-			own = append(own, line)
+			requestLines = append(requestLines, line)
 		}
 	}
-	if len(own) == 0 {
+	if len(requestLines) == 0 {
 		return errNotInLogs
 	}
-	related := relatedWords(own)
-	first, last := own[0].At, own[len(own)-1].At
+	names := relatedNames(requestLines)
+	first, last := requestLines[0].At, requestLines[len(requestLines)-1].At
 	shown := 0
 	for _, line := range lines {
 		switch {
@@ -45,32 +45,32 @@
 			fmt.Fprintln(out, "  "+line.Text)
 			shown++
 		case line.At.Before(first.Add(-contextWindow)) || line.At.After(last.Add(contextWindow)):
-		case slices.Contains(contextEvents, line.Fields["event"]) && isRelated(line, related):
+		case slices.Contains(contextEvents, line.Fields["event"]) && isRelated(line, names):
 			fmt.Fprintln(out, "~ "+line.Text)
 			shown++
 		}
 	}
-	end := own[len(own)-1].Fields
-	fmt.Fprintf(out, "%d lines; it ended with event=%s status=%s reason=%s\n", shown, end["event"], end["status"], end["reason"])
+	lastFields := requestLines[len(requestLines)-1].Fields
+	fmt.Fprintf(out, "%d lines; it ended with event=%s status=%s reason=%s\n", shown, lastFields["event"], lastFields["status"], lastFields["reason"])
 	return nil
 }
 
-// relatedWords returns the names in a request's own lines: of its node, tenant and instances.
-func relatedWords(own []logs.Line) []string {
-	var words []string
-	for _, line := range own {
+// relatedNames returns the names in a request's own lines: of its node, tenant and instances.
+func relatedNames(requestLines []logs.Line) []string {
+	var names []string
+	for _, line := range requestLines {
 		for _, key := range []string{"node", "tenant", "instance", "after"} {
-			if value := line.Fields[key]; value != "" && !slices.Contains(words, value) {
-				words = append(words, value)
+			if value := line.Fields[key]; value != "" && !slices.Contains(names, value) {
+				names = append(names, value)
 			}
 		}
 	}
-	return words
+	return names
 }
 
-func isRelated(line logs.Line, words []string) bool {
+func isRelated(line logs.Line, names []string) bool {
 	for _, key := range []string{"node", "tenant", "instance", "peer"} {
-		if slices.Contains(words, line.Fields[key]) {
+		if slices.Contains(names, line.Fields[key]) {
 			return true
 		}
 	}
--- a/internal/operatorcli/logs_test.go
+++ b/internal/operatorcli/logs_test.go
@@ -19,7 +19,7 @@
 time=2026-06-20T19:09:43Z level=info node=front-a-1 event=stopping
 no line of ours`
 
-func TestRequestIsExplainedFromLogsWithWhatMayHaveCausedIt(t *testing.T) {
+func TestExplainFromLogsShowsTheRequestsLinesAndRelatedOnes(t *testing.T) {
 	var lines []logs.Line
 	for text := range strings.Lines(sampleLog) {
 		if line, valid := logs.Parse(text); valid {
--- a/internal/operatorcli/pauses.go
+++ b/internal/operatorcli/pauses.go
@@ -12,21 +12,21 @@
 
 // getPauses lists the instances that requested a pause from a node, and those that are leaving.
 func getPauses(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetPausesRequest]) (*connect.Response[ravenwayv1.GetPausesResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetPausesRequest]) (*connect.Response[ravenwayv1.GetPausesResponse], error) {
 		return c.GetPauses
 	}, &ravenwayv1.GetPausesRequest{})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() { s.sayPauses(answer) })
+	return s.printMessage(response, func() { s.printPauses(response) })
 }
 
-func (s *session) sayPauses(answer *ravenwayv1.GetPausesResponse) {
-	s.table("INSTANCE\tSERVICE\tZONE\tPHASE\tASKED\tLEFT\tANSWERS\tIN FLIGHT\tFIRST REQUEST", func(row func(...any)) {
-		for _, one := range answer.GetPauses() {
-			asked := time.Duration(one.GetAskedMilliseconds()) * time.Millisecond
-			left := time.Duration(one.GetLeftMilliseconds()) * time.Millisecond
-			row(one.GetInstance(), one.GetService(), one.GetZone(), one.GetPhase(), asked, left, one.GetAnswers(), one.GetInFlight(), one.GetRequest())
+func (s *session) printPauses(response *ravenwayv1.GetPausesResponse) {
+	s.printTable("INSTANCE\tSERVICE\tZONE\tPHASE\tASKED\tLEFT\tANSWERS\tIN FLIGHT\tFIRST REQUEST", func(row func(...any)) {
+		for _, pause := range response.GetPauses() {
+			requested := time.Duration(pause.GetAskedMilliseconds()) * time.Millisecond
+			remaining := time.Duration(pause.GetLeftMilliseconds()) * time.Millisecond
+			row(pause.GetInstance(), pause.GetService(), pause.GetZone(), pause.GetPhase(), requested, remaining, pause.GetAnswers(), pause.GetInFlight(), pause.GetRequest())
 		}
 	})
 }
--- a/internal/operatorcli/quarantine.go
+++ b/internal/operatorcli/quarantine.go
@@ -14,28 +14,28 @@
 
 // getQuarantine lists the requests that were in flight at engines when they crashed.
 func getQuarantine(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetQuarantineRequest]) (*connect.Response[ravenwayv1.GetQuarantineResponse], error) {
+	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetQuarantineRequest]) (*connect.Response[ravenwayv1.GetQuarantineResponse], error) {
 		return c.GetQuarantine
 	}, &ravenwayv1.GetQuarantineRequest{})
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() { s.sayQuarantine(answer) })
+	return s.printMessage(response, func() { s.printQuarantine(response) })
 }
 
-func (s *session) sayQuarantine(answer *ravenwayv1.GetQuarantineResponse) {
-	s.table("FINGERPRINT\tSTANDING\tCOUNTED\tROUTE\tTENANT\tENDS", func(row func(...any)) {
-		for _, one := range answer.GetRequests() {
-			standing := "held"
-			if one.GetQuarantined() {
-				standing = "quarantined"
+func (s *session) printQuarantine(response *ravenwayv1.GetQuarantineResponse) {
+	s.printTable("FINGERPRINT\tSTANDING\tCOUNTED\tROUTE\tTENANT\tENDS", func(row func(...any)) {
+		for _, entry := range response.GetRequests() {
+			status := "held"
+			if entry.GetQuarantined() {
+				status = "quarantined"
 			}
-			var ends []string
-			for _, end := range one.GetEnds() {
-				age := time.Duration(end.GetAgeMilliseconds()) * time.Millisecond
-				ends = append(ends, fmt.Sprintf("%s (%s, %s ago)", end.GetEngine(), end.GetSuspicion(), age.Round(time.Second)))
+			var crashes []string
+			for _, crash := range entry.GetEnds() {
+				age := time.Duration(crash.GetAgeMilliseconds()) * time.Millisecond
+				crashes = append(crashes, fmt.Sprintf("%s (%s, %s ago)", crash.GetEngine(), crash.GetSuspicion(), age.Round(time.Second)))
 			}
-			row(one.GetFingerprint(), standing, one.GetCountedEnds(), one.GetRoute(), one.GetTenant(), strings.Join(ends, ", "))
+			row(entry.GetFingerprint(), status, entry.GetCountedEnds(), entry.GetRoute(), entry.GetTenant(), strings.Join(crashes, ", "))
 		}
 	})
 }
--- a/internal/operatorcli/rollouts.go
+++ b/internal/operatorcli/rollouts.go
@@ -36,21 +36,21 @@
 
 // listRollouts shows the rollouts that are in effect on the responding node.
 func listRollouts(ctx context.Context, s *session, _ *cli.Command) error {
-	answer, err := s.status(ctx)
+	response, err := s.status(ctx)
 	if err != nil {
 		return err
 	}
-	return s.show(answer, func() { s.sayRollouts(answer) })
+	return s.printMessage(response, func() { s.printRollouts(response) })
 }
 
-func (s *session) sayRollouts(answer *ravenwayv1.GetStatusResponse) {
-	if len(answer.GetRollouts()) == 0 {
+func (s *session) printRollouts(response *ravenwayv1.GetStatusResponse) {
+	if len(response.GetRollouts()) == 0 {
 		return
 	}
-	s.table("SERVICE\tVERSION\tSTAGE\tWITHIN\tORDER\tREASON", func(row func(...any)) {
-		for _, one := range answer.GetRollouts() {
-			within := time.Duration(one.GetDurationMilliseconds()) * time.Millisecond
-			row(one.GetService(), one.GetVersion(), one.GetStage(), within, one.GetRevision(), one.GetReason())
+	s.printTable("SERVICE\tVERSION\tSTAGE\tWITHIN\tORDER\tREASON", func(row func(...any)) {
+		for _, rollout := range response.GetRollouts() {
+			duration := time.Duration(rollout.GetDurationMilliseconds()) * time.Millisecond
+			row(rollout.GetService(), rollout.GetVersion(), rollout.GetStage(), duration, rollout.GetRevision(), rollout.GetReason())
 		}
 	})
 }
--- a/internal/operatorcli/zones.go
+++ b/internal/operatorcli/zones.go
@@ -10,16 +10,16 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// orderZone returns a command that evacuates or restores a zone. It needs no operation id, since a
-// repeated order changes nothing.
-func orderZone(evacuated bool) func(context.Context, *session, *cli.Command) error {
+// setEvacuated returns a command that evacuates or restores a zone. It needs no operation id, since
+// a repeated order changes nothing.
+func setEvacuated(evacuated bool) func(context.Context, *session, *cli.Command) error {
 	return func(ctx context.Context, s *session, command *cli.Command) error {
 		given, err := arguments(command, 1, 1)
 		if err != nil {
 			return err
 		}
 		request := &ravenwayv1.OrderZoneRequest{Zone: given[0], Evacuated: evacuated}
-		answer, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.OrderZoneRequest]) (*connect.Response[ravenwayv1.OrderZoneResponse], error) {
+		response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.OrderZoneRequest]) (*connect.Response[ravenwayv1.OrderZoneResponse], error) {
 			return c.OrderZone
 		}, request)
 		if ExitCode(err) == ExitUnknownOutcome {
@@ -28,14 +28,14 @@
 		if err != nil {
 			return err
 		}
-		if err := s.show(answer, func() { s.sayZones(answer) }); err != nil || !command.Bool("wait") {
+		if err := s.printMessage(response, func() { s.printZones(response) }); err != nil || !command.Bool("wait") {
 			return err
 		}
-		return s.waitInForce(ctx, "revision of the zones", answer.GetEvacuationRevision(), command.Duration("wait-timeout"),
+		return s.waitUntilInEffect(ctx, "revision of the zones", response.GetEvacuationRevision(), command.Duration("wait-timeout"),
 			(*ravenwayv1.NodeStatus).GetEvacuationRevision)
 	}
 }
 
-func (s *session) sayZones(answer *ravenwayv1.OrderZoneResponse) {
-	fmt.Fprintf(s.out, "evacuated zones: %s (revision %d)\n", orNone(answer.GetEvacuatedZones()), answer.GetEvacuationRevision())
+func (s *session) printZones(response *ravenwayv1.OrderZoneResponse) {
+	fmt.Fprintf(s.out, "evacuated zones: %s (revision %d)\n", orNone(response.GetEvacuatedZones()), response.GetEvacuationRevision())
 }
