--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -1,4 +1,4 @@
-// Package logs reads the lines that ravenway's processes write.
+// Package logs parses the log lines that ravenway's processes write.
 package logs
 
 import (
@@ -17,18 +17,18 @@
 type Line struct {
 	At     time.Time
 	Fields map[string]string
-	// Text is the line as it was read.
+	// Text is the unparsed line without surrounding white space.
 	Text string
 }
 
-// Number returns a field as a number, and whether it is one.
+// Number returns a field as a whole number and reports whether it is one.
 func (l Line) Number(field string) (int64, bool) {
 	number, err := strconv.ParseInt(l.Fields[field], 10, 64)
 	return number, err == nil
 }
 
-// Parse reads key=value pairs; words before the first pair, such as a
-// collector's own time and name, are passed over.
+// Parse parses a line of key=value pairs and reports whether it has a time and an event. Text before
+// the first pair, such as a log collector's own time and name, is skipped.
 func Parse(text string) (Line, bool) {
 	line := Line{Fields: map[string]string{}, Text: strings.TrimSpace(text)}
 	rest := line.Text
@@ -48,7 +48,7 @@
 	return line, err == nil && line.Fields["event"] != ""
 }
 
-// cutValue takes a bare word or a quoted text off the front.
+// cutValue splits an unquoted word or a quoted string off the start of a text.
 func cutValue(text string) (value, rest string) {
 	if quoted, err := strconv.QuotedPrefix(text); err == nil {
 		value, _ = strconv.Unquote(quoted)
@@ -58,18 +58,17 @@
 	return value, rest
 }
 
-// InOrder returns the lines in the order of their times. It is an error if there
-// are none.
+// InOrder returns the lines sorted by time. It returns an error if there are none.
 func InOrder(lines []Line) ([]Line, error) {
 	if len(lines) == 0 {
-		return nil, errors.New("the logs hold no line with a time and an event")
+		return nil, errors.New("the logs contain no line with a time and an event")
 	}
 	sorted := slices.Clone(lines)
 	slices.SortStableFunc(sorted, func(a, b Line) int { return a.At.Compare(b.At) })
 	return sorted, nil
 }
 
-// Read reads all lines of the files; "-" is the standard input.
+// Read reads the valid lines of all files; "-" is the standard input.
 func Read(paths []string) ([]Line, error) {
 	var lines []Line
 	for _, path := range paths {
