--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -1,5 +1,5 @@
-// Package duty runs goroutines that own their state and take work through one
-// bounded ring.
+// Package duty runs goroutines that own their state. Each one receives its work through one bounded
+// queue, its mailbox.
 package duty
 
 import (
@@ -11,40 +11,40 @@
 )
 
 const (
-	// ringCapacity bounds the work waiting for a duty.
+	// ringCapacity is the maximum number of work items that wait for a duty.
 	ringCapacity = 8192
-	// maximumBatch bounds the work done between two flushes.
+	// maximumBatch is the maximum number of further work items that are executed before a flush.
 	maximumBatch = 512
 )
 
-// Duty is one goroutine that owns its state. Work comes through one bounded
-// ring: requests push back on their sender, messages of peers are dropped when
-// it is full, since the protocols treat the network as lossy.
+// Duty is one goroutine with a mailbox and a tick that owns its state. When the mailbox is full, Do
+// blocks the sender of a request, and Offer drops a peer's message, since the protocols treat the
+// network as lossy.
 type Duty struct {
 	ring *ring.Ring[func()]
 	// interval is the time between ticks.
 	interval time.Duration
-	// Tick runs at each interval, Flush after each batch of work and each tick.
+	// Tick runs at each interval. Flush runs after each batch of work and each tick.
 	Tick  func()
 	Flush func()
 }
 
-// New makes a duty; Run starts it.
+// New returns a duty, which Run starts. The name labels the metric of dropped work items.
 func New(name string, interval time.Duration) *Duty {
 	return &Duty{ring: ring.New[func()](name, ringCapacity), interval: interval}
 }
 
-// Do hands work to the duty and waits for room, not for the work.
+// Do queues work for the duty. It waits until the queue has space, but not until the work is done.
 func (d *Duty) Do(ctx context.Context, work func()) error {
 	return d.ring.Push(ctx, work)
 }
 
-// Offer hands a peer's message to the duty, or drops it.
+// Offer queues the handling of a peer's message, or drops it if the queue is full.
 func (d *Duty) Offer(work func()) {
 	d.ring.Offer(work)
 }
 
-// Run does the work until the context ends.
+// Run executes queued work and ticks until the context ends.
 func (d *Duty) Run(ctx context.Context) {
 	ticks := pause.Ticks(ctx, d.interval)
 	for {
@@ -61,7 +61,7 @@
 	}
 }
 
-// drain does what else is waiting, so that one flush serves all of it.
+// drain executes up to maximumBatch waiting work items, so that one flush serves all of them.
 func (d *Duty) drain() {
 	for range maximumBatch {
 		select {
@@ -73,7 +73,7 @@
 	}
 }
 
-// Ask hands work to a duty and waits for its answer.
+// Ask runs a function on the duty's goroutine and waits for its result.
 func Ask[T any](ctx context.Context, owner *Duty, work func(answer func(T))) (T, error) {
 	answers := make(chan T, 1)
 	var none T
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Ticks that fell due while many duties were at work brought the race detector down in
-// virtual time.
+// Guards against a crash of the race detector in virtual time: it came about when ticks fell due
+// while many duties were busy.
 func TestDutiesAtWorkWhenTheirTicksFallDueRunInVirtualTime(t *testing.T) {
 	const (
 		duties   = 200
