--- a/internal/ring/growing.go
+++ b/internal/ring/growing.go
@@ -7,22 +7,21 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Growing is a bounded queue with one reader that takes memory only for what
-// waits in it. It is for queues of which a process has many that are nearly
-// always empty: a Ring of 4,096 items takes its whole size from the start, and
-// the garbage collector reads all of it each time.
+// Growing is a bounded queue with one reader that uses memory only for the waiting items. It is for
+// queues that are numerous and nearly always empty: a Ring of 4,096 items allocates its full size
+// from the start, and the garbage collector scans all of it in each cycle.
 type Growing[T any] struct {
 	capacity int
 	dropped  *metrics.Counter
 	ready    chan struct{}
 
 	mutex sync.Mutex
-	// items wait from the place first on.
+	// items[first:] are the waiting items.
 	items []T
 	first int
 }
 
-// NewGrowing makes a queue. Its name labels the counter of dropped items.
+// NewGrowing returns a queue. Its name labels the counter of dropped items.
 func NewGrowing[T any](name string, capacity int) *Growing[T] {
 	return &Growing[T]{
 		capacity: capacity, ready: make(chan struct{}, 1),
@@ -30,7 +29,7 @@
 	}
 }
 
-// Displace adds an item and drops the oldest one if there is no room.
+// Displace adds an item and drops the oldest one if the queue is full.
 func (g *Growing[T]) Displace(item T) {
 	g.mutex.Lock()
 	if len(g.items)-g.first >= g.capacity {
@@ -52,8 +51,8 @@
 	g.dropped.Inc()
 }
 
-// makeRoom moves the items to the front once half of the slice is behind them,
-// so that it grows with what waits and not with what has passed.
+// makeRoom moves the items to the front of the slice once half of it holds items that were already
+// removed, so that its size depends on the waiting items and not on the total number of items.
 func (g *Growing[T]) makeRoom() {
 	if len(g.items) < cap(g.items) || g.first*2 < len(g.items) {
 		return
@@ -63,17 +62,17 @@
 	g.items, g.first = g.items[:waiting], 0
 }
 
-// Ready receives when an item may be waiting. The reader then takes items until
-// there is none.
+// Ready returns a channel that receives a value when items can be waiting. The reader then calls
+// Take until it returns false.
 func (g *Growing[T]) Ready() <-chan struct{} { return g.ready }
 
-// Take takes the oldest item, or returns false.
+// Take removes and returns the oldest item. It returns false if the queue is empty.
 func (g *Growing[T]) Take() (T, bool) {
 	var none T
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.first == len(g.items) {
-		// What a burst needed is not kept for the next one.
+		// Release the memory of a burst; it is not kept for the next one.
 		g.items, g.first = nil, 0
 		return none, false
 	}
--- a/internal/ring/growing_test.go
+++ b/internal/ring/growing_test.go
@@ -21,8 +21,8 @@
 	assert.Assert(t, !found)
 }
 
-// An item that comes between the last Take and the wait for Ready must wake the
-// reader.
+// Guards against a lost wake-up: an item that is added between the reader's last Take and its wait
+// for Ready must wake the reader.
 func TestGrowingWakesItsReaderForEachItem(t *testing.T) {
 	queue := NewGrowing[int]("test_growing", 8)
 	const items = 10000
@@ -58,7 +58,7 @@
 		queue.Take()
 		queue.Take()
 	}
-	assert.Assert(t, cap(queue.items) < 400, "%d places for 100 items", cap(queue.items))
+	assert.Assert(t, cap(queue.items) < 400, "capacity is %d for 100 waiting items", cap(queue.items))
 	for _, found := queue.Take(); found; _, found = queue.Take() {
 	}
 	assert.Equal(t, cap(queue.items), 0)
--- a/internal/ring/ring.go
+++ b/internal/ring/ring.go
@@ -1,6 +1,6 @@
-// Package ring provides the bounded queues that join a daemon's duties. Each
-// full ring has a named policy: push back on the sender (Push), refuse (Offer),
-// or drop the oldest of what is only a hint (Displace). Drops are counted.
+// Package ring provides the bounded queues that connect a daemon's duties. The method that adds an
+// item names the policy for a full queue: Push blocks the sender, Offer refuses the item, and
+// Displace drops the oldest item, for items that are only hints. Dropped items are counted.
 package ring
 
 import (
@@ -16,7 +16,7 @@
 	dropped *metrics.Counter
 }
 
-// New makes a ring. Its name labels the counter of dropped items.
+// New returns a ring. Its name labels the counter of dropped items.
 func New[T any](name string, capacity int) *Ring[T] {
 	return &Ring[T]{
 		items:   make(chan T, capacity),
@@ -24,7 +24,7 @@
 	}
 }
 
-// Push waits until there is room.
+// Push adds an item; it waits until the ring has space or the context ends.
 func (r *Ring[T]) Push(ctx context.Context, item T) error {
 	select {
 	case r.items <- item:
@@ -50,7 +50,7 @@
 	}
 }
 
-// Displace adds an item and drops the oldest ones to make room.
+// Displace adds an item and drops the oldest ones to free space.
 func (r *Ring[T]) Displace(item T) {
 	for {
 		select {
@@ -66,8 +66,8 @@
 	}
 }
 
-// Out is the reader's end.
+// Out returns the channel from which the reader receives items.
 func (r *Ring[T]) Out() <-chan T { return r.items }
 
-// Length is the number of waiting items.
+// Length returns the number of waiting items.
 func (r *Ring[T]) Length() int { return len(r.items) }
