--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time or for the end of a context.
+// Package pause provides waits and ticks that end with a context.
 package pause
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for a duration. It returns false as soon as the context ends.
+// For waits for a duration. It returns false immediately when the context ends.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
@@ -21,11 +21,11 @@
 	}
 }
 
-// Ticks sends at each interval until the context ends. A tick that comes while the one
-// before it waits is dropped.
+// Ticks returns a channel that receives a value at each interval until the context ends. A tick is
+// dropped if the one before it has not been read.
 //
-// A goroutine of its own reads the ticker: in a testing/synctest bubble, tickers that fall
-// due unread bring the race detector down.
+// A separate goroutine reads the ticker: in a testing/synctest bubble, tickers that fall due while
+// no goroutine reads them crash the race detector.
 func Ticks(ctx context.Context, interval time.Duration) <-chan struct{} {
 	ticks := make(chan struct{}, 1)
 	go func() {
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// No timer is made for no time: in a whole fleet's virtual time one that had fired as it
-// was made brought the test's process down now and then.
+// For must create no timer for a duration of 0: in simulations of a whole fleet in virtual time,
+// timers that fired on creation occasionally crashed the test process.
 func TestPauseForNoTimeIsOverAtOnceUnlessTheContextHasEnded(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	assert.Assert(t, For(ctx, 0))
