--- a/internal/pairhash/pairhash.go
+++ b/internal/pairhash/pairhash.go
@@ -1,10 +1,10 @@
-// Package pairhash hashes two strings together. Rendezvous hashing weighs names with it, and
-// requests are told apart by it; nodes of all builds must come to the same values.
+// Package pairhash hashes pairs of strings. Rendezvous hashing computes the weights of names with it,
+// and it identifies requests. Nodes of all builds must compute the same values.
 package pairhash
 
 import "github.com/cespare/xxhash/v2"
 
-// Of is the hash of two strings with a zero byte between them.
+// Of returns the 64-bit xxHash of two strings with a zero byte between them.
 func Of(first, second string) uint64 {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(first)
