--- a/cmd/ravenway-lab/main.go
+++ b/cmd/ravenway-lab/main.go
@@ -1,5 +1,5 @@
-// Command ravenway-lab holds the stand-ins and the experiments. Production
-// never needs it.
+// Command ravenway-lab runs the emulators of external systems and the experiments. It is not used in
+// production.
 package main
 
 import (
--- a/cmd/ravenway/main.go
+++ b/cmd/ravenway/main.go
@@ -1,5 +1,4 @@
-// Command ravenway is the operators' command line: a thin client of the schema
-// in api/ravenway/v1.
+// Command ravenway is the operators' command line: a thin client of the API in api/ravenway/v1.
 package main
 
 import (
--- a/cmd/ravenwayd/main.go
+++ b/cmd/ravenwayd/main.go
@@ -1,4 +1,4 @@
-// Command ravenwayd is the daemon: an entry node, a control node, or both.
+// Command ravenwayd is the daemon. It runs an entry node, a control node, or both.
 package main
 
 import (
@@ -36,14 +36,14 @@
 				},
 			},
 			{
-				Name: "version", Usage: "tell which build this is",
+				Name: "version", Usage: "print the build's commit, Go version and protocol version",
 				Action: func(context.Context, *cli.Command) error {
 					fmt.Println(daemon.ReadBuild())
 					return nil
 				},
 			},
 			{
-				Name: "check", Usage: "check a settings file and report everything wrong with it", ArgsUsage: "SETTINGS",
+				Name: "check", Usage: "check a settings file and report all errors in it", ArgsUsage: "SETTINGS",
 				Action: func(_ context.Context, command *cli.Command) error {
 					path, err := settingsPath(command)
 					if err != nil {
@@ -62,7 +62,7 @@
 
 func settingsPath(command *cli.Command) (string, error) {
 	if command.Args().Len() != 1 {
-		return "", fmt.Errorf("%s needs one argument: the settings file", command.Name)
+		return "", fmt.Errorf("%s requires one argument: the settings file", command.Name)
 	}
 	return command.Args().First(), nil
 }
