--- a/internal/clocks_test.go
+++ b/internal/clocks_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-// clockReaders are the functions of package time that read a clock or wait for one.
+// clockReaders are the functions of package time that read a clock or wait for time to pass.
 var clockReaders = map[string]bool{
 	"Now": true, "Since": true, "Until": true, "Sleep": true, "After": true, "AfterFunc": true, "Tick": true, "NewTimer": true, "NewTicker": true,
 }
 
-// Coordination and state are told the time: whoever looks for what a machine that stood still
-// believes about time has to read the layers that drive them only.
+// Coordination and state get the time from their callers. Errors about time after a machine was
+// suspended can therefore come only from the layers that call them.
 func TestCoordinationAndStateReadNoClock(t *testing.T) {
 	eachSource(t, []string{"coordination", "state"}, 0, func(files *token.FileSet, _ string, parsed *ast.File) {
 		ast.Inspect(parsed, func(node ast.Node) bool {
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -1,4 +1,4 @@
-// Package internal_test holds the import directions between the layers.
+// Package internal_test checks the import directions between the layers.
 package internal_test
 
 import (
@@ -15,7 +15,7 @@
 
 const module = "github.com/ravenway/ravenway/"
 
-// allowed lists, for each layer, the parts of the module that it may import.
+// allowed lists, for each layer, the path prefixes within the module that it can import.
 var allowed = map[string][]string{
 	"state":        {"api/", "internal/state"},
 	"protocol":     {"api/", "internal/protocol", "internal/state"},
@@ -36,7 +36,8 @@
 	"lab":          {"api/", "internal/"},
 }
 
-// forbidden packages would reach the network or start processes.
+// forbidden lists, for each layer, standard library packages that it can't import: they access the
+// operating system or the network or start processes.
 var forbidden = map[string][]string{
 	"state":        {"net", "net/http", "os/exec"},
 	"coordination": {"net", "net/http", "os", "os/exec"},
@@ -51,14 +52,15 @@
 	eachSource(t, []string{"."}, parser.ImportsOnly, func(_ *token.FileSet, path string, parsed *ast.File) {
 		layer, _, _ := strings.Cut(filepath.ToSlash(path), "/")
 		permitted, known := allowed[layer]
-		assert.Assert(t, known, "%s is in no known layer", path)
+		assert.Assert(t, known, "%s belongs to no known layer", path)
 		for _, imported := range parsed.Imports {
 			checkImport(t, path, layer, strings.Trim(imported.Path.Value, `"`), permitted)
 		}
 	})
 }
 
-// eachSource reads the Go files below some folders, but for tests. There are more than 50.
+// eachSource parses the Go files below the root folders, except tests. It fails if there are 50 or
+// fewer, which indicates that files were missed.
 func eachSource(t *testing.T, roots []string, mode parser.Mode, read func(files *token.FileSet, path string, parsed *ast.File)) {
 	t.Helper()
 	files := token.NewFileSet()
@@ -76,7 +78,7 @@
 		})
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, seen > 50, "only %d files were read", seen)
+	assert.Assert(t, seen > 50, "only %d files were parsed", seen)
 }
 
 func checkImport(t *testing.T, path, layer, imported string, permitted []string) {
@@ -93,5 +95,5 @@
 			return
 		}
 	}
-	t.Errorf("%s imports %s, which layer %q may not", path, inside, layer)
+	t.Errorf("%s imports %s, which layer %q can't import", path, inside, layer)
 }
