--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -31,16 +31,16 @@
 // the first pair, such as a log collector's own time and name, is skipped.
 func Parse(text string) (Line, bool) {
 	line := Line{Fields: map[string]string{}, Text: strings.TrimSpace(text)}
-	rest := line.Text
-	for rest != "" {
-		key, value, found := strings.Cut(rest, "=")
+	remaining := line.Text
+	for remaining != "" {
+		key, value, found := strings.Cut(remaining, "=")
 		if !found {
 			break
 		}
 		if space := strings.LastIndexByte(key, ' '); space >= 0 {
 			key = key[space+1:]
 		}
-		value, rest = cutValue(value)
+		value, remaining = cutValue(value)
 		line.Fields[key] = value
 	}
 	at, err := time.Parse(time.RFC3339, line.Fields["time"])
@@ -49,13 +49,13 @@
 }
 
 // cutValue splits an unquoted word or a quoted string off the start of a text.
-func cutValue(text string) (value, rest string) {
+func cutValue(text string) (value, remaining string) {
 	if quoted, err := strconv.QuotedPrefix(text); err == nil {
 		value, _ = strconv.Unquote(quoted)
 		return value, strings.TrimPrefix(text[len(quoted):], " ")
 	}
-	value, rest, _ = strings.Cut(text, " ")
-	return value, rest
+	value, remaining, _ = strings.Cut(text, " ")
+	return value, remaining
 }
 
 // InOrder returns the lines sorted by time. It returns an error if there are none.
