--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// ringCapacity is the maximum number of work items that wait for a duty.
-	ringCapacity = 8192
+	// mailboxCapacity is the maximum number of work items that wait for a duty.
+	mailboxCapacity = 8192
 	// maximumBatch is the maximum number of further work items that are executed before a flush.
 	maximumBatch = 512
 )
@@ -21,7 +21,7 @@
 // blocks the sender of a request, and Offer drops a peer's message, since the protocols treat the
 // network as lossy.
 type Duty struct {
-	ring *ring.Ring[func()]
+	mailbox *ring.Ring[func()]
 	// interval is the time between ticks.
 	interval time.Duration
 	// Tick runs at each interval. Flush runs after each batch of work and each tick.
@@ -31,17 +31,17 @@
 
 // New returns a duty, which Run starts. The name labels the metric of dropped work items.
 func New(name string, interval time.Duration) *Duty {
-	return &Duty{ring: ring.New[func()](name, ringCapacity), interval: interval}
+	return &Duty{mailbox: ring.New[func()](name, mailboxCapacity), interval: interval}
 }
 
 // Do queues work for the duty. It waits until the queue has space, but not until the work is done.
 func (d *Duty) Do(ctx context.Context, work func()) error {
-	return d.ring.Push(ctx, work)
+	return d.mailbox.Push(ctx, work)
 }
 
 // Offer queues the handling of a peer's message, or drops it if the queue is full.
 func (d *Duty) Offer(work func()) {
-	d.ring.Offer(work)
+	d.mailbox.Offer(work)
 }
 
 // Run executes queued work and ticks until the context ends.
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case work := <-d.ring.Out():
+		case work := <-d.mailbox.Out():
 			work()
 			d.drain()
 		case <-ticks:
@@ -65,7 +65,7 @@
 func (d *Duty) drain() {
 	for range maximumBatch {
 		select {
-		case work := <-d.ring.Out():
+		case work := <-d.mailbox.Out():
 			work()
 		default:
 			return
@@ -74,16 +74,16 @@
 }
 
 // Ask runs a function on the duty's goroutine and waits for its result.
-func Ask[T any](ctx context.Context, owner *Duty, work func(answer func(T))) (T, error) {
-	answers := make(chan T, 1)
-	var none T
-	if err := owner.Do(ctx, func() { work(func(answer T) { answers <- answer }) }); err != nil {
-		return none, err
+func Ask[T any](ctx context.Context, owner *Duty, work func(result func(T))) (T, error) {
+	results := make(chan T, 1)
+	var zero T
+	if err := owner.Do(ctx, func() { work(func(result T) { results <- result }) }); err != nil {
+		return zero, err
 	}
 	select {
-	case answer := <-answers:
-		return answer, nil
+	case result := <-results:
+		return result, nil
 	case <-ctx.Done():
-		return none, context.Cause(ctx)
+		return zero, context.Cause(ctx)
 	}
 }
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a crash of the race detector in virtual time: it came about when ticks fell due
 // while many duties were busy.
-func TestDutiesAtWorkWhenTheirTicksFallDueRunInVirtualTime(t *testing.T) {
+func TestBusyDutiesRunInVirtualTimeWhenTicksFallDue(t *testing.T) {
 	const (
 		duties   = 200
 		rounds   = 100
@@ -22,13 +22,13 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var running, callers sync.WaitGroup
 		for range duties {
-			one := newDuty(interval, func() {})
-			running.Go(func() { one.Run(ctx) })
+			duty := newDuty(interval, func() {})
+			running.Go(func() { duty.Run(ctx) })
 			callers.Go(func() {
 				for range rounds {
-					_, err := Ask(ctx, one, func(answer func(bool)) {
+					_, err := Ask(ctx, duty, func(result func(bool)) {
 						time.Sleep(interval + interval/2)
-						answer(true)
+						result(true)
 					})
 					assert.Check(t, err)
 				}
@@ -40,14 +40,14 @@
 	})
 }
 
-func TestTicksThatADutyHasNoTimeForAreDropped(t *testing.T) {
+func TestTicksAreDroppedWhileTheDutyIsBusy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		ticks := 0
-		one := newDuty(time.Second, func() { ticks++ })
+		duty := newDuty(time.Second, func() { ticks++ })
 		var running sync.WaitGroup
-		running.Go(func() { one.Run(ctx) })
-		assert.NilError(t, one.Do(ctx, func() { time.Sleep(5500 * time.Millisecond) }))
+		running.Go(func() { duty.Run(ctx) })
+		assert.NilError(t, duty.Do(ctx, func() { time.Sleep(5500 * time.Millisecond) }))
 		time.Sleep(5900 * time.Millisecond)
 		cancel()
 		running.Wait()
@@ -56,7 +56,7 @@
 }
 
 func newDuty(interval time.Duration, tick func()) *Duty {
-	one := New("test", interval)
-	one.Tick, one.Flush = tick, func() {}
-	return one
+	duty := New("test", interval)
+	duty.Tick, duty.Flush = tick, func() {}
+	return duty
 }
