--- a/internal/ring/growing.go
+++ b/internal/ring/growing.go
@@ -33,9 +33,9 @@
 func (g *Growing[T]) Displace(item T) {
 	g.mutex.Lock()
 	if len(g.items)-g.first >= g.capacity {
-		g.drop()
+		g.dropOldest()
 	}
-	g.makeRoom()
+	g.compact()
 	g.items = append(g.items, item)
 	g.mutex.Unlock()
 	select {
@@ -44,16 +44,16 @@
 	}
 }
 
-func (g *Growing[T]) drop() {
-	var none T
-	g.items[g.first] = none
+func (g *Growing[T]) dropOldest() {
+	var zero T
+	g.items[g.first] = zero
 	g.first++
 	g.dropped.Inc()
 }
 
-// makeRoom moves the items to the front of the slice once half of it holds items that were already
+// compact moves the items to the front of the slice once half of it holds items that were already
 // removed, so that its size depends on the waiting items and not on the total number of items.
-func (g *Growing[T]) makeRoom() {
+func (g *Growing[T]) compact() {
 	if len(g.items) < cap(g.items) || g.first*2 < len(g.items) {
 		return
 	}
@@ -68,16 +68,16 @@
 
 // Take removes and returns the oldest item. It returns false if the queue is empty.
 func (g *Growing[T]) Take() (T, bool) {
-	var none T
+	var zero T
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	if g.first == len(g.items) {
 		// Release the memory of a burst; it is not kept for the next one.
 		g.items, g.first = nil, 0
-		return none, false
+		return zero, false
 	}
 	item := g.items[g.first]
-	g.items[g.first] = none
+	g.items[g.first] = zero
 	g.first++
 	return item, true
 }
