--- a/internal/bounded/set_test.go
+++ b/internal/bounded/set_test.go
@@ -6,7 +6,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func TestSetTakesEachKeyOnceWhileThereIsRoom(t *testing.T) {
+func TestSetAddsEachKeyOnceUntilItIsFull(t *testing.T) {
 	set := NewSet[string](2)
 	assert.Assert(t, set.Add("a"))
 	assert.Assert(t, !set.Add("a"))
