--- a/internal/clocks_test.go
+++ b/internal/clocks_test.go
@@ -14,7 +14,7 @@
 // Coordination and state get the time from their callers. Errors about time after a machine was
 // suspended can therefore come only from the layers that call them.
 func TestCoordinationAndStateReadNoClock(t *testing.T) {
-	eachSource(t, []string{"coordination", "state"}, 0, func(files *token.FileSet, _ string, parsed *ast.File) {
+	visitSources(t, []string{"coordination", "state"}, 0, func(files *token.FileSet, _ string, parsed *ast.File) {
 		ast.Inspect(parsed, func(node ast.Node) bool {
 			if selector, isSelector := node.(*ast.SelectorExpr); isSelector && readsClock(selector) {
 				t.Errorf("%s reads a clock: time.%s", files.Position(selector.Pos()), selector.Sel.Name)
@@ -25,6 +25,6 @@
 }
 
 func readsClock(selector *ast.SelectorExpr) bool {
-	from, isName := selector.X.(*ast.Ident)
-	return isName && from.Name == "time" && clockReaders[selector.Sel.Name]
+	packageName, isIdentifier := selector.X.(*ast.Ident)
+	return isIdentifier && packageName.Name == "time" && clockReaders[selector.Sel.Name]
 }
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -15,8 +15,8 @@
 
 const module = "github.com/ravenway/ravenway/"
 
-// allowed lists, for each layer, the path prefixes within the module that it can import.
-var allowed = map[string][]string{
+// allowedImports lists, for each layer, the path prefixes within the module that it can import.
+var allowedImports = map[string][]string{
 	"state":        {"api/", "internal/state"},
 	"protocol":     {"api/", "internal/protocol", "internal/state"},
 	"bounded":      {},
@@ -36,9 +36,9 @@
 	"lab":          {"api/", "internal/"},
 }
 
-// forbidden lists, for each layer, standard library packages that it can't import: they access the
+// forbiddenImports lists, for each layer, standard library packages that it can't import: they access the
 // operating system or the network or start processes.
-var forbidden = map[string][]string{
+var forbiddenImports = map[string][]string{
 	"state":        {"net", "net/http", "os/exec"},
 	"coordination": {"net", "net/http", "os", "os/exec"},
 	"node":         {"os/exec", "net/http/httputil"},
@@ -49,9 +49,9 @@
 }
 
 func TestLayersImportOnlyDownwards(t *testing.T) {
-	eachSource(t, []string{"."}, parser.ImportsOnly, func(_ *token.FileSet, path string, parsed *ast.File) {
+	visitSources(t, []string{"."}, parser.ImportsOnly, func(_ *token.FileSet, path string, parsed *ast.File) {
 		layer, _, _ := strings.Cut(filepath.ToSlash(path), "/")
-		permitted, known := allowed[layer]
+		permitted, known := allowedImports[layer]
 		assert.Assert(t, known, "%s belongs to no known layer", path)
 		for _, imported := range parsed.Imports {
 			checkImport(t, path, layer, strings.Trim(imported.Path.Value, `"`), permitted)
@@ -59,12 +59,12 @@
 	})
 }
 
-// eachSource parses the Go files below the root folders, except tests. It fails if there are 50 or
+// visitSources parses the Go files below the root folders, except tests. It fails if there are 50 or
 // fewer, which indicates that files were missed.
-func eachSource(t *testing.T, roots []string, mode parser.Mode, read func(files *token.FileSet, path string, parsed *ast.File)) {
+func visitSources(t *testing.T, roots []string, mode parser.Mode, visit func(files *token.FileSet, path string, parsed *ast.File)) {
 	t.Helper()
 	files := token.NewFileSet()
-	seen := 0
+	parsedFiles := 0
 	for _, root := range roots {
 		err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 			if err != nil || entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -72,28 +72,28 @@
 			}
 			parsed, err := parser.ParseFile(files, path, nil, mode)
 			assert.NilError(t, err)
-			read(files, path, parsed)
-			seen++
+			visit(files, path, parsed)
+			parsedFiles++
 			return nil
 		})
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, seen > 50, "only %d files were parsed", seen)
+	assert.Assert(t, parsedFiles > 50, "only %d files were parsed", parsedFiles)
 }
 
 func checkImport(t *testing.T, path, layer, imported string, permitted []string) {
 	t.Helper()
-	for _, refused := range forbidden[layer] {
-		assert.Assert(t, imported != refused, "%s imports %s", path, imported)
+	for _, forbiddenPath := range forbiddenImports[layer] {
+		assert.Assert(t, imported != forbiddenPath, "%s imports %s", path, imported)
 	}
-	inside, isOwn := strings.CutPrefix(imported, module)
-	if !isOwn {
+	modulePath, isInModule := strings.CutPrefix(imported, module)
+	if !isInModule {
 		return
 	}
 	for _, prefix := range permitted {
-		if strings.HasPrefix(inside, prefix) {
+		if strings.HasPrefix(modulePath, prefix) {
 			return
 		}
 	}
-	t.Errorf("%s imports %s, which layer %q can't import", path, inside, layer)
+	t.Errorf("%s imports %s, which layer %q can't import", path, modulePath, layer)
 }
