--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -26,9 +26,9 @@
 			running.Go(func() { duty.Run(ctx) })
 			callers.Go(func() {
 				for range rounds {
-					_, err := Ask(ctx, duty, func(result func(bool)) {
+					_, err := Ask(ctx, duty, func(reply func(bool)) {
 						time.Sleep(interval + interval/2)
-						result(true)
+						reply(true)
 					})
 					assert.Check(t, err)
 				}
