--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -51,8 +51,8 @@
 	return runningNode.Run(ctx)
 }
 
-// stopGracefully stops the node gracefully: it waits for all streams, at most for Limits.StopTimeout. A
-// second signal prints how many requests would be aborted; a third one aborts them.
+// stopGracefully stops the node: it waits for all streams, for at most Limits.StopTimeout. A second
+// signal prints how many requests would be aborted; a third one aborts them.
 func stopGracefully(ctx context.Context, stoppingNode *node.Node, loaded *settings.Settings, signals <-chan os.Signal) {
 	ctx, cancel := context.WithTimeout(ctx, loaded.Limits.StopTimeout)
 	defer cancel()
--- a/internal/layers_test.go
+++ b/internal/layers_test.go
@@ -36,8 +36,8 @@
 	"lab":          {"api/", "internal/"},
 }
 
-// forbiddenImports lists, for each layer, standard library packages that it can't import: they access the
-// operating system or the network or start processes.
+// forbiddenImports lists, for each layer, standard library packages that it can't import: they
+// access the operating system or the network, or start processes.
 var forbiddenImports = map[string][]string{
 	"state":        {"net", "net/http", "os/exec"},
 	"coordination": {"net", "net/http", "os", "os/exec"},
