--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		return err
 	}
-	if loaded.IsOpenFleet() {
+	if loaded.UsesDiscovery() {
 		return runWithDiscovery(ctx, path, loaded, dialects)
 	}
 	logger, closeLog := newLogger(loaded)
--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// Ask runs a function on the duty's goroutine and waits for its result.
-func Ask[T any](ctx context.Context, owner *Duty, work func(reply func(T))) (T, error) {
+// Call runs a function on the duty's goroutine and waits for its result.
+func Call[T any](ctx context.Context, owner *Duty, work func(reply func(T))) (T, error) {
 	results := make(chan T, 1)
 	var zero T
 	if err := owner.Do(ctx, func() { work(func(result T) { results <- result }) }); err != nil {
--- a/internal/duty/duty_test.go
+++ b/internal/duty/duty_test.go
@@ -26,7 +26,7 @@
 			running.Go(func() { duty.Run(ctx) })
 			callers.Go(func() {
 				for range rounds {
-					_, err := Ask(ctx, duty, func(reply func(bool)) {
+					_, err := Call(ctx, duty, func(reply func(bool)) {
 						time.Sleep(interval + interval/2)
 						reply(true)
 					})
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -103,7 +103,7 @@
 func (n *Node) ReadDocument(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	held, err := duty.Ask(ctx, n.replica.duty, func(answer func(machine.HeldDocument)) { answer(n.replica.machine.Document()) })
+	held, err := duty.Call(ctx, n.replica.duty, func(answer func(machine.HeldDocument)) { answer(n.replica.machine.Document()) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -140,7 +140,7 @@
 		result machine.Result
 		err    error
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	answer, err := duty.Call(ctx, n.replica.duty, func(answer func(ended)) {
 		n.replica.propose(command, func(result machine.Result, err error) {
 			answer(ended{result: result, err: err})
 		})
@@ -182,7 +182,7 @@
 		value T
 		err   error
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	answer, err := duty.Call(ctx, n.replica.duty, func(answer func(ended)) {
 		if n.replica.replica == nil {
 			answer(ended{err: consensus.ErrNotLeader})
 			return
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -349,7 +349,7 @@
 
 // heartbeat takes an instance's word and tells all nodes before it returns.
 func (f *fleetDuty) heartbeat(ctx context.Context, instance registry.Instance) error {
-	result, err := duty.Ask(ctx, f.duty, func(answer func(error)) {
+	result, err := duty.Call(ctx, f.duty, func(answer func(error)) {
 		changed, err := f.registry.Heartbeat(f.node.now(), instance)
 		if changed {
 			f.announce([]registry.Instance{instance})
@@ -364,7 +364,7 @@
 
 // leave takes an instance's word that a life of it ends.
 func (f *fleetDuty) leave(ctx context.Context, life registry.Life) error {
-	_, err := duty.Ask(ctx, f.duty, func(answer func(bool)) {
+	_, err := duty.Call(ctx, f.duty, func(answer func(bool)) {
 		changed := f.registry.Leave(f.node.now(), life)
 		if left, found := f.registry.Get(life.ID); changed && found {
 			f.announce([]registry.Instance{left})
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -110,7 +110,7 @@
 	if index == nil {
 		return nil, connect.NewError(connect.CodeUnavailable, errors.New("no configuration is in force here yet"))
 	}
-	backends, err := duty.Ask(ctx, o.node.fleet.duty, func(answer func([]*ravenwayv1.Backend)) { answer(o.node.fleet.describeInstances()) })
+	backends, err := duty.Call(ctx, o.node.fleet.duty, func(answer func([]*ravenwayv1.Backend)) { answer(o.node.fleet.describeInstances()) })
 	if err != nil {
 		return nil, connect.NewError(connect.CodeUnavailable, err)
 	}
@@ -176,7 +176,7 @@
 	if n.replica == nil {
 		return nil, errors.New("this node holds no accounts; ask a control node")
 	}
-	return duty.Ask(ctx, n.replica.duty, func(answer func([]*ravenwayv1.BudgetStatus)) { answer(n.replica.describeBudgets(wanted)) })
+	return duty.Call(ctx, n.replica.duty, func(answer func([]*ravenwayv1.BudgetStatus)) { answer(n.replica.describeBudgets(wanted)) })
 }
 
 func (r *replicaDuty) describeBudgets(wanted string) []*ravenwayv1.BudgetStatus {
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -71,7 +71,7 @@
 	bounds := node.settings.Load().Quarantine
 	made := &quarantineDuty{
 		node: node, duty: duty.New("quarantine", quarantineTick),
-		tracker: quarantine.NewTracker(quarantine.Options{Memory: bounds.Memory, Requests: bounds.Requests}),
+		tracker: quarantine.NewTracker(quarantine.Options{Memory: bounds.Retention, Requests: bounds.MaximumRequests}),
 	}
 	made.guard = quarantine.NewGuard(made)
 	made.duty.Tick, made.duty.Flush = made.tick, made.flush
@@ -253,12 +253,12 @@
 // held lists what this node holds against requests: those in quarantine first, then
 // those with the most ends.
 func (q *quarantineDuty) held(ctx context.Context) ([]quarantine.Held, error) {
-	return duty.Ask(ctx, q.duty, func(answer func([]quarantine.Held)) { answer(q.tracker.Held(q.node.now())) })
+	return duty.Call(ctx, q.duty, func(answer func([]quarantine.Held)) { answer(q.tracker.Held(q.node.now())) })
 }
 
 // release forgets the ends of a request; all nodes are told.
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
-	wasHeld, err := duty.Ask(ctx, q.duty, func(answer func(bool)) { answer(q.clear(fingerprint, "released by an operator")) })
+	wasHeld, err := duty.Call(ctx, q.duty, func(answer func(bool)) { answer(q.clear(fingerprint, "released by an operator")) })
 	if err == nil && !wasHeld {
 		err = ErrNotHeld
 	}
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -91,7 +91,7 @@
 
 // reserve sets tokens aside; it waits shortly for the root or a neighbour.
 func (t *tokensDuty) reserve(ctx context.Context, tenant string, amount uint64, patience time.Duration) (forward.Reservation, error) {
-	ended, err := duty.Ask(ctx, t.duty, func(answer func(reserved)) {
+	ended, err := duty.Call(ctx, t.duty, func(answer func(reserved)) {
 		deadline := t.node.now() + patience
 		t.holder.Reserve(t.node.now(), deadline, tenant, amount, escrow.Policy{}, func(held escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
@@ -184,12 +184,12 @@
 		return t.returnAll(ctx)
 	}
 	for _, neighbour := range t.node.fleet.view.Load().neighbours.lenders {
-		offered, err := duty.Ask(ctx, t.duty, func(answer func(bool)) { answer(t.holder.Offer(neighbour)) })
+		offered, err := duty.Call(ctx, t.duty, func(answer func(bool)) { answer(t.holder.Offer(neighbour)) })
 		if err != nil || !offered {
 			return err
 		}
 		pause.For(ctx, handOverTry)
-		taken, err := duty.Ask(ctx, t.duty, func(answer func(bool)) { answer(t.holder.LoansTaken()) })
+		taken, err := duty.Call(ctx, t.duty, func(answer func(bool)) { answer(t.holder.LoansTaken()) })
 		if err != nil {
 			return err
 		}
@@ -205,7 +205,7 @@
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, t.duty, func(answer func(bool)) {
+		unreported, err := duty.Call(ctx, t.duty, func(answer func(bool)) {
 			t.holder.ReportAgain()
 			answer(t.holder.Unreported())
 		})
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -147,8 +147,8 @@
 		Control:  settings.Control{Bootstrap: of.Name == f.Order[0], DeadAfter: f.DeadAfter},
 		Platform: settings.Platform{MachinesURL: "http://" + f.Plan.AdminAddress()},
 		Limits: settings.Limits{
-			MaxBodyBytes: settings.DefaultMaxBodyBytes, BodyTimeout: settings.DefaultBodyTimeout, MaxStreams: settings.DefaultMaxStreams,
-			AnswerStoreBytes: settings.DefaultAnswerStoreBytes, RequestDeadline: settings.DefaultRequestDeadline,
+			MaximumBodyBytes: settings.DefaultMaximumBodyBytes, BodyTimeout: settings.DefaultBodyTimeout, MaximumStreams: settings.DefaultMaximumStreams,
+			ResponseStoreBytes: settings.DefaultResponseStoreBytes, RequestDeadline: settings.DefaultRequestDeadline,
 		},
 	}
 	for _, other := range f.Plan.Nodes() {
--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -86,7 +86,7 @@
 
 // Read sums up the lines of nodes' logs by steps of time.
 func Read(lines []logs.Line, step time.Duration) (*Report, error) {
-	sorted, err := logs.InOrder(lines)
+	sorted, err := logs.SortedByTime(lines)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -45,7 +45,7 @@
 // after a restart counts once, and a node that got it later than the limit
 // after the first one does not count: it was off or cut off.
 func Read(lines []logs.Line, limit time.Duration) (*Report, error) {
-	sorted, err := logs.InOrder(lines)
+	sorted, err := logs.SortedByTime(lines)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/logs/logs.go
+++ b/internal/logs/logs.go
@@ -58,8 +58,8 @@
 	return value, remaining
 }
 
-// InOrder returns the lines sorted by time. It returns an error if there are none.
-func InOrder(lines []Line) ([]Line, error) {
+// SortedByTime returns the lines sorted by time. It returns an error if there are none.
+func SortedByTime(lines []Line) ([]Line, error) {
 	if len(lines) == 0 {
 		return nil, errors.New("the logs contain no line with a time and an event")
 	}
--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -244,7 +244,7 @@
 
 // paused returns the back ends in a pause that they asked for.
 func (b *backendsDuty) paused(ctx context.Context) ([]routing.PausedBackend, error) {
-	return duty.Ask(ctx, b.duty, func(answer func([]routing.PausedBackend)) { answer(b.table.Paused(b.node.now())) })
+	return duty.Call(ctx, b.duty, func(answer func([]routing.PausedBackend)) { answer(b.table.Paused(b.node.now())) })
 }
 
 // markLeaving notes a back end's own answer that it is leaving.
@@ -259,7 +259,7 @@
 		usable bool
 		why    string
 	}
-	found, err := duty.Ask(ctx, b.duty, func(answer func(verdict)) {
+	found, err := duty.Call(ctx, b.duty, func(answer func(verdict)) {
 		usable, why := b.table.Usable(b.node.now(), name)
 		// The request itself may have made it full.
 		answer(verdict{usable: usable || why == "full", why: why})
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -128,7 +128,7 @@
 
 // change changes a claim and waits for the end.
 func (c *claimsDuty) change(ctx context.Context, scope string, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
+	outcome, err := duty.Call(ctx, c.duty, func(answer func(claims.Outcome)) {
 		now := c.node.now()
 		c.proposer.Change(now, now+claimTimeout, scope, key, change, answer)
 	})
@@ -146,7 +146,7 @@
 
 // changeMinted makes the first change of a key that this node made up.
 func (c *claimsDuty) changeMinted(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(answer func(claims.Outcome)) {
+	outcome, err := duty.Call(ctx, c.duty, func(answer func(claims.Outcome)) {
 		now := c.node.now()
 		c.proposer.ChangeMinted(now, now+claimTimeout, c.node.zone, key, change, answer)
 	})
@@ -237,7 +237,7 @@
 
 // fence makes this holder acknowledge nothing more of a life.
 func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceAnswer, error) {
-	return duty.Ask(ctx, c.duty, func(answer func(fenceAnswer)) {
+	return duty.Call(ctx, c.duty, func(answer func(fenceAnswer)) {
 		records := c.holder.Fence(owner)
 		c.mutex.Lock()
 		c.fenced[owner.Node] = max(c.fenced[owner.Node], owner.Incarnation)
@@ -256,6 +256,6 @@
 // ClaimsRecovered tells whether the node's holder of claims has heard from all
 // others since its start.
 func (n *Node) ClaimsRecovered() bool {
-	recovering, err := duty.Ask(n.life, n.claims.duty, func(answer func(int)) { answer(len(n.claims.holder.Recovering())) })
+	recovering, err := duty.Call(n.life, n.claims.duty, func(answer func(int)) { answer(len(n.claims.holder.Recovering())) })
 	return err == nil && recovering == 0
 }
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -38,7 +38,7 @@
 }
 
 func (n *Node) readCompletion(writer http.ResponseWriter, httpRequest *http.Request, of *request, chat bool) (*completion, *refusal) {
-	body, refused := n.readBody(writer, httpRequest, n.settings.Limits.MaxBodyBytes)
+	body, refused := n.readBody(writer, httpRequest, n.settings.Limits.MaximumBodyBytes)
 	if refused != nil {
 		return nil, refused
 	}
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -102,7 +102,7 @@
 		}
 		active := n.streams.active.Add(1)
 		defer n.streams.active.Add(-1)
-		if active > int64(n.settings.Limits.MaxStreams) {
+		if active > int64(n.settings.Limits.MaximumStreams) {
 			n.refuse(writer, accepted, refuseNotRun(http.StatusServiceUnavailable, caller.CodeQueueFull, retrySoon,
 				"this node serves as many requests as it may"))
 			return
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -86,7 +86,7 @@
 	if limit, found := ctx.Deadline(); found {
 		deadline = e.node.now() + time.Until(limit)
 	}
-	ended, err := duty.Ask(ctx, e.duty, func(answer func(reserved)) {
+	ended, err := duty.Call(ctx, e.duty, func(answer func(reserved)) {
 		owner := e.holder.ID()
 		e.holder.Reserve(e.node.now(), deadline, budget, amount, policy, func(reservation escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
@@ -180,7 +180,7 @@
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, e.duty, func(answer func(bool)) {
+		unreported, err := duty.Call(ctx, e.duty, func(answer func(bool)) {
 			e.holder.ReportAgain()
 			answer(e.holder.Unreported())
 		})
@@ -195,5 +195,5 @@
 
 // loansWith returns what is known here of a fenced life's loans.
 func (e *escrowDuty) loansWith(ctx context.Context, other accounts.HolderID) ([]accounts.Loan, error) {
-	return duty.Ask(ctx, e.duty, func(answer func([]accounts.Loan)) { answer(e.holder.LoansWith(other)) })
+	return duty.Call(ctx, e.duty, func(answer func([]accounts.Loan)) { answer(e.holder.LoansWith(other)) })
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -126,7 +126,7 @@
 	node.calls = peer.NewCalls(node.send)
 	node.fleet = newFleetView(node)
 	node.decisions = newDecisionLog(node.log)
-	node.answers = newAnswerStore(node.settings.Limits.AnswerStoreBytes)
+	node.answers = newAnswerStore(node.settings.Limits.ResponseStoreBytes)
 	node.catalog = newCatalogDuty(node)
 	node.escrow = newEscrowDuty(node)
 	node.claims = newClaimsDuty(node)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -335,7 +335,7 @@
 		index uint64
 		err   error
 	}
-	done, err := duty.Ask(ctx, o.node.replica.duty, func(answer func(ended)) {
+	done, err := duty.Call(ctx, o.node.replica.duty, func(answer func(ended)) {
 		err := o.node.replica.replica.SaveSnapshot()
 		answer(ended{index: o.node.replica.replica.SnapshotIndex(), err: err})
 	})
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -56,7 +56,7 @@
 	if slices.Contains(route.GetNotRepeatableMethods(), httpRequest.Method) {
 		of.notRepeatable = true
 	}
-	maximum := n.settings.Limits.MaxBodyBytes
+	maximum := n.settings.Limits.MaximumBodyBytes
 	if own := of.service.GetMaxBodyBytes(); own > 0 {
 		maximum = min(maximum, int64(own))
 	}
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -93,7 +93,7 @@
 func (b *backendsDuty) pollEngine(ctx context.Context, target routing.Backend) peer.BackendReport {
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	ownInFlight, err := duty.Ask(ctx, b.duty, func(answer func(int)) { answer(b.table.InFlight(target.Name)) })
+	ownInFlight, err := duty.Call(ctx, b.duty, func(answer func(int)) { answer(b.table.InFlight(target.Name)) })
 	if err != nil {
 		return peer.BackendReport{}
 	}
@@ -102,7 +102,7 @@
 		return peer.BackendReport{}
 	}
 	report := routing.Report{Running: load.Running, Queued: load.Queued, Leaving: load.Leaving, OwnInFlight: ownInFlight}
-	from, err := duty.Ask(ctx, b.duty, func(answer func(uint64)) {
+	from, err := duty.Call(ctx, b.duty, func(answer func(uint64)) {
 		b.table.TakeReport(b.node.now(), target.Name, report)
 		answer(b.table.NextCacheEvent(target.Name))
 	})
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -237,7 +237,7 @@
 	if n.replica == nil {
 		return machine.Result{}, consensus.ErrNotLeader
 	}
-	ended, err := duty.Ask(ctx, n.replica.duty, func(answer func(proposal)) {
+	ended, err := duty.Call(ctx, n.replica.duty, func(answer func(proposal)) {
 		n.replica.replica.Propose(command, func(result any, err error) {
 			if err != nil {
 				answer(proposal{err: err})
@@ -319,7 +319,7 @@
 	if n.replica == nil {
 		return none, consensus.ErrNotLeader
 	}
-	answer, err := duty.Ask(ctx, n.replica.duty, func(answer func(ended)) {
+	answer, err := duty.Call(ctx, n.replica.duty, func(answer func(ended)) {
 		n.replica.replica.Read(func(err error) {
 			if err != nil {
 				answer(ended{err: err})
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -24,25 +24,25 @@
 	s.Node.Profile = cmp.Or(s.Node.Profile, ProfileDevelopment)
 	s.Log.Level = cmp.Or(s.Log.Level, "info")
 	s.Control.DeadAfter = cmp.Or(s.Control.DeadAfter, DefaultDeadAfter)
-	s.Limits.MaxBodyBytes = cmp.Or(s.Limits.MaxBodyBytes, DefaultMaxBodyBytes)
+	s.Limits.MaximumBodyBytes = cmp.Or(s.Limits.MaximumBodyBytes, DefaultMaximumBodyBytes)
 	s.Limits.BodyTimeout = cmp.Or(s.Limits.BodyTimeout, DefaultBodyTimeout)
-	s.Limits.MaxStreams = cmp.Or(s.Limits.MaxStreams, DefaultMaxStreams)
-	s.Limits.AnswerStoreBytes = cmp.Or(s.Limits.AnswerStoreBytes, DefaultAnswerStoreBytes)
+	s.Limits.MaximumStreams = cmp.Or(s.Limits.MaximumStreams, DefaultMaximumStreams)
+	s.Limits.ResponseStoreBytes = cmp.Or(s.Limits.ResponseStoreBytes, DefaultResponseStoreBytes)
 	s.Limits.RequestDeadline = cmp.Or(s.Limits.RequestDeadline, DefaultRequestDeadline)
 	s.Limits.StopTimeout = cmp.Or(s.Limits.StopTimeout, DefaultStopTimeout)
 	s.Bounds.StopGrace = cmp.Or(s.Bounds.StopGrace, DefaultStopGrace)
 	s.Bounds.RetryWindow = cmp.Or(s.Bounds.RetryWindow, DefaultRetryWindow)
 	s.Bounds.ExposureShare = cmp.Or(s.Bounds.ExposureShare, DefaultExposureShare)
 	s.Fleet.UpgradeSettling = cmp.Or(s.Fleet.UpgradeSettling, DefaultUpgradeSettling)
-	s.Quarantine.Memory = cmp.Or(s.Quarantine.Memory, DefaultQuarantineMemory)
-	s.Quarantine.Requests = cmp.Or(s.Quarantine.Requests, DefaultQuarantineRequests)
+	s.Quarantine.Retention = cmp.Or(s.Quarantine.Retention, DefaultQuarantineRetention)
+	s.Quarantine.MaximumRequests = cmp.Or(s.Quarantine.MaximumRequests, DefaultQuarantineMaximumRequests)
 }
 
 // check validates values and the relations between settings, which the types can't express.
 func (p *parser) check(s *Settings) {
 	p.checkNode(s)
 	p.checkControl(s)
-	if s.IsOpenFleet() {
+	if s.UsesDiscovery() {
 		p.checkDiscovery(s)
 	} else {
 		p.checkListen(s)
@@ -201,10 +201,10 @@
 	if s.Bounds.RetryRatio < 0 || s.Bounds.RetrySlack < 0 {
 		p.addFinding("bounds", "retry_ratio and retry_slack can't be below 0")
 	}
-	if s.Quarantine.Memory < 0 {
+	if s.Quarantine.Retention < 0 {
 		p.addFinding("quarantine.memory", "must be above 0")
 	}
-	if s.Quarantine.Requests < 0 {
+	if s.Quarantine.MaximumRequests < 0 {
 		p.addFinding("quarantine.requests", "must be above 0")
 	}
 }
@@ -250,7 +250,7 @@
 }
 
 func (p *parser) checkLimits(s *Settings) {
-	if s.Limits.MaxBodyBytes < 0 {
+	if s.Limits.MaximumBodyBytes < 0 {
 		p.addFinding("limits.max_body_bytes", "must be above 0")
 	}
 	if s.Limits.MemoryMB < 0 {
@@ -259,10 +259,10 @@
 	if s.Limits.LinkMbps < 0 {
 		p.addFinding("limits.link_mbps", "can't be below 0")
 	}
-	if s.Limits.MaxStreams < 0 {
+	if s.Limits.MaximumStreams < 0 {
 		p.addFinding("limits.max_streams", "must be above 0")
 	}
-	if s.Limits.AnswerStoreBytes < 0 {
+	if s.Limits.ResponseStoreBytes < 0 {
 		p.addFinding("limits.answer_store_bytes", "must be above 0")
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,23 +27,23 @@
 
 // Defaults of optional settings.
 const (
-	DefaultMaxBodyBytes     = 8 << 20
-	DefaultBodyTimeout      = 30 * time.Second
-	DefaultMaxStreams       = 10000
-	DefaultAnswerStoreBytes = 32 << 20
-	DefaultDeadAfter        = 30 * time.Second
-	DefaultRequestDeadline  = 60 * time.Second
-	DefaultStopTimeout      = 10 * time.Minute
-	DefaultStopGrace        = 8 * time.Second
-	DefaultRetryWindow      = 10 * time.Second
+	DefaultMaximumBodyBytes   = 8 << 20
+	DefaultBodyTimeout        = 30 * time.Second
+	DefaultMaximumStreams     = 10000
+	DefaultResponseStoreBytes = 32 << 20
+	DefaultDeadAfter          = 30 * time.Second
+	DefaultRequestDeadline    = 60 * time.Second
+	DefaultStopTimeout        = 10 * time.Minute
+	DefaultStopGrace          = 8 * time.Second
+	DefaultRetryWindow        = 10 * time.Second
 	// DefaultUpgradeSettling is about the time that it takes to see that a fleet serves requests.
 	DefaultUpgradeSettling = 10 * time.Second
 	// DefaultExposureShare is what the users' deployments allow.
 	DefaultExposureShare = 0.1
-	// DefaultQuarantineMemory limits a request that keeps crashing engines to one engine in half
+	// DefaultQuarantineRetention limits a request that keeps crashing engines to one engine in half
 	// an hour, 48 a day.
-	DefaultQuarantineMemory   = 30 * time.Minute
-	DefaultQuarantineRequests = 1024
+	DefaultQuarantineRetention       = 30 * time.Minute
+	DefaultQuarantineMaximumRequests = 1024
 )
 
 // Settings is the content of a daemon's settings file.
@@ -141,12 +141,12 @@
 // Quarantine configures the quarantine of poison requests, which crash the engines that run them.
 // Only with fleet.dialect.
 type Quarantine struct {
-	// Memory is how long an engine's crash counts against the requests that were in flight there,
+	// Retention is how long an engine's crash counts against the requests that were in flight there,
 	// and how long a quarantine lasts after the last crash.
-	Memory time.Duration `toml:"memory"`
-	// Requests is the maximum number of requests with recorded crashes, at some 300 bytes each.
+	Retention time.Duration `toml:"memory"`
+	// MaximumRequests is the maximum number of requests with recorded crashes, at some 300 bytes each.
 	// Beyond it the requests with the fewest crashes are dropped first.
-	Requests int `toml:"requests"`
+	MaximumRequests int `toml:"requests"`
 }
 
 // Control configures the replica of the durable state.
@@ -190,14 +190,14 @@
 
 // Limits bounds the resources that callers can use.
 type Limits struct {
-	// MaxBodyBytes is the maximum size of a request's body; services can have lower limits.
-	MaxBodyBytes int64 `toml:"max_body_bytes"`
+	// MaximumBodyBytes is the maximum size of a request's body; services can have lower limits.
+	MaximumBodyBytes int64 `toml:"max_body_bytes"`
 	// BodyTimeout is the maximum time for a request's body to arrive.
 	BodyTimeout time.Duration `toml:"body_timeout"`
-	// MaxStreams is the maximum number of requests in flight.
-	MaxStreams int `toml:"max_streams"`
-	// AnswerStoreBytes is the maximum size of the responses that are kept for retries.
-	AnswerStoreBytes int64 `toml:"answer_store_bytes"`
+	// MaximumStreams is the maximum number of requests in flight.
+	MaximumStreams int `toml:"max_streams"`
+	// ResponseStoreBytes is the maximum size of the responses that are kept for retries.
+	ResponseStoreBytes int64 `toml:"answer_store_bytes"`
 	// RequestDeadline is the maximum wait for the first byte if the caller sets no deadline.
 	RequestDeadline time.Duration `toml:"request_deadline"`
 	// StopTimeout is the maximum time that a graceful stop waits for streams before it aborts
@@ -217,8 +217,8 @@
 	Level string `toml:"level"`
 }
 
-// IsOpenFleet reports whether the node discovers the others from seeds.
-func (s *Settings) IsOpenFleet() bool { return s.Fleet.Dialect != "" }
+// UsesDiscovery reports whether the node discovers the others from seeds.
+func (s *Settings) UsesDiscovery() bool { return s.Fleet.Dialect != "" }
 
 // HasRole reports whether the daemon has a role.
 func (s *Settings) HasRole(role string) bool {
