--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -40,8 +40,8 @@
 	DefaultUpgradeSettling = 10 * time.Second
 	// DefaultExposureShare is what the users' deployments allow.
 	DefaultExposureShare = 0.1
-	// DefaultQuarantineRetention limits a request that keeps crashing engines to one engine in half
-	// an hour, 48 a day.
+	// DefaultQuarantineRetention limits a request that keeps crashing engines to one engine in
+	// half an hour, 48 a day.
 	DefaultQuarantineRetention       = 30 * time.Minute
 	DefaultQuarantineMaximumRequests = 1024
 )
@@ -141,11 +141,11 @@
 // Quarantine configures the quarantine of poison requests, which crash the engines that run them.
 // Only with fleet.dialect.
 type Quarantine struct {
-	// Retention is how long an engine's crash counts against the requests that were in flight there,
-	// and how long a quarantine lasts after the last crash.
+	// Retention is how long an engine's crash counts against the requests that were in flight
+	// there, and how long a quarantine lasts after the last crash.
 	Retention time.Duration `toml:"memory"`
-	// MaximumRequests is the maximum number of requests with recorded crashes, at some 300 bytes each.
-	// Beyond it the requests with the fewest crashes are dropped first.
+	// MaximumRequests is the maximum number of requests with recorded crashes, at some 300 bytes
+	// each. Beyond it the requests with the fewest crashes are dropped first.
 	MaximumRequests int `toml:"requests"`
 }
 
