--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -105,7 +105,7 @@
 func (n *Node) ReadDocument(ctx context.Context) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	heldDocument, err := duty.Ask(ctx, n.replica.duty, func(respond func(machine.ActiveDocument)) { respond(n.replica.machine.Document()) })
+	heldDocument, err := duty.Call(ctx, n.replica.duty, func(respond func(machine.ActiveDocument)) { respond(n.replica.machine.Document()) })
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
@@ -142,7 +142,7 @@
 		result machine.Result
 		err    error
 	}
-	outcome, err := duty.Ask(ctx, n.replica.duty, func(respond func(reply)) {
+	outcome, err := duty.Call(ctx, n.replica.duty, func(respond func(reply)) {
 		n.replica.propose(command, func(result machine.Result, err error) {
 			respond(reply{result: result, err: err})
 		})
@@ -184,7 +184,7 @@
 		value T
 		err   error
 	}
-	outcome, err := duty.Ask(ctx, n.replica.duty, func(respond func(reply)) {
+	outcome, err := duty.Call(ctx, n.replica.duty, func(respond func(reply)) {
 		if n.replica.replica == nil {
 			respond(reply{err: consensus.ErrNotLeader})
 			return
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -362,7 +362,7 @@
 // heartbeat records an instance's heartbeat and schedules the announcement of a change before it
 // returns.
 func (f *fleetDuty) heartbeat(ctx context.Context, instance registry.Instance) error {
-	result, err := duty.Ask(ctx, f.duty, func(respond func(error)) {
+	result, err := duty.Call(ctx, f.duty, func(respond func(error)) {
 		changed, err := f.registry.Heartbeat(f.node.now(), instance)
 		if changed {
 			f.announce([]registry.Instance{instance})
@@ -377,7 +377,7 @@
 
 // leave records an instance's notice that one of its incarnations is ending.
 func (f *fleetDuty) leave(ctx context.Context, incarnation registry.Incarnation) error {
-	_, err := duty.Ask(ctx, f.duty, func(respond func(bool)) {
+	_, err := duty.Call(ctx, f.duty, func(respond func(bool)) {
 		changed := f.registry.Leave(f.node.now(), incarnation)
 		if left, found := f.registry.Get(incarnation.ID); changed && found {
 			f.announce([]registry.Instance{left})
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -71,7 +71,7 @@
 	bounds := node.settings.Load().Quarantine
 	created := &quarantineDuty{
 		node: node, duty: duty.New("quarantine", quarantineTick),
-		tracker: quarantine.NewTracker(quarantine.Options{Retention: bounds.Memory, MaximumRequests: bounds.Requests}),
+		tracker: quarantine.NewTracker(quarantine.Options{Retention: bounds.Retention, MaximumRequests: bounds.MaximumRequests}),
 	}
 	created.guard = quarantine.NewGuard(created)
 	created.duty.Tick, created.duty.Flush = created.tick, created.flush
@@ -253,12 +253,12 @@
 // summaries lists the summaries of the requests with recorded crashes: those in quarantine first,
 // then those with the most crashes.
 func (q *quarantineDuty) summaries(ctx context.Context) ([]quarantine.Summary, error) {
-	return duty.Ask(ctx, q.duty, func(respond func([]quarantine.Summary)) { respond(q.tracker.Summaries(q.node.now())) })
+	return duty.Call(ctx, q.duty, func(respond func([]quarantine.Summary)) { respond(q.tracker.Summaries(q.node.now())) })
 }
 
 // release clears the crashes recorded against a request, on all nodes.
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
-	wasHeld, err := duty.Ask(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
+	wasHeld, err := duty.Call(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
 	if err == nil && !wasHeld {
 		err = ErrNotRecorded
 	}
--- a/internal/gateway/tokens.go
+++ b/internal/gateway/tokens.go
@@ -93,7 +93,7 @@
 
 // reserve reserves tokens for a request. It waits at most maximumWait for the root or a neighbour.
 func (t *tokensDuty) reserve(ctx context.Context, tenant string, amount uint64, maximumWait time.Duration) (forward.Reservation, error) {
-	result, err := duty.Ask(ctx, t.duty, func(respond func(reservationResult)) {
+	result, err := duty.Call(ctx, t.duty, func(respond func(reservationResult)) {
 		deadline := t.node.now() + maximumWait
 		t.holder.Reserve(t.node.now(), deadline, tenant, amount, escrow.Policy{}, func(reserved escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
@@ -186,12 +186,12 @@
 		return t.returnAll(ctx)
 	}
 	for _, neighbour := range t.node.fleet.view.Load().neighbours.lenders {
-		offered, err := duty.Ask(ctx, t.duty, func(respond func(bool)) { respond(t.holder.Offer(neighbour)) })
+		offered, err := duty.Call(ctx, t.duty, func(respond func(bool)) { respond(t.holder.Offer(neighbour)) })
 		if err != nil || !offered {
 			return err
 		}
 		pause.For(ctx, handOverTimeout)
-		taken, err := duty.Ask(ctx, t.duty, func(respond func(bool)) { respond(t.holder.LoansConfirmed()) })
+		taken, err := duty.Call(ctx, t.duty, func(respond func(bool)) { respond(t.holder.LoansConfirmed()) })
 		if err != nil {
 			return err
 		}
@@ -207,7 +207,7 @@
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, t.duty, func(respond func(bool)) {
+		unreported, err := duty.Call(ctx, t.duty, func(respond func(bool)) {
 			t.holder.ReportAgain()
 			respond(t.holder.Unreported())
 		})
--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -250,7 +250,7 @@
 
 // pausedBackends returns the back ends that are in a pause they requested.
 func (b *backendsDuty) pausedBackends(ctx context.Context) ([]routing.PausedBackend, error) {
-	return duty.Ask(ctx, b.duty, func(reply func([]routing.PausedBackend)) { reply(b.table.Paused(b.node.now())) })
+	return duty.Call(ctx, b.duty, func(reply func([]routing.PausedBackend)) { reply(b.table.Paused(b.node.now())) })
 }
 
 // markLeaving records that a back end reported in a response that it is leaving.
@@ -265,7 +265,7 @@
 		usable bool
 		reason string
 	}
-	found, err := duty.Ask(ctx, b.duty, func(reply func(usability)) {
+	found, err := duty.Call(ctx, b.duty, func(reply func(usability)) {
 		usable, reason := b.table.Usable(b.node.now(), name)
 		// "full" is no obstacle: the request itself may have taken the last place.
 		reply(usability{usable: usable || reason == "full", reason: reason})
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -130,7 +130,7 @@
 
 // change changes a claim and waits for the outcome.
 func (c *claimsDuty) change(ctx context.Context, scope string, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(reply func(claims.Outcome)) {
+	outcome, err := duty.Call(ctx, c.duty, func(reply func(claims.Outcome)) {
 		now := c.node.now()
 		c.proposer.Change(now, now+claimTimeout, scope, key, change, reply)
 	})
@@ -148,7 +148,7 @@
 
 // changeGenerated makes the first change of a claim whose key this node has generated.
 func (c *claimsDuty) changeGenerated(ctx context.Context, key claims.Key, change claims.Change) (claims.Outcome, error) {
-	outcome, err := duty.Ask(ctx, c.duty, func(reply func(claims.Outcome)) {
+	outcome, err := duty.Call(ctx, c.duty, func(reply func(claims.Outcome)) {
 		now := c.node.now()
 		c.proposer.ChangeNewKey(now, now+claimTimeout, c.node.zone, key, change, reply)
 	})
@@ -244,7 +244,7 @@
 // fence makes this acceptor acknowledge no further claims of an incarnation, and returns the claims
 // of it that it stores.
 func (c *claimsDuty) fence(ctx context.Context, owner accounts.HolderID) (fenceResponse, error) {
-	return duty.Ask(ctx, c.duty, func(reply func(fenceResponse)) {
+	return duty.Call(ctx, c.duty, func(reply func(fenceResponse)) {
 		records := c.acceptor.Fence(owner)
 		c.mutex.Lock()
 		c.fenced[owner.Node] = max(c.fenced[owner.Node], owner.Incarnation)
@@ -263,6 +263,6 @@
 // ClaimsRecovered reports whether the node's acceptor has recovered its claims from all other nodes
 // since its start.
 func (n *Node) ClaimsRecovered() bool {
-	recovering, err := duty.Ask(n.runContext, n.claims.duty, func(reply func(int)) { reply(len(n.claims.acceptor.Recovering())) })
+	recovering, err := duty.Call(n.runContext, n.claims.duty, func(reply func(int)) { reply(len(n.claims.acceptor.Recovering())) })
 	return err == nil && recovering == 0
 }
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -39,7 +39,7 @@
 }
 
 func (n *Node) readCompletion(writer http.ResponseWriter, httpRequest *http.Request, request *callerRequest, chat bool) (*completionRequest, *refusal) {
-	body, refused := n.readBody(writer, httpRequest, n.settings.Limits.MaxBodyBytes)
+	body, refused := n.readBody(writer, httpRequest, n.settings.Limits.MaximumBodyBytes)
 	if refused != nil {
 		return nil, refused
 	}
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -87,7 +87,7 @@
 	if contextDeadline, found := ctx.Deadline(); found {
 		deadline = e.node.now() + time.Until(contextDeadline)
 	}
-	held, err := duty.Ask(ctx, e.duty, func(reply func(heldReservation)) {
+	held, err := duty.Call(ctx, e.duty, func(reply func(heldReservation)) {
 		owner := e.holder.ID()
 		e.holder.Reserve(e.node.now(), deadline, budget, amount, policy, func(reservation escrow.Reservation, err error) {
 			if err == nil && ctx.Err() != nil {
@@ -182,7 +182,7 @@
 		return err
 	}
 	for {
-		unreported, err := duty.Ask(ctx, e.duty, func(reply func(bool)) {
+		unreported, err := duty.Call(ctx, e.duty, func(reply func(bool)) {
 			e.holder.ReportAgain()
 			reply(e.holder.Unreported())
 		})
@@ -197,5 +197,5 @@
 
 // loansWith returns the loans of a fenced incarnation that this node knows.
 func (e *escrowDuty) loansWith(ctx context.Context, other accounts.HolderID) ([]accounts.Loan, error) {
-	return duty.Ask(ctx, e.duty, func(reply func([]accounts.Loan)) { reply(e.holder.LoansWith(other)) })
+	return duty.Call(ctx, e.duty, func(reply func([]accounts.Loan)) { reply(e.holder.LoansWith(other)) })
 }
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -338,7 +338,7 @@
 		index uint64
 		err   error
 	}
-	saved, err := duty.Ask(ctx, o.node.replica.duty, func(reply func(snapshotResult)) {
+	saved, err := duty.Call(ctx, o.node.replica.duty, func(reply func(snapshotResult)) {
 		err := o.node.replica.replica.SaveSnapshot()
 		reply(snapshotResult{index: o.node.replica.replica.SnapshotIndex(), err: err})
 	})
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -240,7 +240,7 @@
 	if n.replica == nil {
 		return machine.Result{}, consensus.ErrNotLeader
 	}
-	proposed, err := duty.Ask(ctx, n.replica.duty, func(reply func(proposalResult)) {
+	proposed, err := duty.Call(ctx, n.replica.duty, func(reply func(proposalResult)) {
 		n.replica.replica.Propose(command, func(result any, err error) {
 			if err != nil {
 				reply(proposalResult{err: err})
@@ -323,7 +323,7 @@
 	if n.replica == nil {
 		return zero, consensus.ErrNotLeader
 	}
-	result, err := duty.Ask(ctx, n.replica.duty, func(reply func(readResult)) {
+	result, err := duty.Call(ctx, n.replica.duty, func(reply func(readResult)) {
 		n.replica.replica.Read(func(err error) {
 			if err != nil {
 				reply(readResult{err: err})
