--- a/internal/lab/openfleet/chaos.go
+++ b/internal/lab/openfleet/chaos.go
@@ -14,32 +14,35 @@
 
 const (
 	chaosRounds = 8
-	// repairTime is what a wiped or replaced control node needs until another
-	// one may be lost.
+	// repairTime is the time that a wiped or replaced control node needs before another one may be
+	// lost.
 	repairTime = 6 * time.Second
 	callPause  = 40 * time.Millisecond
-	// A run with fewer requests or acknowledged versions shows nothing.
+	// A chaos run with fewer requests or acknowledged versions than these is inconclusive.
 	leastRuns         = 50
 	leastAcknowledged = 8
 	orderPause        = 300 * time.Millisecond
 )
 
-// Chaos runs callers, an operator and random faults against a fleet, and notes
-// every promise that is broken.
+// Chaos runs callers, an operator and random faults against a fleet, and records each violation of
+// the fleet's guarantees.
 type Chaos struct {
 	fleet         *Fleet
 	random        *rand.Rand
 	configuration func(version uint64) *document.Document
 
-	mutex    sync.Mutex
-	broken   []string
-	acked    uint64
-	sent     uint64
-	refused  map[string]bool
+	mutex  sync.Mutex
+	broken []string
+	// acked is the newest configuration version that was acknowledged, sent the newest that was sent.
+	acked uint64
+	sent  uint64
+	// refused are the ids of requests that nodes refused as not run.
+	refused map[string]bool
+	// replaced is the number of control machines replaced.
 	replaced int
 }
 
-// NewChaos makes a run; configuration makes the document of a version.
+// NewChaos returns a chaos run; configuration makes the document of a version.
 func NewChaos(fleet *Fleet, seed uint64, configuration func(version uint64) *document.Document) *Chaos {
 	return &Chaos{
 		fleet: fleet, random: rand.New(rand.NewPCG(seed, 1)), configuration: configuration,
@@ -53,7 +56,7 @@
 	c.broken = append(c.broken, fmt.Sprintf(format, arguments...))
 }
 
-// Run returns the promises that were broken.
+// Run injects a fixed number of faults and returns the violations that were seen.
 func (c *Chaos) Run() []string {
 	ctx, cancel := context.WithCancel(c.fleet.ctx)
 	var running sync.WaitGroup
@@ -88,15 +91,15 @@
 	}
 }
 
-// checkAnswer holds one answer to what callers were promised.
+// checkAnswer checks one response against the guarantees that callers have.
 func (c *Chaos) checkAnswer(id, path string, answer Answer) {
 	switch answer.Status {
 	case http.StatusOK:
 		if answer.Broken == nil && !strings.Contains(answer.Body, id) {
-			c.note("%s got somebody else's answer %q", id, answer.Body)
+			c.note("%s received the response of another request: %q", id, answer.Body)
 		}
 		if answer.Broken == nil && strings.HasSuffix(path, "able/x") && strings.Count(answer.Body, "data:") != 5 {
-			c.note("%s got a stream that looks complete and is not: %q", id, answer.Body)
+			c.note("%s received an incomplete stream without an error: %q", id, answer.Body)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.mutex.Lock()
@@ -104,12 +107,13 @@
 		c.mutex.Unlock()
 	case http.StatusUnauthorized, http.StatusNotFound, http.StatusPaymentRequired:
 		if answer.Status != http.StatusPaymentRequired {
-			c.note("%s was refused with %d", id, answer.Status)
+			c.note("%s was refused with unexpected status %d", id, answer.Status)
 		}
 	}
 }
 
-// operate sends configurations and reads them back at any node.
+// operate sends configurations and reads them back at each control node: no read may return a version
+// older than one acknowledged before it.
 func (c *Chaos) operate(ctx context.Context) {
 	for turn := uint64(0); ctx.Err() == nil; turn++ {
 		c.mutex.Lock()
@@ -127,14 +131,14 @@
 				continue
 			}
 			if read, err := c.fleet.Read(name); err == nil && (read == nil || read.Version < acked) {
-				c.note("%s read a version below %d: %v", name, acked, read)
+				c.note("%s read a version older than acknowledged version %d: %v", name, acked, read)
 			}
 		}
 		time.Sleep(orderPause)
 	}
 }
 
-// fault brings one fault about, and its end.
+// fault injects one random fault and repairs it.
 func (c *Chaos) fault() {
 	controls, entries := c.liveControls(), c.fleet.Names(false)
 	control := controls[c.random.IntN(len(controls))]
@@ -190,7 +194,7 @@
 	return live
 }
 
-// powerOffAll takes the power from all machines at once.
+// powerOffAll cuts the power of all machines for a time.
 func (c *Chaos) powerOffAll(down time.Duration) {
 	names := append(c.liveControls(), c.fleet.Names(false)...)
 	for _, name := range names {
@@ -202,8 +206,7 @@
 	}
 }
 
-// replaceControl loses a control machine for good; an empty one comes at
-// another address.
+// replaceControl loses a control machine for good and adds one with an empty disk at another address.
 func (c *Chaos) replaceControl(lost string) {
 	c.fleet.PowerOff(lost)
 	c.fleet.Lose(lost)
@@ -214,32 +217,32 @@
 	time.Sleep(repairTime)
 }
 
-// checkEnd looks at what must hold once all is over.
+// checkEnd checks the guarantees that can be checked only once callers and faults have ended.
 func (c *Chaos) checkEnd() {
 	read, err := c.fleet.ReadAny(10 * time.Second)
 	if err != nil || read.Version < c.acked {
-		c.note("at the end %v is read (%v), version %d was acknowledged", read, err, c.acked)
+		c.note("final read returned %v (%v), but version %d was acknowledged", read, err, c.acked)
 	}
 	runs := map[string]int{}
 	for _, run := range c.fleet.Truth.Runs() {
 		runs[run.Request]++
 	}
 	if len(runs) < leastRuns || c.acked < leastAcknowledged {
-		c.note("only %d requests ran and version %d was acknowledged: the run shows nothing", len(runs), c.acked)
+		c.note("inconclusive run: only %d requests ran and only version %d was acknowledged", len(runs), c.acked)
 	}
 	for id, count := range runs {
 		var number, turn int
 		_, _ = fmt.Sscanf(id, "c%d-%d", &number, &turn)
 		isOnce := turn%4 == 1 || turn%4 == 2
 		if isOnce && count > 1 {
-			c.note("%s ran %d times", id, count)
+			c.note("%s may run at most once and ran %d times", id, count)
 		}
 		if isOnce && c.refused[id] {
-			c.note("%s was refused as not run, and ran", id)
+			c.note("%s was refused as not run, but ran", id)
 		}
 	}
 	limit := c.configuration(c.sent).Tenants[0].Prepaid
 	if spent := c.fleet.Truth.Received("key-one"); spent > limit {
-		c.note("%d tokens of %d prepaid were handed out", spent, limit)
+		c.note("%d tokens were delivered, more than the %d prepaid", spent, limit)
 	}
 }
--- a/internal/lab/openfleet/chaos_test.go
+++ b/internal/lab/openfleet/chaos_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// chaosSeeds is the number of runs in CI; RAVENWAY_CHAOS_SEEDS sets another one.
+// chaosSeeds is the number of runs in CI; the environment variable RAVENWAY_CHAOS_SEEDS overrides it.
 const chaosSeeds = 12
 
 func TestPromisesHoldUnderRandomFaultsOnOpenFleets(t *testing.T) {
--- a/internal/lab/openfleet/engine.go
+++ b/internal/lab/openfleet/engine.go
@@ -21,28 +21,27 @@
 	Request  string
 	Instance string
 	Tenant   string
-	// Body is the request's body.
-	Body string
-	// Arrived and Ended are times since the fleet's start; Ended is 0 while the
-	// run goes on.
+	Body     string
+	// Arrived and Ended are times since the fleet was made; Ended is 0 while the run is in progress.
 	Arrived, Ended time.Duration
 }
 
-// Truth is what the engines saw and the callers got.
+// Truth records what the engines ran and what the callers received, independently of the nodes under
+// test.
 type Truth struct {
 	began time.Time
 	mutex sync.Mutex
 	runs  []*Run
-	// arrivals are when requests came to each instance, also those that it turned away.
+	// arrivals are the times at which requests arrived at each instance, rejected ones included.
 	arrivals map[string][]time.Duration
-	// pauses are what instances asked nodes for.
+	// pauses are what instances requested from nodes: pauses, and no more requests once they leave.
 	pauses map[senderAt]*pausecheck.Record
-	// received are the tokens that the callers with each key got: of a request of
-	// which anything came, the prompt once and each event.
+	// received are the tokens that the callers with each key received. A request of whose response
+	// anything arrived counts its prompt once, and each event.
 	received map[string]uint64
 }
 
-// senderAt is a node that sends requests to an instance.
+// senderAt identifies an instance and a node that sends requests to it.
 type senderAt struct{ instance, node string }
 
 func (t *Truth) begin(request, instance, tenant, body string) *Run {
@@ -81,16 +80,16 @@
 	t.pausesOf(instance, node).Leave(time.Since(t.began))
 }
 
-// AfterLeaving is what an instance got from a node after it had told it that it leaves, and
-// whether it did.
+// AfterLeaving returns the number of requests that an instance got from a node after a response had
+// told the node that the instance leaves, and reports whether a response did.
 func (t *Truth) AfterLeaving(instance, node string) (late int, wasTold bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.pausesOf(instance, node).AfterLeaving()
 }
 
-// InPause is the most that an instance got from a node in a pause that it had asked it for,
-// and how often it asked for one.
+// InPause returns the maximum number of requests that an instance got from a node in a pause that it
+// had requested from it, and the number of pauses that it requested.
 func (t *Truth) InPause(instance, node string) (most, pauses int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -98,7 +97,7 @@
 	return record.Most(), record.Pauses()
 }
 
-// Arrivals returns when requests came to an instance, in order.
+// Arrivals returns the times at which requests arrived at an instance, in order.
 func (t *Truth) Arrivals(instance string) []time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -128,56 +127,57 @@
 	return runs
 }
 
-// Received returns the tokens that the callers with a key got in all.
+// Received returns the total number of tokens that the callers with a key received.
 func (t *Truth) Received(key string) uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.received[key]
 }
 
-// Engine is a stand-in for one instance of a service.
+// Engine simulates one instance of a service.
 type Engine struct {
 	registry.Instance
 	truth *Truth
 	mutex sync.Mutex
-	// Work is the time of a whole answer, or between events of a stream.
+	// Work is the time that a whole response takes, or each event of a stream.
 	Work time.Duration
-	// Events is the number of events of a stream; 0 makes whole answers.
+	// Events is the number of events of a stream; 0 makes whole responses.
 	Events int
-	// BreakAfter breaks a stream off behind that many events; 0 means never.
+	// BreakAfter aborts a stream after that many events; 0 means never.
 	BreakAfter int
-	// Status is the answer's status; 0 means 200.
+	// Status is the status of whole responses; 0 means 200.
 	Status int
-	// TurnAway makes the engine run nothing.
+	// TurnAway makes the engine reject all requests.
 	TurnAway bool
-	// EndsOn is the body of requests that end the engine EndsAfter they began to run,
-	// with all that runs beside them; "" means that there are none.
+	// EndsOn is the body of requests that crash the engine, with all runs in progress, EndsAfter
+	// they began to run; "" means that there are none.
 	EndsOn    string
 	EndsAfter time.Duration
-	// RateLimit is the requests a second that the engine names in its answers; "" means
-	// that it names none.
+	// RateLimit is the rate limit in requests per second that the engine's responses name; "" means
+	// that they name none.
 	RateLimit string
-	// BareRefusals is the part of its requests that the engine turns away with an answer
-	// that says nothing else, a limit included.
+	// BareRefusals is the fraction of its requests that the engine rejects with a response that
+	// carries no other signal, not even the rate limit.
 	BareRefusals float64
-	// Pause is what the engine asks a node for whose request it turns away; 0 if it doesn't ask.
+	// Pause is the pause that the engine requests from a node whose request it rejects; 0 means none.
 	Pause time.Duration
-	// Leaves has the engine say in all its answers that it leaves; its heartbeats don't say so.
+	// Leaves makes all responses of the engine signal that it leaves; its heartbeats don't report it.
 	Leaves bool
-	// end ends the engine, hasEnded tells that it did.
+	// end crashes the engine; hasEnded reports that it has crashed.
 	end      func()
 	hasEnded atomic.Bool
 	// isSilent engines send no heartbeats.
 	isSilent bool
 }
 
-// Set changes the engine's behaviour while it serves.
+// Set changes the engine's behaviour while it serves requests.
 func (e *Engine) Set(change func(*Engine)) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	change(e)
 }
 
+// behaviour is a copy of an engine's settings, taken for one request.
 type behaviour struct {
 	work               time.Duration
 	events, breakAfter int
@@ -242,8 +242,8 @@
 	e.answerStream(writer, request, run, how)
 }
 
-// endBy ends the engine by a request that it has begun. A stream's answer has begun
-// by then.
+// endBy crashes the engine while it runs a request. The head of a stream's response has been sent by
+// then.
 func (e *Engine) endBy(writer http.ResponseWriter, how behaviour) {
 	if how.events > 0 {
 		writer.Header().Set("Content-Type", "text/event-stream")
--- a/internal/lab/openfleet/evacuation_test.go
+++ b/internal/lab/openfleet/evacuation_test.go
@@ -14,11 +14,12 @@
 	"github.com/ravenway/ravenway/internal/gateway"
 )
 
-// orderInForceWithin is how soon an order for a zone holds at each node in touch.
+// orderInForceWithin is the time within which an order for a zone must be in effect at each reachable
+// node.
 const orderInForceWithin = time.Second
 
-// requestAll sends some requests of each kind to each entry node and returns when
-// it began; all must be served.
+// requestAll sends requests of each kind to each entry node, checks that all are served, and returns
+// the time since the fleet was made at which it began.
 func requestAll(t *testing.T, f *Fleet, name string) time.Duration {
 	t.Helper()
 	since := time.Since(f.Truth.began)
@@ -32,7 +33,7 @@
 	return since
 }
 
-// runsInZone counts the runs that began in a zone since a time.
+// runsInZone counts the runs that began in a zone since the given time.
 func runsInZone(f *Fleet, zone string, since time.Duration) int {
 	count := 0
 	for _, run := range f.Truth.Runs() {
@@ -64,7 +65,7 @@
 		streams.Wait()
 		assert.Assert(t, runsInZone(f, "a", 0) > 0)
 		assert.Equal(t, runsInZone(f, "a", requestAll(t, f, "evacuated")), 0)
-		// Once more is acknowledged and changes nothing.
+		// A repeated order is acknowledged and has no effect.
 		assert.NilError(t, f.OrderZone("a", true, 3*time.Second))
 		assert.NilError(t, f.OrderZone("a", false, 3*time.Second))
 		time.Sleep(orderInForceWithin)
@@ -80,13 +81,13 @@
 	})
 }
 
-// The node that acknowledged dies at once, then all machines lose power, one of
-// them its disk too.
+// Guards against the loss of an acknowledged order: the node that acknowledged it loses power and its
+// disk immediately, then all machines lose power.
 func TestAcknowledgedEvacuationSurvivesTheLossOfItsNodeAndOfAllPower(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round, zone := range []string{"a", "b"} {
 			taker := f.Names(true)[round]
-			assert.NilError(t, f.WaitFor(5*time.Second, "an acknowledgement", func() bool {
+			assert.NilError(t, f.WaitFor(5*time.Second, "an acknowledgement of the evacuation", func() bool {
 				_, err := f.Machine(taker).running().OrderZone(f.ctx, zone, true)
 				return err == nil
 			}))
@@ -94,7 +95,7 @@
 			f.Wipe(taker)
 			f.PowerOffAll()
 			f.BootAll()
-			assert.NilError(t, f.WaitFor(10*time.Second, "all ready", func() bool {
+			assert.NilError(t, f.WaitFor(10*time.Second, "all entry nodes to be ready", func() bool {
 				return f.Ready("entry-0") && f.Ready("entry-1") && f.Ready("entry-2")
 			}))
 			time.Sleep(4 * time.Second)
@@ -105,8 +106,8 @@
 	})
 }
 
-// While a node is cut off from all control nodes it can't know of the order; it
-// does at once when it is back.
+// Guards against a node that misses an order. It can't receive the order while it is partitioned from
+// all control nodes, but must apply it as soon as it reaches them again.
 func TestNodeThatWasCutOffDuringAnEvacuationHeedsItOnceItIsBack(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		f.Network.CutBetween(f.Names(true), []string{"entry-1"})
@@ -119,8 +120,8 @@
 	})
 }
 
-// The core is cut in two while orders come to both sides: what was acknowledged
-// last holds at all nodes.
+// Guards against nodes that disagree about the order of two operators' contradicting orders: a control
+// node is partitioned while both arrive, and afterwards the same one is in effect at all nodes.
 func TestOrdersOfTwoOperatorsHaveOneOrder(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round := range 4 {
--- a/internal/lab/openfleet/fulllink_test.go
+++ b/internal/lab/openfleet/fulllink_test.go
@@ -8,22 +8,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// inForceWithin is the time within which an acknowledged configuration has to be
-// in force at all connected nodes of the incident's deployment.
+// inForceWithin is the time within which an acknowledged configuration must be in effect at all
+// connected nodes.
 const inForceWithin = 2500 * time.Millisecond
 
-// expectInForce sends a configuration and checks that a node has it in time.
+// expectInForce sends a configuration and checks that it is in effect at a node in time.
 func expectInForce(t *testing.T, f *Fleet, name string, version uint64) {
 	t.Helper()
 	assert.NilError(t, f.Put(configuration(version), time.Second))
-	assert.NilError(t, f.WaitFor(inForceWithin, "the configuration in force at "+name, func() bool {
+	assert.NilError(t, f.WaitFor(inForceWithin, "the configuration to be in effect at "+name, func() bool {
 		return f.Machine(name).running().Version() == version
 	}))
 }
 
-// Incident CONFIG on zhf-valuation-grown: what is sent to an entry node whose
-// link its callers fill is on its way for a second and more. Word of a version
-// and then the version itself were two such ways, one after the other.
+// Guards against configurations that take effect late at an entry node whose link is saturated by its
+// callers, where each message takes more than a second. Announcing a version first and sending it
+// afterwards took two such delays in sequence.
 func TestNodeBehindAFullLinkHasANewVersionInTime(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		f.Network.Delay("entry-0", 1300*time.Millisecond)
@@ -33,8 +33,8 @@
 	})
 }
 
-// The same incident: a connection that was lost did not come back, since its
-// handshake takes two ways to the node, and none may take over a second.
+// Guards against a lost connection over a saturated link that can't be established again: the
+// handshake needs two messages to the node, and neither may take more than a second.
 func TestNodeBehindAFullLinkIsReachedAgainOverANewConnection(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		f.Network.Delay("entry-0", 550*time.Millisecond)
@@ -44,8 +44,8 @@
 	})
 }
 
-// A control node of the own zone whose frames are lost must not hold up what
-// others have.
+// Guards against a node that waits for the control node of its own zone, whose frames are lost, while
+// other control nodes have the version.
 func TestVersionComesFromAnotherNodeWhereTheOwnZonesIsNotHeard(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		f.Network.CutOneWay("control-0", "entry-0")
@@ -53,19 +53,19 @@
 	})
 }
 
-// The same incident: the node with the full link went on asking for callers, of
-// whom it could serve few in time, while its neighbours were idle.
+// Guards against a node with a saturated link that stays ready for callers: it could serve few of them
+// in time while other entry nodes were idle.
 func TestNodeWhoseLinkIsFullAsksForNoMoreCallersUntilItIsFree(t *testing.T) {
 	inFleet(t, 4, func(t *testing.T, f *Fleet) {
 		readyIs := func(name string, wanted bool) func() bool { return func() bool { return f.Ready(name) == wanted } }
 		f.Network.Delay("entry-0", 500*time.Millisecond)
-		assert.NilError(t, f.WaitFor(5*time.Second, "not ready with a full link", readyIs("entry-0", false)))
+		assert.NilError(t, f.WaitFor(5*time.Second, "entry-0 not to be ready with a saturated link", readyIs("entry-0", false)))
 		assert.Assert(t, f.Ready("entry-3"))
-		// Requests that come all the same are served, and their connections end.
+		// Requests that arrive nevertheless are served, and their connections are closed.
 		answer, err := f.Request("entry-0", Ask{ID: "r1", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Status, http.StatusOK)
 		f.Network.Delay("entry-0", 0)
-		assert.NilError(t, f.WaitFor(10*time.Second, "ready again", readyIs("entry-0", true)))
+		assert.NilError(t, f.WaitFor(10*time.Second, "entry-0 to be ready again", readyIs("entry-0", true)))
 	})
 }
--- a/internal/lab/openfleet/ledger_test.go
+++ b/internal/lab/openfleet/ledger_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// ledgerDistance is what the root has settled of the budget beyond what its callers
-// got, as a part of the limit. Below 0 the tenant got more than it is charged.
+// ledgerDistance returns the tokens that the root has settled beyond those that callers received, as a
+// fraction of the budget's limit. Below 0 the tenant received more than it is charged.
 func ledgerDistance(t *testing.T, f *Fleet) float64 {
 	t.Helper()
 	settled := uint64(0)
@@ -25,8 +25,9 @@
 	return (float64(settled) - float64(f.Truth.Received("key-one"))) / prepaid
 }
 
-// After a loss of all power no token can be granted before the lives that are over are
-// closed, and for that the leader must hear of their successors; it need not be a seed.
+// Guards against a long time without tokens after all machines lose power. No token can be granted
+// before the incarnations that have ended are closed, and for that the leader, which need not be a seed,
+// must know their successors.
 func TestTokensAreThereSoonAfterALossOfAllPower(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -43,14 +44,14 @@
 			names := append(f.Names(true), f.Names(false)...)
 			f.PowerOffAll()
 			time.Sleep(1500 * time.Millisecond)
-			// Machines come back one after the other, in another order each time.
+			// Machines start one after the other, in another order each round.
 			f.random.Shuffle(len(names), func(a, b int) { names[a], names[b] = names[b], names[a] })
 			for _, name := range names {
 				f.Boot(name)
 				time.Sleep(30 * time.Millisecond)
 			}
 			began := time.Now()
-			assert.NilError(t, f.WaitFor(8*time.Second, "all lives that are over closed", func() bool {
+			assert.NilError(t, f.WaitFor(8*time.Second, "all ended incarnations to be closed", func() bool {
 				budgets, err := f.Machine("control-0").running().Budgets(f.ctx, "one")
 				return err == nil && budgets[0].GetOutstanding() == 0
 			}))
@@ -62,12 +63,12 @@
 	})
 }
 
-// closedWithin is the time from the start of the last machine after a loss of all power
-// until no life that is over holds tokens any more.
+// closedWithin is the maximum time between the start of the last machine after a power loss of all
+// machines and the moment from which no ended incarnation holds tokens.
 const closedWithin = 400 * time.Millisecond
 
-// spendWhile has callers ask each entry node for streams while something happens, one
-// in eight of them leaving early, and waits until all is settled and reported.
+// spendWhile sends streams to each entry node while something happens, and waits until all tokens are
+// settled and reported. One in eight callers disconnects early.
 func spendWhile(t *testing.T, f *Fleet, happens func(random *rand.Rand)) {
 	t.Helper()
 	stop := make(chan struct{})
@@ -96,8 +97,9 @@
 	time.Sleep(5 * time.Second)
 }
 
-// What is settled and nobody got, the tenant can't spend. In calm, around planned
-// stops and in cuts it is next to nothing.
+// Guards against tokens that are charged but were not received, which the tenant can't spend. In normal
+// operation, around graceful stops, in partitions and with broken streams they must stay below 0.5 % of
+// the budget.
 func TestLedgerIsWithinHalfAHundredthOfWhatCallersGot(t *testing.T) {
 	for name, happens := range map[string]func(*Fleet, *rand.Rand){
 		"calm": func(*Fleet, *rand.Rand) { time.Sleep(4 * time.Second) },
@@ -131,17 +133,17 @@
 			inFleet(t, 3, func(t *testing.T, f *Fleet) {
 				spendWhile(t, f, func(random *rand.Rand) { happens(f, random) })
 				distance := ledgerDistance(t, f)
-				t.Logf("%d tokens got, distance %.4f", f.Truth.Received("key-one"), distance)
-				assert.Assert(t, f.Truth.Received("key-one") > prepaid/20, "too little was got to show anything")
+				t.Logf("%d tokens received, distance %.4f", f.Truth.Received("key-one"), distance)
+				assert.Assert(t, f.Truth.Received("key-one") > prepaid/20, "inconclusive: too few tokens were received")
 				assert.Assert(t, distance >= 0 && distance <= 0.005, "%.4f", distance)
 			})
 		})
 	}
 }
 
-// All machines lose power at the same moment, near the end of a budget of which three
-// in a hundred are used a second: what their lives are charged in vain nobody can spend
-// any more. It is what the pace allows in the 2 s until their successors are there.
+// Guards against charging too much when all machines lose power near the end of a budget of which 3 %
+// are used a second. Tokens that are charged to the ended incarnations but were not used can't be spent
+// any more. They must be no more than what is used at that rate in the 2 s until the successors run.
 func TestLedgerIsOffByTwoSecondsOfUseAfterALossOfAllPowerNearABudgetsEnd(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		spendWhile(t, f, func(*rand.Rand) {
@@ -153,7 +155,7 @@
 			f.BootAll()
 		})
 		distance := ledgerDistance(t, f)
-		t.Logf("%d tokens got, distance %.4f", f.Truth.Received("key-one"), distance)
+		t.Logf("%d tokens received, distance %.4f", f.Truth.Received("key-one"), distance)
 		assert.Assert(t, distance >= 0 && distance <= 0.08, "%.4f", distance)
 	})
 }
--- a/internal/lab/openfleet/manycontrols_test.go
+++ b/internal/lab/openfleet/manycontrols_test.go
@@ -9,13 +9,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// heardWithin is how soon each entry node uses an instance that registers while one of the
-// control nodes is dead: two control nodes notice its silence, or a digest that stands.
+// heardWithin is the time within which each entry node uses an instance that registers while one of the
+// control nodes is down: the nodes must first notice that it has sent nothing, or that its digest does
+// not change.
 const heardWithin = 6 * time.Second
 
-// With many control nodes each entry node hears of instances over one of them. Whichever of
-// them dies or is cut off, all entry nodes use new instances soon, and leave those that drain
-// at once.
+// Guards against entry nodes that miss instances when a control node crashes or is partitioned. With
+// many control nodes each entry node receives instances from one of them. Regardless of which one
+// fails, all entry nodes must soon use new instances, and immediately stop using draining ones.
 func TestInstancesAreKnownEverywhereWhicheverControlNodeDies(t *testing.T) {
 	inFleetOf(t, 11, 6, func(t *testing.T, f *Fleet) {
 		time.Sleep(time.Second)
@@ -25,7 +26,7 @@
 			} else {
 				f.Network.CutBetween([]string{victim}, f.Names(false))
 			}
-			// It is the first in order, so all nodes of its zone prefer it.
+			// Its id sorts first, so all nodes of its zone prefer it.
 			id, zone := fmt.Sprintf("app-%03d", round), zones[round%len(zones)]
 			f.AddEngine(id, "app", zone)
 			time.Sleep(heardWithin)
@@ -38,7 +39,7 @@
 				assert.NilError(t, err)
 				assert.Equal(t, answer.Status, http.StatusOK)
 				runs := f.Truth.Runs()
-				assert.Assert(t, runs[len(runs)-1].Instance != id, "%s uses the drained %s", entry, id)
+				assert.Assert(t, runs[len(runs)-1].Instance != id, "%s uses the draining instance %s", entry, id)
 			}
 			f.Network.Heal()
 			if round%2 == 0 {
@@ -49,7 +50,7 @@
 	})
 }
 
-// assertZoneUses sends requests at each entry node of a zone and checks that each uses an
+// assertZoneUses sends a request to each entry node of a zone and checks that it runs at the given
 // instance.
 func assertZoneUses(t *testing.T, f *Fleet, id, zone string) {
 	t.Helper()
@@ -63,6 +64,6 @@
 		assert.Equal(t, answer.Status, http.StatusOK)
 		runs := f.Truth.Runs()
 		assert.Equal(t, runs[len(runs)-1].Request, request)
-		assert.Equal(t, runs[len(runs)-1].Instance, id, "%s does not use it", entry)
+		assert.Equal(t, runs[len(runs)-1].Instance, id, "%s does not use the new instance", entry)
 	}
 }
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -1,7 +1,7 @@
-// Package openfleet runs whole fleets of gateway nodes in one process: the
-// daemon's own code over an in-memory network and disks, with engine stand-ins
-// whose truth the promises are checked against. Inside a testing/synctest
-// bubble it runs in virtual time.
+// Package openfleet runs whole fleets of gateway nodes in one process: the daemon's own code over
+// an in-memory network and simulated disks, with simulated engines. The engines record the ground
+// truth that the fleet's guarantees are checked against. Inside a testing/synctest bubble the fleet
+// runs in virtual time.
 package openfleet
 
 import (
@@ -31,7 +31,7 @@
 )
 
 const (
-	// callerMachine is where callers and operators sit; it is never cut off.
+	// callerMachine is the machine of callers and operators; it is never partitioned.
 	callerMachine = "caller"
 	peerKey       = "open-fleet-peer-key-of-at-least-32-bytes"
 	peerPort      = 7000
@@ -42,7 +42,7 @@
 	pollPause     = 20 * time.Millisecond
 )
 
-// zones are where the machines stand in turn.
+// zones are assigned to the machines in turn.
 var zones = []string{"a", "b", "c"}
 
 // Machine is one node's machine.
@@ -60,10 +60,11 @@
 type process struct {
 	node   *gateway.Node
 	cancel context.CancelFunc
-	ended  chan struct{}
+	// ended is closed once the node has stopped running.
+	ended chan struct{}
 }
 
-// running returns the machine's node while it runs, or nil.
+// running returns the machine's node, or nil if it does not run.
 func (m *Machine) running() *gateway.Node {
 	current := m.process.Load()
 	if current == nil || isClosed(current.ended) {
@@ -80,7 +81,7 @@
 	Network *fleet.Network
 	Truth   *Truth
 	Logger  zerolog.Logger
-	// members guards the machines: some are added while requests go on.
+	// members guards machines, order and lost: machines are added while requests are in flight.
 	members  sync.RWMutex
 	machines map[string]*Machine
 	order    []string
@@ -90,14 +91,16 @@
 	ctx      context.Context
 	cancel   context.CancelFunc
 	running  sync.WaitGroup
-	beats    sync.Mutex
-	// hasRun is set once the whole system has started for the first time.
+	// beats guards engines and the state that their heartbeats report.
+	beats sync.Mutex
+	// hasRun is set once all machines have started for the first time; until then nodes are
+	// told that they may bootstrap the control group.
 	hasRun bool
-	// lost are the machines that don't come back.
+	// lost are the machines that never start again; nodes booted later don't have them as seeds.
 	lost map[string]bool
 }
 
-// New makes a fleet; nothing runs yet.
+// New returns a fleet whose machines do not run yet.
 func New(controls, entries int, random *rand.Rand) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	made := &Fleet{
@@ -145,7 +148,7 @@
 	return names
 }
 
-// Start boots all machines for the first time.
+// Start boots all machines for the first time and begins to send the engines' heartbeats.
 func (f *Fleet) Start() {
 	for _, name := range f.order {
 		f.Boot(name)
@@ -154,7 +157,7 @@
 	f.running.Go(f.heartbeats)
 }
 
-// Boot starts a machine's node on whatever its disk holds.
+// Boot starts a machine's node with the current contents of its disk.
 func (f *Fleet) Boot(name string) {
 	machine := f.Machine(name)
 	loaded := &settings.Settings{
@@ -192,11 +195,11 @@
 	})
 }
 
-// seedCount is the number of control nodes that settings name.
+// seedCount is the maximum number of seeds in a node's settings.
 const seedCount = 3
 
-// seeds are the newest control machines that were not lost for good, as the
-// settings of the moment name them.
+// seeds returns the control addresses of the newest control machines that are not lost, for the
+// settings of a node that boots now.
 func (f *Fleet) seeds() []string {
 	var seeds []string
 	for _, name := range f.Names(true) {
@@ -207,7 +210,7 @@
 	return seeds[max(0, len(seeds)-seedCount):]
 }
 
-// Lose notes that a machine does not come back.
+// Lose records that a machine never starts again.
 func (f *Fleet) Lose(name string) {
 	f.members.Lock()
 	defer f.members.Unlock()
@@ -225,7 +228,7 @@
 	return func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "memory", address) }
 }
 
-// Kill ends a machine's process at once; its files stay as they were written.
+// Kill ends a machine's process immediately; its files keep what was written.
 func (f *Fleet) Kill(name string) {
 	machine := f.Machine(name)
 	f.Network.Break(name)
@@ -236,13 +239,13 @@
 	f.Network.Break(name)
 }
 
-// PowerOff ends a machine; its disk loses what was not synced.
+// PowerOff cuts the power of a machine; its disk loses what was not synced.
 func (f *Fleet) PowerOff(name string) {
 	f.Kill(name)
 	f.Machine(name).Disk.Crash()
 }
 
-// PowerOffAll takes the power from all machines at once, and BootAll gives it back.
+// PowerOffAll cuts the power of all machines; BootAll starts them again.
 func (f *Fleet) PowerOffAll() { f.each(f.PowerOff) }
 
 // BootAll boots all machines.
@@ -257,7 +260,8 @@
 // Wipe empties a stopped machine's disk.
 func (f *Fleet) Wipe(name string) { f.Machine(name).Disk.Erase() }
 
-// Stop stops a machine as a signal would, and returns the requests cut.
+// Stop shuts a machine's node down gracefully, as a signal would, and returns the number of requests
+// that were interrupted.
 func (f *Fleet) Stop(name string) int64 {
 	machine := f.Machine(name)
 	ctx, cancel := context.WithTimeout(f.ctx, settings.DefaultStopGrace)
@@ -270,7 +274,7 @@
 	return cut
 }
 
-// Close ends everything.
+// Close stops all machines and engines and waits until they have ended.
 func (f *Fleet) Close() {
 	f.Network.Heal()
 	f.cancel()
@@ -284,12 +288,12 @@
 	f.callers.CloseIdleConnections()
 }
 
-// AddEngine starts an engine stand-in and registers it from now on.
+// AddEngine starts a simulated engine, which sends heartbeats from then on.
 func (f *Fleet) AddEngine(id, service, zone string) *Engine {
 	return f.AddVersion(id, service, zone, "")
 }
 
-// AddVersion starts an engine stand-in of a version of its service.
+// AddVersion starts a simulated engine that runs a version of its service.
 func (f *Fleet) AddVersion(id, service, zone, version string) *Engine {
 	engine := &Engine{truth: f.Truth, Work: 10 * time.Millisecond}
 	engine.Instance = registry.Instance{ID: id, Service: service, Address: id + ":80", Zone: zone, Version: version, Slots: 8, State: registry.Ready, Sequence: 1, Born: time.Now().UnixMilli()}
@@ -307,8 +311,8 @@
 	return engine
 }
 
-// EndEngine ends an engine as a crash does: its connections break, new ones are
-// refused, and it says nothing any more.
+// EndEngine crashes an engine: its connections break, new ones are refused, and it sends no more
+// heartbeats.
 func (f *Fleet) EndEngine(engine *Engine) {
 	engine.hasEnded.Store(true)
 	f.Network.Break(engine.ID)
@@ -317,7 +321,7 @@
 // heartbeatInterval is the time between an engine's heartbeats.
 const heartbeatInterval = time.Second
 
-// silenceEngines ends all engines' heartbeats; they go on serving.
+// silenceEngines stops the heartbeats of all engines, which continue to serve requests.
 func (f *Fleet) silenceEngines() {
 	f.beats.Lock()
 	defer f.beats.Unlock()
@@ -326,7 +330,7 @@
 	}
 }
 
-// heartbeats reports all engines to some live control node again and again.
+// heartbeats periodically sends the heartbeat of each engine to a running control node.
 func (f *Fleet) heartbeats() {
 	for f.ctx.Err() == nil {
 		f.beats.Lock()
@@ -345,11 +349,10 @@
 	}
 }
 
-// Drain makes an engine say that it drains. It returns once that is
-// acknowledged.
+// Drain makes an engine report that it drains. It returns once a control node has acknowledged that.
 func (f *Fleet) Drain(id string) error { return f.say(id, registry.Draining) }
 
-// say has an engine's heartbeats tell a state from now on.
+// say changes the state that an engine's heartbeats report and sends one of them.
 func (f *Fleet) say(id string, state registry.State) error {
 	f.beats.Lock()
 	defer f.beats.Unlock()
@@ -359,7 +362,7 @@
 	return f.Heartbeat(engine.Instance)
 }
 
-// Heartbeat tells the first control node that answers.
+// Heartbeat sends a heartbeat to the first control node that acknowledges it.
 func (f *Fleet) Heartbeat(instance registry.Instance) error {
 	err := errors.New("no control node runs")
 	for _, name := range f.Names(true) {
@@ -386,7 +389,7 @@
 	}
 }
 
-// Put sends a configuration until a control node acknowledges it.
+// Put sends a configuration until a control node acknowledges it or the time is up.
 func (f *Fleet) Put(sent *document.Document, patience time.Duration) error {
 	raw, err := sent.Encode()
 	if err != nil {
@@ -398,7 +401,7 @@
 	})
 }
 
-// Read reads the newest configuration at one control node.
+// Read returns the newest configuration as one control node reads it, nil if there is none.
 func (f *Fleet) Read(name string) (*document.Document, error) {
 	raw, err := f.Machine(name).running().ReadDocument(f.ctx)
 	if err != nil || raw == nil {
@@ -407,7 +410,8 @@
 	return document.Decode(raw)
 }
 
-// ReadAny reads the newest configuration at any control node that is certain.
+// ReadAny returns the newest configuration from the first control node that can confirm that it is
+// the newest.
 func (f *Fleet) ReadAny(patience time.Duration) (*document.Document, error) {
 	var read *document.Document
 	err := f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
@@ -421,7 +425,7 @@
 	return read, err
 }
 
-// OrderZone evacuates or restores a zone; it asks until a control node acknowledges.
+// OrderZone evacuates or restores a zone; it retries until a control node acknowledges the order.
 func (f *Fleet) OrderZone(zone string, evacuated bool, patience time.Duration) error {
 	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
 		_, err := node.OrderZone(ctx, zone, evacuated)
@@ -445,50 +449,50 @@
 	return err
 }
 
-// WaitFor waits until something holds.
+// WaitFor waits until a condition holds; what describes the condition in the error.
 func (f *Fleet) WaitFor(patience time.Duration, what string, holds func() bool) error {
 	for began := time.Now(); time.Since(began) < patience; time.Sleep(pollPause) {
 		if holds() {
 			return nil
 		}
 	}
-	return fmt.Errorf("%s: not within %s", what, patience)
+	return fmt.Errorf("timed out waiting for %s after %s", what, patience)
 }
 
-// Ready asks an entry node whether it should get callers.
+// Ready reports whether an entry node's readiness endpoint accepts callers.
 func (f *Fleet) Ready(name string) bool {
 	answer, err := f.get(fmt.Sprintf("http://%s:%d%s", f.Machine(name).Host, readyPort, wire.ReadyPath))
 	return err == nil && answer.Status == http.StatusOK
 }
 
-// Operators is a client of a node's operator listener.
+// Operators returns a client of a node's operator listener.
 func (f *Fleet) Operators(name string) ravenwayv1connect.OperatorServiceClient {
 	return ravenwayv1connect.NewOperatorServiceClient(&http.Client{Transport: f.callers}, fmt.Sprintf("http://%s:%d", f.Machine(name).Host, operatorsPort))
 }
 
-// Answer is what a caller got.
+// Answer is the response that a caller received.
 type Answer struct {
 	Status int
 	Body   string
 	Header http.Header
-	// Broken is set when the answer did not end as it should.
+	// Broken is the error that ended the body early, or nil.
 	Broken error
 }
 
 // Ask describes a caller's request.
 type Ask struct {
 	ID, Path, Key string
-	Tokens        string
-	Wait          time.Duration
-	Context       context.Context
-	// Body is the request's body.
-	Body string
-	// Part is a part of the prompt that requests share, "" if there is none.
+	// Tokens is the value of wire.HeaderTokens: prompt tokens, a comma and output tokens.
+	Tokens  string
+	Wait    time.Duration
+	Context context.Context
+	Body    string
+	// Part identifies a part of the prompt that requests share, "" if there is none.
 	Part string
 }
 
-// Request sends a caller's request to an entry node. The error is one of the
-// connection before an answer's head.
+// Request sends a caller's request to an entry node. The error is that of a connection that failed
+// before the head of a response arrived.
 func (f *Fleet) Request(name string, ask Ask) (Answer, error) {
 	ctx := ask.Context
 	if ctx == nil {
@@ -518,7 +522,7 @@
 	return answer, err
 }
 
-// noteReceived counts the tokens that a caller got: one for each event.
+// noteReceived counts the tokens that a caller received: the prompt's and one for each event.
 func (f *Fleet) noteReceived(ask Ask, answer Answer) {
 	var tokensIn, tokensOut uint64
 	if _, err := fmt.Sscanf(ask.Tokens, "%d,%d", &tokensIn, &tokensOut); err != nil || answer.Status != http.StatusOK || answer.Body == "" {
@@ -527,7 +531,7 @@
 	f.Truth.receive(ask.Key, tokensIn+uint64(strings.Count(answer.Body, eventEnd)))
 }
 
-// eventEnd closes an event of a stream.
+// eventEnd terminates an event of a stream.
 const eventEnd = "\n\n"
 
 func (f *Fleet) get(url string) (Answer, error) {
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -19,8 +19,8 @@
 
 const prepaid = 10_000
 
-// configuration has a plain service, one whose requests may not be repeated,
-// and streams that may and may not be resumed.
+// configuration returns a version of the configuration with routes for requests that may and may not
+// be repeated, and for streams that may and may not be resumed.
 func configuration(version uint64) *document.Document {
 	route := func(name string, kind document.RouteKind, service string) document.Route {
 		return document.Route{
@@ -41,14 +41,14 @@
 	}
 }
 
-// inFleet runs a test against a fleet with a first configuration and engines in
-// each zone, in virtual time.
+// inFleet runs a test in virtual time against a fleet of three control nodes and some entry nodes,
+// with a first configuration and engines in each zone.
 func inFleet(t *testing.T, entries int, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	inFleetOf(t, 3, entries, test)
 }
 
-// inFleetOf is inFleet with a number of control nodes.
+// inFleetOf is inFleet with the given number of control nodes.
 func inFleetOf(t *testing.T, controls, entries int, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	t.Parallel()
@@ -69,8 +69,8 @@
 	})
 }
 
-// startWithEngines starts a fleet with engines in each zone and a first
-// configuration. FLEET_LOG names a file for the nodes' logs.
+// startWithEngines starts a fleet with engines in each zone and a first configuration. The environment
+// variable FLEET_LOG names a file for the nodes' logs.
 func startWithEngines(t *testing.T, f *Fleet) {
 	t.Helper()
 	if path := os.Getenv("FLEET_LOG"); path != "" {
@@ -133,8 +133,8 @@
 	})
 }
 
-// The finding of hunt zhf trouble-2 --seed 72333536058: a request that came
-// while a stopping node gave its tokens back was cut.
+// Guards against requests that are cut at the end of a graceful stop: one that arrived while the
+// stopping node returned its tokens was.
 func TestPlannedStopCutsNoRequest(t *testing.T) {
 	inFleet(t, 2, func(t *testing.T, f *Fleet) {
 		f.engines["llm-a"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
@@ -167,8 +167,8 @@
 	})
 }
 
-// The finding of zhf roll_term twice with busy: a long stream that came more
-// than three seconds after the signal was taken, and cut at the end.
+// Guards against accepting work that a stopping node can't finish: a long stream that arrived more
+// than three seconds after the signal was accepted, and cut at the end of the stop.
 func TestLongStreamIsTurnedAwayLateInAPlannedStop(t *testing.T) {
 	inFleet(t, 2, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
@@ -220,7 +220,7 @@
 		answer, err := f.Request("entry-0", Ask{ID: "alone", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Status, http.StatusOK)
-		// Not sure of its configuration any more, it says neither 401 nor 404.
+		// The node can't confirm its configuration any more, so it must answer neither 401 nor 404.
 		unsure, err := f.Request("entry-0", Ask{ID: "unsure", Path: "/safe/x", Key: "new-key"})
 		assert.NilError(t, err)
 		assert.Equal(t, unsure.Status, http.StatusServiceUnavailable)
@@ -258,7 +258,7 @@
 		f.AddMachine("control-3", "10.0.1.9", "a", true)
 		f.Boot("control-3")
 		time.Sleep(8 * time.Second)
-		// The new one has the vote of the lost one: another one may go.
+		// The replacement has the vote of the lost node, so another node may fail.
 		f.PowerOff("control-1")
 		assert.NilError(t, f.Put(configuration(2), 8*time.Second))
 		read, err := f.ReadAny(8 * time.Second)
@@ -303,7 +303,8 @@
 	})
 }
 
-// Prepaid tokens are handed out at most once, whatever is killed and cut off.
+// Guards against prepaid tokens that are delivered more than once when nodes are killed or
+// partitioned.
 func TestPrepaidIsNeverExceededUnderKillsAndCuts(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		random := rand.New(rand.NewPCG(7, 7))
@@ -343,13 +344,13 @@
 		}
 		close(stop)
 		callers.Wait()
-		assert.Assert(t, f.Truth.Received("key-one") <= prepaid, "handed out %d of %d", f.Truth.Received("key-one"), prepaid)
-		assert.Assert(t, f.Truth.Received("key-one") > prepaid/4, "handed out only %d of %d", f.Truth.Received("key-one"), prepaid)
+		assert.Assert(t, f.Truth.Received("key-one") <= prepaid, "delivered %d of %d tokens", f.Truth.Received("key-one"), prepaid)
+		assert.Assert(t, f.Truth.Received("key-one") > prepaid/4, "delivered only %d of %d tokens", f.Truth.Received("key-one"), prepaid)
 	})
 }
 
-// The finding of zhf trouble-2: a node that was stopped while it was cut off from
-// the control nodes took its tokens with it.
+// Guards against tokens that are lost with a node that stops gracefully while it can't reach the
+// control nodes: it must hand them over to other entry nodes.
 func TestNodeThatStopsOutOfTheRootsReachHandsItsTokensOver(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for number := range 40 {
@@ -361,7 +362,7 @@
 		f.Network.CutBetween(f.Names(true), f.Names(false))
 		time.Sleep(2 * time.Second)
 		f.Stop("entry-0")
-		// Nobody else has any, and the root is out of reach.
+		// No other node had any tokens, and the root is unreachable.
 		answer, err := f.Request("entry-1", ask("after", "/stream/x"))
 		assert.NilError(t, err)
 		assert.Equal(t, answer.Status, http.StatusOK)
--- a/internal/lab/openfleet/pauses_test.go
+++ b/internal/lab/openfleet/pauses_test.go
@@ -15,15 +15,15 @@
 	"github.com/ravenway/ravenway/internal/lab/pausecheck"
 )
 
-// shed has some engines turn all requests away and ask for a pause.
+// shed makes some engines reject all requests and request a pause.
 func shed(engines []*Engine, lasting time.Duration) {
 	for _, engine := range engines {
 		engine.Set(func(e *Engine) { e.TurnAway, e.Pause = true, lasting })
 	}
 }
 
-// assertPausesKept checks that no engine got more from a node than it may in a pause that it
-// had asked that node for, and that some node was asked.
+// assertPausesKept checks that in a pause that an engine had requested from a node it got no more
+// requests from that node than are allowed, and that some pause was requested.
 func (l *limited) assertPausesKept(t *testing.T, engines []*Engine) {
 	t.Helper()
 	asked, worst := 0, 0
@@ -34,12 +34,12 @@
 			assert.Check(t, most <= pausecheck.Allowed, "%s got %d requests from %s in a pause", engine.ID, most, node)
 		}
 	}
-	t.Logf("%d pauses asked for, at most %d requests of a node in one", asked, worst)
-	assert.Check(t, asked > 0, "no engine asked for a pause")
+	t.Logf("%d pauses requested, at most %d requests of a node in one", asked, worst)
+	assert.Check(t, asked > 0, "no engine requested a pause")
 }
 
-// Guards against engines that turn a node away with a time to wait, and go on getting its
-// requests in that time.
+// Guards against nodes that continue to send requests to an engine during a pause that the engine has
+// requested from them.
 func TestEngineThatAsksForAPauseGetsNothingInIt(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resumable/x", "/safe/x", "/once/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// Guards against pauses that are passed over where no other engine is left.
+// Guards against pauses that are ignored when no other engine is left.
 func TestPausesAreKeptWhereAllEnginesAskForOne(t *testing.T) {
 	inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
 		shed(l.engines, 3*time.Second)
@@ -67,8 +67,8 @@
 	})
 }
 
-// Guards against engines that say in their answers that they leave, and go on getting
-// requests until a heartbeat says so too.
+// Guards against nodes that continue to send requests to an engine whose responses signal that it
+// leaves, until its heartbeats report it too.
 func TestEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
 	for name, change := range map[string]func(*Engine){
 		"serving":      func(e *Engine) { e.Leaves = true },
@@ -92,7 +92,7 @@
 						}
 					}
 				}
-				assert.Check(t, told > 0, "no engine told that it leaves")
+				assert.Check(t, told > 0, "no engine signalled that it leaves")
 			})
 		})
 	}
@@ -118,9 +118,9 @@
 	})
 }
 
-// Guards against pauses and leaving that are forgotten as the fleet changes: entry nodes cut
-// off from the control nodes, all control nodes started again, another configuration, and an
-// engine that drains and is ready again within its life.
+// Guards against pauses and leaving that are forgotten when the fleet changes: entry nodes are
+// partitioned from the control nodes, all control nodes restart, the configuration changes, and an
+// engine drains and is ready again within the same incarnation.
 func TestPausesAndLeavingOutliveWhatHappensToTheFleet(t *testing.T) {
 	inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
 		pausing, leaving := l.engines[:4], l.engines[4:6]
@@ -159,7 +159,7 @@
 	})
 }
 
-// flap has an engine's heartbeats say that it drains, and then that it is ready again.
+// flap makes an engine's heartbeats report that it drains, and then that it is ready again.
 func (f *Fleet) flap(id string) error {
 	if err := f.Drain(id); err != nil {
 		return err
--- a/internal/lab/openfleet/poison_test.go
+++ b/internal/lab/openfleet/poison_test.go
@@ -17,32 +17,31 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// Incident BUDGET on drukwacht-ravenway. Seen: three times within a day twelve engines
-// ended one after the other, 30 to 35 each time, and up to 46 streams of other callers
-// broke with one of them. A caller's request ended each engine that began to run it. It
-// came again with another id, at any entry node, 81 times in ten seconds; and of each
-// time an entry node carried it on to a second engine by itself, since its stream may be
-// resumed. Cause: what a request did to engines was forgotten with its id, and nothing
-// of it passed between nodes. Proved by the logs of the broken runs (no event passed on,
-// the answer begun some 100 ms before) and by this test.
+// The tests of this file guard against a poison request, which crashes each engine that begins to run
+// it. Three times within a day such a request crashed the engines of a group of twelve one after the
+// other, 30 to 35 crashes each time, and up to 46 streams of other callers broke with one engine. The
+// caller retried it with other ids at any entry node, 81 times in ten seconds, and each time the entry
+// node itself resumed the stream at a second engine. Each run broke some 100 ms after its response had
+// begun, before the first event. What a request did to engines was forgotten with its id, and nodes did
+// not exchange it.
 const (
 	poison = "a body that no engine survives"
-	// contact is the time within which nodes in touch have to know a third end.
+	// contact is the time within which connected nodes must know of a third crash.
 	contact = 3 * time.Second
-	// engineRestart is how long an engine that ended is away.
+	// engineRestart is the time after which a crashed engine is replaced.
 	engineRestart = 3 * time.Second
-	// poisonRuns is the most runs of the request after the third end and contact.
+	// poisonRuns is the maximum number of runs of the request later than contact after the third crash.
 	poisonRuns = 3
 )
 
-// poisoned is a fleet whose engines end on one request, and come back.
+// poisoned is a fleet whose engines crash on the poison request and are replaced.
 type poisoned struct {
 	*Fleet
 	mutex sync.Mutex
 	ends  []time.Duration
 }
 
-// addEngines adds engines that end on the request some time after they began it.
+// addEngines adds engines that crash some time after they began to run the poison request.
 func (p *poisoned) addEngines(service string, count, events int, after time.Duration) {
 	for number := range count {
 		p.addEngine(fmt.Sprintf("%s-%d", service, number), service, zones[number%len(zones)], events, after)
@@ -71,8 +70,8 @@
 	return len(p.ends)
 }
 
-// repeat sends the request again and again, each time with another id to a drawn
-// entry node, for a time.
+// repeat sends the poison request periodically for a time, each time with another id to a random entry
+// node.
 func (p *poisoned) repeat(random *rand.Rand, path string, every, lasting time.Duration) {
 	entries := p.Names(false)
 	for began := time.Now(); time.Since(began) < lasting; time.Sleep(every) {
@@ -81,8 +80,8 @@
 	}
 }
 
-// runsAfterContact counts the request's runs that began later than contact after its
-// third end.
+// runsAfterContact counts the runs of the poison request that began later than contact after the third
+// crash.
 func (p *poisoned) runsAfterContact() int {
 	p.mutex.Lock()
 	ends := slices.Sorted(slices.Values(p.ends))
@@ -93,8 +92,8 @@
 	return len(slices.DeleteFunc(p.Truth.Runs(), func(run Run) bool { return run.Body != poison || run.Arrived <= ends[2]+contact }))
 }
 
-// inPoisonedFleet runs a test against six entry nodes before nine engines that end on
-// one request.
+// inPoisonedFleet runs a test against six entry nodes and two services of nine engines each, which
+// crash on the poison request.
 func inPoisonedFleet(t *testing.T, after time.Duration, test func(t *testing.T, p *poisoned)) {
 	t.Helper()
 	inFleet(t, 6, func(t *testing.T, f *Fleet) {
@@ -123,15 +122,15 @@
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
 			inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
 				p.repeat(rand.New(rand.NewPCG(36, 1)), path, 150*time.Millisecond, 25*time.Second)
-				t.Logf("%d engines ended, %d runs later than %s after the third end", p.endCount(), p.runsAfterContact(), contact)
+				t.Logf("%d engines crashed, %d runs later than %s after the third crash", p.endCount(), p.runsAfterContact(), contact)
 				assert.Assert(t, p.endCount() >= 3)
-				assert.Assert(t, p.runsAfterContact() <= poisonRuns, "%d runs later than %s after the third end", p.runsAfterContact(), contact)
+				assert.Assert(t, p.runsAfterContact() <= poisonRuns, "%d runs later than %s after the third crash", p.runsAfterContact(), contact)
 			})
 		})
 	}
 }
 
-// quarantinedAt are the entry nodes that refuse the request.
+// quarantinedAt returns the names of the entry nodes that refuse the poison request as quarantined.
 func (p *poisoned) quarantinedAt() []string {
 	var names []string
 	for _, name := range p.Names(false) {
@@ -143,7 +142,7 @@
 	return names
 }
 
-// endThree sends the request to three entry nodes, each of which sees one engine end.
+// endThree sends the poison request to three entry nodes, each of which sees one engine crash.
 func (p *poisoned) endThree() {
 	for number, name := range []string{"entry-0", "entry-1", "entry-2"} {
 		_, _ = p.Request(name, Ask{ID: fmt.Sprintf("poison-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
@@ -151,28 +150,29 @@
 	}
 }
 
-// Each of the three ends was seen at another node; all nodes have to know well before
-// contact.
+// Guards against crashes that are known only to the node that saw them: three nodes see one each, and
+// all nodes must know of the three within a second.
 func TestThreeEndsSeenAtThreeNodesAreKnownAtAllWithinASecond(t *testing.T) {
 	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
 		p.endThree()
 		time.Sleep(700 * time.Millisecond)
 		assert.Equal(t, len(p.quarantinedAt()), 6)
 		assert.Equal(t, p.endCount(), 3)
-		// The same body of another kind, and other bodies, are served.
+		// Another body is served.
 		served, err := p.Request("entry-0", Ask{ID: "other", Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
 		assert.NilError(t, err)
 		assert.Equal(t, served.Status, http.StatusOK)
 	})
 }
 
-// Entry nodes have no disk; control nodes keep the list for them.
+// Guards against a quarantine that is lost when all machines lose power. Entry nodes have no disk, so the
+// control nodes must store it for them and for new entry nodes.
 func TestQuarantineOutlastsTheLossOfAllPowerAndReachesNewNodes(t *testing.T) {
 	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
 		p.endThree()
 		time.Sleep(2 * time.Second)
 		p.PowerOffAll()
-		// One control node's disk is lost, too.
+		// One control node loses its disk, too.
 		p.Wipe("control-1")
 		time.Sleep(time.Second)
 		p.BootAll()
@@ -186,10 +186,11 @@
 	})
 }
 
-// Cut off, each side counts for itself; joined, both know it.
+// Guards against crashes that are not added up after a partition: during it each side counts its own,
+// afterwards all nodes must know of all.
 func TestEndsOfBothSidesOfACutCountTogetherOnceItIsHealed(t *testing.T) {
 	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
-		// Zone c: its nodes, and the engines of the other zones from there on.
+		// The nodes of zone c are partitioned from the other nodes; both sides reach all engines.
 		own := []string{"control-2", "entry-2", "entry-5"}
 		others := []string{"control-0", "control-1", "entry-0", "entry-1", "entry-3", "entry-4"}
 		for number := range 5 {
@@ -213,7 +214,8 @@
 	})
 }
 
-// An operator sees the request and what is held against it, and takes the verdict back.
+// Guards against a quarantine that operators can't see or lift: they list the request with the crashes
+// recorded against it, and release it.
 func TestOperatorListsAndReleasesAQuarantinedRequest(t *testing.T) {
 	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
 		p.endThree()
@@ -235,7 +237,7 @@
 		assert.Equal(t, connect.CodeOf(release(strings.Repeat("0", 48))), connect.CodeNotFound)
 		assert.NilError(t, release(held.GetFingerprint()))
 		time.Sleep(2 * time.Second)
-		// It may reach engines again, and ends three more.
+		// It is sent to engines again, and crashes three more.
 		p.endThree()
 		assert.Equal(t, p.endCount(), 6)
 		time.Sleep(time.Second)
--- a/internal/lab/openfleet/ratelimit_test.go
+++ b/internal/lab/openfleet/ratelimit_test.go
@@ -20,29 +20,30 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
-// limited is a fleet with engines of the service model, some of which name a limit.
+// limited is a fleet with engines of the service model, some of which name a rate limit.
 type limited struct {
 	*Fleet
 	engines []*Engine
 	mutex   sync.Mutex
-	// answers are the callers' answers by status.
+	// answers counts the responses that callers received, by status; 0 is a failed or incomplete one.
 	answers map[int]int
-	// served are those with 200 by path.
+	// served counts the responses with status 200, by path.
 	served map[string]int
-	// refusals are those with 503.
+	// refusals are the responses with status 503.
 	refusals []refusal
 }
 
-// refusal is an answer of a node's own.
+// refusal is a response in which an entry node refuses a request.
 type refusal struct {
-	// after is how long the caller waited for it.
+	// after is the time that the caller waited for it.
 	after time.Duration
-	// comeBack is its Retry-After.
+	// comeBack is its Retry-After header.
 	comeBack string
 	body     string
 }
 
-// inLimitedFleet runs a test against entry nodes before twelve engines in three zones.
+// inLimitedFleet runs a test against entry nodes and twelve engines of the service model in three
+// zones.
 func inLimitedFleet(t *testing.T, entries int, test func(t *testing.T, l *limited)) {
 	t.Helper()
 	inFleet(t, entries, func(t *testing.T, f *Fleet) {
@@ -71,12 +72,12 @@
 	}
 }
 
-// call sends streams, some with a shared prompt part, to drawn entry nodes for a time.
+// call sends streams that share parts of their prompts to random entry nodes for a time.
 func (l *limited) call(random *rand.Rand, perSecond float64, lasting time.Duration) {
 	l.callFor(random, "/stream/x", perSecond, lasting)
 }
 
-// callFor sends requests with a path.
+// callFor is call with a path.
 func (l *limited) callFor(random *rand.Rand, path string, perSecond float64, lasting time.Duration) {
 	for began := time.Now(); time.Since(began) < lasting; time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))) {
 		entries := l.Names(false)
@@ -103,60 +104,59 @@
 	}
 }
 
-// outcomes returns the callers' answers so far, by status and those with 200 by path.
+// outcomes returns copies of the counters of responses so far.
 func (l *limited) outcomes() (answers map[int]int, served map[string]int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	return maps.Clone(l.answers), maps.Clone(l.served)
 }
 
-// assertAllServed checks that each caller that was answered so far was served.
+// assertAllServed checks that all responses so far have status 200.
 func (l *limited) assertAllServed(t *testing.T) {
 	t.Helper()
 	answers, _ := l.outcomes()
 	assert.DeepEqual(t, answers, map[int]int{http.StatusOK: answers[http.StatusOK]})
 }
 
-// nameLimit has some engines name a limit; "" ends it.
+// nameLimit makes some engines name a rate limit, or none if it is "".
 func nameLimit(engines []*Engine, perSecond string) {
 	for _, engine := range engines {
 		engine.Set(func(e *Engine) { e.RateLimit = perSecond })
 	}
 }
 
-// now is the time since the fleet's start, as the engines note it.
+// now is the time since the fleet was made, as the ground truth records it.
 func (f *Fleet) now() time.Duration { return time.Since(f.Truth.began) }
 
-// arrivalsAt are the moments from a time on at which requests came to an engine.
+// arrivalsAt returns the times, from a given one on, at which requests arrived at an engine.
 func (f *Fleet) arrivalsAt(engine *Engine, from time.Duration) []time.Duration {
 	return slices.DeleteFunc(f.Truth.Arrivals(engine.ID), func(at time.Duration) bool { return at < from })
 }
 
-// assertWithinLimit checks an engine that named a limit at a time.
+// assertWithinLimit checks that an engine got no more requests than the rate limit allows that it has
+// named since a given time.
 func (l *limited) assertWithinLimit(t *testing.T, engine *Engine, perSecond float64, named time.Duration) {
 	t.Helper()
 	most, allowed := limitcheck.Most(l.arrivalsAt(engine, named+limitcheck.Contact)), limitcheck.Allowed(perSecond)
-	t.Logf("%s: %d in 4 s at most, %d allowed", engine.ID, most, allowed)
+	t.Logf("%s: at most %d requests in 4 s, %d allowed", engine.ID, most, allowed)
 	assert.Check(t, most <= allowed, "%s got %d requests in %s, allowed %d", engine.ID, most, limitcheck.Window, allowed)
 }
 
-// Incident LIMIT on drukwacht-ravenway. Seen: two of twelve engines, in need, named in
-// their answers the requests a second that they take from all nodes together, and went on
-// getting as many as before, up to 20 in 4 s at a limit of 1 a second. They turned none
-// away, so nothing but the header told of it. Cause: no node read the header; the choice
-// of an engine knew free places and work under way, and no rate. Proved by the rate at the
-// two engines, which stayed what it was when they named the limit, and by this test.
+// Guards against nodes that ignore the rate limit in engines' responses, which is for all nodes
+// together. Two overloaded engines of twelve named a limit of 1 a second and continued to get up to
+// 20 requests in 4 s. They rejected none, so only the header signalled the limit; no node read it, and
+// engine selection knew free slots and requests in flight, but no rates.
 func TestEngineThatNamesALimitGetsNoMoreFromAllNodesTogether(t *testing.T) {
 	for _, perSecond := range []float64{1, 4} {
 		t.Run(strings.ReplaceAll(fmt.Sprintf("%g a second", perSecond), " ", "_"), func(t *testing.T) {
 			inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
 				named := l.now()
 				nameLimit(l.engines[:2], fmt.Sprint(perSecond))
-				// Three times the limit for each engine, if all get their part.
+				// Three times the limit for each engine if the load is spread evenly.
 				l.call(rand.New(rand.NewPCG(45, 1)), 36*perSecond, 20*time.Second)
 				l.assertWithinLimit(t, l.engines[0], perSecond, named)
 				l.assertWithinLimit(t, l.engines[1], perSecond, named)
-				// The other ten serve all callers.
+				// The other ten engines serve all callers.
 				time.Sleep(2 * time.Second)
 				l.assertAllServed(t)
 			})
@@ -164,15 +164,14 @@
 	}
 }
 
-// Whatever the requests are, and whatever becomes of them, they count: those of routes
-// that may run once, those that engines fail, turn away or break off, and what nodes send
-// again or resume.
+// Guards against requests that are not counted towards a rate limit: those that may not be repeated,
+// those that engines fail, reject or abort, and those that nodes retry or resume.
 func TestFailedAndRepeatedRequestsCountTowardsALimit(t *testing.T) {
 	for name, change := range map[string]func(*Engine){
 		"failing":      func(e *Engine) { e.Events, e.Status = 0, http.StatusInternalServerError },
 		"turning_away": func(e *Engine) { e.TurnAway = true },
-		// Seen: 18 requests in 4 s, 17 are allowed. Cause: a refusal that named no limit was
-		// taken for its end, and all nodes were told, until the next answer that named it.
+		// A rejection that named no limit was read as the end of the limit, and all nodes were
+		// informed, until the next response that named it: 18 requests in 4 s, where 17 are allowed.
 		"turning_half_away_without_naming_it": func(e *Engine) { e.BareRefusals = 0.5 },
 		"breaking_off":                        func(e *Engine) { e.Events, e.BreakAfter = 5, 2 },
 	} {
@@ -207,10 +206,11 @@
 		l.call(random, 60, 20*time.Second)
 		for _, engine := range l.engines[:6] {
 			arrivals := l.arrivalsAt(engine, ended)
-			assert.Assert(t, len(arrivals) > 0, "%s gets nothing any more", engine.ID)
+			assert.Assert(t, len(arrivals) > 0, "%s gets no requests after its limit ended", engine.ID)
 			late := len(l.arrivalsAt(engine, ended+15*time.Second))
-			t.Logf("%s: asked again %s after the end, %d requests in the last 5 s", engine.ID, arrivals[0]-ended, late)
-			// Its part of 60 a second is 5; engines that hold its prompts by now keep some.
+			t.Logf("%s: first request %s after the limit ended, %d requests in the last 5 s", engine.ID, arrivals[0]-ended, late)
+			// Its even share of 60 a second is 5, but other engines have the prompts of some requests
+			// cached by now and keep those.
 			assert.Check(t, late >= 10, "%s: %d requests in 5 s", engine.ID, late)
 		}
 	})
@@ -227,12 +227,12 @@
 			l.assertWithinLimit(t, engine, 2, named)
 			used += len(l.arrivalsAt(engine, named+5*time.Second))
 		}
-		// 12 engines take 24 a second.
+		// 12 engines accept 24 requests a second.
 		l.mutex.Lock()
 		refusals := slices.Clone(l.refusals)
 		l.mutex.Unlock()
-		t.Logf("%d of 240 requests got through in the last 10 s, %d refused in all", used, len(refusals))
-		assert.Check(t, used >= 200, "%d requests got through", used)
+		t.Logf("%d of 240 requests were sent to engines in the last 10 s, %d refused in total", used, len(refusals))
+		assert.Check(t, used >= 200, "%d requests were sent to engines", used)
 		objective := 200 * time.Millisecond
 		moments := map[string]bool{}
 		for _, refused := range refusals {
@@ -243,12 +243,12 @@
 			assert.Assert(t, after > 0 && after <= 10, refused.comeBack)
 			moments[refused.comeBack] = true
 		}
-		assert.Assert(t, len(moments) > len(refusals)/10, "%d moments for %d returns", len(moments), len(refusals))
+		assert.Assert(t, len(moments) > len(refusals)/10, "%d distinct retry times for %d refusals", len(moments), len(refusals))
 	})
 }
 
-// Each engine's requests in 4 s are counted from its side, those of nodes that were
-// disturbed included.
+// Guards against limits that are exceeded while nodes crash, start, stop or are partitioned. Requests in
+// 4 s are counted at the engines, so those of the disturbed nodes are included.
 func TestLimitsHoldWhileNodesEndStartAndAreCutOff(t *testing.T) {
 	disturbances := map[string]func(l *limited, step int){
 		"nodes_are_killed_and_start_again": func(l *limited, step int) {
@@ -314,19 +314,20 @@
 func TestScarceRoomGoesToTheMoreUrgentAndNobodyStarves(t *testing.T) {
 	inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
 		nameLimit(l.engines, "2")
-		// 24 a second have room.
+		// The engines' limits have room for 24 requests a second in total.
 		l.running.Go(func() { l.callFor(rand.New(rand.NewPCG(45, 7)), "/resumable/x", 30, 12*time.Second) })
 		l.callFor(rand.New(rand.NewPCG(45, 8)), "/stream/x", 30, 12*time.Second)
 		time.Sleep(2 * time.Second)
 		_, served := l.outcomes()
 		urgent, other := served["/stream/x"], served["/resumable/x"]
-		t.Logf("%d urgent ones served, %d others", urgent, other)
+		t.Logf("%d urgent requests served, %d others", urgent, other)
 		assert.Check(t, urgent > other)
 		assert.Check(t, other > 30)
 	})
 }
 
-// The requests that a limited engine would have got go to the others evenly.
+// Guards against overloading single engines: the requests that engines with limits don't get must be
+// spread evenly over the others.
 func TestOthersAreNotOverrunBesideEnginesWithLimits(t *testing.T) {
 	inZone := func(zone string) func(*Engine) bool { return func(e *Engine) bool { return e.Zone == zone } }
 	for name, isLimited := range map[string]func(*Engine) bool{
@@ -346,7 +347,7 @@
 					}
 					others = append(others, engine)
 				}
-				// 8 a second for each engine, if all get their part.
+				// 8 a second for each engine if the load is spread evenly.
 				l.call(rand.New(rand.NewPCG(45, 6)), 100, 10*time.Second)
 				time.Sleep(2 * time.Second)
 				var got []int
@@ -362,7 +363,7 @@
 					total += len(arrivals)
 				}
 				mean := float64(total) / float64(len(others)) * limitcheck.Window.Seconds() / 7
-				t.Logf("in 4 s the others got at most %v, %.1f in the mean", got, mean)
+				t.Logf("other engines: at most %v requests in 4 s, %.1f on average", got, mean)
 				assert.Check(t, float64(slices.Max(got)) <= 2*mean)
 				l.assertAllServed(t)
 			})
@@ -381,7 +382,7 @@
 		assert.Assert(t, strings.HasPrefix(one.GetInstance(), l.engines[0].ID), one.GetInstance())
 		assert.Equal(t, one.GetRequestsPerSecond(), 0.5)
 		assert.Equal(t, one.GetService(), "model")
-		// The only entry node of the engine's zone.
+		// The only entry node of the engine's zone issues its permits.
 		assert.Equal(t, one.GetHolder(), l.Machine("entry-0").Peer())
 		_, err = l.Operators("control-0").GetLimits(l.ctx, connect.NewRequest(&ravenwayv1.GetLimitsRequest{}))
 		assert.Equal(t, connect.CodeOf(err), connect.CodeFailedPrecondition)
--- a/internal/lab/openfleet/remembered_test.go
+++ b/internal/lab/openfleet/remembered_test.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// All machines lose power while no engine says anything: requests reach those that were
-// there before, and one that had left before is not brought back.
+// Guards against instances that are forgotten when all machines lose power and no engine sends
+// heartbeats. An instance that had left before must not reappear.
 func TestInstancesAreKnownAgainAfterALossOfAllPower(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		assert.NilError(t, f.Machine("control-0").running().Leave(f.ctx, registry.Life{ID: "app-a"}))
@@ -19,12 +19,12 @@
 		f.silenceEngines()
 		f.PowerOffAll()
 		f.BootAll()
-		assert.NilError(t, f.WaitFor(1500*time.Millisecond, "an answer", func() bool {
+		assert.NilError(t, f.WaitFor(1500*time.Millisecond, "a request to be served", func() bool {
 			answer, err := f.Request("entry-0", Ask{ID: "known", Path: "/safe/x", Key: "key-one"})
 			return err == nil && answer.Status == http.StatusOK
 		}))
-		// Requests with tokens may be told to come back until a root leads again.
-		assert.NilError(t, f.WaitFor(3*time.Second, "tokens at each node", func() bool {
+		// Requests with tokens may be refused with a retry time until there is a leader with the root.
+		assert.NilError(t, f.WaitFor(3*time.Second, "tokens at each entry node", func() bool {
 			for _, entry := range f.Names(false) {
 				if answer, err := f.Request(entry, ask("tokens", "/safe/x")); err != nil || answer.Status != http.StatusOK {
 					return false
@@ -39,7 +39,7 @@
 	})
 }
 
-// A file that a loss of power has torn says nothing, and stops nothing.
+// Guards against a file of instances, torn by a power loss, that prevents a control node from starting.
 func TestTornListOfInstancesIsPassedOver(t *testing.T) {
 	inFleet(t, 1, func(t *testing.T, f *Fleet) {
 		time.Sleep(4 * time.Second)
--- a/internal/lab/openfleet/restart_test.go
+++ b/internal/lab/openfleet/restart_test.go
@@ -11,7 +11,7 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// restart ends an engine, and starts it again under its id some time later.
+// restart crashes an engine, and some time later starts it again with the same id.
 func (f *Fleet) restart(id string, away time.Duration) *Engine {
 	before := f.engines[id]
 	f.EndEngine(before)
@@ -21,7 +21,7 @@
 	return after
 }
 
-// onlyEngine leaves one engine to a service.
+// onlyEngine crashes all but one engine of a service and returns the id of the remaining one.
 func (f *Fleet) onlyEngine(service string) string {
 	for _, zone := range zones[1:] {
 		f.EndEngine(f.engines[service+"-"+zone])
@@ -29,9 +29,9 @@
 	return service + "-" + zones[0]
 }
 
-// An engine that starts again under its id counts its heartbeats from one. The nodes had
-// heard higher counts of its life before; they must use it all the same, within the time
-// of one heartbeat and for good, whether it was away for less than one or for seconds.
+// Guards against an engine that gets no requests after it restarted with the same id. It counts its
+// heartbeats from one, while the nodes know higher counts of its previous incarnation. They must use it
+// within one heartbeat interval and permanently, whether it was gone for less than that or for seconds.
 func TestEngineThatStartsAgainUnderItsIDGetsWorkAgain(t *testing.T) {
 	for _, away := range []time.Duration{200 * time.Millisecond, 4 * time.Second} {
 		t.Run(away.String(), func(t *testing.T) {
@@ -43,18 +43,18 @@
 					answer, err := f.Request("entry-0", ask(fmt.Sprint("r", time.Now().UnixNano()), "/stream/x"))
 					return err == nil && answer.Status == http.StatusOK && answer.Broken == nil
 				}
-				assert.NilError(t, f.WaitFor(heartbeatInterval+time.Second, "an answer", answers))
-				// Its lease must run from the heartbeats of the new life.
+				assert.NilError(t, f.WaitFor(heartbeatInterval+time.Second, "a response of the restarted engine", answers))
+				// Its lease must be renewed by the heartbeats of the new incarnation.
 				time.Sleep(registry.DefaultLease + heartbeatInterval)
-				assert.Assert(t, answers(), "the engine's lease has ended though it says that it is ready")
+				assert.Assert(t, answers(), "the engine's lease has expired although its heartbeats report that it is ready")
 			})
 		})
 	}
 }
 
-// An engine that ends and starts again behind a cut: the connections to its life before
-// never say so. A newer life's word ends what ran there at once; a stream that may be
-// resumed goes on elsewhere.
+// Guards against streams that hang when an engine restarts behind a partition, where the connections
+// to its previous incarnation do not break. The first heartbeat of the newer incarnation must end the
+// requests in flight there immediately, and a resumable stream continues at another engine.
 func TestNewerLifeEndsTheStreamsOfTheOneBeforeItBehindACut(t *testing.T) {
 	inFleet(t, 1, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
@@ -69,7 +69,7 @@
 		runs := f.Truth.Runs()
 		id := runs[len(runs)-1].Instance
 		f.Network.CutBetween([]string{id}, []string{"entry-0"})
-		// The connection stays open for the entry node; nothing comes over it any more.
+		// For the entry node the connection stays open, but nothing arrives over it.
 		before := f.engines[id]
 		before.hasEnded.Store(true)
 		time.Sleep(200 * time.Millisecond)
@@ -80,6 +80,6 @@
 		answer := <-answers
 		assert.NilError(t, answer.Broken)
 		assert.Equal(t, answer.Body, events("r1", 5))
-		assert.Assert(t, time.Since(began) < 3*time.Second, "resumed and ended %s after the newer life's word", time.Since(began))
+		assert.Assert(t, time.Since(began) < 3*time.Second, "resumed and completed %s after the heartbeat of the newer incarnation", time.Since(began))
 	})
 }
--- a/internal/lab/openfleet/rollout_test.go
+++ b/internal/lab/openfleet/rollout_test.go
@@ -20,14 +20,15 @@
 )
 
 const (
-	// newVersion is the version that the service app moves to; its engines' ids begin so.
+	// newVersion is the version that the service app moves to, and the prefix of its engines' ids.
 	newVersion  = "v2"
 	rolloutTime = 10 * time.Second
-	// callersPause makes some 100 requests a second at each of three entry nodes.
+	// callersPause results in about 100 requests a second at each of three entry nodes.
 	callersPause = 10 * time.Millisecond
 )
 
-// orderRollout orders a rollout of the service app until a control node answers it.
+// orderRollout orders a rollout of the service app; it retries until a control node acknowledges it or
+// reports that it is in progress.
 func orderRollout(f *Fleet, patience time.Duration) error {
 	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
 		err := node.OrderRollout(ctx, "app", newVersion, rolloutTime)
@@ -38,7 +39,7 @@
 	})
 }
 
-// stageOf reads the rollout of the service app at any control node.
+// stageOf returns the stage of the service app's rollout, as any control node reports it.
 func stageOf(f *Fleet) rollout.Stage {
 	var stage rollout.Stage
 	_ = f.tryControls(2*time.Second, func(ctx context.Context, node *gateway.Node) error {
@@ -49,15 +50,15 @@
 	return stage
 }
 
-// startNewVersion starts engines of the new version beside the old ones.
+// startNewVersion starts engines of the new version in addition to the old ones.
 func startNewVersion(f *Fleet, change func(*Engine)) {
 	for _, zone := range zones {
 		f.AddVersion(newVersion+"-"+zone, "app", zone, newVersion).Set(change)
 	}
 }
 
-// callAll sends requests at all entry nodes until it is stopped, and returns how many were
-// answered by which status.
+// callAll sends requests to all entry nodes until stop is called, which returns the number of responses
+// by status; 0 is a failed or incomplete one.
 func callAll(f *Fleet) (stop func() map[int]int) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	var callers sync.WaitGroup
@@ -89,7 +90,7 @@
 	}
 }
 
-// runsOfNewVersion counts the runs at engines of the new version, and the last one's time.
+// runsOfNewVersion returns the number of runs at engines of the new version and when the last began.
 func runsOfNewVersion(f *Fleet) (count int, last time.Duration) {
 	for _, run := range f.Truth.Runs() {
 		if strings.HasPrefix(run.Instance, newVersion) {
@@ -100,8 +101,8 @@
 	return count, last
 }
 
-// beginBadRollout orders a rollout of a version whose answers all fail while callers go on.
-// It returns how many runs there were before, and ends the callers.
+// beginBadRollout orders a rollout of a version whose responses all fail while callers send requests.
+// It returns the number of runs before the order and a function that stops the callers.
 func beginBadRollout(t *testing.T, f *Fleet) (before int, stop func() map[int]int) {
 	t.Helper()
 	stop = callAll(f)
@@ -112,25 +113,25 @@
 	return before, stop
 }
 
-// Each answer of the new version fails: it is rolled back, few requests reached it, and
-// none does any more.
+// Guards against a version whose responses all fail and that is not rolled back, that gets more than
+// the canary's share of requests, or that gets requests after the rollback.
 func TestBadVersionIsRolledBackAtAllNodes(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		before, stop := beginBadRollout(t, f)
-		assert.NilError(t, f.WaitFor(rolloutTime/2, "rolled back", func() bool { return stageOf(f) == rollout.RolledBack }))
+		assert.NilError(t, f.WaitFor(rolloutTime/2, "the rollback", func() bool { return stageOf(f) == rollout.RolledBack }))
 		time.Sleep(time.Second)
 		rolledBackAt := time.Since(f.Truth.began)
 		time.Sleep(rolloutTime)
 		stop()
 		count, last := runsOfNewVersion(f)
 		assert.Assert(t, count > 0 && float64(count) <= 0.1*float64(len(f.Truth.Runs())-before)+50, "%d runs", count)
-		assert.Assert(t, last < rolledBackAt, "a run %s after the rollback", last-rolledBackAt)
+		assert.Assert(t, last < rolledBackAt, "a run at the new version %s after the rollback", last-rolledBackAt)
 		assert.Equal(t, stageOf(f), rollout.RolledBack)
 	})
 }
 
-// A good version takes all work before the deadline, and nothing is cut when the old
-// engines end at once as soon as it is done.
+// Guards against a good version that does not serve all requests by the deadline, and against requests
+// that are lost when the old engines crash as soon as the rollout is done.
 func TestGoodVersionTakesOverWithoutALostRequest(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		stop := callAll(f)
@@ -138,7 +139,7 @@
 		began := time.Now()
 		assert.NilError(t, orderRollout(f, 3*time.Second))
 		startNewVersion(f, func(*Engine) {})
-		assert.NilError(t, f.WaitFor(rolloutTime, "done", func() bool { return stageOf(f) == rollout.Done }))
+		assert.NilError(t, f.WaitFor(rolloutTime, "the rollout to be done", func() bool { return stageOf(f) == rollout.Done }))
 		assert.Assert(t, time.Since(began) < rolloutTime, "%s", time.Since(began))
 		for _, zone := range zones {
 			f.EndEngine(f.engines["app-"+zone])
@@ -150,12 +151,12 @@
 	})
 }
 
-// The order is kept over the loss of the node that acknowledged it, of its disk and of all
-// power, and sent again it does not begin anew.
+// Guards against the loss of an acknowledged rollout when the node that acknowledged it loses its disk
+// and all machines lose power. Sent again, the order must not start another rollout.
 func TestAcknowledgedRolloutSurvivesALossOfAllPower(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		taker := f.Machine("control-0").running()
-		assert.NilError(t, f.WaitFor(3*time.Second, "an acknowledgement", func() bool {
+		assert.NilError(t, f.WaitFor(3*time.Second, "an acknowledgement of the rollout", func() bool {
 			err := taker.OrderRollout(f.ctx, "app", newVersion, rolloutTime)
 			return err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
 		}))
@@ -163,7 +164,7 @@
 		f.Wipe("control-0")
 		f.PowerOffAll()
 		f.BootAll()
-		assert.NilError(t, f.WaitFor(10*time.Second, "the rollout is known", func() bool { return stageOf(f) == rollout.Canary || stageOf(f) == rollout.RolledBack }))
+		assert.NilError(t, f.WaitFor(10*time.Second, "the rollout to be known", func() bool { return stageOf(f) == rollout.Canary || stageOf(f) == rollout.RolledBack }))
 		err := f.tryControls(3*time.Second, func(ctx context.Context, node *gateway.Node) error {
 			err := node.OrderRollout(ctx, "app", newVersion, rolloutTime)
 			if errors.Is(err, gateway.ErrUnavailable) {
@@ -173,13 +174,13 @@
 			return nil
 		})
 		assert.NilError(t, err)
-		// No engine of the version ever came: it is not taken for good.
-		assert.NilError(t, f.WaitFor(2*rolloutTime, "rolled back", func() bool { return stageOf(f) == rollout.RolledBack }))
+		// No engine of the version has registered, so it must not be accepted as good.
+		assert.NilError(t, f.WaitFor(2*rolloutTime, "the rollback", func() bool { return stageOf(f) == rollout.RolledBack }))
 	})
 }
 
-// Leaders die and the core is cut while a bad version is out: it is rolled back all the
-// same, and its share is kept meanwhile.
+// Guards against a bad version that is not rolled back, or that exceeds the canary's share, because the
+// control nodes crash one after the other during the rollout.
 func TestBadVersionIsRolledBackThoughLeadersDie(t *testing.T) {
 	inFleet(t, 3, func(t *testing.T, f *Fleet) {
 		before, stop := beginBadRollout(t, f)
@@ -189,7 +190,7 @@
 			f.Boot(name)
 			time.Sleep(700 * time.Millisecond)
 		}
-		assert.NilError(t, f.WaitFor(rolloutTime, "rolled back", func() bool { return stageOf(f) == rollout.RolledBack }))
+		assert.NilError(t, f.WaitFor(rolloutTime, "the rollback", func() bool { return stageOf(f) == rollout.RolledBack }))
 		stop()
 		count, _ := runsOfNewVersion(f)
 		assert.Assert(t, float64(count) <= 0.1*float64(len(f.Truth.Runs())-before)+50, "%d runs", count)
@@ -198,7 +199,7 @@
 
 func TestOrderForARolloutIsRefusedWithItsReason(t *testing.T) {
 	inFleet(t, 1, func(t *testing.T, f *Fleet) {
-		// answer is the first one that a control node gives which can tell.
+		// answer returns the result of the order at the first control node that is able to decide it.
 		answer := func(service, version string, duration time.Duration) (answered error) {
 			err := f.tryControls(3*time.Second, func(ctx context.Context, node *gateway.Node) error {
 				answered = node.OrderRollout(ctx, service, version, duration)
@@ -221,7 +222,7 @@
 	})
 }
 
-// Operators order rollouts and see them at any node, entry nodes too.
+// Guards against rollouts that operators can't order or see at some node: entry nodes must work too.
 func TestOperatorsSeeRolloutsAtEachNode(t *testing.T) {
 	inFleet(t, 2, func(t *testing.T, f *Fleet) {
 		request := &ravenwayv1.OrderRolloutRequest{Service: "app", Version: newVersion, DurationMilliseconds: uint64(rolloutTime.Milliseconds())}
@@ -242,8 +243,9 @@
 	})
 }
 
-// Seed 500 of the soak: the leader died shortly before the rollout had to move on. The next
-// one judged by what nodes had told it until then, which was nothing.
+// Guards against a new leader that decides without samples: the leader crashed shortly before the
+// rollout had to advance, and the next one decided on what nodes had reported to it until then, which
+// was nothing.
 func TestNewLeaderWaitsForWhatNodesHaveRecorded(t *testing.T) {
 	for _, after := range []time.Duration{6500 * time.Millisecond, 6800 * time.Millisecond, 7 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
@@ -257,7 +259,7 @@
 				f.Kill(leader)
 				time.Sleep(2 * time.Second)
 				f.Boot(leader)
-				err := f.WaitFor(rolloutTime, "the end", func() bool { return !stageOf(f).IsRunning() })
+				err := f.WaitFor(rolloutTime, "the rollout to end", func() bool { return !stageOf(f).IsRunning() })
 				stop()
 				assert.NilError(t, err)
 				assert.Equal(t, stageOf(f), rollout.Done)
@@ -266,7 +268,7 @@
 	}
 }
 
-// leaderOf is the name of the control node that leads, as the first one knows it.
+// leaderOf returns the name of the leader, as the first control node that responds knows it.
 func leaderOf(f *Fleet) string {
 	for _, name := range f.Names(true) {
 		status, err := f.Operators(name).GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
@@ -282,8 +284,9 @@
 	return f.Names(true)[0]
 }
 
-// Seed 503 of the soak: the leader came back at once with an empty disk, and the others still
-// took it for the leader. It knows no configuration, and must not call a service unknown.
+// Guards against a leader that refuses a rollout because it has not read the configuration yet: it
+// restarted immediately with an empty disk, and the others still regarded it as the leader. It must not
+// report a service as unknown.
 func TestOrderForARolloutIsNeverRefusedForAConfigurationNotReadYet(t *testing.T) {
 	inFleet(t, 1, func(t *testing.T, f *Fleet) {
 		leader := leaderOf(f)
