--- a/internal/lab/openfleet/chaos.go
+++ b/internal/lab/openfleet/chaos.go
@@ -16,12 +16,12 @@
 	chaosRounds = 8
 	// repairTime is the time that a wiped or replaced control node needs before another one may be
 	// lost.
-	repairTime = 6 * time.Second
-	callPause  = 40 * time.Millisecond
+	repairTime   = 6 * time.Second
+	callInterval = 40 * time.Millisecond
 	// A chaos run with fewer requests or acknowledged versions than these is inconclusive.
-	leastRuns         = 50
-	leastAcknowledged = 8
-	orderPause        = 300 * time.Millisecond
+	minimumRuns         = 50
+	minimumAcknowledged = 8
+	putInterval         = 300 * time.Millisecond
 )
 
 // Chaos runs callers, an operator and random faults against a fleet, and records each violation of
@@ -31,11 +31,11 @@
 	random        *rand.Rand
 	configuration func(version uint64) *document.Document
 
-	mutex  sync.Mutex
-	broken []string
-	// acked is the newest configuration version that was acknowledged, sent the newest that was sent.
-	acked uint64
-	sent  uint64
+	mutex      sync.Mutex
+	violations []string
+	// acknowledged is the newest configuration version that was acknowledged; sent is the newest sent.
+	acknowledged uint64
+	sent         uint64
 	// refused are the ids of requests that nodes refused as not run.
 	refused map[string]bool
 	// replaced is the number of control machines replaced.
@@ -46,14 +46,14 @@
 func NewChaos(fleet *Fleet, seed uint64, configuration func(version uint64) *document.Document) *Chaos {
 	return &Chaos{
 		fleet: fleet, random: rand.New(rand.NewPCG(seed, 1)), configuration: configuration,
-		acked: 1, sent: 1, refused: map[string]bool{},
+		acknowledged: 1, sent: 1, refused: map[string]bool{},
 	}
 }
 
-func (c *Chaos) note(format string, arguments ...any) {
+func (c *Chaos) recordViolation(format string, arguments ...any) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.broken = append(c.broken, fmt.Sprintf(format, arguments...))
+	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
 // Run injects a fixed number of faults and returns the violations that were seen.
@@ -61,109 +61,109 @@
 	ctx, cancel := context.WithCancel(c.fleet.ctx)
 	var running sync.WaitGroup
 	for number, name := range c.fleet.Names(false) {
-		running.Go(func() { c.call(ctx, number, name) })
+		running.Go(func() { c.runCaller(ctx, number, name) })
 	}
-	running.Go(func() { c.operate(ctx) })
+	running.Go(func() { c.runOperator(ctx) })
 	for range chaosRounds {
-		c.fault()
+		c.injectFault()
 	}
 	c.fleet.Network.Heal()
 	time.Sleep(repairTime)
 	cancel()
 	running.Wait()
-	c.checkEnd()
-	return c.broken
+	c.checkFinalState()
+	return c.violations
 }
 
-// call sends requests of all kinds to one entry node.
-func (c *Chaos) call(ctx context.Context, number int, name string) {
+// runCaller sends requests of all kinds to one entry node.
+func (c *Chaos) runCaller(ctx context.Context, number int, name string) {
 	paths := []string{"/safe/x", "/once/x", "/stream/x", "/resumable/x"}
 	for turn := 0; ctx.Err() == nil; turn++ {
 		path := paths[turn%len(paths)]
 		id := fmt.Sprintf("c%d-%d", number, turn)
 		limited, cancel := context.WithTimeout(ctx, 2*time.Second)
-		answer, err := c.fleet.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "10,5", Context: limited})
+		response, err := c.fleet.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "10,5", Context: limited})
 		cancel()
 		if err == nil {
-			c.checkAnswer(id, path, answer)
+			c.checkResponse(id, path, response)
 		}
-		time.Sleep(callPause)
+		time.Sleep(callInterval)
 	}
 }
 
-// checkAnswer checks one response against the guarantees that callers have.
-func (c *Chaos) checkAnswer(id, path string, answer Answer) {
-	switch answer.Status {
+// checkResponse checks one response against the guarantees that callers have.
+func (c *Chaos) checkResponse(id, path string, response Answer) {
+	switch response.Status {
 	case http.StatusOK:
-		if answer.Broken == nil && !strings.Contains(answer.Body, id) {
-			c.note("%s received the response of another request: %q", id, answer.Body)
+		if response.Broken == nil && !strings.Contains(response.Body, id) {
+			c.recordViolation("%s received the response of another request: %q", id, response.Body)
 		}
-		if answer.Broken == nil && strings.HasSuffix(path, "able/x") && strings.Count(answer.Body, "data:") != 5 {
-			c.note("%s received an incomplete stream without an error: %q", id, answer.Body)
+		if response.Broken == nil && strings.HasSuffix(path, "able/x") && strings.Count(response.Body, "data:") != 5 {
+			c.recordViolation("%s received an incomplete stream without an error: %q", id, response.Body)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		c.mutex.Lock()
 		c.refused[id] = true
 		c.mutex.Unlock()
 	case http.StatusUnauthorized, http.StatusNotFound, http.StatusPaymentRequired:
-		if answer.Status != http.StatusPaymentRequired {
-			c.note("%s was refused with unexpected status %d", id, answer.Status)
+		if response.Status != http.StatusPaymentRequired {
+			c.recordViolation("%s was refused with unexpected status %d", id, response.Status)
 		}
 	}
 }
 
-// operate sends configurations and reads them back at each control node: no read may return a version
+// runOperator sends configurations and reads them back at each control node: no read may return a version
 // older than one acknowledged before it.
-func (c *Chaos) operate(ctx context.Context) {
+func (c *Chaos) runOperator(ctx context.Context) {
 	for turn := uint64(0); ctx.Err() == nil; turn++ {
 		c.mutex.Lock()
-		version, acked := c.sent+1, c.acked
+		version, acknowledged := c.sent+1, c.acknowledged
 		c.sent = version
 		c.mutex.Unlock()
 		if err := c.fleet.Put(c.configuration(version), time.Second); err == nil {
 			c.mutex.Lock()
-			c.acked = max(c.acked, version)
-			acked = c.acked
+			c.acknowledged = max(c.acknowledged, version)
+			acknowledged = c.acknowledged
 			c.mutex.Unlock()
 		}
 		for _, name := range c.fleet.Names(true) {
 			if c.fleet.Machine(name).running() == nil {
 				continue
 			}
-			if read, err := c.fleet.Read(name); err == nil && (read == nil || read.Version < acked) {
-				c.note("%s read a version older than acknowledged version %d: %v", name, acked, read)
+			if read, err := c.fleet.Read(name); err == nil && (read == nil || read.Version < acknowledged) {
+				c.recordViolation("%s read a version older than acknowledged version %d: %v", name, acknowledged, read)
 			}
 		}
-		time.Sleep(orderPause)
+		time.Sleep(putInterval)
 	}
 }
 
-// fault injects one random fault and repairs it.
-func (c *Chaos) fault() {
+// injectFault injects one random fault and repairs it.
+func (c *Chaos) injectFault() {
 	controls, entries := c.liveControls(), c.fleet.Names(false)
 	control := controls[c.random.IntN(len(controls))]
 	entry := entries[c.random.IntN(len(entries))]
-	down := time.Duration(200+c.random.IntN(2500)) * time.Millisecond
+	downtime := time.Duration(200+c.random.IntN(2500)) * time.Millisecond
 	switch c.random.IntN(8) {
 	case 0:
 		c.fleet.Kill(entry)
-		time.Sleep(down)
+		time.Sleep(downtime)
 		c.fleet.Boot(entry)
 	case 1:
 		c.fleet.PowerOff(control)
-		time.Sleep(down)
+		time.Sleep(downtime)
 		c.fleet.Boot(control)
 	case 2:
 		c.fleet.PowerOff(control)
 		c.fleet.Wipe(control)
-		time.Sleep(down)
+		time.Sleep(downtime)
 		c.fleet.Boot(control)
 		time.Sleep(repairTime)
 	case 3:
-		c.powerOffAll(down)
+		c.powerOffAll(downtime)
 	case 4:
 		c.fleet.Network.CutBetween(controls, entries)
-		time.Sleep(down)
+		time.Sleep(downtime)
 		c.fleet.Network.Heal()
 	case 5:
 		others := []string{}
@@ -173,7 +173,7 @@
 			}
 		}
 		c.fleet.Network.CutBetween([]string{control}, others)
-		time.Sleep(down)
+		time.Sleep(downtime)
 		c.fleet.Network.Heal()
 	case 6:
 		c.replaceControl(control)
@@ -195,12 +195,12 @@
 }
 
 // powerOffAll cuts the power of all machines for a time.
-func (c *Chaos) powerOffAll(down time.Duration) {
+func (c *Chaos) powerOffAll(downtime time.Duration) {
 	names := append(c.liveControls(), c.fleet.Names(false)...)
 	for _, name := range names {
 		c.fleet.PowerOff(name)
 	}
-	time.Sleep(down)
+	time.Sleep(downtime)
 	for _, name := range names {
 		c.fleet.Boot(name)
 	}
@@ -217,32 +217,32 @@
 	time.Sleep(repairTime)
 }
 
-// checkEnd checks the guarantees that can be checked only once callers and faults have ended.
-func (c *Chaos) checkEnd() {
+// checkFinalState checks the guarantees that can be checked only once callers and faults have ended.
+func (c *Chaos) checkFinalState() {
 	read, err := c.fleet.ReadAny(10 * time.Second)
-	if err != nil || read.Version < c.acked {
-		c.note("final read returned %v (%v), but version %d was acknowledged", read, err, c.acked)
+	if err != nil || read.Version < c.acknowledged {
+		c.recordViolation("final read returned %v (%v), but version %d was acknowledged", read, err, c.acknowledged)
 	}
 	runs := map[string]int{}
 	for _, run := range c.fleet.Truth.Runs() {
 		runs[run.Request]++
 	}
-	if len(runs) < leastRuns || c.acked < leastAcknowledged {
-		c.note("inconclusive run: only %d requests ran and only version %d was acknowledged", len(runs), c.acked)
+	if len(runs) < minimumRuns || c.acknowledged < minimumAcknowledged {
+		c.recordViolation("inconclusive run: only %d requests ran and only version %d was acknowledged", len(runs), c.acknowledged)
 	}
 	for id, count := range runs {
 		var number, turn int
 		_, _ = fmt.Sscanf(id, "c%d-%d", &number, &turn)
 		isOnce := turn%4 == 1 || turn%4 == 2
 		if isOnce && count > 1 {
-			c.note("%s may run at most once and ran %d times", id, count)
+			c.recordViolation("%s may run at most once and ran %d times", id, count)
 		}
 		if isOnce && c.refused[id] {
-			c.note("%s was refused as not run, but ran", id)
+			c.recordViolation("%s was refused as not run, but ran", id)
 		}
 	}
 	limit := c.configuration(c.sent).Tenants[0].Prepaid
 	if spent := c.fleet.Truth.Received("key-one"); spent > limit {
-		c.note("%d tokens were delivered, more than the %d prepaid", spent, limit)
+		c.recordViolation("%d tokens were delivered, more than the %d prepaid", spent, limit)
 	}
 }
--- a/internal/lab/openfleet/chaos_test.go
+++ b/internal/lab/openfleet/chaos_test.go
@@ -15,7 +15,7 @@
 // chaosSeeds is the number of runs in CI; the environment variable RAVENWAY_CHAOS_SEEDS overrides it.
 const chaosSeeds = 12
 
-func TestPromisesHoldUnderRandomFaultsOnOpenFleets(t *testing.T) {
+func TestGuaranteesHoldUnderRandomFaultsOnOpenFleets(t *testing.T) {
 	seeds := chaosSeeds
 	if text := os.Getenv("RAVENWAY_CHAOS_SEEDS"); text != "" {
 		var err error
--- a/internal/lab/openfleet/engine.go
+++ b/internal/lab/openfleet/engine.go
@@ -29,71 +29,71 @@
 // Truth records what the engines ran and what the callers received, independently of the nodes under
 // test.
 type Truth struct {
-	began time.Time
-	mutex sync.Mutex
-	runs  []*Run
+	startedAt time.Time
+	mutex     sync.Mutex
+	runs      []*Run
 	// arrivals are the times at which requests arrived at each instance, rejected ones included.
 	arrivals map[string][]time.Duration
 	// pauses are what instances requested from nodes: pauses, and no more requests once they leave.
-	pauses map[senderAt]*pausecheck.Record
+	pauses map[instanceAndNode]*pausecheck.Record
 	// received are the tokens that the callers with each key received. A request of whose response
 	// anything arrived counts its prompt once, and each event.
 	received map[string]uint64
 }
 
-// senderAt identifies an instance and a node that sends requests to it.
-type senderAt struct{ instance, node string }
+// instanceAndNode identifies an instance and a node that sends requests to it.
+type instanceAndNode struct{ instance, node string }
 
-func (t *Truth) begin(request, instance, tenant, body string) *Run {
+func (t *Truth) beginRun(request, instance, tenant, body string) *Run {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	run := &Run{Request: request, Instance: instance, Tenant: tenant, Body: body, Arrived: time.Since(t.began)}
+	run := &Run{Request: request, Instance: instance, Tenant: tenant, Body: body, Arrived: time.Since(t.startedAt)}
 	t.runs = append(t.runs, run)
 	return run
 }
 
-func (t *Truth) arrive(instance, node string) {
+func (t *Truth) recordArrival(instance, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	now := time.Since(t.began)
+	now := time.Since(t.startedAt)
 	t.arrivals[instance] = append(t.arrivals[instance], now)
-	t.pausesOf(instance, node).Arrive(now)
+	t.pauseRecord(instance, node).Arrive(now)
 }
 
-func (t *Truth) pausesOf(instance, node string) *pausecheck.Record {
-	of := senderAt{instance: instance, node: node}
-	if t.pauses[of] == nil {
-		t.pauses[of] = &pausecheck.Record{}
+func (t *Truth) pauseRecord(instance, node string) *pausecheck.Record {
+	key := instanceAndNode{instance: instance, node: node}
+	if t.pauses[key] == nil {
+		t.pauses[key] = &pausecheck.Record{}
 	}
-	return t.pauses[of]
+	return t.pauses[key]
 }
 
-func (t *Truth) askForPause(instance, node string, lasting time.Duration) {
+func (t *Truth) recordPause(instance, node string, duration time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.pausesOf(instance, node).Ask(time.Since(t.began), lasting)
+	t.pauseRecord(instance, node).Ask(time.Since(t.startedAt), duration)
 }
 
-func (t *Truth) leave(instance, node string) {
+func (t *Truth) recordLeaving(instance, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.pausesOf(instance, node).Leave(time.Since(t.began))
+	t.pauseRecord(instance, node).Leave(time.Since(t.startedAt))
 }
 
 // AfterLeaving returns the number of requests that an instance got from a node after a response had
 // told the node that the instance leaves, and reports whether a response did.
-func (t *Truth) AfterLeaving(instance, node string) (late int, wasTold bool) {
+func (t *Truth) AfterLeaving(instance, node string) (late int, wasSignalled bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return t.pausesOf(instance, node).AfterLeaving()
+	return t.pauseRecord(instance, node).AfterLeaving()
 }
 
 // InPause returns the maximum number of requests that an instance got from a node in a pause that it
 // had requested from it, and the number of pauses that it requested.
-func (t *Truth) InPause(instance, node string) (most, pauses int) {
+func (t *Truth) InPause(instance, node string) (maximum, pauses int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	record := t.pausesOf(instance, node)
+	record := t.pauseRecord(instance, node)
 	return record.Most(), record.Pauses()
 }
 
@@ -104,16 +104,16 @@
 	return slices.Clone(t.arrivals[instance])
 }
 
-func (t *Truth) receive(key string, tokens uint64) {
+func (t *Truth) recordTokens(key string, tokens uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.received[key] += tokens
 }
 
-func (t *Truth) end(run *Run) {
+func (t *Truth) endRun(run *Run) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	run.Ended = time.Since(t.began)
+	run.Ended = time.Since(t.startedAt)
 }
 
 // Runs returns a copy of all runs.
@@ -163,11 +163,11 @@
 	Pause time.Duration
 	// Leaves makes all responses of the engine signal that it leaves; its heartbeats don't report it.
 	Leaves bool
-	// end crashes the engine; hasEnded reports that it has crashed.
-	end      func()
-	hasEnded atomic.Bool
-	// isSilent engines send no heartbeats.
-	isSilent bool
+	// crash crashes the engine; hasCrashed reports that it has crashed.
+	crash      func()
+	hasCrashed atomic.Bool
+	// sendsNoHeartbeats is set once the heartbeats are stopped; the engine continues to serve.
+	sendsNoHeartbeats bool
 }
 
 // Set changes the engine's behaviour while it serves requests.
@@ -179,25 +179,25 @@
 
 // behaviour is a copy of an engine's settings, taken for one request.
 type behaviour struct {
-	work               time.Duration
+	workTime           time.Duration
 	events, breakAfter int
 	status             int
-	turnAway           bool
-	endsOn             string
-	endsAfter          time.Duration
+	rejectsAll         bool
+	crashesOn          string
+	crashesAfter       time.Duration
 	rateLimit          string
-	bareRefusals       float64
+	bareRejections     float64
 	pause              time.Duration
-	leaves             bool
+	isLeaving          bool
 }
 
 func (e *Engine) behaviour() behaviour {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return behaviour{
-		work: e.Work, events: e.Events, breakAfter: e.BreakAfter, status: e.Status, turnAway: e.TurnAway,
-		endsOn: e.EndsOn, endsAfter: e.EndsAfter, rateLimit: e.RateLimit, bareRefusals: e.BareRefusals,
-		pause: e.Pause, leaves: e.Leaves,
+		workTime: e.Work, events: e.Events, breakAfter: e.BreakAfter, status: e.Status, rejectsAll: e.TurnAway,
+		crashesOn: e.EndsOn, crashesAfter: e.EndsAfter, rateLimit: e.RateLimit, bareRejections: e.BareRefusals,
+		pause: e.Pause, isLeaving: e.Leaves,
 	}
 }
 
@@ -211,75 +211,75 @@
 		return
 	}
 	node := request.RemoteAddr
-	e.truth.arrive(e.ID, node)
-	how := e.behaviour()
-	isBare := rand.Float64() < how.bareRefusals
-	if how.rateLimit != "" && !isBare {
-		writer.Header().Set(wire.HeaderRateLimit, how.rateLimit)
+	e.truth.recordArrival(e.ID, node)
+	current := e.behaviour()
+	isBare := rand.Float64() < current.bareRejections
+	if current.rateLimit != "" && !isBare {
+		writer.Header().Set(wire.HeaderRateLimit, current.rateLimit)
 	}
-	if how.leaves {
+	if current.isLeaving {
 		writer.Header().Set(wire.HeaderLeaving, "1")
-		e.truth.leave(e.ID, node)
+		e.truth.recordLeaving(e.ID, node)
 	}
-	if how.turnAway || isBare {
+	if current.rejectsAll || isBare {
 		writer.Header().Set(wire.HeaderNotRun, "1")
-		if how.pause > 0 && !isBare {
-			writer.Header().Set(wire.HeaderPause, strconv.FormatFloat(how.pause.Seconds(), 'f', -1, 64))
-			e.truth.askForPause(e.ID, node, how.pause)
+		if current.pause > 0 && !isBare {
+			writer.Header().Set(wire.HeaderPause, strconv.FormatFloat(current.pause.Seconds(), 'f', -1, 64))
+			e.truth.recordPause(e.ID, node, current.pause)
 		}
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	run := e.truth.begin(id, e.ID, request.Header.Get(wire.HeaderTenant), string(body))
-	defer e.truth.end(run)
-	if how.endsOn != "" && how.endsOn == string(body) {
-		e.endBy(writer, how)
+	run := e.truth.beginRun(id, e.ID, request.Header.Get(wire.HeaderTenant), string(body))
+	defer e.truth.endRun(run)
+	if current.crashesOn != "" && current.crashesOn == string(body) {
+		e.crashDuring(writer, current)
 	}
-	if how.events == 0 {
-		e.answerWhole(writer, request, how)
+	if current.events == 0 {
+		e.respondWhole(writer, request, current)
 		return
 	}
-	e.answerStream(writer, request, run, how)
+	e.respondStream(writer, request, run, current)
 }
 
-// endBy crashes the engine while it runs a request. The head of a stream's response has been sent by
+// crashDuring crashes the engine while it runs a request. The head of a stream's response has been sent by
 // then.
-func (e *Engine) endBy(writer http.ResponseWriter, how behaviour) {
-	if how.events > 0 {
+func (e *Engine) crashDuring(writer http.ResponseWriter, current behaviour) {
+	if current.events > 0 {
 		writer.Header().Set("Content-Type", "text/event-stream")
 		writer.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(writer).Flush()
 	}
-	time.Sleep(how.endsAfter)
-	e.end()
+	time.Sleep(current.crashesAfter)
+	e.crash()
 	panic(http.ErrAbortHandler)
 }
 
-func (e *Engine) answerWhole(writer http.ResponseWriter, request *http.Request, how behaviour) {
+func (e *Engine) respondWhole(writer http.ResponseWriter, request *http.Request, current behaviour) {
 	select {
-	case <-time.After(how.work):
+	case <-time.After(current.workTime):
 	case <-request.Context().Done():
 		panic(http.ErrAbortHandler)
 	}
-	if how.status != 0 {
-		writer.WriteHeader(how.status)
+	if current.status != 0 {
+		writer.WriteHeader(current.status)
 	}
 	_, _ = fmt.Fprintf(writer, "%s by %s", request.Header.Get(wire.HeaderRequest), e.ID)
 }
 
-func (e *Engine) answerStream(writer http.ResponseWriter, request *http.Request, run *Run, how behaviour) {
+func (e *Engine) respondStream(writer http.ResponseWriter, request *http.Request, run *Run, current behaviour) {
 	first := 1
 	if after, err := strconv.Atoi(request.Header.Get(wire.HeaderAfter)); err == nil {
 		first = after + 1
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
-	for number := first; number <= how.events; number++ {
+	for number := first; number <= current.events; number++ {
 		select {
-		case <-time.After(how.work):
+		case <-time.After(current.workTime):
 		case <-request.Context().Done():
 			panic(http.ErrAbortHandler)
 		}
-		if how.breakAfter > 0 && number > how.breakAfter {
+		if current.breakAfter > 0 && number > current.breakAfter {
 			_, _ = io.WriteString(writer, "id: ")
 			_ = http.NewResponseController(writer).Flush()
 			panic(http.ErrAbortHandler)
--- a/internal/lab/openfleet/evacuation_test.go
+++ b/internal/lab/openfleet/evacuation_test.go
@@ -14,20 +14,20 @@
 	"github.com/ravenway/ravenway/internal/gateway"
 )
 
-// orderInForceWithin is the time within which an order for a zone must be in effect at each reachable
+// orderInEffectWithin is the time within which an order for a zone must be in effect at each reachable
 // node.
-const orderInForceWithin = time.Second
+const orderInEffectWithin = time.Second
 
 // requestAll sends requests of each kind to each entry node, checks that all are served, and returns
 // the time since the fleet was made at which it began.
 func requestAll(t *testing.T, f *Fleet, name string) time.Duration {
 	t.Helper()
-	since := time.Since(f.Truth.began)
+	since := time.Since(f.Truth.startedAt)
 	for _, entry := range f.Names(false) {
 		for number, path := range []string{"/safe/x", "/once/x", "/stream/x", "/resumable/x", "/safe/x", "/stream/x"} {
-			answer, err := f.Request(entry, ask(fmt.Sprintf("%s-%s-%d", name, entry, number), path))
+			response, err := f.Request(entry, newRequest(fmt.Sprintf("%s-%s-%d", name, entry, number), path))
 			assert.NilError(t, err)
-			assert.Equal(t, answer.Status, http.StatusOK)
+			assert.Equal(t, response.Status, http.StatusOK)
 		}
 	}
 	return since
@@ -44,8 +44,8 @@
 	return count
 }
 
-func TestEvacuatedZoneGetsNothingNewAndFinishesWhatItHas(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestEvacuatedZoneGetsNoNewRequestsAndFinishesThoseInFlight(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
 			f.engines["llm-"+zone].Set(func(e *Engine) { e.Work = 600 * time.Millisecond })
 		}
@@ -53,28 +53,28 @@
 		for number := range 6 {
 			streams.Go(func() {
 				id := fmt.Sprintf("long-%d", number)
-				answer, err := f.Request("entry-0", ask(id, "/stream/x"))
-				assert.Check(t, err == nil && answer.Broken == nil && answer.Body == events(id, 5), "%v %v", answer, err)
+				response, err := f.Request("entry-0", newRequest(id, "/stream/x"))
+				assert.Check(t, err == nil && response.Broken == nil && response.Body == eventsText(id, 5), "%v %v", response, err)
 			})
 		}
 		time.Sleep(time.Second)
-		began := time.Now()
+		start := time.Now()
 		assert.NilError(t, f.OrderZone("a", true, 3*time.Second))
-		assert.Assert(t, time.Since(began) < orderInForceWithin, "acknowledged after %s", time.Since(began))
-		time.Sleep(orderInForceWithin)
+		assert.Assert(t, time.Since(start) < orderInEffectWithin, "acknowledged after %s", time.Since(start))
+		time.Sleep(orderInEffectWithin)
 		streams.Wait()
 		assert.Assert(t, runsInZone(f, "a", 0) > 0)
 		assert.Equal(t, runsInZone(f, "a", requestAll(t, f, "evacuated")), 0)
 		// A repeated order is acknowledged and has no effect.
 		assert.NilError(t, f.OrderZone("a", true, 3*time.Second))
 		assert.NilError(t, f.OrderZone("a", false, 3*time.Second))
-		time.Sleep(orderInForceWithin)
+		time.Sleep(orderInEffectWithin)
 		assert.Assert(t, runsInZone(f, "a", requestAll(t, f, "restored")) > 0)
 	})
 }
 
 func TestOrderForAnUnknownZoneIsRefused(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		_, err := f.Machine("control-0").running().OrderZone(f.ctx, "nowhere", true)
 		assert.Assert(t, errors.Is(err, gateway.ErrUnknownZone), "%v", err)
 		assert.ErrorContains(t, err, `"nowhere"`)
@@ -83,16 +83,16 @@
 
 // Guards against the loss of an acknowledged order: the node that acknowledged it loses power and its
 // disk immediately, then all machines lose power.
-func TestAcknowledgedEvacuationSurvivesTheLossOfItsNodeAndOfAllPower(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestAcknowledgedEvacuationSurvivesLossOfItsNodeAndPowerLossOfAllMachines(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round, zone := range []string{"a", "b"} {
-			taker := f.Names(true)[round]
+			acknowledging := f.Names(true)[round]
 			assert.NilError(t, f.WaitFor(5*time.Second, "an acknowledgement of the evacuation", func() bool {
-				_, err := f.Machine(taker).running().OrderZone(f.ctx, zone, true)
+				_, err := f.Machine(acknowledging).running().OrderZone(f.ctx, zone, true)
 				return err == nil
 			}))
-			f.PowerOff(taker)
-			f.Wipe(taker)
+			f.PowerOff(acknowledging)
+			f.Wipe(acknowledging)
 			f.PowerOffAll()
 			f.BootAll()
 			assert.NilError(t, f.WaitFor(10*time.Second, "all entry nodes to be ready", func() bool {
@@ -102,31 +102,31 @@
 			since := requestAll(t, f, "after-"+zone)
 			assert.Equal(t, runsInZone(f, zone, since), 0)
 		}
-		assert.Equal(t, runsInZone(f, "a", time.Since(f.Truth.began)-2*time.Second), 0)
+		assert.Equal(t, runsInZone(f, "a", time.Since(f.Truth.startedAt)-2*time.Second), 0)
 	})
 }
 
 // Guards against a node that misses an order. It can't receive the order while it is partitioned from
 // all control nodes, but must apply it as soon as it reaches them again.
-func TestNodeThatWasCutOffDuringAnEvacuationHeedsItOnceItIsBack(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestNodePartitionedDuringAnEvacuationAppliesItAfterwards(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		f.Network.CutBetween(f.Names(true), []string{"entry-1"})
 		time.Sleep(3 * time.Second)
 		assert.NilError(t, f.OrderZone("c", true, 3*time.Second))
-		time.Sleep(orderInForceWithin)
+		time.Sleep(orderInEffectWithin)
 		f.Network.Heal()
-		time.Sleep(2 * orderInForceWithin)
+		time.Sleep(2 * orderInEffectWithin)
 		assert.Equal(t, runsInZone(f, "c", requestAll(t, f, "back")), 0)
 	})
 }
 
 // Guards against nodes that disagree about the order of two operators' contradicting orders: a control
 // node is partitioned while both arrive, and afterwards the same one is in effect at all nodes.
-func TestOrdersOfTwoOperatorsHaveOneOrder(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestContradictingOrdersOfTwoOperatorsEndTheSameAtAllNodes(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round := range 4 {
-			cut := f.Names(true)[round%3]
-			f.Network.CutBetween([]string{cut}, f.Names(true))
+			partitioned := f.Names(true)[round%3]
+			f.Network.CutBetween([]string{partitioned}, f.Names(true))
 			var operators sync.WaitGroup
 			for _, evacuated := range []bool{true, false} {
 				operators.Go(func() { assert.Check(t, f.OrderZone("b", evacuated, 10*time.Second) == nil) })
@@ -134,9 +134,9 @@
 			operators.Wait()
 			f.Network.Heal()
 			time.Sleep(3 * time.Second)
-			inForce := f.Machine("entry-0").running().EvacuatedZones()
+			inEffect := f.Machine("entry-0").running().EvacuatedZones()
 			for _, name := range append(f.Names(true), f.Names(false)...) {
-				assert.DeepEqual(t, f.Machine(name).running().EvacuatedZones(), inForce)
+				assert.DeepEqual(t, f.Machine(name).running().EvacuatedZones(), inEffect)
 			}
 		}
 	})
--- a/internal/lab/openfleet/remembered_test.go
+++ b/internal/lab/openfleet/instances_test.go
@@ -12,21 +12,21 @@
 
 // Guards against instances that are forgotten when all machines lose power and no engine sends
 // heartbeats. An instance that had left before must not reappear.
-func TestInstancesAreKnownAgainAfterALossOfAllPower(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestInstancesSurviveAPowerLossOfAllMachines(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		assert.NilError(t, f.Machine("control-0").running().Leave(f.ctx, registry.Life{ID: "app-a"}))
 		time.Sleep(4 * time.Second)
-		f.silenceEngines()
+		f.stopHeartbeats()
 		f.PowerOffAll()
 		f.BootAll()
 		assert.NilError(t, f.WaitFor(1500*time.Millisecond, "a request to be served", func() bool {
-			answer, err := f.Request("entry-0", Ask{ID: "known", Path: "/safe/x", Key: "key-one"})
-			return err == nil && answer.Status == http.StatusOK
+			response, err := f.Request("entry-0", Ask{ID: "known", Path: "/safe/x", Key: "key-one"})
+			return err == nil && response.Status == http.StatusOK
 		}))
 		// Requests with tokens may be refused with a retry time until there is a leader with the root.
 		assert.NilError(t, f.WaitFor(3*time.Second, "tokens at each entry node", func() bool {
 			for _, entry := range f.Names(false) {
-				if answer, err := f.Request(entry, ask("tokens", "/safe/x")); err != nil || answer.Status != http.StatusOK {
+				if response, err := f.Request(entry, newRequest("tokens", "/safe/x")); err != nil || response.Status != http.StatusOK {
 					return false
 				}
 			}
@@ -40,8 +40,8 @@
 }
 
 // Guards against a file of instances, torn by a power loss, that prevents a control node from starting.
-func TestTornListOfInstancesIsPassedOver(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+func TestTornInstanceFileIsIgnored(t *testing.T) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		time.Sleep(4 * time.Second)
 		for _, name := range f.Names(true) {
 			f.Kill(name)
@@ -49,8 +49,8 @@
 			f.Boot(name)
 		}
 		time.Sleep(3 * time.Second)
-		answer, err := f.Request("entry-0", Ask{ID: "torn", Path: "/safe/x", Key: "key-one"})
+		response, err := f.Request("entry-0", Ask{ID: "torn", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Status, http.StatusOK)
+		assert.Equal(t, response.Status, http.StatusOK)
 	})
 }
--- a/internal/lab/openfleet/ledger_test.go
+++ b/internal/lab/openfleet/ledger_test.go
@@ -12,9 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// ledgerDistance returns the tokens that the root has settled beyond those that callers received, as a
+// overchargedFraction returns the tokens that the root has settled beyond those that callers received, as a
 // fraction of the budget's limit. Below 0 the tenant received more than it is charged.
-func ledgerDistance(t *testing.T, f *Fleet) float64 {
+func overchargedFraction(t *testing.T, f *Fleet) float64 {
 	t.Helper()
 	settled := uint64(0)
 	for _, name := range f.Names(true) {
@@ -28,7 +28,7 @@
 // Guards against a long time without tokens after all machines lose power. No token can be granted
 // before the incarnations that have ended are closed, and for that the leader, which need not be a seed,
 // must know their successors.
-func TestTokensAreThereSoonAfterALossOfAllPower(t *testing.T) {
+func TestTokensAreGrantedSoonAfterAPowerLossOfAllMachines(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := New(6, 3, rand.New(rand.NewPCG(1, 1)))
@@ -38,7 +38,7 @@
 		var slowest time.Duration
 		for round := range 6 {
 			for number := range 12 {
-				_, err := f.Request(f.Names(false)[number%3], ask(fmt.Sprintf("before-%d-%d", round, number), "/stream/x"))
+				_, err := f.Request(f.Names(false)[number%3], newRequest(fmt.Sprintf("before-%d-%d", round, number), "/stream/x"))
 				assert.NilError(t, err)
 			}
 			names := append(f.Names(true), f.Names(false)...)
@@ -50,13 +50,13 @@
 				f.Boot(name)
 				time.Sleep(30 * time.Millisecond)
 			}
-			began := time.Now()
+			start := time.Now()
 			assert.NilError(t, f.WaitFor(8*time.Second, "all ended incarnations to be closed", func() bool {
 				budgets, err := f.Machine("control-0").running().Budgets(f.ctx, "one")
 				return err == nil && budgets[0].GetOutstanding() == 0
 			}))
-			t.Logf("round %d: closed after %s", round, time.Since(began))
-			slowest = max(slowest, time.Since(began))
+			t.Logf("round %d: closed after %s", round, time.Since(start))
+			slowest = max(slowest, time.Since(start))
 			time.Sleep(5 * time.Second)
 		}
 		assert.Assert(t, slowest < closedWithin, "%s", slowest)
@@ -69,28 +69,28 @@
 
 // spendWhile sends streams to each entry node while something happens, and waits until all tokens are
 // settled and reported. One in eight callers disconnects early.
-func spendWhile(t *testing.T, f *Fleet, happens func(random *rand.Rand)) {
+func spendWhile(t *testing.T, f *Fleet, during func(random *rand.Rand)) {
 	t.Helper()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for number, name := range f.Names(false) {
 		callers.Go(func() {
 			for turn := 0; !isClosed(stop); turn++ {
-				patience := 2 * time.Second
+				maximumWait := 2 * time.Second
 				if turn%8 == 0 {
-					patience = time.Duration(5+turn%40) * time.Millisecond
+					maximumWait = time.Duration(5+turn%40) * time.Millisecond
 				}
-				ctx, cancel := context.WithTimeout(context.Background(), patience)
-				one := ask(fmt.Sprintf("l-%d-%d", number, turn), "/stream/x")
-				one.Context = ctx
-				_, _ = f.Request(name, one)
+				ctx, cancel := context.WithTimeout(context.Background(), maximumWait)
+				request := newRequest(fmt.Sprintf("l-%d-%d", number, turn), "/stream/x")
+				request.Context = ctx
+				_, _ = f.Request(name, request)
 				cancel()
 				time.Sleep(100 * time.Millisecond)
 			}
 		})
 	}
 	time.Sleep(3 * time.Second)
-	happens(rand.New(rand.NewPCG(5, 5)))
+	during(rand.New(rand.NewPCG(5, 5)))
 	time.Sleep(4 * time.Second)
 	close(stop)
 	callers.Wait()
@@ -100,17 +100,17 @@
 // Guards against tokens that are charged but were not received, which the tenant can't spend. In normal
 // operation, around graceful stops, in partitions and with broken streams they must stay below 0.5 % of
 // the budget.
-func TestLedgerIsWithinHalfAHundredthOfWhatCallersGot(t *testing.T) {
-	for name, happens := range map[string]func(*Fleet, *rand.Rand){
-		"calm": func(*Fleet, *rand.Rand) { time.Sleep(4 * time.Second) },
-		"planned stops": func(f *Fleet, _ *rand.Rand) {
+func TestLedgerIsWithinHalfAPercentOfReceivedTokens(t *testing.T) {
+	for name, during := range map[string]func(*Fleet, *rand.Rand){
+		"normal operation": func(*Fleet, *rand.Rand) { time.Sleep(4 * time.Second) },
+		"graceful stops": func(f *Fleet, _ *rand.Rand) {
 			for _, entry := range f.Names(false) {
 				f.Stop(entry)
 				f.Boot(entry)
 				time.Sleep(time.Second)
 			}
 		},
-		"cuts": func(f *Fleet, _ *rand.Rand) {
+		"partitions": func(f *Fleet, _ *rand.Rand) {
 			for range 2 {
 				f.Network.CutBetween(f.Names(true), f.Names(false))
 				time.Sleep(4 * time.Second)
@@ -118,7 +118,7 @@
 				time.Sleep(2 * time.Second)
 			}
 		},
-		"answers lost": func(f *Fleet, random *rand.Rand) {
+		"broken streams": func(f *Fleet, random *rand.Rand) {
 			for range 20 {
 				engine := f.engines["llm-"+zones[random.IntN(len(zones))]]
 				engine.Set(func(e *Engine) { e.BreakAfter = random.IntN(4) })
@@ -130,12 +130,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, 3, func(t *testing.T, f *Fleet) {
-				spendWhile(t, f, func(random *rand.Rand) { happens(f, random) })
-				distance := ledgerDistance(t, f)
-				t.Logf("%d tokens received, distance %.4f", f.Truth.Received("key-one"), distance)
+			withFleet(t, 3, func(t *testing.T, f *Fleet) {
+				spendWhile(t, f, func(random *rand.Rand) { during(f, random) })
+				overcharged := overchargedFraction(t, f)
+				t.Logf("%d tokens received, overcharged by %.4f of the budget", f.Truth.Received("key-one"), overcharged)
 				assert.Assert(t, f.Truth.Received("key-one") > prepaid/20, "inconclusive: too few tokens were received")
-				assert.Assert(t, distance >= 0 && distance <= 0.005, "%.4f", distance)
+				assert.Assert(t, overcharged >= 0 && overcharged <= 0.005, "%.4f", overcharged)
 			})
 		})
 	}
@@ -144,8 +144,8 @@
 // Guards against charging too much when all machines lose power near the end of a budget of which 3 %
 // are used a second. Tokens that are charged to the ended incarnations but were not used can't be spent
 // any more. They must be no more than what is used at that rate in the 2 s until the successors run.
-func TestLedgerIsOffByTwoSecondsOfUseAfterALossOfAllPowerNearABudgetsEnd(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestLedgerIsOffByAtMostTwoSecondsOfUseAfterAPowerLossNearABudgetsEnd(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		spendWhile(t, f, func(*rand.Rand) {
 			assert.NilError(t, f.WaitFor(time.Minute, "most of the budget spent", func() bool {
 				return f.Truth.Received("key-one") > prepaid*8/10
@@ -154,8 +154,8 @@
 			time.Sleep(1500 * time.Millisecond)
 			f.BootAll()
 		})
-		distance := ledgerDistance(t, f)
-		t.Logf("%d tokens received, distance %.4f", f.Truth.Received("key-one"), distance)
-		assert.Assert(t, distance >= 0 && distance <= 0.08, "%.4f", distance)
+		overcharged := overchargedFraction(t, f)
+		t.Logf("%d tokens received, overcharged by %.4f of the budget", f.Truth.Received("key-one"), overcharged)
+		assert.Assert(t, overcharged >= 0 && overcharged <= 0.08, "%.4f", overcharged)
 	})
 }
--- a/internal/lab/openfleet/manycontrols_test.go
+++ b/internal/lab/openfleet/manycontrols_test.go
@@ -9,16 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// heardWithin is the time within which each entry node uses an instance that registers while one of the
+// usedWithin is the time within which each entry node uses an instance that registers while one of the
 // control nodes is down: the nodes must first notice that it has sent nothing, or that its digest does
 // not change.
-const heardWithin = 6 * time.Second
+const usedWithin = 6 * time.Second
 
 // Guards against entry nodes that miss instances when a control node crashes or is partitioned. With
 // many control nodes each entry node receives instances from one of them. Regardless of which one
 // fails, all entry nodes must soon use new instances, and immediately stop using draining ones.
-func TestInstancesAreKnownEverywhereWhicheverControlNodeDies(t *testing.T) {
-	inFleetOf(t, 11, 6, func(t *testing.T, f *Fleet) {
+func TestInstancesAreKnownEverywhereWhicheverControlNodeFails(t *testing.T) {
+	withFleetOfControls(t, 11, 6, func(t *testing.T, f *Fleet) {
 		time.Sleep(time.Second)
 		for round, victim := range f.Names(true) {
 			if round%2 == 0 {
@@ -29,15 +29,15 @@
 			// Its id sorts first, so all nodes of its zone prefer it.
 			id, zone := fmt.Sprintf("app-%03d", round), zones[round%len(zones)]
 			f.AddEngine(id, "app", zone)
-			time.Sleep(heardWithin)
+			time.Sleep(usedWithin)
 			assertZoneUses(t, f, id, zone)
 			assert.NilError(t, f.Drain(id))
 			time.Sleep(time.Second)
 			for _, entry := range f.Names(false) {
 				request := fmt.Sprintf("drained-%s-%s", id, entry)
-				answer, err := f.Request(entry, Ask{ID: request, Path: "/once/x", Key: "key-one"})
+				response, err := f.Request(entry, Ask{ID: request, Path: "/once/x", Key: "key-one"})
 				assert.NilError(t, err)
-				assert.Equal(t, answer.Status, http.StatusOK)
+				assert.Equal(t, response.Status, http.StatusOK)
 				runs := f.Truth.Runs()
 				assert.Assert(t, runs[len(runs)-1].Instance != id, "%s uses the draining instance %s", entry, id)
 			}
@@ -59,9 +59,9 @@
 			continue
 		}
 		request := fmt.Sprintf("use-%s-%s", id, entry)
-		answer, err := f.Request(entry, Ask{ID: request, Path: "/once/x", Key: "key-one"})
+		response, err := f.Request(entry, Ask{ID: request, Path: "/once/x", Key: "key-one"})
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Status, http.StatusOK)
+		assert.Equal(t, response.Status, http.StatusOK)
 		runs := f.Truth.Runs()
 		assert.Equal(t, runs[len(runs)-1].Request, request)
 		assert.Equal(t, runs[len(runs)-1].Instance, id, "%s does not use the new instance", entry)
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -39,7 +39,7 @@
 	callersPort   = 7002
 	readyPort     = 7003
 	operatorsPort = 7004
-	pollPause     = 20 * time.Millisecond
+	pollInterval  = 20 * time.Millisecond
 )
 
 // zones are assigned to the machines in turn.
@@ -81,21 +81,21 @@
 	Network *fleet.Network
 	Truth   *Truth
 	Logger  zerolog.Logger
-	// members guards machines, order and lost: machines are added while requests are in flight.
-	members  sync.RWMutex
-	machines map[string]*Machine
-	order    []string
-	engines  map[string]*Engine
-	random   *rand.Rand
-	callers  *http.Transport
-	ctx      context.Context
-	cancel   context.CancelFunc
-	running  sync.WaitGroup
-	// beats guards engines and the state that their heartbeats report.
-	beats sync.Mutex
-	// hasRun is set once all machines have started for the first time; until then nodes are
+	// machinesMutex guards machines, order and lost: machines are added while requests are in flight.
+	machinesMutex sync.RWMutex
+	machines      map[string]*Machine
+	order         []string
+	engines       map[string]*Engine
+	random        *rand.Rand
+	callers       *http.Transport
+	ctx           context.Context
+	cancel        context.CancelFunc
+	goroutines    sync.WaitGroup
+	// enginesMutex guards engines and the state that their heartbeats report.
+	enginesMutex sync.Mutex
+	// hasStarted is set once all machines have started for the first time; until then nodes are
 	// told that they may bootstrap the control group.
-	hasRun bool
+	hasStarted bool
 	// lost are the machines that never start again; nodes booted later don't have them as seeds.
 	lost map[string]bool
 }
@@ -103,24 +103,24 @@
 // New returns a fleet whose machines do not run yet.
 func New(controls, entries int, random *rand.Rand) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &Fleet{
-		Network: fleet.NewNetwork(), Truth: &Truth{began: time.Now(), received: map[string]uint64{}, arrivals: map[string][]time.Duration{}, pauses: map[senderAt]*pausecheck.Record{}}, Logger: zerolog.Nop(),
+	f := &Fleet{
+		Network: fleet.NewNetwork(), Truth: &Truth{startedAt: time.Now(), received: map[string]uint64{}, arrivals: map[string][]time.Duration{}, pauses: map[instanceAndNode]*pausecheck.Record{}}, Logger: zerolog.Nop(),
 		machines: map[string]*Machine{}, engines: map[string]*Engine{}, lost: map[string]bool{}, random: random, ctx: ctx, cancel: cancel,
 	}
-	made.callers = &http.Transport{DialContext: made.Network.Dialer(callerMachine), DisableKeepAlives: true}
+	f.callers = &http.Transport{DialContext: f.Network.Dialer(callerMachine), DisableKeepAlives: true}
 	for number := range controls {
-		made.AddMachine(fmt.Sprintf("control-%d", number), fmt.Sprintf("10.0.1.%d", number+1), zones[number%len(zones)], true)
+		f.AddMachine(fmt.Sprintf("control-%d", number), fmt.Sprintf("10.0.1.%d", number+1), zones[number%len(zones)], true)
 	}
 	for number := range entries {
-		made.AddMachine(fmt.Sprintf("entry-%d", number), fmt.Sprintf("10.0.2.%d", number+1), zones[number%len(zones)], false)
+		f.AddMachine(fmt.Sprintf("entry-%d", number), fmt.Sprintf("10.0.2.%d", number+1), zones[number%len(zones)], false)
 	}
-	return made
+	return f
 }
 
 // AddMachine adds a machine that does not run yet.
 func (f *Fleet) AddMachine(name, host, zone string, control bool) {
-	f.members.Lock()
-	defer f.members.Unlock()
+	f.machinesMutex.Lock()
+	defer f.machinesMutex.Unlock()
 	f.order = append(f.order, name)
 	f.machines[name] = &Machine{
 		Name: name, Host: host, Zone: zone, Control: control,
@@ -130,15 +130,15 @@
 
 // Machine returns a machine by its name.
 func (f *Fleet) Machine(name string) *Machine {
-	f.members.RLock()
-	defer f.members.RUnlock()
+	f.machinesMutex.RLock()
+	defer f.machinesMutex.RUnlock()
 	return f.machines[name]
 }
 
 // Names returns the names of the control or the entry machines.
 func (f *Fleet) Names(control bool) []string {
-	f.members.RLock()
-	defer f.members.RUnlock()
+	f.machinesMutex.RLock()
+	defer f.machinesMutex.RUnlock()
 	var names []string
 	for _, name := range f.order {
 		if f.machines[name].Control == control {
@@ -153,30 +153,30 @@
 	for _, name := range f.order {
 		f.Boot(name)
 	}
-	f.hasRun = true
-	f.running.Go(f.heartbeats)
+	f.hasStarted = true
+	f.goroutines.Go(f.heartbeats)
 }
 
 // Boot starts a machine's node with the current contents of its disk.
 func (f *Fleet) Boot(name string) {
 	machine := f.Machine(name)
-	loaded := &settings.Settings{
+	nodeSettings := &settings.Settings{
 		Node:   settings.Node{Name: name, Zone: machine.Zone, Roles: []string{settings.RoleEntry}},
 		Listen: settings.Listen{Peers: machine.Peer()},
-		Fleet:  settings.Fleet{Dialect: "lab", PeerPort: peerPort, FirstStart: !f.hasRun},
+		Fleet:  settings.Fleet{Dialect: "lab", PeerPort: peerPort, FirstStart: !f.hasStarted},
 		Bounds: settings.Bounds{StopGrace: settings.DefaultStopGrace, RetryWindow: settings.DefaultRetryWindow, RetryRatio: 0.2, RetrySlack: 50, ExposureShare: settings.DefaultExposureShare},
 	}
-	loaded.Fleet.Seeds = f.seeds()
+	nodeSettings.Fleet.Seeds = f.seeds()
 	listen := func(port int) net.Listener {
 		return f.Network.Listen(name, fmt.Sprintf("%s:%d", machine.Host, port))
 	}
 	options := gateway.Options{
-		Settings: loaded, PeerKey: []byte(peerKey), Dialect: wire.Dialect{}, Logger: f.Logger.With().Str("node", name).Logger(),
+		Settings: nodeSettings, PeerKey: []byte(peerKey), Dialect: wire.Dialect{}, Logger: f.Logger.With().Str("node", name).Logger(),
 		Listeners: gateway.Listeners{Peers: listen(peerPort), Operators: listen(operatorsPort)},
 		DialPeer:  f.dialer(name), DialEngine: f.dialer(name),
 	}
 	if machine.Control {
-		loaded.Node.Roles = []string{settings.RoleControl}
+		nodeSettings.Node.Roles = []string{settings.RoleControl}
 		options.FileSystem = machine.Disk
 		options.Listeners.Control = listen(controlPort)
 	} else {
@@ -189,7 +189,7 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	current := &process{node: started, cancel: cancel, ended: make(chan struct{})}
 	machine.process.Store(current)
-	f.running.Go(func() {
+	f.goroutines.Go(func() {
 		defer close(current.ended)
 		_ = started.Run(ctx)
 	})
@@ -212,14 +212,14 @@
 
 // Lose records that a machine never starts again.
 func (f *Fleet) Lose(name string) {
-	f.members.Lock()
-	defer f.members.Unlock()
+	f.machinesMutex.Lock()
+	defer f.machinesMutex.Unlock()
 	f.lost[name] = true
 }
 
 func (f *Fleet) isLost(name string) bool {
-	f.members.RLock()
-	defer f.members.RUnlock()
+	f.machinesMutex.RLock()
+	defer f.machinesMutex.RUnlock()
 	return f.lost[name]
 }
 
@@ -246,12 +246,12 @@
 }
 
 // PowerOffAll cuts the power of all machines; BootAll starts them again.
-func (f *Fleet) PowerOffAll() { f.each(f.PowerOff) }
+func (f *Fleet) PowerOffAll() { f.forEachMachine(f.PowerOff) }
 
 // BootAll boots all machines.
-func (f *Fleet) BootAll() { f.each(f.Boot) }
+func (f *Fleet) BootAll() { f.forEachMachine(f.Boot) }
 
-func (f *Fleet) each(act func(name string)) {
+func (f *Fleet) forEachMachine(act func(name string)) {
 	for _, name := range append(f.Names(true), f.Names(false)...) {
 		act(name)
 	}
@@ -267,11 +267,11 @@
 	ctx, cancel := context.WithTimeout(f.ctx, settings.DefaultStopGrace)
 	defer cancel()
 	current := machine.process.Load()
-	cut := current.node.Stop(ctx)
+	interrupted := current.node.Stop(ctx)
 	current.cancel()
 	<-current.ended
 	f.Network.Break(name)
-	return cut
+	return interrupted
 }
 
 // Close stops all machines and engines and waits until they have ended.
@@ -284,7 +284,7 @@
 	for _, engine := range f.engines {
 		f.Network.Break(engine.ID)
 	}
-	f.running.Wait()
+	f.goroutines.Wait()
 	f.callers.CloseIdleConnections()
 }
 
@@ -297,51 +297,51 @@
 func (f *Fleet) AddVersion(id, service, zone, version string) *Engine {
 	engine := &Engine{truth: f.Truth, Work: 10 * time.Millisecond}
 	engine.Instance = registry.Instance{ID: id, Service: service, Address: id + ":80", Zone: zone, Version: version, Slots: 8, State: registry.Ready, Sequence: 1, Born: time.Now().UnixMilli()}
-	engine.end = func() { f.EndEngine(engine) }
+	engine.crash = func() { f.EndEngine(engine) }
 	server := &http.Server{Handler: engine}
 	listener := f.Network.Listen(id, engine.Address)
-	f.running.Go(func() { _ = server.Serve(listener) })
-	f.running.Go(func() {
+	f.goroutines.Go(func() { _ = server.Serve(listener) })
+	f.goroutines.Go(func() {
 		<-f.ctx.Done()
 		_ = server.Close()
 	})
-	f.beats.Lock()
+	f.enginesMutex.Lock()
 	f.engines[id] = engine
-	f.beats.Unlock()
+	f.enginesMutex.Unlock()
 	return engine
 }
 
 // EndEngine crashes an engine: its connections break, new ones are refused, and it sends no more
 // heartbeats.
 func (f *Fleet) EndEngine(engine *Engine) {
-	engine.hasEnded.Store(true)
+	engine.hasCrashed.Store(true)
 	f.Network.Break(engine.ID)
 }
 
 // heartbeatInterval is the time between an engine's heartbeats.
 const heartbeatInterval = time.Second
 
-// silenceEngines stops the heartbeats of all engines, which continue to serve requests.
-func (f *Fleet) silenceEngines() {
-	f.beats.Lock()
-	defer f.beats.Unlock()
+// stopHeartbeats stops the heartbeats of all engines, which continue to serve requests.
+func (f *Fleet) stopHeartbeats() {
+	f.enginesMutex.Lock()
+	defer f.enginesMutex.Unlock()
 	for _, engine := range f.engines {
-		engine.isSilent = true
+		engine.sendsNoHeartbeats = true
 	}
 }
 
 // heartbeats periodically sends the heartbeat of each engine to a running control node.
 func (f *Fleet) heartbeats() {
 	for f.ctx.Err() == nil {
-		f.beats.Lock()
+		f.enginesMutex.Lock()
 		for _, engine := range f.engines {
-			if engine.isSilent || engine.hasEnded.Load() {
+			if engine.sendsNoHeartbeats || engine.hasCrashed.Load() {
 				continue
 			}
 			engine.Sequence++
 			_ = f.Heartbeat(engine.Instance)
 		}
-		f.beats.Unlock()
+		f.enginesMutex.Unlock()
 		select {
 		case <-f.ctx.Done():
 		case <-time.After(heartbeatInterval):
@@ -350,12 +350,12 @@
 }
 
 // Drain makes an engine report that it drains. It returns once a control node has acknowledged that.
-func (f *Fleet) Drain(id string) error { return f.say(id, registry.Draining) }
+func (f *Fleet) Drain(id string) error { return f.reportState(id, registry.Draining) }
 
-// say changes the state that an engine's heartbeats report and sends one of them.
-func (f *Fleet) say(id string, state registry.State) error {
-	f.beats.Lock()
-	defer f.beats.Unlock()
+// reportState changes the state that an engine's heartbeats report and sends one of them.
+func (f *Fleet) reportState(id string, state registry.State) error {
+	f.enginesMutex.Lock()
+	defer f.enginesMutex.Unlock()
 	engine := f.engines[id]
 	engine.State = state
 	engine.Sequence++
@@ -390,12 +390,12 @@
 }
 
 // Put sends a configuration until a control node acknowledges it or the time is up.
-func (f *Fleet) Put(sent *document.Document, patience time.Duration) error {
+func (f *Fleet) Put(sent *document.Document, maximumWait time.Duration) error {
 	raw, err := sent.Encode()
 	if err != nil {
 		return err
 	}
-	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
+	return f.tryControls(maximumWait, func(ctx context.Context, node *gateway.Node) error {
 		_, err := node.TakeDocument(ctx, sent, raw)
 		return err
 	})
@@ -412,9 +412,9 @@
 
 // ReadAny returns the newest configuration from the first control node that can confirm that it is
 // the newest.
-func (f *Fleet) ReadAny(patience time.Duration) (*document.Document, error) {
+func (f *Fleet) ReadAny(maximumWait time.Duration) (*document.Document, error) {
 	var read *document.Document
-	err := f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
+	err := f.tryControls(maximumWait, func(ctx context.Context, node *gateway.Node) error {
 		raw, err := node.ReadDocument(ctx)
 		if err != nil {
 			return err
@@ -426,16 +426,16 @@
 }
 
 // OrderZone evacuates or restores a zone; it retries until a control node acknowledges the order.
-func (f *Fleet) OrderZone(zone string, evacuated bool, patience time.Duration) error {
-	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
+func (f *Fleet) OrderZone(zone string, evacuated bool, maximumWait time.Duration) error {
+	return f.tryControls(maximumWait, func(ctx context.Context, node *gateway.Node) error {
 		_, err := node.OrderZone(ctx, zone, evacuated)
 		return err
 	})
 }
 
-func (f *Fleet) tryControls(patience time.Duration, try func(context.Context, *gateway.Node) error) error {
+func (f *Fleet) tryControls(maximumWait time.Duration, try func(context.Context, *gateway.Node) error) error {
 	err := errors.New("no control node runs")
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(pollPause) {
+	for start := time.Now(); time.Since(start) < maximumWait; time.Sleep(pollInterval) {
 		for _, name := range f.Names(true) {
 			node := f.Machine(name).running()
 			if node == nil {
@@ -450,19 +450,19 @@
 }
 
 // WaitFor waits until a condition holds; what describes the condition in the error.
-func (f *Fleet) WaitFor(patience time.Duration, what string, holds func() bool) error {
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(pollPause) {
-		if holds() {
+func (f *Fleet) WaitFor(maximumWait time.Duration, what string, condition func() bool) error {
+	for start := time.Now(); time.Since(start) < maximumWait; time.Sleep(pollInterval) {
+		if condition() {
 			return nil
 		}
 	}
-	return fmt.Errorf("timed out waiting for %s after %s", what, patience)
+	return fmt.Errorf("timed out waiting for %s after %s", what, maximumWait)
 }
 
 // Ready reports whether an entry node's readiness endpoint accepts callers.
 func (f *Fleet) Ready(name string) bool {
-	answer, err := f.get(fmt.Sprintf("http://%s:%d%s", f.Machine(name).Host, readyPort, wire.ReadyPath))
-	return err == nil && answer.Status == http.StatusOK
+	response, err := f.get(fmt.Sprintf("http://%s:%d%s", f.Machine(name).Host, readyPort, wire.ReadyPath))
+	return err == nil && response.Status == http.StatusOK
 }
 
 // Operators returns a client of a node's operator listener.
@@ -517,18 +517,18 @@
 	if ask.Wait > 0 {
 		request.Header.Set(wire.HeaderWait, ask.Wait.String())
 	}
-	answer, err := f.do(request)
-	f.noteReceived(ask, answer)
-	return answer, err
+	response, err := f.roundTrip(request)
+	f.recordReceivedTokens(ask, response)
+	return response, err
 }
 
-// noteReceived counts the tokens that a caller received: the prompt's and one for each event.
-func (f *Fleet) noteReceived(ask Ask, answer Answer) {
+// recordReceivedTokens counts the tokens that a caller received: the prompt's and one for each event.
+func (f *Fleet) recordReceivedTokens(ask Ask, response Answer) {
 	var tokensIn, tokensOut uint64
-	if _, err := fmt.Sscanf(ask.Tokens, "%d,%d", &tokensIn, &tokensOut); err != nil || answer.Status != http.StatusOK || answer.Body == "" {
+	if _, err := fmt.Sscanf(ask.Tokens, "%d,%d", &tokensIn, &tokensOut); err != nil || response.Status != http.StatusOK || response.Body == "" {
 		return
 	}
-	f.Truth.receive(ask.Key, tokensIn+uint64(strings.Count(answer.Body, eventEnd)))
+	f.Truth.recordTokens(ask.Key, tokensIn+uint64(strings.Count(response.Body, eventEnd)))
 }
 
 // eventEnd terminates an event of a stream.
@@ -539,10 +539,10 @@
 	if err != nil {
 		return Answer{}, err
 	}
-	return f.do(request)
+	return f.roundTrip(request)
 }
 
-func (f *Fleet) do(request *http.Request) (Answer, error) {
+func (f *Fleet) roundTrip(request *http.Request) (Answer, error) {
 	response, err := f.callers.RoundTrip(request)
 	if err != nil {
 		return Answer{}, err
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -41,15 +41,15 @@
 	}
 }
 
-// inFleet runs a test in virtual time against a fleet of three control nodes and some entry nodes,
+// withFleet runs a test in virtual time against a fleet of three control nodes and some entry nodes,
 // with a first configuration and engines in each zone.
-func inFleet(t *testing.T, entries int, test func(t *testing.T, f *Fleet)) {
+func withFleet(t *testing.T, entries int, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
-	inFleetOf(t, 3, entries, test)
+	withFleetOfControls(t, 3, entries, test)
 }
 
-// inFleetOf is inFleet with the given number of control nodes.
-func inFleetOf(t *testing.T, controls, entries int, test func(t *testing.T, f *Fleet)) {
+// withFleetOfControls is withFleet with the given number of control nodes.
+func withFleetOfControls(t *testing.T, controls, entries int, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -87,27 +87,27 @@
 	assert.NilError(t, f.Put(configuration(1), 8*time.Second))
 }
 
-func ask(id, path string) Ask { return Ask{ID: id, Path: path, Key: "key-one", Tokens: "10,5"} }
+func newRequest(id, path string) Ask { return Ask{ID: id, Path: path, Key: "key-one", Tokens: "10,5"} }
 
 func TestRequestAndStreamAreForwardedWhole(t *testing.T) {
-	inFleet(t, 2, func(t *testing.T, f *Fleet) {
-		plain, err := f.Request("entry-0", ask("r1", "/safe/x"))
+	withFleet(t, 2, func(t *testing.T, f *Fleet) {
+		plain, err := f.Request("entry-0", newRequest("r1", "/safe/x"))
 		assert.NilError(t, err)
 		assert.Equal(t, plain.Status, http.StatusOK)
-		stream, err := f.Request("entry-1", ask("r2", "/stream/x"))
+		stream, err := f.Request("entry-1", newRequest("r2", "/stream/x"))
 		assert.NilError(t, err)
 		assert.NilError(t, stream.Broken)
-		assert.Equal(t, stream.Body, events("r2", 5))
+		assert.Equal(t, stream.Body, eventsText("r2", 5))
 		unknown, err := f.Request("entry-0", Ask{ID: "r3", Path: "/safe/x", Key: "no-key"})
 		assert.NilError(t, err)
 		assert.Equal(t, unknown.Status, http.StatusUnauthorized)
-		nowhere, err := f.Request("entry-0", ask("r4", "/nowhere/x"))
+		nowhere, err := f.Request("entry-0", newRequest("r4", "/nowhere/x"))
 		assert.NilError(t, err)
 		assert.Equal(t, nowhere.Status, http.StatusNotFound)
 	})
 }
 
-func events(id string, count int) string {
+func eventsText(id string, count int) string {
 	text := ""
 	for number := 1; number <= count; number++ {
 		text += fmt.Sprintf("id: %d\ndata: %s-%d\n\n", number, id, number)
@@ -115,28 +115,28 @@
 	return text
 }
 
-func TestBrokenStreamGoesOnAtAnotherEngineOrIsSeenToBeBroken(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+func TestBrokenStreamIsResumedAtAnotherEngineOrEndsWithAnError(t *testing.T) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		for number := range 6 {
-			breaking := f.engines["llm-"+zones[number%3]]
-			breaking.Set(func(e *Engine) { e.BreakAfter = 2 })
+			engine := f.engines["llm-"+zones[number%3]]
+			engine.Set(func(e *Engine) { e.BreakAfter = 2 })
 			id := fmt.Sprintf("resumed-%d", number)
-			resumed, err := f.Request("entry-0", ask(id, "/resumable/x"))
+			resumed, err := f.Request("entry-0", newRequest(id, "/resumable/x"))
 			assert.NilError(t, err)
 			assert.NilError(t, resumed.Broken)
-			assert.Equal(t, resumed.Body, events(id, 5))
-			broken, err := f.Request("entry-0", ask(fmt.Sprintf("broken-%d", number), "/stream/x"))
+			assert.Equal(t, resumed.Body, eventsText(id, 5))
+			broken, err := f.Request("entry-0", newRequest(fmt.Sprintf("broken-%d", number), "/stream/x"))
 			assert.NilError(t, err)
-			assert.Assert(t, broken.Broken != nil || broken.Body == events(fmt.Sprintf("broken-%d", number), 5))
-			breaking.Set(func(e *Engine) { e.BreakAfter = 0 })
+			assert.Assert(t, broken.Broken != nil || broken.Body == eventsText(fmt.Sprintf("broken-%d", number), 5))
+			engine.Set(func(e *Engine) { e.BreakAfter = 0 })
 		}
 	})
 }
 
-// Guards against requests that are cut at the end of a graceful stop: one that arrived while the
+// Guards against requests that are interrupted at the end of a graceful stop: one that arrived while the
 // stopping node returned its tokens was.
-func TestPlannedStopCutsNoRequest(t *testing.T) {
-	inFleet(t, 2, func(t *testing.T, f *Fleet) {
+func TestGracefulStopInterruptsNoRequest(t *testing.T) {
+	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		f.engines["llm-a"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
 		f.engines["llm-b"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
 		f.engines["llm-c"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
@@ -147,14 +147,14 @@
 		callers.Go(func() {
 			for number := 0; !isClosed(stopped); number++ {
 				callers.Go(func() {
-					answer, err := f.Request("entry-0", ask(fmt.Sprintf("s%d", number), "/stream/x"))
-					if err == nil && answer.Broken == nil {
+					response, err := f.Request("entry-0", newRequest(fmt.Sprintf("s%d", number), "/stream/x"))
+					if err == nil && response.Broken == nil {
 						return
 					}
 					if err == nil || runsOf(f, fmt.Sprintf("s%d", number)) > 0 {
 						mutex.Lock()
 						defer mutex.Unlock()
-						cut = append(cut, fmt.Sprintf("s%d: %v %v", number, err, answer.Broken))
+						cut = append(cut, fmt.Sprintf("s%d: %v %v", number, err, response.Broken))
 					}
 				})
 				time.Sleep(15 * time.Millisecond)
@@ -168,16 +168,16 @@
 }
 
 // Guards against accepting work that a stopping node can't finish: a long stream that arrived more
-// than three seconds after the signal was accepted, and cut at the end of the stop.
-func TestLongStreamIsTurnedAwayLateInAPlannedStop(t *testing.T) {
-	inFleet(t, 2, func(t *testing.T, f *Fleet) {
+// than three seconds after the signal was accepted, and interrupted at the end of the stop.
+func TestLongStreamIsRefusedLateInAGracefulStop(t *testing.T) {
+	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
 			f.engines["llm-"+zone].Set(func(e *Engine) { e.Work = 990 * time.Millisecond })
 		}
 		stopped := make(chan int64, 1)
 		go func() { stopped <- f.Stop("entry-0") }()
 		time.Sleep(3050 * time.Millisecond)
-		late, err := f.Request("entry-0", ask("late", "/stream/x"))
+		late, err := f.Request("entry-0", newRequest("late", "/stream/x"))
 		assert.NilError(t, err)
 		assert.Equal(t, late.Status, http.StatusServiceUnavailable)
 		assert.Assert(t, late.Header.Get("Retry-After") != "")
@@ -196,13 +196,13 @@
 	return count
 }
 
-func TestDrainingEngineGetsNothingNewWithinTwoSeconds(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestDrainingEngineGetsNoNewRequestsAfterTwoSeconds(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		assert.NilError(t, f.Drain("app-a"))
 		time.Sleep(2 * time.Second)
-		since := time.Since(f.Truth.began)
+		since := time.Since(f.Truth.startedAt)
 		for number := range 60 {
-			_, err := f.Request(f.Names(false)[number%3], ask(fmt.Sprintf("d%d", number), "/safe/x"))
+			_, err := f.Request(f.Names(false)[number%3], newRequest(fmt.Sprintf("d%d", number), "/safe/x"))
 			assert.NilError(t, err)
 		}
 		for _, run := range f.Truth.Runs() {
@@ -211,15 +211,15 @@
 	})
 }
 
-func TestEntryNodesServeOnTheLastListWithoutControlNodes(t *testing.T) {
-	inFleet(t, 2, func(t *testing.T, f *Fleet) {
+func TestEntryNodesServeWithLastKnownInstancesWithoutControlNodes(t *testing.T) {
+	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		for _, name := range f.Names(true) {
 			f.Kill(name)
 		}
 		time.Sleep(30 * time.Second)
-		answer, err := f.Request("entry-0", Ask{ID: "alone", Path: "/safe/x", Key: "key-one"})
+		response, err := f.Request("entry-0", Ask{ID: "alone", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Status, http.StatusOK)
+		assert.Equal(t, response.Status, http.StatusOK)
 		// The node can't confirm its configuration any more, so it must answer neither 401 nor 404.
 		unsure, err := f.Request("entry-0", Ask{ID: "unsure", Path: "/safe/x", Key: "new-key"})
 		assert.NilError(t, err)
@@ -231,8 +231,8 @@
 	})
 }
 
-func TestAcknowledgedConfigurationSurvivesAWipedDiskAndAPowerLossOfTheRest(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+func TestAcknowledgedConfigurationSurvivesAWipedDiskAndAPowerLoss(t *testing.T) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		for version := uint64(2); version < 6; version++ {
 			assert.NilError(t, f.Put(configuration(version), 8*time.Second))
 			wiped := f.Names(true)[version%3]
@@ -252,7 +252,7 @@
 }
 
 func TestControlNodeIsReplacedAtAnotherAddress(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		f.PowerOff("control-0")
 		f.Lose("control-0")
 		f.AddMachine("control-3", "10.0.1.9", "a", true)
@@ -267,8 +267,8 @@
 	})
 }
 
-func TestCutOffControlNodeAnswersNoReadAsCertain(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+func TestPartitionedControlNodeRefusesReads(t *testing.T) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		for _, cut := range f.Names(true) {
 			others := []string{}
 			for _, name := range f.Names(true) {
@@ -288,8 +288,8 @@
 	})
 }
 
-func TestFullDiskOnOneControlNodeStopsNothing(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+func TestFullDiskOnOneControlNodeDoesNotBlockConfigurations(t *testing.T) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		version := uint64(1)
 		for _, name := range f.Names(true) {
 			f.Machine(name).Disk.SetFull(true)
@@ -305,8 +305,8 @@
 
 // Guards against prepaid tokens that are delivered more than once when nodes are killed or
 // partitioned.
-func TestPrepaidIsNeverExceededUnderKillsAndCuts(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestPrepaidIsNeverExceededUnderCrashesAndPartitions(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		random := rand.New(rand.NewPCG(7, 7))
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
@@ -314,9 +314,9 @@
 			callers.Go(func() {
 				for turn := 0; !isClosed(stop); turn++ {
 					ctx, cancel := context.WithTimeout(context.Background(), time.Second)
-					one := ask(fmt.Sprintf("p-%d-%d", number, turn), "/stream/x")
-					one.Context = ctx
-					_, _ = f.Request(name, one)
+					request := newRequest(fmt.Sprintf("p-%d-%d", number, turn), "/stream/x")
+					request.Context = ctx
+					_, _ = f.Request(name, request)
 					cancel()
 					time.Sleep(20 * time.Millisecond)
 				}
@@ -351,21 +351,21 @@
 
 // Guards against tokens that are lost with a node that stops gracefully while it can't reach the
 // control nodes: it must hand them over to other entry nodes.
-func TestNodeThatStopsOutOfTheRootsReachHandsItsTokensOver(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+func TestNodeThatStopsWithoutTheRootHandsOverItsTokens(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for number := range 40 {
-			answer, err := f.Request("entry-0", ask(fmt.Sprintf("h%d", number), "/stream/x"))
+			response, err := f.Request("entry-0", newRequest(fmt.Sprintf("h%d", number), "/stream/x"))
 			assert.NilError(t, err)
-			assert.Equal(t, answer.Status, http.StatusOK)
+			assert.Equal(t, response.Status, http.StatusOK)
 			time.Sleep(50 * time.Millisecond)
 		}
 		f.Network.CutBetween(f.Names(true), f.Names(false))
 		time.Sleep(2 * time.Second)
 		f.Stop("entry-0")
 		// No other node had any tokens, and the root is unreachable.
-		answer, err := f.Request("entry-1", ask("after", "/stream/x"))
+		response, err := f.Request("entry-1", newRequest("after", "/stream/x"))
 		assert.NilError(t, err)
-		assert.Equal(t, answer.Status, http.StatusOK)
+		assert.Equal(t, response.Status, http.StatusOK)
 		f.Network.Heal()
 		time.Sleep(5 * time.Second)
 		assert.Assert(t, f.Truth.Received("key-one") <= prepaid)
--- a/internal/lab/openfleet/pauses_test.go
+++ b/internal/lab/openfleet/pauses_test.go
@@ -15,37 +15,37 @@
 	"github.com/ravenway/ravenway/internal/lab/pausecheck"
 )
 
-// shed makes some engines reject all requests and request a pause.
-func shed(engines []*Engine, lasting time.Duration) {
+// rejectWithPause makes some engines reject all requests and request a pause.
+func rejectWithPause(engines []*Engine, duration time.Duration) {
 	for _, engine := range engines {
-		engine.Set(func(e *Engine) { e.TurnAway, e.Pause = true, lasting })
+		engine.Set(func(e *Engine) { e.TurnAway, e.Pause = true, duration })
 	}
 }
 
 // assertPausesKept checks that in a pause that an engine had requested from a node it got no more
 // requests from that node than are allowed, and that some pause was requested.
-func (l *limited) assertPausesKept(t *testing.T, engines []*Engine) {
+func (l *rateLimitedFleet) assertPausesKept(t *testing.T, engines []*Engine) {
 	t.Helper()
-	asked, worst := 0, 0
+	requested, highest := 0, 0
 	for _, engine := range engines {
 		for _, node := range l.Names(false) {
-			most, pauses := l.Truth.InPause(engine.ID, node)
-			asked, worst = asked+pauses, max(worst, most)
-			assert.Check(t, most <= pausecheck.Allowed, "%s got %d requests from %s in a pause", engine.ID, most, node)
+			maximum, pauses := l.Truth.InPause(engine.ID, node)
+			requested, highest = requested+pauses, max(highest, maximum)
+			assert.Check(t, maximum <= pausecheck.Allowed, "%s got %d requests from %s in a pause", engine.ID, maximum, node)
 		}
 	}
-	t.Logf("%d pauses requested, at most %d requests of a node in one", asked, worst)
-	assert.Check(t, asked > 0, "no engine requested a pause")
+	t.Logf("%d pauses requested, at most %d requests of a node in one", requested, highest)
+	assert.Check(t, requested > 0, "no engine requested a pause")
 }
 
 // Guards against nodes that continue to send requests to an engine during a pause that the engine has
 // requested from them.
-func TestEngineThatAsksForAPauseGetsNothingInIt(t *testing.T) {
+func TestEngineGetsNoRequestsInAPauseItRequested(t *testing.T) {
 	for _, path := range []string{"/stream/x", "/resumable/x", "/safe/x", "/once/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
-			inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
-				shed(l.engines[:4], 3*time.Second)
-				l.callFor(rand.New(rand.NewPCG(48, 1)), path, 60, 12*time.Second)
+			withRateLimitedFleet(t, 8, func(t *testing.T, l *rateLimitedFleet) {
+				rejectWithPause(l.engines[:4], 3*time.Second)
+				l.sendRequests(rand.New(rand.NewPCG(48, 1)), path, 60, 12*time.Second)
 				l.assertPausesKept(t, l.engines[:4])
 			})
 		})
@@ -53,56 +53,56 @@
 }
 
 // Guards against pauses that are ignored when no other engine is left.
-func TestPausesAreKeptWhereAllEnginesAskForOne(t *testing.T) {
-	inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
-		shed(l.engines, 3*time.Second)
-		l.call(rand.New(rand.NewPCG(48, 2)), 60, 12*time.Second)
+func TestPausesAreRespectedIfAllEnginesRequestOne(t *testing.T) {
+	withRateLimitedFleet(t, 8, func(t *testing.T, l *rateLimitedFleet) {
+		rejectWithPause(l.engines, 3*time.Second)
+		l.sendStreams(rand.New(rand.NewPCG(48, 2)), 60, 12*time.Second)
 		l.assertPausesKept(t, l.engines)
 		l.mutex.Lock()
 		defer l.mutex.Unlock()
-		for _, one := range l.refusals {
-			assert.Check(t, one.after < 200*time.Millisecond, "refused after %s", one.after)
-			assert.Check(t, one.comeBack != "", one.body)
+		for _, refused := range l.refusals {
+			assert.Check(t, refused.waited < 200*time.Millisecond, "refused after %s", refused.waited)
+			assert.Check(t, refused.retryAfter != "", refused.body)
 		}
 	})
 }
 
 // Guards against nodes that continue to send requests to an engine whose responses signal that it
 // leaves, until its heartbeats report it too.
-func TestEngineThatSaysThatItLeavesGetsNothingMore(t *testing.T) {
+func TestEngineThatSignalsLeavingGetsNoMoreRequests(t *testing.T) {
 	for name, change := range map[string]func(*Engine){
-		"serving":      func(e *Engine) { e.Leaves = true },
-		"turning_away": func(e *Engine) { e.Leaves, e.TurnAway = true, true },
-		"failing":      func(e *Engine) { e.Leaves, e.Events, e.Status = true, 0, http.StatusInternalServerError },
+		"serving":   func(e *Engine) { e.Leaves = true },
+		"rejecting": func(e *Engine) { e.Leaves, e.TurnAway = true, true },
+		"failing":   func(e *Engine) { e.Leaves, e.Events, e.Status = true, 0, http.StatusInternalServerError },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
+			withRateLimitedFleet(t, 8, func(t *testing.T, l *rateLimitedFleet) {
 				leaving := l.engines[:4]
 				for _, engine := range leaving {
 					engine.Set(change)
 				}
-				l.call(rand.New(rand.NewPCG(48, 3)), 60, 12*time.Second)
-				told := 0
+				l.sendStreams(rand.New(rand.NewPCG(48, 3)), 60, 12*time.Second)
+				signalled := 0
 				for _, engine := range leaving {
 					for _, node := range l.Names(false) {
-						late, wasTold := l.Truth.AfterLeaving(engine.ID, node)
+						late, wasSignalled := l.Truth.AfterLeaving(engine.ID, node)
 						assert.Check(t, late == 0, "%s got %d requests from %s after it had told it that it leaves", engine.ID, late, node)
-						if wasTold {
-							told++
+						if wasSignalled {
+							signalled++
 						}
 					}
 				}
-				assert.Check(t, told > 0, "no engine signalled that it leaves")
+				assert.Check(t, signalled > 0, "no engine signalled that it leaves")
 			})
 		})
 	}
 }
 
 func TestOperatorListsThePausesOfANode(t *testing.T) {
-	inLimitedFleet(t, 3, func(t *testing.T, l *limited) {
-		shed(l.engines[:1], 30*time.Second)
+	withRateLimitedFleet(t, 3, func(t *testing.T, l *rateLimitedFleet) {
+		rejectWithPause(l.engines[:1], 30*time.Second)
 		l.engines[1].Set(func(e *Engine) { e.Leaves = true })
-		l.call(rand.New(rand.NewPCG(48, 4)), 60, 5*time.Second)
+		l.sendStreams(rand.New(rand.NewPCG(48, 4)), 60, 5*time.Second)
 		listed, err := l.Operators("entry-1").GetPauses(l.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
 		assert.NilError(t, err)
 		pauses := listed.Msg.GetPauses()
@@ -121,14 +121,14 @@
 // Guards against pauses and leaving that are forgotten when the fleet changes: entry nodes are
 // partitioned from the control nodes, all control nodes restart, the configuration changes, and an
 // engine drains and is ready again within the same incarnation.
-func TestPausesAndLeavingOutliveWhatHappensToTheFleet(t *testing.T) {
-	inLimitedFleet(t, 8, func(t *testing.T, l *limited) {
+func TestPausesAndLeavingSurviveChangesOfTheFleet(t *testing.T) {
+	withRateLimitedFleet(t, 8, func(t *testing.T, l *rateLimitedFleet) {
 		pausing, leaving := l.engines[:4], l.engines[4:6]
-		shed(pausing, 3*time.Second)
+		rejectWithPause(pausing, 3*time.Second)
 		for _, engine := range leaving {
 			engine.Set(func(e *Engine) { e.Leaves = true })
 		}
-		l.running.Go(func() { l.call(rand.New(rand.NewPCG(48, 5)), 60, 25*time.Second) })
+		l.goroutines.Go(func() { l.sendStreams(rand.New(rand.NewPCG(48, 5)), 60, 25*time.Second) })
 		time.Sleep(3 * time.Second)
 		changed, err := l.ReadAny(3 * time.Second)
 		assert.NilError(t, err)
@@ -165,5 +165,5 @@
 		return err
 	}
 	time.Sleep(500 * time.Millisecond)
-	return f.say(id, registry.Ready)
+	return f.reportState(id, registry.Ready)
 }
--- a/internal/lab/openfleet/poison_test.go
+++ b/internal/lab/openfleet/poison_test.go
@@ -26,37 +26,38 @@
 // not exchange it.
 const (
 	poison = "a body that no engine survives"
-	// contact is the time within which connected nodes must know of a third crash.
-	contact = 3 * time.Second
-	// engineRestart is the time after which a crashed engine is replaced.
-	engineRestart = 3 * time.Second
-	// poisonRuns is the maximum number of runs of the request later than contact after the third crash.
-	poisonRuns = 3
+	// propagationTime is the time within which connected nodes must know of a third crash.
+	propagationTime = 3 * time.Second
+	// engineRestartDelay is the time after which a crashed engine is replaced.
+	engineRestartDelay = 3 * time.Second
+	// maximumPoisonRuns is the maximum number of runs of the request later than propagationTime after the
+	// third crash.
+	maximumPoisonRuns = 3
 )
 
-// poisoned is a fleet whose engines crash on the poison request and are replaced.
-type poisoned struct {
+// poisonedFleet is a fleet whose engines crash on the poison request and are replaced.
+type poisonedFleet struct {
 	*Fleet
-	mutex sync.Mutex
-	ends  []time.Duration
+	mutex   sync.Mutex
+	crashes []time.Duration
 }
 
 // addEngines adds engines that crash some time after they began to run the poison request.
-func (p *poisoned) addEngines(service string, count, events int, after time.Duration) {
+func (p *poisonedFleet) addEngines(service string, count, events int, after time.Duration) {
 	for number := range count {
 		p.addEngine(fmt.Sprintf("%s-%d", service, number), service, zones[number%len(zones)], events, after)
 	}
 }
 
-func (p *poisoned) addEngine(id, service, zone string, events int, after time.Duration) {
+func (p *poisonedFleet) addEngine(id, service, zone string, events int, after time.Duration) {
 	engine := p.AddEngine(id, service, zone)
 	engine.Set(func(e *Engine) { e.Events, e.EndsOn, e.EndsAfter, e.Work = events, poison, after, 30*time.Millisecond })
-	engine.end = func() {
+	engine.crash = func() {
 		p.mutex.Lock()
-		p.ends = append(p.ends, time.Since(p.Truth.began))
+		p.crashes = append(p.crashes, time.Since(p.Truth.startedAt))
 		p.mutex.Unlock()
 		p.EndEngine(engine)
-		time.AfterFunc(engineRestart, func() {
+		time.AfterFunc(engineRestartDelay, func() {
 			if p.ctx.Err() == nil {
 				p.addEngine(id+"~", service, zone, events, after)
 			}
@@ -64,86 +65,86 @@
 	}
 }
 
-func (p *poisoned) endCount() int {
+func (p *poisonedFleet) crashCount() int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	return len(p.ends)
+	return len(p.crashes)
 }
 
-// repeat sends the poison request periodically for a time, each time with another id to a random entry
+// sendPoison sends the poison request periodically for a time, each time with another id to a random entry
 // node.
-func (p *poisoned) repeat(random *rand.Rand, path string, every, lasting time.Duration) {
+func (p *poisonedFleet) sendPoison(random *rand.Rand, path string, every, duration time.Duration) {
 	entries := p.Names(false)
-	for began := time.Now(); time.Since(began) < lasting; time.Sleep(every) {
+	for start := time.Now(); time.Since(start) < duration; time.Sleep(every) {
 		name, id := entries[random.IntN(len(entries))], fmt.Sprintf("poison-%d", random.Uint64())
-		p.running.Go(func() { _, _ = p.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "1,1", Body: poison}) })
+		p.goroutines.Go(func() { _, _ = p.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "1,1", Body: poison}) })
 	}
 }
 
-// runsAfterContact counts the runs of the poison request that began later than contact after the third
-// crash.
-func (p *poisoned) runsAfterContact() int {
+// runsAfterPropagation counts the runs of the poison request that began later than propagationTime after
+// the third crash.
+func (p *poisonedFleet) runsAfterPropagation() int {
 	p.mutex.Lock()
-	ends := slices.Sorted(slices.Values(p.ends))
+	crashes := slices.Sorted(slices.Values(p.crashes))
 	p.mutex.Unlock()
-	if len(ends) < 3 {
+	if len(crashes) < 3 {
 		return 0
 	}
-	return len(slices.DeleteFunc(p.Truth.Runs(), func(run Run) bool { return run.Body != poison || run.Arrived <= ends[2]+contact }))
+	return len(slices.DeleteFunc(p.Truth.Runs(), func(run Run) bool { return run.Body != poison || run.Arrived <= crashes[2]+propagationTime }))
 }
 
-// inPoisonedFleet runs a test against six entry nodes and two services of nine engines each, which
+// withPoisonedFleet runs a test against six entry nodes and two services of nine engines each, which
 // crash on the poison request.
-func inPoisonedFleet(t *testing.T, after time.Duration, test func(t *testing.T, p *poisoned)) {
+func withPoisonedFleet(t *testing.T, after time.Duration, test func(t *testing.T, p *poisonedFleet)) {
 	t.Helper()
-	inFleet(t, 6, func(t *testing.T, f *Fleet) {
-		generous := configuration(2)
-		generous.Tenants[0].Prepaid = 1 << 40
-		for position := range generous.Routes {
-			route := &generous.Routes[position]
+	withFleet(t, 6, func(t *testing.T, f *Fleet) {
+		changed := configuration(2)
+		changed.Tenants[0].Prepaid = 1 << 40
+		for position := range changed.Routes {
+			route := &changed.Routes[position]
 			if route.Kind == document.Stream {
 				route.Targets[0].Service = "model"
 			} else {
 				route.Targets[0].Service = "portal"
 			}
 		}
-		generous.Services = append(generous.Services, document.Service{Name: "model"}, document.Service{Name: "portal"})
-		p := &poisoned{Fleet: f}
+		changed.Services = append(changed.Services, document.Service{Name: "model"}, document.Service{Name: "portal"})
+		p := &poisonedFleet{Fleet: f}
 		p.addEngines("model", 9, 5, after)
 		p.addEngines("portal", 9, 0, after)
-		assert.NilError(t, f.Put(generous, 3*time.Second))
+		assert.NilError(t, f.Put(changed, 3*time.Second))
 		time.Sleep(3 * time.Second)
 		test(t, p)
 	})
 }
 
-func TestRequestThatEndsItsEnginesReachesFewMoreAfterTheThird(t *testing.T) {
+func TestPoisonRequestReachesFewEnginesAfterThreeCrashes(t *testing.T) {
 	for _, path := range []string{"/resumable/x", "/stream/x", "/safe/x", "/once/x"} {
 		t.Run(path[1:len(path)-2], func(t *testing.T) {
-			inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
-				p.repeat(rand.New(rand.NewPCG(36, 1)), path, 150*time.Millisecond, 25*time.Second)
-				t.Logf("%d engines crashed, %d runs later than %s after the third crash", p.endCount(), p.runsAfterContact(), contact)
-				assert.Assert(t, p.endCount() >= 3)
-				assert.Assert(t, p.runsAfterContact() <= poisonRuns, "%d runs later than %s after the third crash", p.runsAfterContact(), contact)
+			withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
+				p.sendPoison(rand.New(rand.NewPCG(36, 1)), path, 150*time.Millisecond, 25*time.Second)
+				t.Logf("%d engines crashed, %d runs later than %s after the third crash", p.crashCount(), p.runsAfterPropagation(), propagationTime)
+				assert.Assert(t, p.crashCount() >= 3)
+				assert.Assert(t, p.runsAfterPropagation() <= maximumPoisonRuns, "%d runs later than %s after the third crash", p.runsAfterPropagation(), propagationTime)
 			})
 		})
 	}
 }
 
-// quarantinedAt returns the names of the entry nodes that refuse the poison request as quarantined.
-func (p *poisoned) quarantinedAt() []string {
+// quarantiningNodes returns the names of the entry nodes that refuse the poison request as quarantined.
+func (p *poisonedFleet) quarantiningNodes() []string {
 	var names []string
 	for _, name := range p.Names(false) {
-		answer, err := p.Request(name, Ask{ID: fmt.Sprintf("probe-%s-%d", name, time.Now().UnixNano()), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
-		if err == nil && strings.Contains(answer.Body, "quarantined") {
+		response, err := p.Request(name, Ask{ID: fmt.Sprintf("probe-%s-%d", name, time.Now().UnixNano()), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
+		if err == nil && strings.Contains(response.Body, "quarantined") {
 			names = append(names, name)
 		}
 	}
 	return names
 }
 
-// endThree sends the poison request to three entry nodes, each of which sees one engine crash.
-func (p *poisoned) endThree() {
+// crashThree sends the poison request to three entry nodes, each of which sees one engine crash.
+func (p *poisonedFleet) crashThree() {
 	for number, name := range []string{"entry-0", "entry-1", "entry-2"} {
 		_, _ = p.Request(name, Ask{ID: fmt.Sprintf("poison-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
 		time.Sleep(300 * time.Millisecond)
@@ -152,12 +153,12 @@
 
 // Guards against crashes that are known only to the node that saw them: three nodes see one each, and
 // all nodes must know of the three within a second.
-func TestThreeEndsSeenAtThreeNodesAreKnownAtAllWithinASecond(t *testing.T) {
-	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
-		p.endThree()
+func TestCrashesSeenAtThreeNodesAreKnownAtAllWithinASecond(t *testing.T) {
+	withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
+		p.crashThree()
 		time.Sleep(700 * time.Millisecond)
-		assert.Equal(t, len(p.quarantinedAt()), 6)
-		assert.Equal(t, p.endCount(), 3)
+		assert.Equal(t, len(p.quarantiningNodes()), 6)
+		assert.Equal(t, p.crashCount(), 3)
 		// Another body is served.
 		served, err := p.Request("entry-0", Ask{ID: "other", Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
 		assert.NilError(t, err)
@@ -167,29 +168,29 @@
 
 // Guards against a quarantine that is lost when all machines lose power. Entry nodes have no disk, so the
 // control nodes must store it for them and for new entry nodes.
-func TestQuarantineOutlastsTheLossOfAllPowerAndReachesNewNodes(t *testing.T) {
-	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
-		p.endThree()
+func TestQuarantineSurvivesAPowerLossOfAllMachinesAndReachesNewNodes(t *testing.T) {
+	withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
+		p.crashThree()
 		time.Sleep(2 * time.Second)
 		p.PowerOffAll()
 		// One control node loses its disk, too.
 		p.Wipe("control-1")
 		time.Sleep(time.Second)
 		p.BootAll()
-		time.Sleep(contact)
-		assert.Equal(t, len(p.quarantinedAt()), 6)
+		time.Sleep(propagationTime)
+		assert.Equal(t, len(p.quarantiningNodes()), 6)
 		p.AddMachine("entry-new", "10.0.2.99", "a", false)
 		p.Boot("entry-new")
-		time.Sleep(contact)
-		assert.Equal(t, len(p.quarantinedAt()), 7)
-		assert.Equal(t, p.endCount(), 3)
+		time.Sleep(propagationTime)
+		assert.Equal(t, len(p.quarantiningNodes()), 7)
+		assert.Equal(t, p.crashCount(), 3)
 	})
 }
 
 // Guards against crashes that are not added up after a partition: during it each side counts its own,
 // afterwards all nodes must know of all.
-func TestEndsOfBothSidesOfACutCountTogetherOnceItIsHealed(t *testing.T) {
-	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
+func TestCrashesOnBothSidesOfAPartitionAddUpAfterItHeals(t *testing.T) {
+	withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
 		// The nodes of zone c are partitioned from the other nodes; both sides reach all engines.
 		own := []string{"control-2", "entry-2", "entry-5"}
 		others := []string{"control-0", "control-1", "entry-0", "entry-1", "entry-3", "entry-4"}
@@ -197,50 +198,50 @@
 			_, _ = p.Request("entry-2", Ask{ID: fmt.Sprintf("before-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
 		}
 		p.Network.CutBetween(own, others)
-		endOne := func(name string) {
-			for before, try := p.endCount(), 0; p.endCount() == before && try < 20; try++ {
+		crashOne := func(name string) {
+			for before, try := p.crashCount(), 0; p.crashCount() == before && try < 20; try++ {
 				_, _ = p.Request(name, Ask{ID: fmt.Sprintf("%s-%d", name, try), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
 				time.Sleep(400 * time.Millisecond)
 			}
 		}
-		endOne("entry-2")
-		endOne("entry-0")
-		endOne("entry-1")
-		assert.Equal(t, p.endCount(), 3)
+		crashOne("entry-2")
+		crashOne("entry-0")
+		crashOne("entry-1")
+		assert.Equal(t, p.crashCount(), 3)
 		time.Sleep(4 * time.Second)
 		p.Network.Heal()
-		time.Sleep(contact)
-		assert.Equal(t, len(p.quarantinedAt()), 6)
+		time.Sleep(propagationTime)
+		assert.Equal(t, len(p.quarantiningNodes()), 6)
 	})
 }
 
 // Guards against a quarantine that operators can't see or lift: they list the request with the crashes
 // recorded against it, and release it.
 func TestOperatorListsAndReleasesAQuarantinedRequest(t *testing.T) {
-	inPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisoned) {
-		p.endThree()
+	withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
+		p.crashThree()
 		time.Sleep(time.Second)
 		control, entry := p.Operators("control-0"), p.Operators("entry-3")
 		listed, err := control.GetQuarantine(p.ctx, connect.NewRequest(&ravenwayv1.GetQuarantineRequest{}))
 		assert.NilError(t, err)
 		assert.Equal(t, len(listed.Msg.GetRequests()), 1)
-		held := listed.Msg.GetRequests()[0]
-		assert.Assert(t, held.GetQuarantined())
-		assert.Equal(t, held.GetRoute(), "stream")
-		assert.Equal(t, held.GetTenant(), "one")
-		assert.Equal(t, len(held.GetEnds()), 3)
+		summary := listed.Msg.GetRequests()[0]
+		assert.Assert(t, summary.GetQuarantined())
+		assert.Equal(t, summary.GetRoute(), "stream")
+		assert.Equal(t, summary.GetTenant(), "one")
+		assert.Equal(t, len(summary.GetEnds()), 3)
 		release := func(fingerprint string) error {
 			_, err := entry.ReleaseQuarantined(p.ctx, connect.NewRequest(&ravenwayv1.ReleaseQuarantinedRequest{Fingerprint: fingerprint}))
 			return err
 		}
 		assert.Equal(t, connect.CodeOf(release("not one")), connect.CodeInvalidArgument)
 		assert.Equal(t, connect.CodeOf(release(strings.Repeat("0", 48))), connect.CodeNotFound)
-		assert.NilError(t, release(held.GetFingerprint()))
+		assert.NilError(t, release(summary.GetFingerprint()))
 		time.Sleep(2 * time.Second)
 		// It is sent to engines again, and crashes three more.
-		p.endThree()
-		assert.Equal(t, p.endCount(), 6)
+		p.crashThree()
+		assert.Equal(t, p.crashCount(), 6)
 		time.Sleep(time.Second)
-		assert.Equal(t, len(p.quarantinedAt()), 6)
+		assert.Equal(t, len(p.quarantiningNodes()), 6)
 	})
 }
--- a/internal/lab/openfleet/rollout_test.go
+++ b/internal/lab/openfleet/rollout_test.go
@@ -23,14 +23,14 @@
 	// newVersion is the version that the service app moves to, and the prefix of its engines' ids.
 	newVersion  = "v2"
 	rolloutTime = 10 * time.Second
-	// callersPause results in about 100 requests a second at each of three entry nodes.
-	callersPause = 10 * time.Millisecond
+	// callerInterval results in about 100 requests a second at each of three entry nodes.
+	callerInterval = 10 * time.Millisecond
 )
 
 // orderRollout orders a rollout of the service app; it retries until a control node acknowledges it or
 // reports that it is in progress.
-func orderRollout(f *Fleet, patience time.Duration) error {
-	return f.tryControls(patience, func(ctx context.Context, node *gateway.Node) error {
+func orderRollout(f *Fleet, maximumWait time.Duration) error {
+	return f.tryControls(maximumWait, func(ctx context.Context, node *gateway.Node) error {
 		err := node.OrderRollout(ctx, "app", newVersion, rolloutTime)
 		if errors.Is(err, gateway.ErrRolloutUnderWay) {
 			return nil
@@ -70,15 +70,15 @@
 			for number := 0; ctx.Err() == nil; number++ {
 				calls.Go(func() {
 					path := []string{"/safe/x", "/once/x"}[number%2]
-					answer, err := f.Request(entry, Ask{ID: fmt.Sprintf("call-%s-%d", entry, number), Path: path, Key: "key-one"})
+					response, err := f.Request(entry, Ask{ID: fmt.Sprintf("call-%s-%d", entry, number), Path: path, Key: "key-one"})
 					mutex.Lock()
 					defer mutex.Unlock()
-					if err != nil || answer.Broken != nil {
-						answer.Status = 0
+					if err != nil || response.Broken != nil {
+						response.Status = 0
 					}
-					statuses[answer.Status]++
+					statuses[response.Status]++
 				})
-				time.Sleep(callersPause)
+				time.Sleep(callerInterval)
 			}
 			calls.Wait()
 		})
@@ -101,9 +101,9 @@
 	return count, last
 }
 
-// beginBadRollout orders a rollout of a version whose responses all fail while callers send requests.
+// startBadRollout orders a rollout of a version whose responses all fail while callers send requests.
 // It returns the number of runs before the order and a function that stops the callers.
-func beginBadRollout(t *testing.T, f *Fleet) (before int, stop func() map[int]int) {
+func startBadRollout(t *testing.T, f *Fleet) (before int, stop func() map[int]int) {
 	t.Helper()
 	stop = callAll(f)
 	time.Sleep(2 * time.Second)
@@ -116,11 +116,11 @@
 // Guards against a version whose responses all fail and that is not rolled back, that gets more than
 // the canary's share of requests, or that gets requests after the rollback.
 func TestBadVersionIsRolledBackAtAllNodes(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
-		before, stop := beginBadRollout(t, f)
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
+		before, stop := startBadRollout(t, f)
 		assert.NilError(t, f.WaitFor(rolloutTime/2, "the rollback", func() bool { return stageOf(f) == rollout.RolledBack }))
 		time.Sleep(time.Second)
-		rolledBackAt := time.Since(f.Truth.began)
+		rolledBackAt := time.Since(f.Truth.startedAt)
 		time.Sleep(rolloutTime)
 		stop()
 		count, last := runsOfNewVersion(f)
@@ -133,14 +133,14 @@
 // Guards against a good version that does not serve all requests by the deadline, and against requests
 // that are lost when the old engines crash as soon as the rollout is done.
 func TestGoodVersionTakesOverWithoutALostRequest(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		stop := callAll(f)
 		time.Sleep(2 * time.Second)
-		began := time.Now()
+		start := time.Now()
 		assert.NilError(t, orderRollout(f, 3*time.Second))
 		startNewVersion(f, func(*Engine) {})
 		assert.NilError(t, f.WaitFor(rolloutTime, "the rollout to be done", func() bool { return stageOf(f) == rollout.Done }))
-		assert.Assert(t, time.Since(began) < rolloutTime, "%s", time.Since(began))
+		assert.Assert(t, time.Since(start) < rolloutTime, "%s", time.Since(start))
 		for _, zone := range zones {
 			f.EndEngine(f.engines["app-"+zone])
 		}
@@ -153,11 +153,11 @@
 
 // Guards against the loss of an acknowledged rollout when the node that acknowledged it loses its disk
 // and all machines lose power. Sent again, the order must not start another rollout.
-func TestAcknowledgedRolloutSurvivesALossOfAllPower(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
-		taker := f.Machine("control-0").running()
+func TestAcknowledgedRolloutSurvivesAPowerLossOfAllMachines(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
+		acknowledging := f.Machine("control-0").running()
 		assert.NilError(t, f.WaitFor(3*time.Second, "an acknowledgement of the rollout", func() bool {
-			err := taker.OrderRollout(f.ctx, "app", newVersion, rolloutTime)
+			err := acknowledging.OrderRollout(f.ctx, "app", newVersion, rolloutTime)
 			return err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
 		}))
 		f.PowerOff("control-0")
@@ -181,9 +181,9 @@
 
 // Guards against a bad version that is not rolled back, or that exceeds the canary's share, because the
 // control nodes crash one after the other during the rollout.
-func TestBadVersionIsRolledBackThoughLeadersDie(t *testing.T) {
-	inFleet(t, 3, func(t *testing.T, f *Fleet) {
-		before, stop := beginBadRollout(t, f)
+func TestBadVersionIsRolledBackAlthoughLeadersCrash(t *testing.T) {
+	withFleet(t, 3, func(t *testing.T, f *Fleet) {
+		before, stop := startBadRollout(t, f)
 		for _, name := range f.Names(true) {
 			f.Kill(name)
 			time.Sleep(300 * time.Millisecond)
@@ -198,33 +198,33 @@
 }
 
 func TestOrderForARolloutIsRefusedWithItsReason(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
-		// answer returns the result of the order at the first control node that is able to decide it.
-		answer := func(service, version string, duration time.Duration) (answered error) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
+		// orderResult returns the result of the order at the first control node that is able to decide it.
+		orderResult := func(service, version string, duration time.Duration) (result error) {
 			err := f.tryControls(3*time.Second, func(ctx context.Context, node *gateway.Node) error {
-				answered = node.OrderRollout(ctx, service, version, duration)
-				if errors.Is(answered, gateway.ErrUnavailable) {
-					return answered
+				result = node.OrderRollout(ctx, service, version, duration)
+				if errors.Is(result, gateway.ErrUnavailable) {
+					return result
 				}
 				return nil
 			})
 			assert.NilError(t, err)
-			return answered
+			return result
 		}
-		assert.ErrorIs(t, answer("nowhere", newVersion, rolloutTime), gateway.ErrUnknownService)
-		assert.ErrorIs(t, answer("app", newVersion, time.Second), gateway.ErrRolloutDuration)
-		assert.ErrorIs(t, answer("app", "", rolloutTime), gateway.ErrVersionRuns)
+		assert.ErrorIs(t, orderResult("nowhere", newVersion, rolloutTime), gateway.ErrUnknownService)
+		assert.ErrorIs(t, orderResult("app", newVersion, time.Second), gateway.ErrRolloutDuration)
+		assert.ErrorIs(t, orderResult("app", "", rolloutTime), gateway.ErrVersionRuns)
 		_, err := f.Machine("control-0").running().Rollout(f.ctx, "app")
 		assert.Assert(t, errors.Is(err, gateway.ErrNoRollout), "%v", err)
-		assert.NilError(t, answer("app", newVersion, rolloutTime))
-		assert.ErrorIs(t, answer("app", "v3", rolloutTime), gateway.ErrOtherRollout)
-		assert.ErrorIs(t, answer("app", newVersion, rolloutTime), gateway.ErrRolloutUnderWay)
+		assert.NilError(t, orderResult("app", newVersion, rolloutTime))
+		assert.ErrorIs(t, orderResult("app", "v3", rolloutTime), gateway.ErrOtherRollout)
+		assert.ErrorIs(t, orderResult("app", newVersion, rolloutTime), gateway.ErrRolloutUnderWay)
 	})
 }
 
 // Guards against rollouts that operators can't order or see at some node: entry nodes must work too.
 func TestOperatorsSeeRolloutsAtEachNode(t *testing.T) {
-	inFleet(t, 2, func(t *testing.T, f *Fleet) {
+	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		request := &ravenwayv1.OrderRolloutRequest{Service: "app", Version: newVersion, DurationMilliseconds: uint64(rolloutTime.Milliseconds())}
 		_, err := f.Operators("entry-0").OrderRollout(f.ctx, connect.NewRequest(request))
 		assert.NilError(t, err)
@@ -246,10 +246,10 @@
 // Guards against a new leader that decides without samples: the leader crashed shortly before the
 // rollout had to advance, and the next one decided on what nodes had reported to it until then, which
 // was nothing.
-func TestNewLeaderWaitsForWhatNodesHaveRecorded(t *testing.T) {
+func TestNewLeaderWaitsForSamplesFromNodes(t *testing.T) {
 	for _, after := range []time.Duration{6500 * time.Millisecond, 6800 * time.Millisecond, 7 * time.Second} {
 		t.Run(after.String(), func(t *testing.T) {
-			inFleet(t, 3, func(t *testing.T, f *Fleet) {
+			withFleet(t, 3, func(t *testing.T, f *Fleet) {
 				stop := callAll(f)
 				time.Sleep(2 * time.Second)
 				assert.NilError(t, orderRollout(f, 3*time.Second))
@@ -287,20 +287,20 @@
 // Guards against a leader that refuses a rollout because it has not read the configuration yet: it
 // restarted immediately with an empty disk, and the others still regarded it as the leader. It must not
 // report a service as unknown.
-func TestOrderForARolloutIsNeverRefusedForAConfigurationNotReadYet(t *testing.T) {
-	inFleet(t, 1, func(t *testing.T, f *Fleet) {
+func TestRolloutIsNotRefusedBeforeTheConfigurationIsRead(t *testing.T) {
+	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		leader := leaderOf(f)
 		f.Kill(leader)
 		f.Wipe(leader)
 		f.Boot(leader)
-		taken := false
-		for began := time.Now(); !taken && time.Since(began) < 8*time.Second; time.Sleep(5 * time.Millisecond) {
+		isAcknowledged := false
+		for start := time.Now(); !isAcknowledged && time.Since(start) < 8*time.Second; time.Sleep(5 * time.Millisecond) {
 			for _, name := range f.Names(true) {
 				err := f.Machine(name).running().OrderRollout(f.ctx, "app", newVersion, rolloutTime)
 				assert.Assert(t, !errors.Is(err, gateway.ErrUnknownService), "%s: %v", name, err)
-				taken = taken || err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
+				isAcknowledged = isAcknowledged || err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
 			}
 		}
-		assert.Assert(t, taken)
+		assert.Assert(t, isAcknowledged)
 	})
 }
