--- a/internal/lab/fleet/chaos.go
+++ b/internal/lab/fleet/chaos.go
@@ -13,23 +13,25 @@
 	"github.com/ravenway/ravenway/internal/pause"
 )
 
-// Chaos is a seeded schedule of faults under load.
+// Chaos runs a seeded sequence of random faults under load.
 type Chaos struct {
 	fleet  *Fleet
 	random *rand.Rand
-	// Faults counts the faults brought about, by kind.
+	// Faults counts the injected faults, by kind.
 	Faults map[string]int
-	down   string
+	// down is the machine that is killed at present, "" if there is none.
+	down string
+	// topUps is the number of distinct top-up commands sent.
 	topUps uint64
 }
 
-// NewChaos makes a schedule.
+// NewChaos returns a chaos run against a fleet.
 func NewChaos(f *Fleet, seed uint64) *Chaos {
 	return &Chaos{fleet: f, random: rand.New(rand.NewPCG(seed, 77)), Faults: map[string]int{}}
 }
 
-// Run sends load, brings about faults for a while, heals everything and checks
-// every promise against the truth.
+// Run sends load and injects faults for a time, repairs all of them, and checks the fleet's guarantees
+// against the ground truth.
 func (c *Chaos) Run(seed uint64, duration time.Duration) (load.Report, error) {
 	ledger := &Ledger{}
 	ended := make(chan error, 1)
@@ -37,7 +39,7 @@
 	defer cancel()
 	go func() {
 		err := c.faults(ctx)
-		// Streams in a cut that never heals would keep the load waiting.
+		// Streams in a partition that never ends would block the load forever.
 		c.fleet.Network.Heal()
 		ended <- err
 	}()
@@ -60,7 +62,7 @@
 	return report, c.checkTopUps()
 }
 
-// faults brings about one fault after another; some overlap.
+// faults injects random faults one after the other until the context is done; their effects may overlap.
 func (c *Chaos) faults(ctx context.Context) error {
 	for pause.For(ctx, time.Duration(500+c.random.IntN(3000))*time.Millisecond) {
 		if err := c.one(); err != nil {
@@ -100,8 +102,8 @@
 
 func (c *Chaos) anyNode() string { return c.fleet.Order[c.random.IntN(len(c.fleet.Order))] }
 
-// killOrBoot has at most one machine down: two of a key's three holders that
-// lose their memory at once are more than the fleet can bear.
+// killOrBoot boots the machine that is down, or kills one if none is. At most one is down at a time: the
+// fleet does not tolerate the loss of two of a key's three acceptors, which hold its claim in memory.
 func (c *Chaos) killOrBoot() error {
 	f := c.fleet
 	if c.down != "" {
@@ -124,7 +126,7 @@
 	return nil
 }
 
-// allRecovered tells whether every node's claims have recovered.
+// allRecovered reports whether the claims of all nodes have recovered.
 func (c *Chaos) allRecovered() bool {
 	for _, name := range c.fleet.Order {
 		if !c.fleet.machines[name].node.ClaimsRecovered() {
@@ -134,7 +136,7 @@
 	return true
 }
 
-// topUpTwice sends the same command twice, as after a lost answer.
+// topUpTwice sends the same command twice, as an operator does after a lost response.
 func (c *Chaos) topUpTwice() {
 	c.count("resent command")
 	c.topUps++
@@ -156,10 +158,10 @@
 	for number := range f.Plan.Engines {
 		f.Emulator.Engine(f.Plan.Catalog().GetBackends()[number].GetName()).SetSlowdown(1)
 	}
-	return f.WaitFor(time.Minute, "the repair after the heal", f.Repaired)
+	return f.WaitFor(time.Minute, "the repair after the faults", f.Repaired)
 }
 
-// checkTopUps sends every command once more and expects each to count once.
+// checkTopUps sends each command a third time and checks that each was applied once.
 func (c *Chaos) checkTopUps() error {
 	for number := range c.topUps {
 		if err := c.fleet.TopUp(c.fleet.Order[len(c.fleet.Order)-1], "tenant-10", 1000, fmt.Sprintf("chaos-%d", number+1)); err != nil {
@@ -172,7 +174,7 @@
 	}
 	expected := c.fleet.Plan.TenantLimit("tenant-10") + 1000*c.topUps
 	if limit := answer.Msg.GetBudgets()[0].GetLimit(); limit != expected {
-		return fmt.Errorf("%d commands sent three times each made a limit of %d instead of %d", c.topUps, limit, expected)
+		return fmt.Errorf("%d commands sent three times each resulted in a limit of %d instead of %d", c.topUps, limit, expected)
 	}
 	return nil
 }
--- a/internal/lab/fleet/chaos_test.go
+++ b/internal/lab/fleet/chaos_test.go
@@ -13,8 +13,8 @@
 	"github.com/ravenway/ravenway/internal/lab/load"
 )
 
-// chaosSeeds is the number of seeds a deployment in CI; RAVENWAY_CHAOS_SEEDS
-// sets another for long runs.
+// chaosSeeds is the number of seeds per deployment in CI; the environment variable RAVENWAY_CHAOS_SEEDS
+// overrides it for long runs.
 const chaosSeeds = 3
 
 func seedsToRun(t *testing.T) int {
@@ -28,8 +28,8 @@
 	return count
 }
 
-// Faults of all kinds, alone and together, on both deployments; after the heal
-// every promise is checked against the back ends' truth.
+// Guards against violated guarantees under faults of all kinds, single and combined, on both
+// deployments. The guarantees are checked against the back ends' ground truth after the repair.
 func TestPromisesHoldUnderRandomFaults(t *testing.T) {
 	for _, plan := range []deployment.Plan{deployment.ZameenHaq(), deployment.Drukwacht()} {
 		for seed := range seedsToRun(t) {
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -11,7 +11,7 @@
 	"github.com/ravenway/ravenway/internal/lab/load"
 )
 
-// Ledger gathers what callers were told, to be compared with the truth.
+// Ledger records the responses that callers received, for comparison with the ground truth.
 type Ledger struct {
 	mutex   sync.Mutex
 	entries []ledgerEntry
@@ -23,14 +23,14 @@
 	tries   int
 }
 
-// Note records one request's last answer.
+// Note records the last response to a request and the number of times that it was sent.
 func (l *Ledger) Note(request load.Request, answer load.Answer, tries int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.entries = append(l.entries, ledgerEntry{request: request, answer: answer, tries: tries})
 }
 
-// Outcomes counts the answers by outcome.
+// Outcomes returns the number of responses by outcome.
 func (l *Ledger) Outcomes() map[load.Outcome]int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -41,14 +41,14 @@
 	return counts
 }
 
-// Check compares what callers were told and what is billed with what the back
-// ends ran. It waits for late settlements.
+// Check compares the responses to callers and the bills with what the back ends ran. It waits for late
+// settlements.
 func (f *Fleet) Check(ledger *Ledger, patience time.Duration) error {
 	if err := f.checkAnswers(ledger); err != nil {
 		return err
 	}
 	var last error
-	err := f.WaitFor(patience, "bills that equal the truth", func() bool {
+	err := f.WaitFor(patience, "bills that match the ground truth", func() bool {
 		last = f.checkBills()
 		return last == nil
 	})
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// checkAnswers holds the promises that show in single answers.
+// checkAnswers checks the guarantees that concern single responses.
 func (f *Fleet) checkAnswers(ledger *Ledger) error {
 	ran := map[string]int{}
 	bodies := map[string]int{}
@@ -78,7 +78,7 @@
 	for _, entry := range ledger.entries {
 		switch entry.answer.Outcome {
 		case load.Wrong:
-			return fmt.Errorf("request %s got a wrong answer: %s", entry.request.Key, entry.answer.Detail)
+			return fmt.Errorf("request %s received a wrong response: %s", entry.request.Key, entry.answer.Detail)
 		case load.Refused:
 			if entry.request.Kind == load.KindAct && bodies[entry.request.Body] > 0 && entry.tries == 1 {
 				return fmt.Errorf("request %s was refused as not run (%s), but it ran", entry.request.Key, entry.answer.Code)
@@ -88,16 +88,15 @@
 	return nil
 }
 
-// runRange is the least and the most that one key's runs may be billed: a key
-// that ran more than once (in cut-off zones, or again after its engine was
-// lost) is billed for one of its runs.
+// runRange is the minimum and maximum number of tokens that one key may be billed. A key that ran more
+// than once (in partitioned zones, or again after its engine was lost) is billed for one of its runs.
 type runRange struct {
 	tenant      string
 	least, most uint64
 }
 
-// runsByKey groups what the engines ran by the claim's key, which is the part
-// of the request's id before its last dash.
+// runsByKey returns what the engines ran by the claim's key, which is the part of the request's id
+// before its last dash.
 func (f *Fleet) runsByKey() map[string]runRange {
 	runs := map[string]runRange{}
 	for _, event := range f.Emulator.Truth.Events() {
@@ -116,8 +115,8 @@
 	return runs
 }
 
-// checkBills compares each tenant's bill with what the engines ran for it: to
-// the token where each key ran once.
+// checkBills compares each tenant's bill with what the engines ran for it. They must match to the token
+// if each key ran once.
 func (f *Fleet) checkBills() error {
 	budgets, err := f.Budgets()
 	if err != nil {
@@ -131,10 +130,10 @@
 	for _, tenant := range f.Plan.TenantNames() {
 		budget := budgets[tenant]
 		if budget.GetSettled()+budget.GetOutstanding() > budget.GetLimit() {
-			return fmt.Errorf("%s: %d settled and %d outstanding of %d", tenant, budget.GetSettled(), budget.GetOutstanding(), budget.GetLimit())
+			return fmt.Errorf("%s: %d settled and %d outstanding exceed the limit of %d", tenant, budget.GetSettled(), budget.GetOutstanding(), budget.GetLimit())
 		}
 		if billed := budget.GetSettled(); billed < least[tenant] || billed > most[tenant] {
-			return fmt.Errorf("%s: %d billed, between %d and %d ran", tenant, billed, least[tenant], most[tenant])
+			return fmt.Errorf("%s: %d tokens billed, but between %d and %d ran", tenant, billed, least[tenant], most[tenant])
 		}
 	}
 	return nil
--- a/internal/lab/fleet/failure_test.go
+++ b/internal/lab/fleet/failure_test.go
@@ -15,8 +15,7 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// underLoad sends the mix while faults are brought about, and returns the
-// report and the ledger.
+// underLoad sends the mix while faults are injected, and returns the report and the ledger.
 func underLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *Ledger) {
 	t.Helper()
 	ledger := &Ledger{}
@@ -35,8 +34,8 @@
 	return report, ledger
 }
 
-// One of eight routers dies with streams open; callers retry with their keys
-// through the others. Every retried request ends whole and is billed once.
+// Guards against lost or doubly billed requests when one of eight nodes crashes with streams open.
+// Callers retry with their keys through the others, and each request completes and is billed once.
 func TestKilledRouterUnderLoad(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		report, ledger := underLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 2, Retry: true}, func() {
@@ -46,24 +45,24 @@
 			assert.NilError(t, f.Boot("lhr-a-2"))
 		})
 		t.Log(report)
-		assert.Assert(t, report.CutTries > 0, "no request was cut: the fault did not bite")
-		// A node that has just started says so; the balancer asks /readyz.
+		assert.Assert(t, report.CutTries > 0, "no request was interrupted: the fault had no effect")
+		// A node that has just started refuses requests with CodeStarting; a load balancer would ask
+		// /readyz first.
 		starting := report.Codes[string(caller.CodeStarting)]
 		assert.Equal(t, report.Outcomes[load.Whole]+starting, report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 60*time.Second))
 	})
 }
 
-// A planned stop of any node under load cuts nothing.
+// Guards against streams that are interrupted by the graceful stop of a node under load.
 func TestPlannedStopCutsNothing(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var cut int64
 		report, ledger := underLoad(t, f, load.Options{
 			Rate: 40, Duration: 15 * time.Second, Seed: 3, Entries: f.Entries("lhr-a-1", "lhr-b-2"),
 		}, func() {
-			// Requests already sent to a node that stops are served by it; the
-			// load keeps to two nodes that stay, and to one that is stopped
-			// while it streams.
+			// The load is sent to two nodes that stay up. The stopping node still completes the
+			// requests that it has.
 			time.Sleep(5 * time.Second)
 			cut = f.StopPlanned(context.Background(), "lhr-c-1")
 		})
@@ -73,8 +72,8 @@
 	})
 }
 
-// A zone is cut off for a long time; callers reach every zone all the while.
-// The cut zone goes on serving what it can, and nothing is overspent.
+// Guards against overspent budgets and refused service when a zone is partitioned for a long time while
+// callers reach all zones. The partitioned zone continues to serve what its grants allow.
 func TestZoneCutOffUnderLoad(t *testing.T) {
 	inFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
 		report, ledger := underLoad(t, f, load.Options{Rate: 30, Duration: 40 * time.Second, Seed: 4, Retry: true}, func() {
@@ -89,9 +88,9 @@
 	})
 }
 
-// A control node's disk comes back empty; right after its repair a second
-// control machine is lost. Budgets and catalog must survive, and the fleet
-// must go on accepting changes.
+// Guards against lost state when a control node restarts with an empty disk and a second control machine
+// is lost right after the repair. Budgets and catalog must survive, and the fleet must continue to accept
+// changes.
 func TestSecondControlMachineLostRightAfterRepair(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		f.Kill("lhr-b-1")
@@ -109,9 +108,9 @@
 	})
 }
 
-// The finding of scripts/prove-processes.sh: its planned stop ended with a stream
-// still open, one that began between the last look and the close. With requests
-// all the time the stop did not even end.
+// Guards against graceful stops that interrupt a stream or never end. A stream that began between the
+// last check for open streams and the close was still open at the end of the stop; under steady load the
+// stop did not end. scripts/prove-processes.sh showed it.
 func TestPlannedStopUnderSteadyLoadEndsAndCutsNothing(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		stopped := f.Order[len(f.Order)-1]
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// callerMachine is where callers and operators sit; it is never cut off.
+	// callerMachine is the machine of callers and operators; it is never partitioned.
 	callerMachine = "caller"
 	peerKey       = "fleet-peer-key-of-at-least-32-bytes"
 )
@@ -34,7 +34,8 @@
 	disk   *disk.Simulated
 	node   *node.Node
 	cancel context.CancelFunc
-	ended  chan struct{}
+	// ended is closed once the node has stopped running.
+	ended chan struct{}
 	// transport carries the node's requests to back ends.
 	transport *http.Transport
 }
@@ -53,11 +54,11 @@
 	running   sync.WaitGroup
 	callers   *http.Transport
 	operators map[string]ravenwayv1connect.OperatorServiceClient
-	// DeadAfter is the silence after which a node's grants are reclaimed.
+	// DeadAfter is the time since the last contact with a node after which its grants are reclaimed.
 	DeadAfter time.Duration
 }
 
-// New makes a fleet; nothing runs yet.
+// New returns a fleet whose machines do not run yet.
 func New(plan deployment.Plan, random *rand.Rand, engines emulator.EngineOptions) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	made := &Fleet{
@@ -75,10 +76,10 @@
 	return made
 }
 
-// zoneMachine is the machine that all back ends of a zone stand on.
+// zoneMachine returns the name of the machine that all back ends of a zone run on.
 func zoneMachine(zone string) string { return "backends-" + zone }
 
-// Start starts the emulator and all nodes, and waits for a leader.
+// Start starts the emulator and all nodes, and waits for a leader with all control nodes as voters.
 func (f *Fleet) Start() error {
 	f.running.Go(func() { f.Emulator.RunEngines(f.ctx) })
 	for _, backend := range f.Plan.Catalog().GetBackends() {
@@ -91,7 +92,7 @@
 			return err
 		}
 	}
-	return f.WaitFor(30*time.Second, "a leader and all its voters", f.Repaired)
+	return f.WaitFor(30*time.Second, "a leader with all voters", f.Repaired)
 }
 
 func (f *Fleet) serve(machine, address string, handler http.Handler) {
@@ -104,7 +105,7 @@
 	})
 }
 
-// Boot starts a machine's node, on whatever its disk holds.
+// Boot starts a machine's node with the current contents of its disk.
 func (f *Fleet) Boot(name string) error {
 	machine := f.machines[name]
 	machine.transport = &http.Transport{DialContext: f.Network.Dialer(name), MaxIdleConnsPerHost: 16, IdleConnTimeout: 10 * time.Second}
@@ -159,8 +160,7 @@
 	return loaded
 }
 
-// Kill ends a machine at once: its connections break, and its disk loses what
-// was not synced.
+// Kill crashes a machine: its connections break, and its disk loses what was not synced.
 func (f *Fleet) Kill(name string) {
 	machine := f.machines[name]
 	f.Network.Break(name)
@@ -174,7 +174,8 @@
 // LoseDisk empties a killed machine's disk.
 func (f *Fleet) LoseDisk(name string) { f.machines[name].disk.Erase() }
 
-// StopPlanned stops a node as a signal would, and returns the streams cut.
+// StopPlanned shuts a node down gracefully, as a signal would, and returns the number of streams that
+// were interrupted.
 func (f *Fleet) StopPlanned(ctx context.Context, name string) int64 {
 	machine := f.machines[name]
 	cut := machine.node.Stop(ctx)
@@ -185,7 +186,7 @@
 	return cut
 }
 
-// Close ends everything.
+// Close stops all nodes and the emulator and waits until they have ended.
 func (f *Fleet) Close() {
 	f.Network.Heal()
 	f.cancel()
@@ -198,7 +199,7 @@
 	f.callers.CloseIdleConnections()
 }
 
-// ZoneMachines lists the nodes and back ends of a zone.
+// ZoneMachines returns the names of a zone's nodes and of its machine for back ends.
 func (f *Fleet) ZoneMachines(zone string) []string {
 	names := []string{zoneMachine(zone)}
 	for _, name := range f.Order {
@@ -209,7 +210,7 @@
 	return names
 }
 
-// CutZone separates a zone's machines from all others but the callers.
+// CutZone partitions a zone's machines from all others except the callers' machine.
 func (f *Fleet) CutZone(zone string) {
 	var others []string
 	for _, other := range f.Plan.Zones {
@@ -220,7 +221,7 @@
 	f.Network.CutBetween(f.ZoneMachines(zone), append(others, "platform"))
 }
 
-// WaitFor polls a condition.
+// WaitFor waits until a condition holds; what describes the condition in the error.
 func (f *Fleet) WaitFor(patience time.Duration, what string, holds func() bool) error {
 	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
 		if holds() {
@@ -228,10 +229,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("%s did not come within %v", what, patience)
+	return fmt.Errorf("timed out waiting for %s after %v", what, patience)
 }
 
-// Status asks one node for its view.
+// Status requests the status of the fleet as one node sees it.
 func (f *Fleet) Status(name string) (*ravenwayv1.GetStatusResponse, error) {
 	answer, err := f.operators[name].GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
 	if err != nil {
@@ -240,13 +241,12 @@
 	return answer.Msg, nil
 }
 
-// Operator is a client of one node's operator listener.
+// Operator returns a client of one node's operator listener.
 func (f *Fleet) Operator(name string) ravenwayv1connect.OperatorServiceClient {
 	return f.operators[name]
 }
 
-// Provision applies the catalog, fills the budgets and waits until they are in
-// force everywhere.
+// Provision applies the catalog, fills the budgets and waits until the catalog is in effect at all nodes.
 func (f *Fleet) Provision() error {
 	operator := f.operators[f.Order[0]]
 	applied, err := operator.Apply(f.ctx, connect.NewRequest(&ravenwayv1.ApplyRequest{Put: f.Plan.Catalog()}))
@@ -265,9 +265,9 @@
 	return f.WaitInForce(applied.Msg.GetRevision(), f.Order)
 }
 
-// WaitInForce waits until nodes have a revision in force.
+// WaitInForce waits until a revision or a newer one is in effect at the given nodes.
 func (f *Fleet) WaitInForce(revision uint64, names []string) error {
-	return f.WaitFor(20*time.Second, fmt.Sprintf("revision %d", revision), func() bool {
+	return f.WaitFor(20*time.Second, fmt.Sprintf("revision %d to be in effect", revision), func() bool {
 		for _, name := range names {
 			status, err := f.Status(name)
 			if err != nil || status.GetRevision() < revision {
@@ -278,17 +278,17 @@
 	})
 }
 
-// LoadClient is a client for load.
+// LoadClient returns a client that sends load from the callers' machine.
 func (f *Fleet) LoadClient() *load.Client {
 	return &load.Client{HTTP: &http.Client{Transport: f.callers}}
 }
 
-// Entry is a node's address for callers.
+// Entry returns a node's address for callers.
 func (f *Fleet) Entry(name string) string {
 	return f.machines[name].Address(deployment.CallersPort)
 }
 
-// Entries lists the addresses of the nodes that run.
+// Entries returns the addresses for callers of the given nodes.
 func (f *Fleet) Entries(names ...string) []string {
 	var entries []string
 	for _, name := range names {
@@ -297,7 +297,7 @@
 	return entries
 }
 
-// Mix is the deployment's load.
+// Mix returns the deployment's load: large tenants send five times as many requests as others.
 func (f *Fleet) Mix(seed uint64) load.Mix {
 	var tenants []load.Tenant
 	for _, name := range f.Plan.TenantNames() {
@@ -323,11 +323,10 @@
 		}
 		return budgets, nil
 	}
-	return nil, fmt.Errorf("no node returns the budgets")
+	return nil, fmt.Errorf("no node returned the budgets")
 }
 
-// Repaired tells whether the leader has as many voters as there are control
-// nodes.
+// Repaired reports whether the leader has as many voters as there are control nodes.
 func (f *Fleet) Repaired() bool {
 	controls := 0
 	for _, planned := range f.Plan.Nodes() {
@@ -352,7 +351,7 @@
 		return err
 	}
 	if refused := answer.Msg.GetRefused(); refused != "" {
-		return fmt.Errorf("refused: %s", refused)
+		return fmt.Errorf("top-up was refused: %s", refused)
 	}
 	return nil
 }
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -16,7 +16,8 @@
 	"github.com/ravenway/ravenway/internal/lab/load"
 )
 
-// inFleet runs a test against a provisioned fleet, in virtual time.
+// inFleet runs a test in virtual time against a provisioned fleet. The environment variable FLEET_LOG
+// names a file for the nodes' logs.
 func inFleet(t *testing.T, plan deployment.Plan, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	t.Parallel()
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -1,7 +1,6 @@
-// Package fleet runs whole fleets of real nodes in one process: the daemon's
-// own code with all its duties, over an in-memory network that can be cut and
-// in-memory disks that lose what was not synced. Inside a testing/synctest
-// bubble it runs in virtual time.
+// Package fleet runs whole fleets of real nodes in one process: the daemon's own code with all its
+// duties, over an in-memory network that can be partitioned and in-memory disks that lose what was not
+// synced. Inside a testing/synctest bubble it runs in virtual time.
 package fleet
 
 import (
@@ -17,8 +16,8 @@
 	"github.com/ravenway/ravenway/internal/pause"
 )
 
-// errNetworkDown is what a dial to a dead or unknown address returns, as a machine
-// answers on which nothing listens.
+// errNetworkDown is the error of a dial to an address on which nothing listens; as on a real network
+// the connection is refused.
 var errNetworkDown = fmt.Errorf("fleet: %w", syscall.ECONNREFUSED)
 
 // Network is an in-memory network of named machines.
@@ -26,17 +25,17 @@
 	mutex     sync.Mutex
 	listeners map[string]*memoryListener
 	cut       map[[2]string]bool
-	// healed is closed and replaced when cuts change.
+	// healed is closed and replaced when all partitions end.
 	healed chan struct{}
-	// connections of each machine, to break them when it dies.
+	// connections are the open connections by machine, to break them when it crashes.
 	connections map[string]map[*memoryConnection]struct{}
-	// Bytes counts the bytes between each two machines.
+	// bytes counts the bytes sent, by sender and receiver.
 	bytes map[[2]string]int
-	// delays is how long bytes to a machine are on their way.
+	// delays is the time that bytes to a machine take.
 	delays map[string]time.Duration
 }
 
-// NewNetwork makes a network without cuts.
+// NewNetwork returns a network without partitions or delays.
 func NewNetwork() *Network {
 	return &Network{
 		listeners: map[string]*memoryListener{}, cut: map[[2]string]bool{}, healed: make(chan struct{}),
@@ -45,7 +44,7 @@
 	}
 }
 
-// Listen opens an address on a machine.
+// Listen opens a listener at an address of a machine.
 func (n *Network) Listen(machine, address string) net.Listener {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -61,7 +60,7 @@
 	}
 }
 
-// dialTimeout is how long a dial into a cut takes to fail.
+// dialTimeout is the time after which a dial into a partition fails.
 const dialTimeout = time.Second
 
 func (n *Network) dial(ctx context.Context, from, address string) (net.Conn, error) {
@@ -93,7 +92,7 @@
 	}
 }
 
-// waitOpen waits while traffic between two machines is cut.
+// waitOpen waits while traffic from one machine to another is partitioned, or until done is closed.
 func (n *Network) waitOpen(done <-chan struct{}, from, to string) error {
 	for {
 		n.mutex.Lock()
@@ -104,7 +103,7 @@
 		}
 		select {
 		case <-done:
-			return errors.New("fleet: timed out in a cut")
+			return errors.New("fleet: timed out in a network partition")
 		case <-healed:
 		}
 	}
@@ -121,14 +120,14 @@
 	return tracked
 }
 
-// CutOneWay stops traffic from one machine to another.
+// CutOneWay stops traffic from one machine to another until Heal.
 func (n *Network) CutOneWay(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.cut[[2]string{from, to}] = true
 }
 
-// CutBetween stops traffic between two groups in both directions.
+// CutBetween stops traffic between two groups of machines in both directions until Heal.
 func (n *Network) CutBetween(left, right []string) {
 	for _, one := range left {
 		for _, other := range right {
@@ -138,8 +137,7 @@
 	}
 }
 
-// Delay makes all bytes to a machine, and connections to it, take a time on
-// their way, as over a link that is full.
+// Delay delays all bytes to a machine, and connections to it, as a saturated link does.
 func (n *Network) Delay(machine string, delay time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -152,7 +150,7 @@
 	return n.delays[machine]
 }
 
-// Heal ends all cuts.
+// Heal ends all partitions.
 func (n *Network) Heal() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -161,7 +159,7 @@
 	n.healed = make(chan struct{})
 }
 
-// Break closes all connections and listeners of a machine that dies.
+// Break closes all connections and listeners of a machine, as its crash does.
 func (n *Network) Break(machine string) {
 	n.mutex.Lock()
 	var broken []*memoryConnection
@@ -185,7 +183,7 @@
 	}
 }
 
-// BreakConnections closes a machine's connections; it lives on.
+// BreakConnections closes a machine's connections; its listeners stay open.
 func (n *Network) BreakConnections(machine string) {
 	n.mutex.Lock()
 	var broken []*memoryConnection
@@ -198,8 +196,7 @@
 	}
 }
 
-// BytesFrom is the number of bytes that a machine sent to machines that the
-// filter accepts.
+// BytesFrom returns the number of bytes that a machine sent to the machines that the filter accepts.
 func (n *Network) BytesFrom(machine string, accept func(to string) bool) int {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
@@ -243,27 +240,27 @@
 
 func (a memoryAddress) String() string { return string(a) }
 
-// memoryConnection is one end of a connection. In a cut its writes wait, as
-// TCP's do, until the heal, its deadline or its close.
+// memoryConnection is one end of a connection. In a partition its writes block, as in TCP, until the
+// partition ends or the connection is closed.
 type memoryConnection struct {
 	net.Conn
 	network  *Network
 	from, to string
 	once     sync.Once
 	closed   chan struct{}
-	// late holds what is on its way since the connection's other end is behind a
-	// delay; starting begins its delivery.
+	// late holds the writes in transit once the other end's machine has had a delay; starting starts
+	// their delivery.
 	late     chan lateBytes
 	starting sync.Once
 }
 
-// lateBytes arrive at a time.
+// lateBytes is one write in transit, due at a time.
 type lateBytes struct {
 	data []byte
 	at   time.Time
 }
 
-// lateCapacity is the number of writes that may be on their way.
+// lateCapacity is the maximum number of writes in transit on a connection.
 const lateCapacity = 1024
 
 func (c *memoryConnection) Write(data []byte) (int, error) {
@@ -277,8 +274,8 @@
 	return written, err
 }
 
-// write hands bytes to the other end, or sends them on a way that takes time.
-// Once there was a delay all later bytes go behind those on their way.
+// write passes bytes to the other end, immediately or after the delay. Once there was a delay, all later
+// bytes are queued after those in transit, so that they stay in order.
 func (c *memoryConnection) write(data []byte) (int, error) {
 	delay := c.network.delayTo(c.to)
 	if delay > 0 {
@@ -298,7 +295,7 @@
 	}
 }
 
-// deliver hands over what is on its way until the connection closes.
+// deliver passes each write in transit to the other end when it is due, until the connection closes.
 func (c *memoryConnection) deliver() {
 	for {
 		select {
@@ -316,7 +313,7 @@
 	}
 }
 
-// waitUntil waits until a moment. It returns false as soon as the connection closes.
+// waitUntil waits until a moment. It returns false if the connection closes before.
 func (c *memoryConnection) waitUntil(moment time.Time) bool {
 	wait := time.Until(moment)
 	if wait <= 0 {
--- a/internal/lab/fleet/network_test.go
+++ b/internal/lab/fleet/network_test.go
@@ -10,8 +10,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Writes that were due together on many delayed connections brought the race detector down
-// in virtual time.
+// Guards against delivering delayed writes in a way that crashed the race detector in virtual time when
+// writes on many connections were due at the same moment.
 func TestWritesThatAreDueTogetherArriveInVirtualTime(t *testing.T) {
 	const (
 		connections = 200
@@ -30,7 +30,7 @@
 				assert.Check(t, err)
 				received, err := io.ReadAll(accepted)
 				assert.Check(t, err)
-				assert.Check(t, len(received) == writes, "%d of %d", len(received), writes)
+				assert.Check(t, len(received) == writes, "received %d of %d bytes", len(received), writes)
 			})
 			ends.Go(func() {
 				connection, err := network.Dialer("a")(t.Context(), "tcp", "b:1")
--- a/internal/lab/fleet/orders_test.go
+++ b/internal/lab/fleet/orders_test.go
@@ -13,7 +13,7 @@
 	"github.com/ravenway/ravenway/internal/lab/emulator"
 )
 
-// giveOrder asks for an order and returns its fence number.
+// giveOrder requests an order through a node and returns its fence number.
 func giveOrder(t *testing.T, f *Fleet, through, id, backend, target string) uint64 {
 	t.Helper()
 	answer, err := f.Operator(through).Order(context.Background(), connect.NewRequest(&ravenwayv1.OrderRequest{
@@ -27,7 +27,7 @@
 func waitOrder(t *testing.T, f *Fleet, through string, fence uint64, state string) {
 	t.Helper()
 	last := ""
-	err := f.WaitFor(30*time.Second, "the order", func() bool {
+	err := f.WaitFor(30*time.Second, "the state of the order", func() bool {
 		answer, err := f.Operator(through).GetOrders(context.Background(), connect.NewRequest(&ravenwayv1.GetOrdersRequest{}))
 		if err != nil {
 			return false
@@ -39,7 +39,7 @@
 		}
 		return last == state
 	})
-	assert.NilError(t, err, "order %d is %q", fence, last)
+	assert.NilError(t, err, "order %d has state %q", fence, last)
 }
 
 func ordersGiven(f *Fleet, fence uint64) int {
@@ -52,9 +52,9 @@
 	return count
 }
 
-// An order is given once although it is resent, its back end is cut off from
-// the leader when it is due, and the leader dies; both for back ends that check
-// the fence number and for those that do not.
+// Guards against an order that is given twice because it is resent, because the leader does not receive
+// the back end's response, or because the leader crashes; both for back ends that check the fence number
+// and for those that do not.
 func TestOrderIsGivenOnceAcrossLeaderLossAndResend(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		for _, backend := range []string{"qalam-llm-01", "qalam-llm-02"} {
@@ -64,7 +64,7 @@
 			waitOrder(t, f, "lhr-b-1", fence, "done")
 			assert.Equal(t, ordersGiven(f, fence), 1)
 		}
-		// The leader can't hear the back ends' answers and then dies.
+		// The leader does not receive the back ends' responses and then crashes.
 		for _, zone := range f.Plan.Zones {
 			f.Network.CutOneWay(zoneMachine(zone), "lhr-a-1")
 		}
@@ -78,8 +78,8 @@
 	})
 }
 
-// Loads of many back ends share the weight store: a few run at once, the
-// others wait with the leader instead of in the store.
+// Guards against overloading the weight store when many back ends load adapters: a few load at the same
+// time, the others wait at the leader instead of in the store.
 func TestLoadsShareTheWeightStoresRate(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var fences []uint64
@@ -90,11 +90,11 @@
 			waitOrder(t, f, "lhr-b-1", fence, "done")
 			assert.Equal(t, ordersGiven(f, fence), 1)
 		}
-		assert.Assert(t, f.Emulator.Weights.Waiting() <= f.Plan.Engines/2, "%d loads waited in the store", f.Emulator.Weights.Waiting())
+		assert.Assert(t, f.Emulator.Weights.Waiting() <= f.Plan.Engines/2, "%d loads waited in the weight store", f.Emulator.Weights.Waiting())
 	})
 }
 
-// Of two orders of a kind to one back end the later one counts.
+// Guards against an outdated order: of two orders of a kind to one back end only the later one is given.
 func TestLaterOrderSupersedesEarlierOne(t *testing.T) {
 	inFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
 		f.Emulator.SetDown("model-pool-01", true)
@@ -108,8 +108,8 @@
 	})
 }
 
-// A stream whose connections break goes on at its offset: the caller sees
-// nothing of it.
+// Guards against streams that break or run twice when their connections to the back end break: they are
+// resumed at their offset, and callers don't notice.
 func TestBrokenStreamIsResumedAtItsOffset(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		answered := make(chan string, 1)
--- a/internal/lab/fleet/pause_test.go
+++ b/internal/lab/fleet/pause_test.go
@@ -14,8 +14,8 @@
 	"github.com/ravenway/ravenway/internal/lab/pausecheck"
 )
 
-// Guards against engines that ask for a pause and go on getting the requests of callers who
-// use the OpenAI-style interface.
+// Guards against nodes that continue to send requests of the OpenAI-style interface to an engine during
+// a pause that it has requested.
 func TestEngineThatAsksForAPauseGetsNothingInIt(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var pausing []*emulator.Engine
@@ -32,7 +32,7 @@
 			time.Sleep(2500 * time.Millisecond)
 			listed, err := f.Operator(f.Order[0]).GetPauses(f.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
 			assert.Check(t, err)
-			assert.Check(t, len(listed.Msg.GetPauses()) > 0, "the operator sees no pause")
+			assert.Check(t, len(listed.Msg.GetPauses()) > 0, "the operator lists no pause")
 			time.Sleep(5500 * time.Millisecond)
 			for _, engine := range pausing {
 				engine.SetPause(0)
@@ -45,7 +45,7 @@
 			asked += pauses
 			assert.Check(t, most <= pausecheck.Allowed, "engine %d got %d requests of a node in a pause", number, most)
 		}
-		t.Logf("%d pauses asked for", asked)
+		t.Logf("%d pauses requested", asked)
 		assert.Check(t, asked > 0)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 60*time.Second))
--- a/internal/lab/fleet/promise_test.go
+++ b/internal/lab/fleet/promise_test.go
@@ -17,7 +17,7 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// draft is a billed request with a caller's key.
+// draft returns a billed request with a caller's idempotency key.
 func draft(f *Fleet, key string) load.Request {
 	return load.Request{
 		Kind: load.KindLong, Tenant: "tenant-04", APIKey: f.Plan.APIKey("tenant-04"), Key: key, Model: f.Plan.Model,
@@ -25,7 +25,7 @@
 	}
 }
 
-// acknowledgement is a plain call that may not be repeated.
+// acknowledgement returns a call to a plain service that may not be repeated.
 func acknowledgement(f *Fleet, key string) load.Request {
 	return load.Request{
 		Kind: load.KindAct, Tenant: "tenant-04", APIKey: f.Plan.APIKey("tenant-04"), Key: key,
@@ -33,7 +33,7 @@
 	}
 }
 
-// runsOf counts what the back ends ran for a tenant, and its tokens.
+// runsOf returns the number of runs of a tenant at the back ends and their tokens.
 func runsOf(f *Fleet, tenant string) (count int, tokens uint64) {
 	for _, event := range f.Emulator.Truth.Events() {
 		if event.Tenant == tenant {
@@ -54,8 +54,8 @@
 	return count
 }
 
-// fewTokens may stay granted out: what a node keeps for the little demand that
-// it still remembers.
+// fewTokens limits the tokens that may stay outstanding: a node keeps some for the little recent demand
+// that it still estimates.
 const fewTokens = 10
 
 func waitSettled(t *testing.T, f *Fleet, tenant string, tokens uint64) {
@@ -69,7 +69,7 @@
 		last = budgets[tenant]
 		return last.GetSettled() == tokens && last.GetOutstanding() < fewTokens
 	})
-	assert.NilError(t, err, "expected %d, last %v", tokens, last)
+	assert.NilError(t, err, "expected %d settled, last status %v", tokens, last)
 }
 
 func TestSameKeyTwiceRunsAndBillsOnce(t *testing.T) {
@@ -91,7 +91,8 @@
 	})
 }
 
-// The retry comes while the first try still streams through another router.
+// Guards against a second run of a request whose retry arrives while its first try still streams through
+// another node.
 func TestRetryJoinsRequestInProgress(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := make(chan load.Answer, 1)
@@ -106,8 +107,8 @@
 	})
 }
 
-// The router dies in the middle of its stream and never comes back; the retry
-// gets the whole answer, and the dead router's grant is reclaimed.
+// Guards against double billing and lost grants when a node crashes in the middle of a stream and does
+// not restart: the retry gets the whole response, and the node's grant is reclaimed.
 func TestRetryAfterRouterDiedIsBilledOnceAndItsGrantComesBack(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := make(chan load.Answer, 1)
@@ -124,8 +125,8 @@
 	})
 }
 
-// The same request reaches two zones that are cut off from each other. Both
-// serve it; after they meet it is one charge.
+// Guards against double billing of a request that reaches two zones which are partitioned from each
+// other. Both serve it; after the partition it is charged once.
 func TestRequestRunInTwoCutOffZonesIsOneCharge(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		warmed := 0
@@ -150,8 +151,8 @@
 	})
 }
 
-// A call that may not be repeated reaches both sides of a cut. It runs at most
-// once, and the side that can't be sure refuses it as not run.
+// Guards against two runs of a call that may not be repeated and reaches both sides of a partition. The
+// side that can't reach a majority of the acceptors refuses it as not run.
 func TestNotRepeatableCallInTwoCutOffZonesRunsOnce(t *testing.T) {
 	inFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
 		f.CutZone("hall-a")
@@ -170,7 +171,7 @@
 	})
 }
 
-// A back end that is leaving gets nothing new 2 s after it begins to.
+// Guards against new requests to a back end later than 2 s after it began to leave.
 func TestLeavingBackendGetsNoNewWork(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		const leaving = "qalam-llm-01"
@@ -190,15 +191,15 @@
 			time.Sleep(2 * time.Second)
 			before = ranThere()
 		})
-		assert.Assert(t, before > 0, "the back end had no work to begin with")
+		assert.Assert(t, before > 0, "the back end had no requests before it left")
 		assert.Equal(t, ranThere(), before)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 30*time.Second))
 	})
 }
 
-// Two operators change the same object from the same revision: one wins, the
-// other is told which. The winner's resend gets its first answer.
+// Guards against lost updates when two operators change the same object from the same revision: one
+// succeeds, the other gets a conflict that names the winner. The winner's resend gets its first response.
 func TestEqualRevisionsRacingHaveOneWinner(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		change := func(through, id string, weight uint32) *ravenwayv1.ApplyResponse {
@@ -223,8 +224,8 @@
 		winner, weight := other.GetConflictOperationId(), map[string]uint32{"first": 7, "second": 9}
 		assert.NilError(t, f.WaitInForce(2, f.Order))
 
-		// The answer was lost and the leader has changed: the resend changes
-		// nothing and gets the first answer.
+		// A resend, as after a lost response, to a new leader: it changes nothing and gets the first
+		// response.
 		f.Kill("lhr-a-1")
 		again := change("lhr-b-2", winner, weight[winner])
 		assert.Equal(t, again.GetRevision(), uint64(2))
@@ -233,8 +234,8 @@
 	})
 }
 
-// A zone that was cut off for long catches up with hundreds of changes within
-// seconds of the heal, and a node restarted in it takes what its peers have.
+// Guards against a zone that falls behind or reverts: after a long partition it must catch up with
+// hundreds of changes within seconds, and a node that restarts in it must take what its peers have.
 func TestCutOffZoneCatchesUpAndNeverReverts(t *testing.T) {
 	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		f.CutZone("lhr-c")
@@ -255,11 +256,11 @@
 		status, err := f.Status("lhr-c-1")
 		assert.NilError(t, err)
 		assert.Equal(t, status.GetRevision(), uint64(1))
-		assert.Assert(t, status.GetQuorumAgeMilliseconds() > 2000, "a cut-off replica must say so")
+		assert.Assert(t, status.GetQuorumAgeMilliseconds() > 2000, "a partitioned replica must report the age of its quorum")
 		healed := time.Now()
 		f.Network.Heal()
 		assert.NilError(t, f.WaitInForce(revision, f.Order))
 		assert.Assert(t, time.Since(healed) < 8*time.Second, "took %v", time.Since(healed))
-		t.Logf("300 changes in force on all nodes %v after the heal", time.Since(healed))
+		t.Logf("300 changes in effect at all nodes %v after the partition", time.Since(healed))
 	})
 }
