--- a/internal/lab/fleet/chaos.go
+++ b/internal/lab/fleet/chaos.go
@@ -38,7 +38,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	go func() {
-		err := c.faults(ctx)
+		err := c.injectFaults(ctx)
 		// Streams in a partition that never ends would block the load forever.
 		c.fleet.Network.Heal()
 		ended <- err
@@ -53,7 +53,7 @@
 	if err := <-ended; err != nil {
 		return report, err
 	}
-	if err := c.heal(); err != nil {
+	if err := c.repair(); err != nil {
 		return report, err
 	}
 	if err := c.fleet.Check(ledger, 3*time.Minute); err != nil {
@@ -62,35 +62,36 @@
 	return report, c.checkTopUps()
 }
 
-// faults injects random faults one after the other until the context is done; their effects may overlap.
-func (c *Chaos) faults(ctx context.Context) error {
+// injectFaults injects random faults one after the other until the context is done. Their effects may
+// overlap.
+func (c *Chaos) injectFaults(ctx context.Context) error {
 	for pause.For(ctx, time.Duration(500+c.random.IntN(3000))*time.Millisecond) {
-		if err := c.one(); err != nil {
+		if err := c.injectFault(); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *Chaos) one() error {
+func (c *Chaos) injectFault() error {
 	f := c.fleet
 	switch c.random.IntN(8) {
 	case 0, 1:
 		return c.killOrBoot()
 	case 2:
-		c.count("zone cut")
+		c.countFault("zone cut")
 		f.CutZone(f.Plan.Zones[c.random.IntN(len(f.Plan.Zones))])
 	case 3:
-		c.count("heal")
+		c.countFault("heal")
 		f.Network.Heal()
 	case 4:
-		c.count("one-way cut")
+		c.countFault("one-way cut")
 		f.Network.CutOneWay(c.anyNode(), c.anyNode())
 	case 5:
-		c.count("broken connections")
+		c.countFault("broken connections")
 		f.Network.BreakConnections(zoneMachine(f.Plan.Zones[c.random.IntN(len(f.Plan.Zones))]))
 	case 6:
-		c.count("slow engine")
+		c.countFault("slow engine")
 		f.Emulator.Engine(f.Plan.Catalog().GetBackends()[c.random.IntN(f.Plan.Engines)].GetName()).SetSlowdown(1 + c.random.IntN(4))
 	case 7:
 		c.topUpTwice()
@@ -98,7 +99,7 @@
 	return nil
 }
 
-func (c *Chaos) count(kind string) { c.Faults[kind]++ }
+func (c *Chaos) countFault(kind string) { c.Faults[kind]++ }
 
 func (c *Chaos) anyNode() string { return c.fleet.Order[c.random.IntN(len(c.fleet.Order))] }
 
@@ -118,9 +119,9 @@
 	repaired := f.Repaired()
 	f.Kill(name)
 	c.down = name
-	c.count("kill")
+	c.countFault("kill")
 	if f.machines[name].Control && repaired && c.random.IntN(2) == 0 {
-		c.count("lost disk")
+		c.countFault("lost disk")
 		f.LoseDisk(name)
 	}
 	return nil
@@ -138,7 +139,7 @@
 
 // topUpTwice sends the same command twice, as an operator does after a lost response.
 func (c *Chaos) topUpTwice() {
-	c.count("resent command")
+	c.countFault("resent command")
 	c.topUps++
 	id := fmt.Sprintf("chaos-%d", c.topUps)
 	for range 2 {
@@ -146,7 +147,7 @@
 	}
 }
 
-func (c *Chaos) heal() error {
+func (c *Chaos) repair() error {
 	f := c.fleet
 	f.Network.Heal()
 	if c.down != "" {
@@ -168,12 +169,12 @@
 			return err
 		}
 	}
-	answer, err := c.fleet.operators[c.fleet.Order[0]].GetBudgets(c.fleet.ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{Budget: "tenant-10-prepaid"}))
+	response, err := c.fleet.operators[c.fleet.Order[0]].GetBudgets(c.fleet.ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{Budget: "tenant-10-prepaid"}))
 	if err != nil {
 		return err
 	}
 	expected := c.fleet.Plan.TenantLimit("tenant-10") + 1000*c.topUps
-	if limit := answer.Msg.GetBudgets()[0].GetLimit(); limit != expected {
+	if limit := response.Msg.GetBudgets()[0].GetLimit(); limit != expected {
 		return fmt.Errorf("%d commands sent three times each resulted in a limit of %d instead of %d", c.topUps, limit, expected)
 	}
 	return nil
--- a/internal/lab/fleet/chaos_test.go
+++ b/internal/lab/fleet/chaos_test.go
@@ -30,11 +30,11 @@
 
 // Guards against violated guarantees under faults of all kinds, single and combined, on both
 // deployments. The guarantees are checked against the back ends' ground truth after the repair.
-func TestPromisesHoldUnderRandomFaults(t *testing.T) {
+func TestGuaranteesHoldUnderRandomFaults(t *testing.T) {
 	for _, plan := range []deployment.Plan{deployment.ZameenHaq(), deployment.Drukwacht()} {
 		for seed := range seedsToRun(t) {
 			t.Run(fmt.Sprintf("%s-%d", plan.Name, seed), func(t *testing.T) {
-				inFleet(t, plan, func(t *testing.T, f *Fleet) {
+				withFleet(t, plan, func(t *testing.T, f *Fleet) {
 					chaos := NewChaos(f, uint64(seed))
 					report, err := chaos.Run(uint64(seed), 40*time.Second)
 					t.Log(report, chaos.Faults)
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -18,16 +18,16 @@
 }
 
 type ledgerEntry struct {
-	request load.Request
-	answer  load.Answer
-	tries   int
+	request  load.Request
+	response load.Answer
+	tries    int
 }
 
 // Note records the last response to a request and the number of times that it was sent.
-func (l *Ledger) Note(request load.Request, answer load.Answer, tries int) {
+func (l *Ledger) Note(request load.Request, response load.Answer, tries int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.entries = append(l.entries, ledgerEntry{request: request, answer: answer, tries: tries})
+	l.entries = append(l.entries, ledgerEntry{request: request, response: response, tries: tries})
 }
 
 // Outcomes returns the number of responses by outcome.
@@ -36,19 +36,19 @@
 	defer l.mutex.Unlock()
 	counts := map[load.Outcome]int{}
 	for _, entry := range l.entries {
-		counts[entry.answer.Outcome]++
+		counts[entry.response.Outcome]++
 	}
 	return counts
 }
 
 // Check compares the responses to callers and the bills with what the back ends ran. It waits for late
 // settlements.
-func (f *Fleet) Check(ledger *Ledger, patience time.Duration) error {
-	if err := f.checkAnswers(ledger); err != nil {
+func (f *Fleet) Check(ledger *Ledger, maximumWait time.Duration) error {
+	if err := f.checkResponses(ledger); err != nil {
 		return err
 	}
 	var last error
-	err := f.WaitFor(patience, "bills that match the ground truth", func() bool {
+	err := f.WaitFor(maximumWait, "bills that match the ground truth", func() bool {
 		last = f.checkBills()
 		return last == nil
 	})
@@ -58,8 +58,8 @@
 	return nil
 }
 
-// checkAnswers checks the guarantees that concern single responses.
-func (f *Fleet) checkAnswers(ledger *Ledger) error {
+// checkResponses checks the guarantees that concern single responses.
+func (f *Fleet) checkResponses(ledger *Ledger) error {
 	ran := map[string]int{}
 	bodies := map[string]int{}
 	for _, event := range f.Emulator.Truth.Events() {
@@ -76,12 +76,12 @@
 	ledger.mutex.Lock()
 	defer ledger.mutex.Unlock()
 	for _, entry := range ledger.entries {
-		switch entry.answer.Outcome {
+		switch entry.response.Outcome {
 		case load.Wrong:
-			return fmt.Errorf("request %s received a wrong response: %s", entry.request.Key, entry.answer.Detail)
+			return fmt.Errorf("request %s received a wrong response: %s", entry.request.Key, entry.response.Detail)
 		case load.Refused:
 			if entry.request.Kind == load.KindAct && bodies[entry.request.Body] > 0 && entry.tries == 1 {
-				return fmt.Errorf("request %s was refused as not run (%s), but it ran", entry.request.Key, entry.answer.Code)
+				return fmt.Errorf("request %s was refused as not run (%s), but it ran", entry.request.Key, entry.response.Code)
 			}
 		}
 	}
@@ -91,8 +91,8 @@
 // runRange is the minimum and maximum number of tokens that one key may be billed. A key that ran more
 // than once (in partitioned zones, or again after its engine was lost) is billed for one of its runs.
 type runRange struct {
-	tenant      string
-	least, most uint64
+	tenant           string
+	minimum, maximum uint64
 }
 
 // runsByKey returns what the engines ran by the claim's key, which is the part of the request's id
@@ -106,10 +106,10 @@
 		key := event.RequestID[:strings.LastIndex(event.RequestID, "-")]
 		known, again := runs[key]
 		if !again {
-			known = runRange{tenant: event.Tenant, least: event.Tokens}
+			known = runRange{tenant: event.Tenant, minimum: event.Tokens}
 		}
-		known.least = min(known.least, event.Tokens)
-		known.most = max(known.most, event.Tokens)
+		known.minimum = min(known.minimum, event.Tokens)
+		known.maximum = max(known.maximum, event.Tokens)
 		runs[key] = known
 	}
 	return runs
@@ -122,18 +122,18 @@
 	if err != nil {
 		return err
 	}
-	least, most := map[string]uint64{}, map[string]uint64{}
+	minimum, maximum := map[string]uint64{}, map[string]uint64{}
 	for _, run := range f.runsByKey() {
-		least[run.tenant] += run.least
-		most[run.tenant] += run.most
+		minimum[run.tenant] += run.minimum
+		maximum[run.tenant] += run.maximum
 	}
 	for _, tenant := range f.Plan.TenantNames() {
 		budget := budgets[tenant]
 		if budget.GetSettled()+budget.GetOutstanding() > budget.GetLimit() {
 			return fmt.Errorf("%s: %d settled and %d outstanding exceed the limit of %d", tenant, budget.GetSettled(), budget.GetOutstanding(), budget.GetLimit())
 		}
-		if billed := budget.GetSettled(); billed < least[tenant] || billed > most[tenant] {
-			return fmt.Errorf("%s: %d tokens billed, but between %d and %d ran", tenant, billed, least[tenant], most[tenant])
+		if billed := budget.GetSettled(); billed < minimum[tenant] || billed > maximum[tenant] {
+			return fmt.Errorf("%s: %d tokens billed, but between %d and %d ran", tenant, billed, minimum[tenant], maximum[tenant])
 		}
 	}
 	return nil
--- a/internal/lab/fleet/failure_test.go
+++ b/internal/lab/fleet/failure_test.go
@@ -15,8 +15,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// underLoad sends the mix while faults are injected, and returns the report and the ledger.
-func underLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *Ledger) {
+// runUnderLoad sends the mix while faults are injected, and returns the report and the ledger.
+func runUnderLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *Ledger) {
 	t.Helper()
 	ledger := &Ledger{}
 	options.Mix, options.Client, options.Done = f.Mix(options.Seed), f.LoadClient(), ledger.Note
@@ -36,9 +36,9 @@
 
 // Guards against lost or doubly billed requests when one of eight nodes crashes with streams open.
 // Callers retry with their keys through the others, and each request completes and is billed once.
-func TestKilledRouterUnderLoad(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		report, ledger := underLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 2, Retry: true}, func() {
+func TestNodeCrashUnderLoadLosesNoRetriedRequest(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+		report, ledger := runUnderLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 2, Retry: true}, func() {
 			time.Sleep(5 * time.Second)
 			f.Kill("lhr-a-2")
 			time.Sleep(4 * time.Second)
@@ -55,18 +55,18 @@
 }
 
 // Guards against streams that are interrupted by the graceful stop of a node under load.
-func TestPlannedStopCutsNothing(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		var cut int64
-		report, ledger := underLoad(t, f, load.Options{
+func TestGracefulStopInterruptsNothing(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+		var interrupted int64
+		report, ledger := runUnderLoad(t, f, load.Options{
 			Rate: 40, Duration: 15 * time.Second, Seed: 3, Entries: f.Entries("lhr-a-1", "lhr-b-2"),
 		}, func() {
 			// The load is sent to two nodes that stay up. The stopping node still completes the
 			// requests that it has.
 			time.Sleep(5 * time.Second)
-			cut = f.StopPlanned(context.Background(), "lhr-c-1")
+			interrupted = f.StopPlanned(context.Background(), "lhr-c-1")
 		})
-		assert.Equal(t, cut, int64(0))
+		assert.Equal(t, interrupted, int64(0))
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 30*time.Second))
 	})
@@ -74,9 +74,9 @@
 
 // Guards against overspent budgets and refused service when a zone is partitioned for a long time while
 // callers reach all zones. The partitioned zone continues to serve what its grants allow.
-func TestZoneCutOffUnderLoad(t *testing.T) {
-	inFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
-		report, ledger := underLoad(t, f, load.Options{Rate: 30, Duration: 40 * time.Second, Seed: 4, Retry: true}, func() {
+func TestPartitionedZoneUnderLoadServesWithoutOverspending(t *testing.T) {
+	withFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
+		report, ledger := runUnderLoad(t, f, load.Options{Rate: 30, Duration: 40 * time.Second, Seed: 4, Retry: true}, func() {
 			time.Sleep(8 * time.Second)
 			f.CutZone("hall-c")
 			time.Sleep(20 * time.Second)
@@ -92,7 +92,7 @@
 // is lost right after the repair. Budgets and catalog must survive, and the fleet must continue to accept
 // changes.
 func TestSecondControlMachineLostRightAfterRepair(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		f.Kill("lhr-b-1")
 		f.LoseDisk("lhr-b-1")
 		time.Sleep(2 * time.Second)
@@ -111,31 +111,31 @@
 // Guards against graceful stops that interrupt a stream or never end. A stream that began between the
 // last check for open streams and the close was still open at the end of the stop; under steady load the
 // stop did not end. scripts/prove-processes.sh showed it.
-func TestPlannedStopUnderSteadyLoadEndsAndCutsNothing(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestGracefulStopUnderSteadyLoadEndsAndInterruptsNothing(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		stopped := f.Order[len(f.Order)-1]
 		var mutex sync.Mutex
-		var cut []string
-		note := func(wanted load.Request, answer load.Answer, _ int) {
-			if answer.Outcome == load.Whole || strings.Contains(answer.Detail, errNetworkDown.Error()) {
+		var interrupted []string
+		record := func(request load.Request, response load.Answer, _ int) {
+			if response.Outcome == load.Whole || strings.Contains(response.Detail, errConnectionRefused.Error()) {
 				return
 			}
 			mutex.Lock()
 			defer mutex.Unlock()
-			cut = append(cut, fmt.Sprintf("%s %s: %s", wanted.Key, answer.Outcome, answer.Detail))
+			interrupted = append(interrupted, fmt.Sprintf("%s %s: %s", request.Key, response.Outcome, response.Detail))
 		}
 		ended := make(chan error, 1)
 		go func() {
 			_, err := load.Run(context.Background(), load.Options{
-				Entries: f.Entries(stopped), Mix: f.Mix(1), Rate: 150, Duration: 12 * time.Second, Seed: 3, Client: f.LoadClient(), Done: note,
+				Entries: f.Entries(stopped), Mix: f.Mix(1), Rate: 150, Duration: 12 * time.Second, Seed: 3, Client: f.LoadClient(), Done: record,
 			})
 			ended <- err
 		}()
 		time.Sleep(2 * time.Second)
-		began := time.Now()
+		start := time.Now()
 		assert.Equal(t, f.StopPlanned(context.Background(), stopped), int64(0))
-		assert.Assert(t, time.Since(began) < 8*time.Second, "the stop took %s", time.Since(began))
+		assert.Assert(t, time.Since(start) < 8*time.Second, "the stop took %s", time.Since(start))
 		assert.NilError(t, <-ended)
-		assert.Equal(t, len(cut), 0, "%v", cut)
+		assert.Equal(t, len(interrupted), 0, "%v", interrupted)
 	})
 }
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -48,12 +48,12 @@
 	Logger   zerolog.Logger
 	machines map[string]*Machine
 	// Order lists the machines' names.
-	Order     []string
-	ctx       context.Context
-	cancel    context.CancelFunc
-	running   sync.WaitGroup
-	callers   *http.Transport
-	operators map[string]ravenwayv1connect.OperatorServiceClient
+	Order      []string
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
+	callers    *http.Transport
+	operators  map[string]ravenwayv1connect.OperatorServiceClient
 	// DeadAfter is the time since the last contact with a node after which its grants are reclaimed.
 	DeadAfter time.Duration
 }
@@ -61,19 +61,19 @@
 // New returns a fleet whose machines do not run yet.
 func New(plan deployment.Plan, random *rand.Rand, engines emulator.EngineOptions) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
-	made := &Fleet{
+	f := &Fleet{
 		Plan: plan, Network: NewNetwork(), Emulator: emulator.NewWorld(plan.Catalog(), engines, emulator.NewTruth(nil)),
 		Logger: zerolog.Nop(), machines: map[string]*Machine{}, ctx: ctx, cancel: cancel,
 		operators: map[string]ravenwayv1connect.OperatorServiceClient{}, DeadAfter: 8 * time.Second,
 	}
-	made.callers = &http.Transport{DialContext: made.Network.Dialer(callerMachine), MaxIdleConnsPerHost: 64}
+	f.callers = &http.Transport{DialContext: f.Network.Dialer(callerMachine), MaxIdleConnsPerHost: 64}
 	for _, planned := range plan.Nodes() {
-		made.Order = append(made.Order, planned.Name)
-		made.machines[planned.Name] = &Machine{Node: planned, disk: disk.NewSimulated(rand.New(rand.NewPCG(random.Uint64(), 0)))}
-		client := &http.Client{Transport: made.callers, Timeout: 20 * time.Second}
-		made.operators[planned.Name] = ravenwayv1connect.NewOperatorServiceClient(client, "http://"+planned.Address(deployment.OperatorsPort))
+		f.Order = append(f.Order, planned.Name)
+		f.machines[planned.Name] = &Machine{Node: planned, disk: disk.NewSimulated(rand.New(rand.NewPCG(random.Uint64(), 0)))}
+		client := &http.Client{Transport: f.callers, Timeout: 20 * time.Second}
+		f.operators[planned.Name] = ravenwayv1connect.NewOperatorServiceClient(client, "http://"+planned.Address(deployment.OperatorsPort))
 	}
-	return made
+	return f
 }
 
 // zoneMachine returns the name of the machine that all back ends of a zone run on.
@@ -81,7 +81,7 @@
 
 // Start starts the emulator and all nodes, and waits for a leader with all control nodes as voters.
 func (f *Fleet) Start() error {
-	f.running.Go(func() { f.Emulator.RunEngines(f.ctx) })
+	f.goroutines.Go(func() { f.Emulator.RunEngines(f.ctx) })
 	for _, backend := range f.Plan.Catalog().GetBackends() {
 		handler := f.Emulator.Handlers()[backend.GetAddress()]
 		f.serve(zoneMachine(backend.GetZone()), backend.GetAddress(), handler)
@@ -98,8 +98,8 @@
 func (f *Fleet) serve(machine, address string, handler http.Handler) {
 	server := &http.Server{Handler: handler}
 	listener := f.Network.Listen(machine, address)
-	f.running.Go(func() { _ = server.Serve(listener) })
-	f.running.Go(func() {
+	f.goroutines.Go(func() { _ = server.Serve(listener) })
+	f.goroutines.Go(func() {
 		<-f.ctx.Done()
 		_ = server.Close()
 	})
@@ -110,9 +110,9 @@
 	machine := f.machines[name]
 	machine.transport = &http.Transport{DialContext: f.Network.Dialer(name), MaxIdleConnsPerHost: 16, IdleConnTimeout: 10 * time.Second}
 	dial := f.Network.Dialer(name)
-	loaded := f.settings(machine.Node)
+	nodeSettings := f.settings(machine.Node)
 	options := node.Options{
-		Settings: loaded, PeerKey: []byte(peerKey), FileSystem: machine.disk, Logger: f.Logger.With().Str("node", name).Logger(),
+		Settings: nodeSettings, PeerKey: []byte(peerKey), FileSystem: machine.disk, Logger: f.Logger.With().Str("node", name).Logger(),
 		BackendTransport: machine.transport,
 		DialPeer: func(ctx context.Context, address string) (net.Conn, error) {
 			return dial(ctx, "memory", address)
@@ -131,21 +131,21 @@
 	ctx, cancel := context.WithCancel(f.ctx)
 	machine.node, machine.cancel, machine.ended = started, cancel, make(chan struct{})
 	ended := machine.ended
-	f.running.Go(func() {
+	f.goroutines.Go(func() {
 		defer close(ended)
 		_ = started.Run(ctx)
 	})
 	return nil
 }
 
-func (f *Fleet) settings(of deployment.Node) *settings.Settings {
+func (f *Fleet) settings(planned deployment.Node) *settings.Settings {
 	roles := []string{settings.RoleEntry}
-	if of.Control {
+	if planned.Control {
 		roles = append(roles, settings.RoleControl)
 	}
-	loaded := &settings.Settings{
-		Node:     settings.Node{Name: of.Name, Zone: of.Zone, Roles: roles},
-		Control:  settings.Control{Bootstrap: of.Name == f.Order[0], DeadAfter: f.DeadAfter},
+	nodeSettings := &settings.Settings{
+		Node:     settings.Node{Name: planned.Name, Zone: planned.Zone, Roles: roles},
+		Control:  settings.Control{Bootstrap: planned.Name == f.Order[0], DeadAfter: f.DeadAfter},
 		Platform: settings.Platform{MachinesURL: "http://" + f.Plan.AdminAddress()},
 		Limits: settings.Limits{
 			MaxBodyBytes: settings.DefaultMaxBodyBytes, BodyTimeout: settings.DefaultBodyTimeout, MaxStreams: settings.DefaultMaxStreams,
@@ -153,11 +153,11 @@
 		},
 	}
 	for _, other := range f.Plan.Nodes() {
-		loaded.Peers = append(loaded.Peers, settings.Peer{
+		nodeSettings.Peers = append(nodeSettings.Peers, settings.Peer{
 			Name: other.Name, Zone: other.Zone, Address: other.Address(deployment.PeersPort), Control: other.Control,
 		})
 	}
-	return loaded
+	return nodeSettings
 }
 
 // Kill crashes a machine: its connections break, and its disk loses what was not synced.
@@ -178,12 +178,12 @@
 // were interrupted.
 func (f *Fleet) StopPlanned(ctx context.Context, name string) int64 {
 	machine := f.machines[name]
-	cut := machine.node.Stop(ctx)
+	interrupted := machine.node.Stop(ctx)
 	machine.cancel()
 	<-machine.ended
 	machine.transport.CloseIdleConnections()
 	f.Network.Break(name)
-	return cut
+	return interrupted
 }
 
 // Close stops all nodes and the emulator and waits until they have ended.
@@ -195,7 +195,7 @@
 		f.machines[name].transport.CloseIdleConnections()
 		f.Network.Break(name)
 	}
-	f.running.Wait()
+	f.goroutines.Wait()
 	f.callers.CloseIdleConnections()
 }
 
@@ -222,23 +222,23 @@
 }
 
 // WaitFor waits until a condition holds; what describes the condition in the error.
-func (f *Fleet) WaitFor(patience time.Duration, what string, holds func() bool) error {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); {
-		if holds() {
+func (f *Fleet) WaitFor(maximumWait time.Duration, what string, condition func() bool) error {
+	for deadline := time.Now().Add(maximumWait); time.Now().Before(deadline); {
+		if condition() {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return fmt.Errorf("timed out waiting for %s after %v", what, patience)
+	return fmt.Errorf("timed out waiting for %s after %v", what, maximumWait)
 }
 
 // Status requests the status of the fleet as one node sees it.
 func (f *Fleet) Status(name string) (*ravenwayv1.GetStatusResponse, error) {
-	answer, err := f.operators[name].GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
+	response, err := f.operators[name].GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
 	if err != nil {
 		return nil, err
 	}
-	return answer.Msg, nil
+	return response.Msg, nil
 }
 
 // Operator returns a client of one node's operator listener.
@@ -313,12 +313,12 @@
 // Budgets returns the state of all budgets by tenant.
 func (f *Fleet) Budgets() (map[string]*ravenwayv1.BudgetStatus, error) {
 	for _, name := range f.Order {
-		answer, err := f.operators[name].GetBudgets(f.ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
+		response, err := f.operators[name].GetBudgets(f.ctx, connect.NewRequest(&ravenwayv1.GetBudgetsRequest{}))
 		if err != nil {
 			continue
 		}
 		budgets := map[string]*ravenwayv1.BudgetStatus{}
-		for _, budget := range answer.Msg.GetBudgets() {
+		for _, budget := range response.Msg.GetBudgets() {
 			budgets[budget.GetTenant()] = budget
 		}
 		return budgets, nil
@@ -344,13 +344,13 @@
 
 // TopUp adds tokens to a tenant's budget through one node.
 func (f *Fleet) TopUp(through, tenant string, tokens uint64, operationID string) error {
-	answer, err := f.operators[through].TopUpBudget(f.ctx, connect.NewRequest(&ravenwayv1.TopUpBudgetRequest{
+	response, err := f.operators[through].TopUpBudget(f.ctx, connect.NewRequest(&ravenwayv1.TopUpBudgetRequest{
 		OperationId: operationID, Budget: deployment.BudgetName(tenant), Tokens: tokens,
 	}))
 	if err != nil {
 		return err
 	}
-	if refused := answer.Msg.GetRefused(); refused != "" {
+	if refused := response.Msg.GetRefused(); refused != "" {
 		return fmt.Errorf("top-up was refused: %s", refused)
 	}
 	return nil
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -16,9 +16,9 @@
 	"github.com/ravenway/ravenway/internal/lab/load"
 )
 
-// inFleet runs a test in virtual time against a provisioned fleet. The environment variable FLEET_LOG
+// withFleet runs a test in virtual time against a provisioned fleet. The environment variable FLEET_LOG
 // names a file for the nodes' logs.
-func inFleet(t *testing.T, plan deployment.Plan, test func(t *testing.T, f *Fleet)) {
+func withFleet(t *testing.T, plan deployment.Plan, test func(t *testing.T, f *Fleet)) {
 	t.Helper()
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -37,7 +37,7 @@
 }
 
 func TestMixIsServedWholeAndBilledAsItRan(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		ledger := &Ledger{}
 		report, err := load.Run(context.Background(), load.Options{
 			Entries: f.Entries(f.Order...), Mix: f.Mix(1), Rate: 30, Duration: 10 * time.Second, Seed: 1,
--- a/internal/lab/fleet/promise_test.go
+++ b/internal/lab/fleet/guarantees_test.go
@@ -17,16 +17,16 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// draft returns a billed request with a caller's idempotency key.
-func draft(f *Fleet, key string) load.Request {
+// billedRequest returns a billed request with a caller's idempotency key.
+func billedRequest(f *Fleet, key string) load.Request {
 	return load.Request{
 		Kind: load.KindLong, Tenant: "tenant-04", APIKey: f.Plan.APIKey("tenant-04"), Key: key, Model: f.Plan.Model,
 		Prompt: strings.Repeat("khasra ", 100), MaxTokens: 200, Deadline: 20 * time.Second,
 	}
 }
 
-// acknowledgement returns a call to a plain service that may not be repeated.
-func acknowledgement(f *Fleet, key string) load.Request {
+// plainCall returns a call to a plain service that may not be repeated.
+func plainCall(f *Fleet, key string) load.Request {
 	return load.Request{
 		Kind: load.KindAct, Tenant: "tenant-04", APIKey: f.Plan.APIKey("tenant-04"), Key: key,
 		Method: http.MethodPost, Path: f.Plan.PlainPrefix + "/acknowledge", Body: "alarm " + key,
@@ -54,11 +54,11 @@
 	return count
 }
 
-// fewTokens limits the tokens that may stay outstanding: a node keeps some for the little recent demand
+// maximumOutstanding limits the tokens that may stay outstanding: a node keeps some for the little recent demand
 // that it still estimates.
-const fewTokens = 10
+const maximumOutstanding = 10
 
-func waitSettled(t *testing.T, f *Fleet, tenant string, tokens uint64) {
+func waitUntilSettled(t *testing.T, f *Fleet, tenant string, tokens uint64) {
 	t.Helper()
 	var last *ravenwayv1.BudgetStatus
 	err := f.WaitFor(90*time.Second, "the settlement", func() bool {
@@ -67,23 +67,23 @@
 			return false
 		}
 		last = budgets[tenant]
-		return last.GetSettled() == tokens && last.GetOutstanding() < fewTokens
+		return last.GetSettled() == tokens && last.GetOutstanding() < maximumOutstanding
 	})
 	assert.NilError(t, err, "expected %d settled, last status %v", tokens, last)
 }
 
 func TestSameKeyTwiceRunsAndBillsOnce(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		first := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-1"), draft(f, "same"))
-		again := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), draft(f, "same"))
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+		first := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-1"), billedRequest(f, "same"))
+		again := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), billedRequest(f, "same"))
 		assert.Equal(t, first.Outcome, load.Whole, first.Detail)
 		assert.Equal(t, again.Outcome, load.Whole, again.Detail)
 		assert.Equal(t, first.BackendRequestID, again.BackendRequestID)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
-		waitSettled(t, f, "tenant-04", tokens)
+		waitUntilSettled(t, f, "tenant-04", tokens)
 
-		other := draft(f, "same")
+		other := billedRequest(f, "same")
 		other.Prompt = "another request under the same key"
 		refused := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-1"), other)
 		assert.Equal(t, refused.Code, caller.CodeKeyReused)
@@ -94,86 +94,90 @@
 // Guards against a second run of a request whose retry arrives while its first try still streams through
 // another node.
 func TestRetryJoinsRequestInProgress(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := make(chan load.Answer, 1)
-		go func() { first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "joined")) }()
+		go func() {
+			first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "joined"))
+		}()
 		time.Sleep(300 * time.Millisecond)
-		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), draft(f, "joined"))
+		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), billedRequest(f, "joined"))
 		assert.Equal(t, second.Outcome, load.Whole, second.Detail)
 		assert.Equal(t, (<-first).Outcome, load.Whole)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
-		waitSettled(t, f, "tenant-04", tokens)
+		waitUntilSettled(t, f, "tenant-04", tokens)
 	})
 }
 
 // Guards against double billing and lost grants when a node crashes in the middle of a stream and does
 // not restart: the retry gets the whole response, and the node's grant is reclaimed.
-func TestRetryAfterRouterDiedIsBilledOnceAndItsGrantComesBack(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestRetryAfterNodeCrashIsBilledOnceAndItsGrantIsReclaimed(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := make(chan load.Answer, 1)
-		go func() { first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "orphan")) }()
+		go func() {
+			first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "orphan"))
+		}()
 		time.Sleep(300 * time.Millisecond)
 		f.Kill("lhr-a-2")
 		assert.Equal(t, (<-first).Outcome, load.Cut)
-		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), draft(f, "orphan"))
+		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), billedRequest(f, "orphan"))
 		assert.Equal(t, second.Outcome, load.Whole, second.Detail)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
-		waitSettled(t, f, "tenant-04", tokens)
+		waitUntilSettled(t, f, "tenant-04", tokens)
 		assert.NilError(t, f.Boot("lhr-a-2"))
 	})
 }
 
 // Guards against double billing of a request that reaches two zones which are partitioned from each
 // other. Both serve it; after the partition it is charged once.
-func TestRequestRunInTwoCutOffZonesIsOneCharge(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestRequestRunInTwoPartitionedZonesIsChargedOnce(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		warmed := 0
 		// Fill the grants of both zones first, so that each can serve alone.
 		for _, name := range []string{"lhr-a-2", "lhr-c-2", "lhr-a-2", "lhr-c-2", "lhr-a-2", "lhr-c-2"} {
 			warmed++
-			assert.Equal(t, f.LoadClient().Send(context.Background(), f.Entry(name), draft(f, fmt.Sprint("warm-", warmed))).Outcome, load.Whole)
+			assert.Equal(t, f.LoadClient().Send(context.Background(), f.Entry(name), billedRequest(f, fmt.Sprint("warm-", warmed))).Outcome, load.Whole)
 		}
-		_, warm := runsOf(f, "tenant-04")
+		_, warmTokens := runsOf(f, "tenant-04")
 		f.CutZone("lhr-a")
 		f.CutZone("lhr-c")
 		time.Sleep(time.Second)
-		left := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "doubled"))
-		right := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), draft(f, "doubled"))
+		left := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "doubled"))
+		right := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), billedRequest(f, "doubled"))
 		assert.Equal(t, left.Outcome, load.Whole, left.Detail)
 		assert.Equal(t, right.Outcome, load.Whole, right.Detail)
-		count, all := runsOf(f, "tenant-04")
+		count, allTokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, warmed+2, "the request did not run in both zones")
 		time.Sleep(15 * time.Second)
 		f.Network.Heal()
-		waitSettled(t, f, "tenant-04", warm+(all-warm)/2)
+		waitUntilSettled(t, f, "tenant-04", warmTokens+(allTokens-warmTokens)/2)
 	})
 }
 
 // Guards against two runs of a call that may not be repeated and reaches both sides of a partition. The
 // side that can't reach a majority of the acceptors refuses it as not run.
-func TestNotRepeatableCallInTwoCutOffZonesRunsOnce(t *testing.T) {
-	inFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
+func TestNotRepeatableCallInTwoPartitionedZonesRunsOnce(t *testing.T) {
+	withFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
 		f.CutZone("hall-a")
 		time.Sleep(time.Second)
-		inside := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), acknowledgement(f, "duty-officer"))
-		outside := f.LoadClient().Send(context.Background(), f.Entry("hall-b-2"), acknowledgement(f, "duty-officer"))
+		inside := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), plainCall(f, "duty-officer"))
+		outside := f.LoadClient().Send(context.Background(), f.Entry("hall-b-2"), plainCall(f, "duty-officer"))
 		assert.Equal(t, inside.Outcome, load.Refused, inside.Detail)
 		assert.Equal(t, inside.Code, caller.CodeHoldersUnreached)
 		assert.Assert(t, inside.RetryAfter != "")
 		assert.Equal(t, outside.Outcome, load.Whole, outside.Detail)
 		f.Network.Heal()
 		time.Sleep(8 * time.Second)
-		again := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), acknowledgement(f, "duty-officer"))
+		again := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), plainCall(f, "duty-officer"))
 		assert.Equal(t, again.Outcome, load.Whole, again.Detail)
 		assert.Equal(t, callsWithBody(f, "alarm duty-officer"), 1)
 	})
 }
 
 // Guards against new requests to a back end later than 2 s after it began to leave.
-func TestLeavingBackendGetsNoNewWork(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestLeavingBackendGetsNoNewRequests(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		const leaving = "qalam-llm-01"
 		var before int
 		ranThere := func() int {
@@ -185,7 +189,7 @@
 			}
 			return count + f.Emulator.Engine(leaving).Active()
 		}
-		report, ledger := underLoad(t, f, load.Options{Rate: 60, Duration: 12 * time.Second, Seed: 5}, func() {
+		report, ledger := runUnderLoad(t, f, load.Options{Rate: 60, Duration: 12 * time.Second, Seed: 5}, func() {
 			time.Sleep(5 * time.Second)
 			f.Emulator.SetLeaving(leaving)
 			time.Sleep(2 * time.Second)
@@ -200,21 +204,21 @@
 
 // Guards against lost updates when two operators change the same object from the same revision: one
 // succeeds, the other gets a conflict that names the winner. The winner's resend gets its first response.
-func TestEqualRevisionsRacingHaveOneWinner(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestConcurrentChangesOfOneRevisionHaveOneWinner(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		change := func(through, id string, weight uint32) *ravenwayv1.ApplyResponse {
 			tenant := f.Plan.Catalog().GetTenants()[0]
 			tenant.Weight = weight
-			answer, err := f.Operator(through).Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
+			response, err := f.Operator(through).Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
 				OperationId: id, BaseRevision: 1, Put: &ravenwayv1.CatalogDocument{Tenants: []*ravenwayv1.Tenant{tenant}},
 			}))
 			assert.NilError(t, err)
-			return answer.Msg
+			return response.Msg
 		}
-		answers := make(chan *ravenwayv1.ApplyResponse, 2)
-		go func() { answers <- change("lhr-a-2", "first", 7) }()
-		go func() { answers <- change("lhr-c-2", "second", 9) }()
-		one, other := <-answers, <-answers
+		responses := make(chan *ravenwayv1.ApplyResponse, 2)
+		go func() { responses <- change("lhr-a-2", "first", 7) }()
+		go func() { responses <- change("lhr-c-2", "second", 9) }()
+		one, other := <-responses, <-responses
 		if one.GetConflictRevision() != 0 {
 			one, other = other, one
 		}
@@ -236,18 +240,18 @@
 
 // Guards against a zone that falls behind or reverts: after a long partition it must catch up with
 // hundreds of changes within seconds, and a node that restarts in it must take what its peers have.
-func TestCutOffZoneCatchesUpAndNeverReverts(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestPartitionedZoneCatchesUpAndNeverReverts(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		f.CutZone("lhr-c")
 		var revision uint64
 		for number := range 300 {
 			backend := f.Plan.Catalog().GetBackends()[0]
 			backend.Capacity = uint32(number + 1)
-			answer, err := f.Operator("lhr-b-1").Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
+			response, err := f.Operator("lhr-b-1").Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
 				AnyRevision: true, Put: &ravenwayv1.CatalogDocument{Backends: []*ravenwayv1.Backend{backend}},
 			}))
 			assert.NilError(t, err)
-			revision = answer.Msg.GetRevision()
+			revision = response.Msg.GetRevision()
 		}
 		time.Sleep(3 * time.Second)
 		f.Kill("lhr-c-2")
@@ -257,10 +261,10 @@
 		assert.NilError(t, err)
 		assert.Equal(t, status.GetRevision(), uint64(1))
 		assert.Assert(t, status.GetQuorumAgeMilliseconds() > 2000, "a partitioned replica must report the age of its quorum")
-		healed := time.Now()
+		healedAt := time.Now()
 		f.Network.Heal()
 		assert.NilError(t, f.WaitInForce(revision, f.Order))
-		assert.Assert(t, time.Since(healed) < 8*time.Second, "took %v", time.Since(healed))
-		t.Logf("300 changes in effect at all nodes %v after the partition", time.Since(healed))
+		assert.Assert(t, time.Since(healedAt) < 8*time.Second, "took %v", time.Since(healedAt))
+		t.Logf("300 changes in effect at all nodes %v after the partition", time.Since(healedAt))
 	})
 }
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -16,15 +16,15 @@
 	"github.com/ravenway/ravenway/internal/pause"
 )
 
-// errNetworkDown is the error of a dial to an address on which nothing listens; as on a real network
-// the connection is refused.
-var errNetworkDown = fmt.Errorf("fleet: %w", syscall.ECONNREFUSED)
+// errConnectionRefused is the error of a dial to an address on which nothing listens, as on a real
+// network.
+var errConnectionRefused = fmt.Errorf("fleet: %w", syscall.ECONNREFUSED)
 
 // Network is an in-memory network of named machines.
 type Network struct {
-	mutex     sync.Mutex
-	listeners map[string]*memoryListener
-	cut       map[[2]string]bool
+	mutex      sync.Mutex
+	listeners  map[string]*memoryListener
+	partitions map[[2]string]bool
 	// healed is closed and replaced when all partitions end.
 	healed chan struct{}
 	// connections are the open connections by machine, to break them when it crashes.
@@ -38,7 +38,7 @@
 // NewNetwork returns a network without partitions or delays.
 func NewNetwork() *Network {
 	return &Network{
-		listeners: map[string]*memoryListener{}, cut: map[[2]string]bool{}, healed: make(chan struct{}),
+		listeners: map[string]*memoryListener{}, partitions: map[[2]string]bool{}, healed: make(chan struct{}),
 		connections: map[string]map[*memoryConnection]struct{}{}, bytes: map[[2]string]int{},
 		delays: map[string]time.Duration{},
 	}
@@ -70,35 +70,36 @@
 	listener := n.listeners[address]
 	n.mutex.Unlock()
 	if listener == nil {
-		return nil, fmt.Errorf("%w: %s", errNetworkDown, address)
+		return nil, fmt.Errorf("%w: %s", errConnectionRefused, address)
 	}
-	if err := n.waitOpen(ctx.Done(), from, listener.machine); err != nil {
+	if err := n.waitUntilReachable(ctx.Done(), from, listener.machine); err != nil {
 		return nil, err
 	}
 	if delay := n.delayTo(listener.machine); delay > 0 && !pause.For(ctx, delay) {
 		return nil, ctx.Err()
 	}
-	near, far := net.Pipe()
-	own := n.track(near, from, listener.machine)
-	other := n.track(far, listener.machine, from)
+	dialerEnd, listenerEnd := net.Pipe()
+	dialerConnection := n.track(dialerEnd, from, listener.machine)
+	listenerConnection := n.track(listenerEnd, listener.machine, from)
 	select {
-	case listener.accepted <- other:
-		return own, nil
+	case listener.accepted <- listenerConnection:
+		return dialerConnection, nil
 	case <-listener.closed:
-		err := fmt.Errorf("%w: %s", errNetworkDown, address)
-		return nil, errors.Join(err, own.Close(), other.Close())
+		err := fmt.Errorf("%w: %s", errConnectionRefused, address)
+		return nil, errors.Join(err, dialerConnection.Close(), listenerConnection.Close())
 	case <-ctx.Done():
-		return nil, errors.Join(ctx.Err(), own.Close(), other.Close())
+		return nil, errors.Join(ctx.Err(), dialerConnection.Close(), listenerConnection.Close())
 	}
 }
 
-// waitOpen waits while traffic from one machine to another is partitioned, or until done is closed.
-func (n *Network) waitOpen(done <-chan struct{}, from, to string) error {
+// waitUntilReachable waits while traffic from one machine to another is partitioned, or until done is
+// closed.
+func (n *Network) waitUntilReachable(done <-chan struct{}, from, to string) error {
 	for {
 		n.mutex.Lock()
-		cut, healed := n.cut[[2]string{from, to}], n.healed
+		isPartitioned, healed := n.partitions[[2]string{from, to}], n.healed
 		n.mutex.Unlock()
-		if !cut {
+		if !isPartitioned {
 			return nil
 		}
 		select {
@@ -124,7 +125,7 @@
 func (n *Network) CutOneWay(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut[[2]string{from, to}] = true
+	n.partitions[[2]string{from, to}] = true
 }
 
 // CutBetween stops traffic between two groups of machines in both directions until Heal.
@@ -154,7 +155,7 @@
 func (n *Network) Heal() {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.cut = map[[2]string]bool{}
+	n.partitions = map[[2]string]bool{}
 	close(n.healed)
 	n.healed = make(chan struct{})
 }
@@ -248,23 +249,23 @@
 	from, to string
 	once     sync.Once
 	closed   chan struct{}
-	// late holds the writes in transit once the other end's machine has had a delay; starting starts
-	// their delivery.
-	late     chan lateBytes
-	starting sync.Once
+	// inTransit holds the writes in transit once the other end's machine has had a delay; startDelivery
+	// starts their delivery.
+	inTransit     chan delayedWrite
+	startDelivery sync.Once
 }
 
-// lateBytes is one write in transit, due at a time.
-type lateBytes struct {
+// delayedWrite is one write in transit, due at a time.
+type delayedWrite struct {
 	data []byte
 	at   time.Time
 }
 
-// lateCapacity is the maximum number of writes in transit on a connection.
-const lateCapacity = 1024
+// inTransitCapacity is the maximum number of writes in transit on a connection.
+const inTransitCapacity = 1024
 
 func (c *memoryConnection) Write(data []byte) (int, error) {
-	if err := c.network.waitOpen(c.closed, c.from, c.to); err != nil {
+	if err := c.network.waitUntilReachable(c.closed, c.from, c.to); err != nil {
 		return 0, net.ErrClosed
 	}
 	written, err := c.write(data)
@@ -279,16 +280,16 @@
 func (c *memoryConnection) write(data []byte) (int, error) {
 	delay := c.network.delayTo(c.to)
 	if delay > 0 {
-		c.starting.Do(func() {
-			c.late = make(chan lateBytes, lateCapacity)
+		c.startDelivery.Do(func() {
+			c.inTransit = make(chan delayedWrite, inTransitCapacity)
 			go c.deliver()
 		})
 	}
-	if c.late == nil {
+	if c.inTransit == nil {
 		return c.Conn.Write(data)
 	}
 	select {
-	case c.late <- lateBytes{data: slices.Clone(data), at: time.Now().Add(delay)}:
+	case c.inTransit <- delayedWrite{data: slices.Clone(data), at: time.Now().Add(delay)}:
 		return len(data), nil
 	case <-c.closed:
 		return 0, net.ErrClosed
@@ -301,7 +302,7 @@
 		select {
 		case <-c.closed:
 			return
-		case next := <-c.late:
+		case next := <-c.inTransit:
 			if !c.waitUntil(next.at) {
 				return
 			}
--- a/internal/lab/fleet/network_test.go
+++ b/internal/lab/fleet/network_test.go
@@ -12,7 +12,7 @@
 
 // Guards against delivering delayed writes in a way that crashed the race detector in virtual time when
 // writes on many connections were due at the same moment.
-func TestWritesThatAreDueTogetherArriveInVirtualTime(t *testing.T) {
+func TestDelayedWritesDueAtTheSameTimeArriveInVirtualTime(t *testing.T) {
 	const (
 		connections = 200
 		writes      = 200
@@ -22,17 +22,17 @@
 		network := NewNetwork()
 		network.Delay("b", delay)
 		listener := network.Listen("b", "b:1")
-		began := time.Now()
-		var ends sync.WaitGroup
+		start := time.Now()
+		var goroutines sync.WaitGroup
 		for range connections {
-			ends.Go(func() {
+			goroutines.Go(func() {
 				accepted, err := listener.Accept()
 				assert.Check(t, err)
 				received, err := io.ReadAll(accepted)
 				assert.Check(t, err)
 				assert.Check(t, len(received) == writes, "received %d of %d bytes", len(received), writes)
 			})
-			ends.Go(func() {
+			goroutines.Go(func() {
 				connection, err := network.Dialer("a")(t.Context(), "tcp", "b:1")
 				assert.Check(t, err)
 				for range writes {
@@ -43,7 +43,7 @@
 				assert.Check(t, connection.Close())
 			})
 		}
-		ends.Wait()
-		assert.Equal(t, time.Since(began), 2*delay+time.Millisecond)
+		goroutines.Wait()
+		assert.Equal(t, time.Since(start), 2*delay+time.Millisecond)
 	})
 }
--- a/internal/lab/fleet/orders_test.go
+++ b/internal/lab/fleet/orders_test.go
@@ -13,26 +13,26 @@
 	"github.com/ravenway/ravenway/internal/lab/emulator"
 )
 
-// giveOrder requests an order through a node and returns its fence number.
-func giveOrder(t *testing.T, f *Fleet, through, id, backend, target string) uint64 {
+// requestOrder requests an order through a node and returns its fence number.
+func requestOrder(t *testing.T, f *Fleet, through, id, backend, target string) uint64 {
 	t.Helper()
-	answer, err := f.Operator(through).Order(context.Background(), connect.NewRequest(&ravenwayv1.OrderRequest{
+	response, err := f.Operator(through).Order(context.Background(), connect.NewRequest(&ravenwayv1.OrderRequest{
 		OperationId: id, Backend: backend, Kind: ravenwayv1.OrderKind_ORDER_KIND_LOAD_ADAPTER, Target: target, Version: "1",
 	}))
 	assert.NilError(t, err)
-	assert.Equal(t, answer.Msg.GetRefused(), "")
-	return answer.Msg.GetStatus().GetFence()
+	assert.Equal(t, response.Msg.GetRefused(), "")
+	return response.Msg.GetStatus().GetFence()
 }
 
-func waitOrder(t *testing.T, f *Fleet, through string, fence uint64, state string) {
+func waitForOrder(t *testing.T, f *Fleet, through string, fence uint64, state string) {
 	t.Helper()
 	last := ""
 	err := f.WaitFor(30*time.Second, "the state of the order", func() bool {
-		answer, err := f.Operator(through).GetOrders(context.Background(), connect.NewRequest(&ravenwayv1.GetOrdersRequest{}))
+		response, err := f.Operator(through).GetOrders(context.Background(), connect.NewRequest(&ravenwayv1.GetOrdersRequest{}))
 		if err != nil {
 			return false
 		}
-		for _, order := range answer.Msg.GetOrders() {
+		for _, order := range response.Msg.GetOrders() {
 			if order.GetFence() == fence {
 				last = order.GetState()
 			}
@@ -42,7 +42,7 @@
 	assert.NilError(t, err, "order %d has state %q", fence, last)
 }
 
-func ordersGiven(f *Fleet, fence uint64) int {
+func orderDeliveries(f *Fleet, fence uint64) int {
 	count := 0
 	for _, event := range f.Emulator.Truth.Events() {
 		if event.Kind == emulator.TruthOrder && event.Fence == fence {
@@ -56,39 +56,39 @@
 // the back end's response, or because the leader crashes; both for back ends that check the fence number
 // and for those that do not.
 func TestOrderIsGivenOnceAcrossLeaderLossAndResend(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		for _, backend := range []string{"qalam-llm-01", "qalam-llm-02"} {
 			id := "load-" + backend
-			fence := giveOrder(t, f, "lhr-b-2", id, backend, "adapter-7")
-			assert.Equal(t, giveOrder(t, f, "lhr-c-2", id, backend, "adapter-7"), fence)
-			waitOrder(t, f, "lhr-b-1", fence, "done")
-			assert.Equal(t, ordersGiven(f, fence), 1)
+			fence := requestOrder(t, f, "lhr-b-2", id, backend, "adapter-7")
+			assert.Equal(t, requestOrder(t, f, "lhr-c-2", id, backend, "adapter-7"), fence)
+			waitForOrder(t, f, "lhr-b-1", fence, "done")
+			assert.Equal(t, orderDeliveries(f, fence), 1)
 		}
 		// The leader does not receive the back ends' responses and then crashes.
 		for _, zone := range f.Plan.Zones {
 			f.Network.CutOneWay(zoneMachine(zone), "lhr-a-1")
 		}
-		first := giveOrder(t, f, "lhr-a-1", "unheard", "qalam-llm-02", "adapter-8")
+		first := requestOrder(t, f, "lhr-a-1", "unheard", "qalam-llm-02", "adapter-8")
 		time.Sleep(3 * time.Second)
 		f.Kill("lhr-a-1")
 		f.Network.Heal()
-		waitOrder(t, f, "lhr-b-1", first, "done")
-		assert.Equal(t, ordersGiven(f, first), 1)
+		waitForOrder(t, f, "lhr-b-1", first, "done")
+		assert.Equal(t, orderDeliveries(f, first), 1)
 		assert.NilError(t, f.Boot("lhr-a-1"))
 	})
 }
 
 // Guards against overloading the weight store when many back ends load adapters: a few load at the same
 // time, the others wait at the leader instead of in the store.
-func TestLoadsShareTheWeightStoresRate(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestAdapterLoadsDoNotOverloadTheWeightStore(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var fences []uint64
 		for _, backend := range f.Plan.Catalog().GetBackends()[:f.Plan.Engines] {
-			fences = append(fences, giveOrder(t, f, "lhr-a-1", "all-"+backend.GetName(), backend.GetName(), "adapter-9"))
+			fences = append(fences, requestOrder(t, f, "lhr-a-1", "all-"+backend.GetName(), backend.GetName(), "adapter-9"))
 		}
 		for _, fence := range fences {
-			waitOrder(t, f, "lhr-b-1", fence, "done")
-			assert.Equal(t, ordersGiven(f, fence), 1)
+			waitForOrder(t, f, "lhr-b-1", fence, "done")
+			assert.Equal(t, orderDeliveries(f, fence), 1)
 		}
 		assert.Assert(t, f.Emulator.Weights.Waiting() <= f.Plan.Engines/2, "%d loads waited in the weight store", f.Emulator.Weights.Waiting())
 	})
@@ -96,26 +96,26 @@
 
 // Guards against an outdated order: of two orders of a kind to one back end only the later one is given.
 func TestLaterOrderSupersedesEarlierOne(t *testing.T) {
-	inFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
+	withFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
 		f.Emulator.SetDown("model-pool-01", true)
-		earlier := giveOrder(t, f, "hall-a-1", "earlier", "model-pool-01", "adapter-1")
-		later := giveOrder(t, f, "hall-b-1", "later", "model-pool-01", "adapter-2")
+		earlier := requestOrder(t, f, "hall-a-1", "earlier", "model-pool-01", "adapter-1")
+		later := requestOrder(t, f, "hall-b-1", "later", "model-pool-01", "adapter-2")
 		assert.Assert(t, later > earlier)
 		f.Emulator.SetDown("model-pool-01", false)
-		waitOrder(t, f, "hall-c-1", later, "done")
-		waitOrder(t, f, "hall-c-1", earlier, "superseded")
-		assert.Equal(t, ordersGiven(f, earlier), 0)
+		waitForOrder(t, f, "hall-c-1", later, "done")
+		waitForOrder(t, f, "hall-c-1", earlier, "superseded")
+		assert.Equal(t, orderDeliveries(f, earlier), 0)
 	})
 }
 
 // Guards against streams that break or run twice when their connections to the back end break: they are
 // resumed at their offset, and callers don't notice.
 func TestBrokenStreamIsResumedAtItsOffset(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		answered := make(chan string, 1)
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+		result := make(chan string, 1)
 		go func() {
-			answer := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), draft(f, "broken"))
-			answered <- string(answer.Outcome) + answer.Detail
+			response := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "broken"))
+			result <- string(response.Outcome) + response.Detail
 		}()
 		for range 5 {
 			time.Sleep(200 * time.Millisecond)
@@ -123,9 +123,9 @@
 				f.Network.BreakConnections(zoneMachine(zone))
 			}
 		}
-		assert.Equal(t, <-answered, "whole")
+		assert.Equal(t, <-result, "whole")
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
-		waitSettled(t, f, "tenant-04", tokens)
+		waitUntilSettled(t, f, "tenant-04", tokens)
 	})
 }
--- a/internal/lab/fleet/pause_test.go
+++ b/internal/lab/fleet/pause_test.go
@@ -16,15 +16,15 @@
 
 // Guards against nodes that continue to send requests of the OpenAI-style interface to an engine during
 // a pause that it has requested.
-func TestEngineThatAsksForAPauseGetsNothingInIt(t *testing.T) {
-	inFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
+func TestEngineGetsNoRequestsInAPauseItRequested(t *testing.T) {
+	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var pausing []*emulator.Engine
 		for _, backend := range f.Plan.Catalog().GetBackends() {
 			if engine := f.Emulator.Engine(backend.GetName()); engine != nil && len(pausing) < f.Plan.Engines/3 {
 				pausing = append(pausing, engine)
 			}
 		}
-		report, ledger := underLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 48, Retry: true}, func() {
+		report, ledger := runUnderLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 48, Retry: true}, func() {
 			time.Sleep(2 * time.Second)
 			for _, engine := range pausing {
 				engine.SetPause(3 * time.Second)
@@ -39,14 +39,14 @@
 			}
 		})
 		t.Log(report)
-		asked := 0
+		requested := 0
 		for number, engine := range pausing {
-			most, pauses := engine.InPause()
-			asked += pauses
-			assert.Check(t, most <= pausecheck.Allowed, "engine %d got %d requests of a node in a pause", number, most)
+			maximum, pauses := engine.InPause()
+			requested += pauses
+			assert.Check(t, maximum <= pausecheck.Allowed, "engine %d got %d requests of a node in a pause", number, maximum)
 		}
-		t.Logf("%d pauses requested", asked)
-		assert.Check(t, asked > 0)
+		t.Logf("%d pauses requested", requested)
+		assert.Check(t, requested > 0)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
 		assert.NilError(t, f.Check(ledger, 60*time.Second))
 	})
