--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -1,6 +1,5 @@
-// Package versions tells from nodes' logs when each version of the
-// configuration was in force where: how far behind the first node each other one
-// was, and which were the last.
+// Package versions reports from nodes' logs when each version of the configuration took effect at which
+// node: how far each node was behind the first one, and which nodes were last.
 package versions
 
 import (
@@ -16,34 +15,35 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// lastNamed is the number of nodes that are named for each version.
+// lastNamed is the number of slowest nodes that are named for each version.
 const lastNamed = 3
 
-// arrival is one version's coming into force at one node.
+// arrival is the moment when one version took effect at one node.
 type arrival struct {
 	node string
-	// behind is the time since the first node had it in force.
+	// behind is the time since the version took effect at the first node.
 	behind time.Duration
-	// asks are the questions for it that the node sent.
+	// asks is the number of requests for the version that the node sent, as it logged it.
 	asks string
 }
 
-// version is what is known of one version.
+// version is one version's number, the time when it first took effect at a node, and its arrivals in the
+// order of time.
 type version struct {
 	number   int64
 	first    time.Time
 	arrivals []arrival
 }
 
-// Report is what the logs tell.
+// Report lists the versions found in logs.
 type Report struct {
 	began    time.Time
 	versions []version
 }
 
-// Read collects the versions from nodes' logs. A version that a node got again
-// after a restart counts once, and a node that got it later than the limit
-// after the first one does not count: it was off or cut off.
+// Read collects the versions from nodes' logs. A version that a node got again after a restart counts
+// once. A node that got it later than the limit after the first node does not count, since it was down or
+// partitioned.
 func Read(lines []logs.Line, limit time.Duration) (*Report, error) {
 	sorted, err := logs.InOrder(lines)
 	if err != nil {
@@ -62,6 +62,7 @@
 	return report, nil
 }
 
+// take adds the arrival that a line logs to its version.
 func take(found map[int64]*version, number int64, line logs.Line, limit time.Duration) {
 	one := found[number]
 	if one == nil {
@@ -78,7 +79,7 @@
 // Print writes a line for each version.
 func (r *Report) Print(out io.Writer) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "version\tfirst in force\tnodes\tmedian behind\t9 in 10\tlast\tthe last ones (questions sent)")
+	fmt.Fprintln(table, "version\tfirst in effect\tnodes\tmedian delay\t90th percentile\tlast\tlast nodes (requests sent)")
 	for _, one := range r.versions {
 		last := one.arrivals[max(0, len(one.arrivals)-lastNamed):]
 		var names []string
@@ -91,8 +92,8 @@
 	return table.Flush()
 }
 
-// behind is the time within which a part of the nodes had the version. Lines
-// were taken in the order of time.
+// behind returns the time, since the version first took effect, within which a fraction of the nodes had
+// it. It relies on the arrivals being in the order of time.
 func (v version) behind(part float64) time.Duration {
 	place := int(part * float64(len(v.arrivals)-1))
 	return v.arrivals[place].behind.Round(time.Millisecond)
--- a/internal/lab/versions/versions_test.go
+++ b/internal/lab/versions/versions_test.go
@@ -23,7 +23,7 @@
 	report, err := Read([]logs.Line{
 		line(t, 1.0, "control", 1), line(t, 1.1, "near", 1), line(t, 3.5, "far", 1),
 		line(t, 5, "near", 2), line(t, 4, "control", 2),
-		// It was off: a restart is no delay.
+		// The node was down: the time until its restart is not a delay.
 		line(t, 60, "off", 2), line(t, 61, "near", 2),
 	}, 10*time.Second)
 	assert.NilError(t, err)
