--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -21,23 +21,23 @@
 // arrival is the moment when one version took effect at one node.
 type arrival struct {
 	node string
-	// behind is the time since the version took effect at the first node.
-	behind time.Duration
-	// asks is the number of requests for the version that the node sent, as it logged it.
-	asks string
+	// delay is the time since the version took effect at the first node.
+	delay time.Duration
+	// requests is the number of requests for the version that the node sent, as it logged it.
+	requests string
 }
 
 // version is one version's number, the time when it first took effect at a node, and its arrivals in the
 // order of time.
 type version struct {
 	number   int64
-	first    time.Time
+	firstAt  time.Time
 	arrivals []arrival
 }
 
 // Report lists the versions found in logs.
 type Report struct {
-	began    time.Time
+	start    time.Time
 	versions []version
 }
 
@@ -52,27 +52,26 @@
 	found := map[int64]*version{}
 	for _, line := range sorted {
 		if number, valid := line.Number("version"); valid && line.Fields["event"] == "document_in_force" {
-			take(found, number, line, limit)
+			addArrival(found, number, line, limit)
 		}
 	}
-	report := &Report{began: sorted[0].At}
+	report := &Report{start: sorted[0].At}
 	for _, number := range slices.Sorted(maps.Keys(found)) {
 		report.versions = append(report.versions, *found[number])
 	}
 	return report, nil
 }
 
-// take adds the arrival that a line logs to its version.
-func take(found map[int64]*version, number int64, line logs.Line, limit time.Duration) {
+func addArrival(found map[int64]*version, number int64, line logs.Line, limit time.Duration) {
 	one := found[number]
 	if one == nil {
-		one = &version{number: number, first: line.At}
+		one = &version{number: number, firstAt: line.At}
 		found[number] = one
 	}
-	behind, node := line.At.Sub(one.first), line.Fields["node"]
+	delay, node := line.At.Sub(one.firstAt), line.Fields["node"]
 	isKnown := slices.ContainsFunc(one.arrivals, func(known arrival) bool { return known.node == node })
-	if behind <= limit && !isKnown {
-		one.arrivals = append(one.arrivals, arrival{node: node, behind: behind, asks: line.Fields["asks"]})
+	if delay <= limit && !isKnown {
+		one.arrivals = append(one.arrivals, arrival{node: node, delay: delay, requests: line.Fields["asks"]})
 	}
 }
 
@@ -83,18 +82,18 @@
 	for _, one := range r.versions {
 		last := one.arrivals[max(0, len(one.arrivals)-lastNamed):]
 		var names []string
-		for _, late := range last {
-			names = append(names, fmt.Sprintf("%s %v (%s)", late.node, late.behind.Round(time.Millisecond), cmp.Or(late.asks, "-")))
+		for _, slow := range last {
+			names = append(names, fmt.Sprintf("%s %v (%s)", slow.node, slow.delay.Round(time.Millisecond), cmp.Or(slow.requests, "-")))
 		}
-		fmt.Fprintf(table, "%d\t%v\t%d\t%v\t%v\t%v\t%s\n", one.number, one.first.Sub(r.began).Round(time.Millisecond), len(one.arrivals),
-			one.behind(0.5), one.behind(0.9), one.behind(1), strings.Join(names, ", "))
+		fmt.Fprintf(table, "%d\t%v\t%d\t%v\t%v\t%v\t%s\n", one.number, one.firstAt.Sub(r.start).Round(time.Millisecond), len(one.arrivals),
+			one.delayQuantile(0.5), one.delayQuantile(0.9), one.delayQuantile(1), strings.Join(names, ", "))
 	}
 	return table.Flush()
 }
 
-// behind returns the time, since the version first took effect, within which a fraction of the nodes had
-// it. It relies on the arrivals being in the order of time.
-func (v version) behind(part float64) time.Duration {
-	place := int(part * float64(len(v.arrivals)-1))
-	return v.arrivals[place].behind.Round(time.Millisecond)
+// delayQuantile returns the time, since the version first took effect, within which a fraction of the
+// nodes had it. It relies on the arrivals being in the order of time.
+func (v version) delayQuantile(fraction float64) time.Duration {
+	index := int(fraction * float64(len(v.arrivals)-1))
+	return v.arrivals[index].delay.Round(time.Millisecond)
 }
--- a/internal/lab/versions/versions_test.go
+++ b/internal/lab/versions/versions_test.go
@@ -19,7 +19,7 @@
 	return read
 }
 
-func TestLastNodesOfEachVersionAreNamed(t *testing.T) {
+func TestSlowestNodesOfEachVersionAreNamed(t *testing.T) {
 	report, err := Read([]logs.Line{
 		line(t, 1.0, "control", 1), line(t, 1.1, "near", 1), line(t, 3.5, "far", 1),
 		line(t, 5, "near", 2), line(t, 4, "control", 2),
@@ -35,7 +35,7 @@
 	assert.Equal(t, strings.Join(strings.Fields(rows[2]), " "), "2 3s 2 0s 0s 1s control 0s (2), near 1s (2)")
 }
 
-func TestNoLinesAreAnError(t *testing.T) {
+func TestReadFailsWithoutLines(t *testing.T) {
 	_, err := Read(nil, time.Second)
 	assert.ErrorContains(t, err, "no line")
 }
