--- a/internal/lab/fleet/chaos.go
+++ b/internal/lab/fleet/chaos.go
@@ -33,7 +33,7 @@
 // Run sends load and injects faults for a time, repairs all of them, and checks the fleet's guarantees
 // against the ground truth.
 func (c *Chaos) Run(seed uint64, duration time.Duration) (load.Report, error) {
-	ledger := &Ledger{}
+	ledger := &ResponseLog{}
 	ended := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
@@ -44,8 +44,8 @@
 		ended <- err
 	}()
 	report, err := load.Run(context.Background(), load.Options{
-		Entries: c.fleet.Entries(c.fleet.Order...), Mix: c.fleet.Mix(seed), Rate: 20, Duration: duration, Seed: seed,
-		Client: c.fleet.LoadClient(), Retry: true, Done: ledger.Note,
+		Entries: c.fleet.EntryAddresses(c.fleet.Order...), Mix: c.fleet.Mix(seed), Rate: 20, Duration: duration, Seed: seed,
+		Client: c.fleet.LoadClient(), Retry: true, Done: ledger.Record,
 	})
 	if err != nil {
 		return report, err
@@ -56,7 +56,7 @@
 	if err := c.repair(); err != nil {
 		return report, err
 	}
-	if err := c.fleet.Check(ledger, 3*time.Minute); err != nil {
+	if err := c.fleet.CheckGuarantees(ledger, 3*time.Minute); err != nil {
 		return report, err
 	}
 	return report, c.checkTopUps()
@@ -80,13 +80,13 @@
 		return c.killOrBoot()
 	case 2:
 		c.countFault("zone cut")
-		f.CutZone(f.Plan.Zones[c.random.IntN(len(f.Plan.Zones))])
+		f.PartitionZone(f.Plan.Zones[c.random.IntN(len(f.Plan.Zones))])
 	case 3:
 		c.countFault("heal")
 		f.Network.Heal()
 	case 4:
 		c.countFault("one-way cut")
-		f.Network.CutOneWay(c.anyNode(), c.anyNode())
+		f.Network.PartitionOneWay(c.anyNode(), c.anyNode())
 	case 5:
 		c.countFault("broken connections")
 		f.Network.BreakConnections(zoneMachine(f.Plan.Zones[c.random.IntN(len(f.Plan.Zones))]))
@@ -116,13 +116,13 @@
 		return nil
 	}
 	name := c.anyNode()
-	repaired := f.Repaired()
+	repaired := f.HasAllVoters()
 	f.Kill(name)
 	c.down = name
 	c.countFault("kill")
 	if f.machines[name].Control && repaired && c.random.IntN(2) == 0 {
 		c.countFault("lost disk")
-		f.LoseDisk(name)
+		f.EraseDisk(name)
 	}
 	return nil
 }
@@ -159,7 +159,7 @@
 	for number := range f.Plan.Engines {
 		f.Emulator.Engine(f.Plan.Catalog().GetBackends()[number].GetName()).SetSlowdown(1)
 	}
-	return f.WaitFor(time.Minute, "the repair after the faults", f.Repaired)
+	return f.WaitFor(time.Minute, "the repair after the faults", f.HasAllVoters)
 }
 
 // checkTopUps sends each command a third time and checks that each was applied once.
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -11,8 +11,8 @@
 	"github.com/ravenway/ravenway/internal/lab/load"
 )
 
-// Ledger records the responses that callers received, for comparison with the ground truth.
-type Ledger struct {
+// ResponseLog records the responses that callers received, for comparison with the ground truth.
+type ResponseLog struct {
 	mutex   sync.Mutex
 	entries []ledgerEntry
 }
@@ -23,15 +23,15 @@
 	tries    int
 }
 
-// Note records the last response to a request and the number of times that it was sent.
-func (l *Ledger) Note(request load.Request, response load.Answer, tries int) {
+// Record records the last response to a request and the number of times that it was sent.
+func (l *ResponseLog) Record(request load.Request, response load.Answer, tries int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.entries = append(l.entries, ledgerEntry{request: request, response: response, tries: tries})
 }
 
 // Outcomes returns the number of responses by outcome.
-func (l *Ledger) Outcomes() map[load.Outcome]int {
+func (l *ResponseLog) Outcomes() map[load.Outcome]int {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	counts := map[load.Outcome]int{}
@@ -41,9 +41,9 @@
 	return counts
 }
 
-// Check compares the responses to callers and the bills with what the back ends ran. It waits for late
+// CheckGuarantees compares the responses to callers and the bills with what the back ends ran. It waits for late
 // settlements.
-func (f *Fleet) Check(ledger *Ledger, maximumWait time.Duration) error {
+func (f *Fleet) CheckGuarantees(ledger *ResponseLog, maximumWait time.Duration) error {
 	if err := f.checkResponses(ledger); err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 }
 
 // checkResponses checks the guarantees that concern single responses.
-func (f *Fleet) checkResponses(ledger *Ledger) error {
+func (f *Fleet) checkResponses(ledger *ResponseLog) error {
 	ran := map[string]int{}
 	bodies := map[string]int{}
 	for _, event := range f.Emulator.Truth.Events() {
--- a/internal/lab/fleet/failure_test.go
+++ b/internal/lab/fleet/failure_test.go
@@ -16,12 +16,12 @@
 )
 
 // runUnderLoad sends the mix while faults are injected, and returns the report and the ledger.
-func runUnderLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *Ledger) {
+func runUnderLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *ResponseLog) {
 	t.Helper()
-	ledger := &Ledger{}
-	options.Mix, options.Client, options.Done = f.Mix(options.Seed), f.LoadClient(), ledger.Note
+	ledger := &ResponseLog{}
+	options.Mix, options.Client, options.Done = f.Mix(options.Seed), f.LoadClient(), ledger.Record
 	if options.Entries == nil {
-		options.Entries = f.Entries(f.Order...)
+		options.Entries = f.EntryAddresses(f.Order...)
 	}
 	done := make(chan struct{})
 	go func() {
@@ -50,7 +50,7 @@
 		// /readyz first.
 		starting := report.Codes[string(caller.CodeStarting)]
 		assert.Equal(t, report.Outcomes[load.Whole]+starting, report.Sent, "%s", report)
-		assert.NilError(t, f.Check(ledger, 60*time.Second))
+		assert.NilError(t, f.CheckGuarantees(ledger, 60*time.Second))
 	})
 }
 
@@ -59,16 +59,16 @@
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var interrupted int64
 		report, ledger := runUnderLoad(t, f, load.Options{
-			Rate: 40, Duration: 15 * time.Second, Seed: 3, Entries: f.Entries("lhr-a-1", "lhr-b-2"),
+			Rate: 40, Duration: 15 * time.Second, Seed: 3, Entries: f.EntryAddresses("lhr-a-1", "lhr-b-2"),
 		}, func() {
 			// The load is sent to two nodes that stay up. The stopping node still completes the
 			// requests that it has.
 			time.Sleep(5 * time.Second)
-			interrupted = f.StopPlanned(context.Background(), "lhr-c-1")
+			interrupted = f.StopGracefully(context.Background(), "lhr-c-1")
 		})
 		assert.Equal(t, interrupted, int64(0))
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
-		assert.NilError(t, f.Check(ledger, 30*time.Second))
+		assert.NilError(t, f.CheckGuarantees(ledger, 30*time.Second))
 	})
 }
 
@@ -78,13 +78,13 @@
 	withFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
 		report, ledger := runUnderLoad(t, f, load.Options{Rate: 30, Duration: 40 * time.Second, Seed: 4, Retry: true}, func() {
 			time.Sleep(8 * time.Second)
-			f.CutZone("hall-c")
+			f.PartitionZone("hall-c")
 			time.Sleep(20 * time.Second)
 			f.Network.Heal()
 		})
 		t.Log(report)
 		assert.Assert(t, report.Outcomes[load.Whole] > report.Sent*7/10, "%s", report)
-		assert.NilError(t, f.Check(ledger, 90*time.Second))
+		assert.NilError(t, f.CheckGuarantees(ledger, 90*time.Second))
 	})
 }
 
@@ -94,17 +94,17 @@
 func TestSecondControlMachineLostRightAfterRepair(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		f.Kill("lhr-b-1")
-		f.LoseDisk("lhr-b-1")
+		f.EraseDisk("lhr-b-1")
 		time.Sleep(2 * time.Second)
 		assert.NilError(t, f.Boot("lhr-b-1"))
-		assert.NilError(t, f.WaitFor(30*time.Second, "the repair", func() bool { return f.Repaired() }))
+		assert.NilError(t, f.WaitFor(30*time.Second, "the repair", func() bool { return f.HasAllVoters() }))
 		f.Kill("lhr-a-1")
 		before, err := f.Budgets()
 		assert.NilError(t, err)
 		assert.Equal(t, before["tenant-01"].GetLimit(), f.Plan.TenantLimit("tenant-01"))
 		assert.NilError(t, f.TopUp("lhr-c-1", "tenant-01", 1000, "after-loss"))
 		assert.NilError(t, f.Boot("lhr-a-1"))
-		assert.NilError(t, f.WaitFor(30*time.Second, "the repair", func() bool { return f.Repaired() }))
+		assert.NilError(t, f.WaitFor(30*time.Second, "the repair", func() bool { return f.HasAllVoters() }))
 	})
 }
 
@@ -127,13 +127,13 @@
 		ended := make(chan error, 1)
 		go func() {
 			_, err := load.Run(context.Background(), load.Options{
-				Entries: f.Entries(stopped), Mix: f.Mix(1), Rate: 150, Duration: 12 * time.Second, Seed: 3, Client: f.LoadClient(), Done: record,
+				Entries: f.EntryAddresses(stopped), Mix: f.Mix(1), Rate: 150, Duration: 12 * time.Second, Seed: 3, Client: f.LoadClient(), Done: record,
 			})
 			ended <- err
 		}()
 		time.Sleep(2 * time.Second)
 		start := time.Now()
-		assert.Equal(t, f.StopPlanned(context.Background(), stopped), int64(0))
+		assert.Equal(t, f.StopGracefully(context.Background(), stopped), int64(0))
 		assert.Assert(t, time.Since(start) < 8*time.Second, "the stop took %s", time.Since(start))
 		assert.NilError(t, <-ended)
 		assert.Equal(t, len(interrupted), 0, "%v", interrupted)
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -92,7 +92,7 @@
 			return err
 		}
 	}
-	return f.WaitFor(30*time.Second, "a leader with all voters", f.Repaired)
+	return f.WaitFor(30*time.Second, "a leader with all voters", f.HasAllVoters)
 }
 
 func (f *Fleet) serve(machine, address string, handler http.Handler) {
@@ -163,26 +163,26 @@
 // Kill crashes a machine: its connections break, and its disk loses what was not synced.
 func (f *Fleet) Kill(name string) {
 	machine := f.machines[name]
-	f.Network.Break(name)
+	f.Network.BreakMachine(name)
 	machine.disk.Crash()
 	machine.cancel()
 	<-machine.ended
 	machine.transport.CloseIdleConnections()
-	f.Network.Break(name)
+	f.Network.BreakMachine(name)
 }
 
-// LoseDisk empties a killed machine's disk.
-func (f *Fleet) LoseDisk(name string) { f.machines[name].disk.Erase() }
+// EraseDisk empties a killed machine's disk.
+func (f *Fleet) EraseDisk(name string) { f.machines[name].disk.Erase() }
 
-// StopPlanned shuts a node down gracefully, as a signal would, and returns the number of streams that
+// StopGracefully shuts a node down gracefully, as a signal would, and returns the number of streams that
 // were interrupted.
-func (f *Fleet) StopPlanned(ctx context.Context, name string) int64 {
+func (f *Fleet) StopGracefully(ctx context.Context, name string) int64 {
 	machine := f.machines[name]
 	interrupted := machine.node.Stop(ctx)
 	machine.cancel()
 	<-machine.ended
 	machine.transport.CloseIdleConnections()
-	f.Network.Break(name)
+	f.Network.BreakMachine(name)
 	return interrupted
 }
 
@@ -193,7 +193,7 @@
 	f.callers.CloseIdleConnections()
 	for _, name := range f.Order {
 		f.machines[name].transport.CloseIdleConnections()
-		f.Network.Break(name)
+		f.Network.BreakMachine(name)
 	}
 	f.goroutines.Wait()
 	f.callers.CloseIdleConnections()
@@ -210,15 +210,15 @@
 	return names
 }
 
-// CutZone partitions a zone's machines from all others except the callers' machine.
-func (f *Fleet) CutZone(zone string) {
+// PartitionZone partitions a zone's machines from all others except the callers' machine.
+func (f *Fleet) PartitionZone(zone string) {
 	var others []string
 	for _, other := range f.Plan.Zones {
 		if other != zone {
 			others = append(others, f.ZoneMachines(other)...)
 		}
 	}
-	f.Network.CutBetween(f.ZoneMachines(zone), append(others, "platform"))
+	f.Network.PartitionBetween(f.ZoneMachines(zone), append(others, "platform"))
 }
 
 // WaitFor waits until a condition holds; what describes the condition in the error.
@@ -241,8 +241,8 @@
 	return response.Msg, nil
 }
 
-// Operator returns a client of one node's operator listener.
-func (f *Fleet) Operator(name string) ravenwayv1connect.OperatorServiceClient {
+// OperatorClient returns a client of one node's operator listener.
+func (f *Fleet) OperatorClient(name string) ravenwayv1connect.OperatorServiceClient {
 	return f.operators[name]
 }
 
@@ -262,11 +262,11 @@
 			return fmt.Errorf("filling the budget of %s: %w", tenant, err)
 		}
 	}
-	return f.WaitInForce(applied.Msg.GetRevision(), f.Order)
+	return f.WaitInEffect(applied.Msg.GetRevision(), f.Order)
 }
 
-// WaitInForce waits until a revision or a newer one is in effect at the given nodes.
-func (f *Fleet) WaitInForce(revision uint64, names []string) error {
+// WaitInEffect waits until a revision or a newer one is in effect at the given nodes.
+func (f *Fleet) WaitInEffect(revision uint64, names []string) error {
 	return f.WaitFor(20*time.Second, fmt.Sprintf("revision %d to be in effect", revision), func() bool {
 		for _, name := range names {
 			status, err := f.Status(name)
@@ -283,16 +283,16 @@
 	return &load.Client{HTTP: &http.Client{Transport: f.callers}}
 }
 
-// Entry returns a node's address for callers.
-func (f *Fleet) Entry(name string) string {
+// EntryAddress returns a node's address for callers.
+func (f *Fleet) EntryAddress(name string) string {
 	return f.machines[name].Address(deployment.CallersPort)
 }
 
-// Entries returns the addresses for callers of the given nodes.
-func (f *Fleet) Entries(names ...string) []string {
+// EntryAddresses returns the addresses for callers of the given nodes.
+func (f *Fleet) EntryAddresses(names ...string) []string {
 	var entries []string
 	for _, name := range names {
-		entries = append(entries, f.Entry(name))
+		entries = append(entries, f.EntryAddress(name))
 	}
 	return entries
 }
@@ -326,8 +326,8 @@
 	return nil, fmt.Errorf("no node returned the budgets")
 }
 
-// Repaired reports whether the leader has as many voters as there are control nodes.
-func (f *Fleet) Repaired() bool {
+// HasAllVoters reports whether the leader has as many voters as there are control nodes.
+func (f *Fleet) HasAllVoters() bool {
 	controls := 0
 	for _, planned := range f.Plan.Nodes() {
 		if planned.Control {
--- a/internal/lab/fleet/guarantees_test.go
+++ b/internal/lab/fleet/guarantees_test.go
@@ -74,8 +74,8 @@
 
 func TestSameKeyTwiceRunsAndBillsOnce(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		first := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-1"), billedRequest(f, "same"))
-		again := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), billedRequest(f, "same"))
+		first := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-a-1"), billedRequest(f, "same"))
+		again := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-c-2"), billedRequest(f, "same"))
 		assert.Equal(t, first.Outcome, load.Whole, first.Detail)
 		assert.Equal(t, again.Outcome, load.Whole, again.Detail)
 		assert.Equal(t, first.BackendRequestID, again.BackendRequestID)
@@ -85,7 +85,7 @@
 
 		other := billedRequest(f, "same")
 		other.Prompt = "another request under the same key"
-		refused := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-1"), other)
+		refused := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-b-1"), other)
 		assert.Equal(t, refused.Code, caller.CodeKeyReused)
 		assert.Assert(t, refused.NotRun)
 	})
@@ -97,10 +97,10 @@
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := make(chan load.Answer, 1)
 		go func() {
-			first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "joined"))
+			first <- f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-a-2"), billedRequest(f, "joined"))
 		}()
 		time.Sleep(300 * time.Millisecond)
-		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), billedRequest(f, "joined"))
+		second := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-b-2"), billedRequest(f, "joined"))
 		assert.Equal(t, second.Outcome, load.Whole, second.Detail)
 		assert.Equal(t, (<-first).Outcome, load.Whole)
 		count, tokens := runsOf(f, "tenant-04")
@@ -115,12 +115,12 @@
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		first := make(chan load.Answer, 1)
 		go func() {
-			first <- f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "orphan"))
+			first <- f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-a-2"), billedRequest(f, "orphan"))
 		}()
 		time.Sleep(300 * time.Millisecond)
 		f.Kill("lhr-a-2")
 		assert.Equal(t, (<-first).Outcome, load.Cut)
-		second := f.LoadClient().Send(context.Background(), f.Entry("lhr-b-2"), billedRequest(f, "orphan"))
+		second := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-b-2"), billedRequest(f, "orphan"))
 		assert.Equal(t, second.Outcome, load.Whole, second.Detail)
 		count, tokens := runsOf(f, "tenant-04")
 		assert.Equal(t, count, 1)
@@ -137,14 +137,14 @@
 		// Fill the grants of both zones first, so that each can serve alone.
 		for _, name := range []string{"lhr-a-2", "lhr-c-2", "lhr-a-2", "lhr-c-2", "lhr-a-2", "lhr-c-2"} {
 			warmed++
-			assert.Equal(t, f.LoadClient().Send(context.Background(), f.Entry(name), billedRequest(f, fmt.Sprint("warm-", warmed))).Outcome, load.Whole)
+			assert.Equal(t, f.LoadClient().Send(context.Background(), f.EntryAddress(name), billedRequest(f, fmt.Sprint("warm-", warmed))).Outcome, load.Whole)
 		}
 		_, warmTokens := runsOf(f, "tenant-04")
-		f.CutZone("lhr-a")
-		f.CutZone("lhr-c")
+		f.PartitionZone("lhr-a")
+		f.PartitionZone("lhr-c")
 		time.Sleep(time.Second)
-		left := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "doubled"))
-		right := f.LoadClient().Send(context.Background(), f.Entry("lhr-c-2"), billedRequest(f, "doubled"))
+		left := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-a-2"), billedRequest(f, "doubled"))
+		right := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-c-2"), billedRequest(f, "doubled"))
 		assert.Equal(t, left.Outcome, load.Whole, left.Detail)
 		assert.Equal(t, right.Outcome, load.Whole, right.Detail)
 		count, allTokens := runsOf(f, "tenant-04")
@@ -159,17 +159,17 @@
 // side that can't reach a majority of the acceptors refuses it as not run.
 func TestNotRepeatableCallInTwoPartitionedZonesRunsOnce(t *testing.T) {
 	withFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
-		f.CutZone("hall-a")
+		f.PartitionZone("hall-a")
 		time.Sleep(time.Second)
-		inside := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), plainCall(f, "duty-officer"))
-		outside := f.LoadClient().Send(context.Background(), f.Entry("hall-b-2"), plainCall(f, "duty-officer"))
+		inside := f.LoadClient().Send(context.Background(), f.EntryAddress("hall-a-2"), plainCall(f, "duty-officer"))
+		outside := f.LoadClient().Send(context.Background(), f.EntryAddress("hall-b-2"), plainCall(f, "duty-officer"))
 		assert.Equal(t, inside.Outcome, load.Refused, inside.Detail)
 		assert.Equal(t, inside.Code, caller.CodeHoldersUnreached)
 		assert.Assert(t, inside.RetryAfter != "")
 		assert.Equal(t, outside.Outcome, load.Whole, outside.Detail)
 		f.Network.Heal()
 		time.Sleep(8 * time.Second)
-		again := f.LoadClient().Send(context.Background(), f.Entry("hall-a-2"), plainCall(f, "duty-officer"))
+		again := f.LoadClient().Send(context.Background(), f.EntryAddress("hall-a-2"), plainCall(f, "duty-officer"))
 		assert.Equal(t, again.Outcome, load.Whole, again.Detail)
 		assert.Equal(t, callsWithBody(f, "alarm duty-officer"), 1)
 	})
@@ -198,7 +198,7 @@
 		assert.Assert(t, before > 0, "the back end had no requests before it left")
 		assert.Equal(t, ranThere(), before)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
-		assert.NilError(t, f.Check(ledger, 30*time.Second))
+		assert.NilError(t, f.CheckGuarantees(ledger, 30*time.Second))
 	})
 }
 
@@ -209,7 +209,7 @@
 		change := func(through, id string, weight uint32) *ravenwayv1.ApplyResponse {
 			tenant := f.Plan.Catalog().GetTenants()[0]
 			tenant.Weight = weight
-			response, err := f.Operator(through).Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
+			response, err := f.OperatorClient(through).Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
 				OperationId: id, BaseRevision: 1, Put: &ravenwayv1.CatalogDocument{Tenants: []*ravenwayv1.Tenant{tenant}},
 			}))
 			assert.NilError(t, err)
@@ -226,7 +226,7 @@
 		assert.Equal(t, one.GetConflictRevision(), uint64(0))
 		assert.Equal(t, other.GetConflictRevision(), uint64(2))
 		winner, weight := other.GetConflictOperationId(), map[string]uint32{"first": 7, "second": 9}
-		assert.NilError(t, f.WaitInForce(2, f.Order))
+		assert.NilError(t, f.WaitInEffect(2, f.Order))
 
 		// A resend, as after a lost response, to a new leader: it changes nothing and gets the first
 		// response.
@@ -242,12 +242,12 @@
 // hundreds of changes within seconds, and a node that restarts in it must take what its peers have.
 func TestPartitionedZoneCatchesUpAndNeverReverts(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		f.CutZone("lhr-c")
+		f.PartitionZone("lhr-c")
 		var revision uint64
 		for number := range 300 {
 			backend := f.Plan.Catalog().GetBackends()[0]
 			backend.Capacity = uint32(number + 1)
-			response, err := f.Operator("lhr-b-1").Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
+			response, err := f.OperatorClient("lhr-b-1").Apply(context.Background(), connect.NewRequest(&ravenwayv1.ApplyRequest{
 				AnyRevision: true, Put: &ravenwayv1.CatalogDocument{Backends: []*ravenwayv1.Backend{backend}},
 			}))
 			assert.NilError(t, err)
@@ -256,14 +256,14 @@
 		time.Sleep(3 * time.Second)
 		f.Kill("lhr-c-2")
 		assert.NilError(t, f.Boot("lhr-c-2"))
-		assert.NilError(t, f.WaitInForce(1, []string{"lhr-c-2"}))
+		assert.NilError(t, f.WaitInEffect(1, []string{"lhr-c-2"}))
 		status, err := f.Status("lhr-c-1")
 		assert.NilError(t, err)
 		assert.Equal(t, status.GetRevision(), uint64(1))
 		assert.Assert(t, status.GetQuorumAgeMilliseconds() > 2000, "a partitioned replica must report the age of its quorum")
 		healedAt := time.Now()
 		f.Network.Heal()
-		assert.NilError(t, f.WaitInForce(revision, f.Order))
+		assert.NilError(t, f.WaitInEffect(revision, f.Order))
 		assert.Assert(t, time.Since(healedAt) < 8*time.Second, "took %v", time.Since(healedAt))
 		t.Logf("300 changes in effect at all nodes %v after the partition", time.Since(healedAt))
 	})
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -121,25 +121,25 @@
 	return tracked
 }
 
-// CutOneWay stops traffic from one machine to another until Heal.
-func (n *Network) CutOneWay(from, to string) {
+// PartitionOneWay stops traffic from one machine to another until Heal.
+func (n *Network) PartitionOneWay(from, to string) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.partitions[[2]string{from, to}] = true
 }
 
-// CutBetween stops traffic between two groups of machines in both directions until Heal.
-func (n *Network) CutBetween(left, right []string) {
+// PartitionBetween stops traffic between two groups of machines in both directions until Heal.
+func (n *Network) PartitionBetween(left, right []string) {
 	for _, one := range left {
 		for _, other := range right {
-			n.CutOneWay(one, other)
-			n.CutOneWay(other, one)
+			n.PartitionOneWay(one, other)
+			n.PartitionOneWay(other, one)
 		}
 	}
 }
 
-// Delay delays all bytes to a machine, and connections to it, as a saturated link does.
-func (n *Network) Delay(machine string, delay time.Duration) {
+// SetDelay delays all bytes to a machine, and connections to it, as a saturated link does.
+func (n *Network) SetDelay(machine string, delay time.Duration) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.delays[machine] = delay
@@ -160,8 +160,8 @@
 	n.healed = make(chan struct{})
 }
 
-// Break closes all connections and listeners of a machine, as its crash does.
-func (n *Network) Break(machine string) {
+// BreakMachine closes all connections and listeners of a machine, as its crash does.
+func (n *Network) BreakMachine(machine string) {
 	n.mutex.Lock()
 	var broken []*memoryConnection
 	for connection := range n.connections[machine] {
--- a/internal/lab/fleet/network_test.go
+++ b/internal/lab/fleet/network_test.go
@@ -20,7 +20,7 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		network := NewNetwork()
-		network.Delay("b", delay)
+		network.SetDelay("b", delay)
 		listener := network.Listen("b", "b:1")
 		start := time.Now()
 		var goroutines sync.WaitGroup
--- a/internal/lab/fleet/orders_test.go
+++ b/internal/lab/fleet/orders_test.go
@@ -16,7 +16,7 @@
 // requestOrder requests an order through a node and returns its fence number.
 func requestOrder(t *testing.T, f *Fleet, through, id, backend, target string) uint64 {
 	t.Helper()
-	response, err := f.Operator(through).Order(context.Background(), connect.NewRequest(&ravenwayv1.OrderRequest{
+	response, err := f.OperatorClient(through).Order(context.Background(), connect.NewRequest(&ravenwayv1.OrderRequest{
 		OperationId: id, Backend: backend, Kind: ravenwayv1.OrderKind_ORDER_KIND_LOAD_ADAPTER, Target: target, Version: "1",
 	}))
 	assert.NilError(t, err)
@@ -28,7 +28,7 @@
 	t.Helper()
 	last := ""
 	err := f.WaitFor(30*time.Second, "the state of the order", func() bool {
-		response, err := f.Operator(through).GetOrders(context.Background(), connect.NewRequest(&ravenwayv1.GetOrdersRequest{}))
+		response, err := f.OperatorClient(through).GetOrders(context.Background(), connect.NewRequest(&ravenwayv1.GetOrdersRequest{}))
 		if err != nil {
 			return false
 		}
@@ -66,7 +66,7 @@
 		}
 		// The leader does not receive the back ends' responses and then crashes.
 		for _, zone := range f.Plan.Zones {
-			f.Network.CutOneWay(zoneMachine(zone), "lhr-a-1")
+			f.Network.PartitionOneWay(zoneMachine(zone), "lhr-a-1")
 		}
 		first := requestOrder(t, f, "lhr-a-1", "unheard", "qalam-llm-02", "adapter-8")
 		time.Sleep(3 * time.Second)
@@ -114,7 +114,7 @@
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		result := make(chan string, 1)
 		go func() {
-			response := f.LoadClient().Send(context.Background(), f.Entry("lhr-a-2"), billedRequest(f, "broken"))
+			response := f.LoadClient().Send(context.Background(), f.EntryAddress("lhr-a-2"), billedRequest(f, "broken"))
 			result <- string(response.Outcome) + response.Detail
 		}()
 		for range 5 {
--- a/internal/lab/fleet/pause_test.go
+++ b/internal/lab/fleet/pause_test.go
@@ -30,7 +30,7 @@
 				engine.SetPause(3 * time.Second)
 			}
 			time.Sleep(2500 * time.Millisecond)
-			listed, err := f.Operator(f.Order[0]).GetPauses(f.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
+			listed, err := f.OperatorClient(f.Order[0]).GetPauses(f.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
 			assert.Check(t, err)
 			assert.Check(t, len(listed.Msg.GetPauses()) > 0, "the operator lists no pause")
 			time.Sleep(5500 * time.Millisecond)
@@ -48,6 +48,6 @@
 		t.Logf("%d pauses requested", requested)
 		assert.Check(t, requested > 0)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
-		assert.NilError(t, f.Check(ledger, 60*time.Second))
+		assert.NilError(t, f.CheckGuarantees(ledger, 60*time.Second))
 	})
 }
--- a/internal/lab/openfleet/chaos.go
+++ b/internal/lab/openfleet/chaos.go
@@ -60,7 +60,7 @@
 func (c *Chaos) Run() []string {
 	ctx, cancel := context.WithCancel(c.fleet.ctx)
 	var running sync.WaitGroup
-	for number, name := range c.fleet.Names(false) {
+	for number, name := range c.fleet.MachineNames(false) {
 		running.Go(func() { c.runCaller(ctx, number, name) })
 	}
 	running.Go(func() { c.runOperator(ctx) })
@@ -82,7 +82,7 @@
 		path := paths[turn%len(paths)]
 		id := fmt.Sprintf("c%d-%d", number, turn)
 		limited, cancel := context.WithTimeout(ctx, 2*time.Second)
-		response, err := c.fleet.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "10,5", Context: limited})
+		response, err := c.fleet.Request(name, CallerRequest{ID: id, Path: path, Key: "key-one", Tokens: "10,5", Context: limited})
 		cancel()
 		if err == nil {
 			c.checkResponse(id, path, response)
@@ -92,13 +92,13 @@
 }
 
 // checkResponse checks one response against the guarantees that callers have.
-func (c *Chaos) checkResponse(id, path string, response Answer) {
+func (c *Chaos) checkResponse(id, path string, response CallerResponse) {
 	switch response.Status {
 	case http.StatusOK:
-		if response.Broken == nil && !strings.Contains(response.Body, id) {
+		if response.BodyError == nil && !strings.Contains(response.Body, id) {
 			c.recordViolation("%s received the response of another request: %q", id, response.Body)
 		}
-		if response.Broken == nil && strings.HasSuffix(path, "able/x") && strings.Count(response.Body, "data:") != 5 {
+		if response.BodyError == nil && strings.HasSuffix(path, "able/x") && strings.Count(response.Body, "data:") != 5 {
 			c.recordViolation("%s received an incomplete stream without an error: %q", id, response.Body)
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -120,17 +120,17 @@
 		version, acknowledged := c.sent+1, c.acknowledged
 		c.sent = version
 		c.mutex.Unlock()
-		if err := c.fleet.Put(c.configuration(version), time.Second); err == nil {
+		if err := c.fleet.PutConfiguration(c.configuration(version), time.Second); err == nil {
 			c.mutex.Lock()
 			c.acknowledged = max(c.acknowledged, version)
 			acknowledged = c.acknowledged
 			c.mutex.Unlock()
 		}
-		for _, name := range c.fleet.Names(true) {
+		for _, name := range c.fleet.MachineNames(true) {
 			if c.fleet.Machine(name).running() == nil {
 				continue
 			}
-			if read, err := c.fleet.Read(name); err == nil && (read == nil || read.Version < acknowledged) {
+			if read, err := c.fleet.ReadConfiguration(name); err == nil && (read == nil || read.Version < acknowledged) {
 				c.recordViolation("%s read a version older than acknowledged version %d: %v", name, acknowledged, read)
 			}
 		}
@@ -140,7 +140,7 @@
 
 // injectFault injects one random fault and repairs it.
 func (c *Chaos) injectFault() {
-	controls, entries := c.liveControls(), c.fleet.Names(false)
+	controls, entries := c.liveControls(), c.fleet.MachineNames(false)
 	control := controls[c.random.IntN(len(controls))]
 	entry := entries[c.random.IntN(len(entries))]
 	downtime := time.Duration(200+c.random.IntN(2500)) * time.Millisecond
@@ -162,7 +162,7 @@
 	case 3:
 		c.powerOffAll(downtime)
 	case 4:
-		c.fleet.Network.CutBetween(controls, entries)
+		c.fleet.Network.PartitionBetween(controls, entries)
 		time.Sleep(downtime)
 		c.fleet.Network.Heal()
 	case 5:
@@ -172,7 +172,7 @@
 				others = append(others, name)
 			}
 		}
-		c.fleet.Network.CutBetween([]string{control}, others)
+		c.fleet.Network.PartitionBetween([]string{control}, others)
 		time.Sleep(downtime)
 		c.fleet.Network.Heal()
 	case 6:
@@ -186,7 +186,7 @@
 
 func (c *Chaos) liveControls() []string {
 	var live []string
-	for _, name := range c.fleet.Names(true) {
+	for _, name := range c.fleet.MachineNames(true) {
 		if c.fleet.Machine(name).running() != nil {
 			live = append(live, name)
 		}
@@ -196,7 +196,7 @@
 
 // powerOffAll cuts the power of all machines for a time.
 func (c *Chaos) powerOffAll(downtime time.Duration) {
-	names := append(c.liveControls(), c.fleet.Names(false)...)
+	names := append(c.liveControls(), c.fleet.MachineNames(false)...)
 	for _, name := range names {
 		c.fleet.PowerOff(name)
 	}
@@ -209,7 +209,7 @@
 // replaceControl loses a control machine for good and adds one with an empty disk at another address.
 func (c *Chaos) replaceControl(lost string) {
 	c.fleet.PowerOff(lost)
-	c.fleet.Lose(lost)
+	c.fleet.MarkLost(lost)
 	c.replaced++
 	name := fmt.Sprintf("replacement-%d", c.replaced)
 	c.fleet.AddMachine(name, fmt.Sprintf("10.0.3.%d", c.replaced), c.fleet.Machine(lost).Zone, true)
@@ -219,12 +219,12 @@
 
 // checkFinalState checks the guarantees that can be checked only once callers and faults have ended.
 func (c *Chaos) checkFinalState() {
-	read, err := c.fleet.ReadAny(10 * time.Second)
+	read, err := c.fleet.ReadNewestConfiguration(10 * time.Second)
 	if err != nil || read.Version < c.acknowledged {
 		c.recordViolation("final read returned %v (%v), but version %d was acknowledged", read, err, c.acknowledged)
 	}
 	runs := map[string]int{}
-	for _, run := range c.fleet.Truth.Runs() {
+	for _, run := range c.fleet.GroundTruth.Runs() {
 		runs[run.Request]++
 	}
 	if len(runs) < minimumRuns || c.acknowledged < minimumAcknowledged {
@@ -242,7 +242,7 @@
 		}
 	}
 	limit := c.configuration(c.sent).Tenants[0].Prepaid
-	if spent := c.fleet.Truth.Received("key-one"); spent > limit {
+	if spent := c.fleet.GroundTruth.ReceivedTokens("key-one"); spent > limit {
 		c.recordViolation("%d tokens were delivered, more than the %d prepaid", spent, limit)
 	}
 }
--- a/internal/lab/openfleet/engine.go
+++ b/internal/lab/openfleet/engine.go
@@ -26,9 +26,9 @@
 	Arrived, Ended time.Duration
 }
 
-// Truth records what the engines ran and what the callers received, independently of the nodes under
+// GroundTruth records what the engines ran and what the callers received, independently of the nodes under
 // test.
-type Truth struct {
+type GroundTruth struct {
 	startedAt time.Time
 	mutex     sync.Mutex
 	runs      []*Run
@@ -44,7 +44,7 @@
 // instanceAndNode identifies an instance and a node that sends requests to it.
 type instanceAndNode struct{ instance, node string }
 
-func (t *Truth) beginRun(request, instance, tenant, body string) *Run {
+func (t *GroundTruth) beginRun(request, instance, tenant, body string) *Run {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	run := &Run{Request: request, Instance: instance, Tenant: tenant, Body: body, Arrived: time.Since(t.startedAt)}
@@ -52,7 +52,7 @@
 	return run
 }
 
-func (t *Truth) recordArrival(instance, node string) {
+func (t *GroundTruth) recordArrival(instance, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	now := time.Since(t.startedAt)
@@ -60,7 +60,7 @@
 	t.pauseRecord(instance, node).Arrive(now)
 }
 
-func (t *Truth) pauseRecord(instance, node string) *pausecheck.Record {
+func (t *GroundTruth) pauseRecord(instance, node string) *pausecheck.Record {
 	key := instanceAndNode{instance: instance, node: node}
 	if t.pauses[key] == nil {
 		t.pauses[key] = &pausecheck.Record{}
@@ -68,29 +68,29 @@
 	return t.pauses[key]
 }
 
-func (t *Truth) recordPause(instance, node string, duration time.Duration) {
+func (t *GroundTruth) recordPause(instance, node string, duration time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.pauseRecord(instance, node).Ask(time.Since(t.startedAt), duration)
 }
 
-func (t *Truth) recordLeaving(instance, node string) {
+func (t *GroundTruth) recordLeaving(instance, node string) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.pauseRecord(instance, node).Leave(time.Since(t.startedAt))
 }
 
-// AfterLeaving returns the number of requests that an instance got from a node after a response had
+// RequestsAfterLeaving returns the number of requests that an instance got from a node after a response had
 // told the node that the instance leaves, and reports whether a response did.
-func (t *Truth) AfterLeaving(instance, node string) (late int, wasSignalled bool) {
+func (t *GroundTruth) RequestsAfterLeaving(instance, node string) (late int, wasSignalled bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.pauseRecord(instance, node).AfterLeaving()
 }
 
-// InPause returns the maximum number of requests that an instance got from a node in a pause that it
+// MaximumInPause returns the maximum number of requests that an instance got from a node in a pause that it
 // had requested from it, and the number of pauses that it requested.
-func (t *Truth) InPause(instance, node string) (maximum, pauses int) {
+func (t *GroundTruth) MaximumInPause(instance, node string) (maximum, pauses int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	record := t.pauseRecord(instance, node)
@@ -98,26 +98,26 @@
 }
 
 // Arrivals returns the times at which requests arrived at an instance, in order.
-func (t *Truth) Arrivals(instance string) []time.Duration {
+func (t *GroundTruth) Arrivals(instance string) []time.Duration {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return slices.Clone(t.arrivals[instance])
 }
 
-func (t *Truth) recordTokens(key string, tokens uint64) {
+func (t *GroundTruth) recordTokens(key string, tokens uint64) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.received[key] += tokens
 }
 
-func (t *Truth) endRun(run *Run) {
+func (t *GroundTruth) endRun(run *Run) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	run.Ended = time.Since(t.startedAt)
 }
 
 // Runs returns a copy of all runs.
-func (t *Truth) Runs() []Run {
+func (t *GroundTruth) Runs() []Run {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	runs := make([]Run, 0, len(t.runs))
@@ -127,8 +127,8 @@
 	return runs
 }
 
-// Received returns the total number of tokens that the callers with a key received.
-func (t *Truth) Received(key string) uint64 {
+// ReceivedTokens returns the total number of tokens that the callers with a key received.
+func (t *GroundTruth) ReceivedTokens(key string) uint64 {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.received[key]
@@ -137,32 +137,32 @@
 // Engine simulates one instance of a service.
 type Engine struct {
 	registry.Instance
-	truth *Truth
+	truth *GroundTruth
 	mutex sync.Mutex
-	// Work is the time that a whole response takes, or each event of a stream.
-	Work time.Duration
+	// WorkTime is the time that a whole response takes, or each event of a stream.
+	WorkTime time.Duration
 	// Events is the number of events of a stream; 0 makes whole responses.
 	Events int
 	// BreakAfter aborts a stream after that many events; 0 means never.
 	BreakAfter int
 	// Status is the status of whole responses; 0 means 200.
 	Status int
-	// TurnAway makes the engine reject all requests.
-	TurnAway bool
-	// EndsOn is the body of requests that crash the engine, with all runs in progress, EndsAfter
+	// RejectsAll makes the engine reject all requests.
+	RejectsAll bool
+	// CrashesOn is the body of requests that crash the engine, with all runs in progress, EndsAfter
 	// they began to run; "" means that there are none.
-	EndsOn    string
-	EndsAfter time.Duration
+	CrashesOn    string
+	CrashesAfter time.Duration
 	// RateLimit is the rate limit in requests per second that the engine's responses name; "" means
 	// that they name none.
 	RateLimit string
-	// BareRefusals is the fraction of its requests that the engine rejects with a response that
+	// BareRejections is the fraction of its requests that the engine rejects with a response that
 	// carries no other signal, not even the rate limit.
-	BareRefusals float64
+	BareRejections float64
 	// Pause is the pause that the engine requests from a node whose request it rejects; 0 means none.
 	Pause time.Duration
-	// Leaves makes all responses of the engine signal that it leaves; its heartbeats don't report it.
-	Leaves bool
+	// IsLeaving makes all responses of the engine signal that it leaves; its heartbeats don't report it.
+	IsLeaving bool
 	// crash crashes the engine; hasCrashed reports that it has crashed.
 	crash      func()
 	hasCrashed atomic.Bool
@@ -195,9 +195,9 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return behaviour{
-		workTime: e.Work, events: e.Events, breakAfter: e.BreakAfter, status: e.Status, rejectsAll: e.TurnAway,
-		crashesOn: e.EndsOn, crashesAfter: e.EndsAfter, rateLimit: e.RateLimit, bareRejections: e.BareRefusals,
-		pause: e.Pause, isLeaving: e.Leaves,
+		workTime: e.WorkTime, events: e.Events, breakAfter: e.BreakAfter, status: e.Status, rejectsAll: e.RejectsAll,
+		crashesOn: e.CrashesOn, crashesAfter: e.CrashesAfter, rateLimit: e.RateLimit, bareRejections: e.BareRejections,
+		pause: e.Pause, isLeaving: e.IsLeaving,
 	}
 }
 
--- a/internal/lab/openfleet/evacuation_test.go
+++ b/internal/lab/openfleet/evacuation_test.go
@@ -22,8 +22,8 @@
 // the time since the fleet was made at which it began.
 func requestAll(t *testing.T, f *Fleet, name string) time.Duration {
 	t.Helper()
-	since := time.Since(f.Truth.startedAt)
-	for _, entry := range f.Names(false) {
+	since := time.Since(f.GroundTruth.startedAt)
+	for _, entry := range f.MachineNames(false) {
 		for number, path := range []string{"/safe/x", "/once/x", "/stream/x", "/resumable/x", "/safe/x", "/stream/x"} {
 			response, err := f.Request(entry, newRequest(fmt.Sprintf("%s-%s-%d", name, entry, number), path))
 			assert.NilError(t, err)
@@ -36,7 +36,7 @@
 // runsInZone counts the runs that began in a zone since the given time.
 func runsInZone(f *Fleet, zone string, since time.Duration) int {
 	count := 0
-	for _, run := range f.Truth.Runs() {
+	for _, run := range f.GroundTruth.Runs() {
 		if strings.HasSuffix(run.Instance, "-"+zone) && run.Arrived >= since {
 			count++
 		}
@@ -47,14 +47,14 @@
 func TestEvacuatedZoneGetsNoNewRequestsAndFinishesThoseInFlight(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
-			f.engines["llm-"+zone].Set(func(e *Engine) { e.Work = 600 * time.Millisecond })
+			f.engines["llm-"+zone].Set(func(e *Engine) { e.WorkTime = 600 * time.Millisecond })
 		}
 		var streams sync.WaitGroup
 		for number := range 6 {
 			streams.Go(func() {
 				id := fmt.Sprintf("long-%d", number)
 				response, err := f.Request("entry-0", newRequest(id, "/stream/x"))
-				assert.Check(t, err == nil && response.Broken == nil && response.Body == eventsText(id, 5), "%v %v", response, err)
+				assert.Check(t, err == nil && response.BodyError == nil && response.Body == eventsText(id, 5), "%v %v", response, err)
 			})
 		}
 		time.Sleep(time.Second)
@@ -86,7 +86,7 @@
 func TestAcknowledgedEvacuationSurvivesLossOfItsNodeAndPowerLossOfAllMachines(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round, zone := range []string{"a", "b"} {
-			acknowledging := f.Names(true)[round]
+			acknowledging := f.MachineNames(true)[round]
 			assert.NilError(t, f.WaitFor(5*time.Second, "an acknowledgement of the evacuation", func() bool {
 				_, err := f.Machine(acknowledging).running().OrderZone(f.ctx, zone, true)
 				return err == nil
@@ -102,7 +102,7 @@
 			since := requestAll(t, f, "after-"+zone)
 			assert.Equal(t, runsInZone(f, zone, since), 0)
 		}
-		assert.Equal(t, runsInZone(f, "a", time.Since(f.Truth.startedAt)-2*time.Second), 0)
+		assert.Equal(t, runsInZone(f, "a", time.Since(f.GroundTruth.startedAt)-2*time.Second), 0)
 	})
 }
 
@@ -110,7 +110,7 @@
 // all control nodes, but must apply it as soon as it reaches them again.
 func TestNodePartitionedDuringAnEvacuationAppliesItAfterwards(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
-		f.Network.CutBetween(f.Names(true), []string{"entry-1"})
+		f.Network.PartitionBetween(f.MachineNames(true), []string{"entry-1"})
 		time.Sleep(3 * time.Second)
 		assert.NilError(t, f.OrderZone("c", true, 3*time.Second))
 		time.Sleep(orderInEffectWithin)
@@ -125,8 +125,8 @@
 func TestContradictingOrdersOfTwoOperatorsEndTheSameAtAllNodes(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round := range 4 {
-			partitioned := f.Names(true)[round%3]
-			f.Network.CutBetween([]string{partitioned}, f.Names(true))
+			partitioned := f.MachineNames(true)[round%3]
+			f.Network.PartitionBetween([]string{partitioned}, f.MachineNames(true))
 			var operators sync.WaitGroup
 			for _, evacuated := range []bool{true, false} {
 				operators.Go(func() { assert.Check(t, f.OrderZone("b", evacuated, 10*time.Second) == nil) })
@@ -135,7 +135,7 @@
 			f.Network.Heal()
 			time.Sleep(3 * time.Second)
 			inEffect := f.Machine("entry-0").running().EvacuatedZones()
-			for _, name := range append(f.Names(true), f.Names(false)...) {
+			for _, name := range append(f.MachineNames(true), f.MachineNames(false)...) {
 				assert.DeepEqual(t, f.Machine(name).running().EvacuatedZones(), inEffect)
 			}
 		}
--- a/internal/lab/openfleet/instances_test.go
+++ b/internal/lab/openfleet/instances_test.go
@@ -20,12 +20,12 @@
 		f.PowerOffAll()
 		f.BootAll()
 		assert.NilError(t, f.WaitFor(1500*time.Millisecond, "a request to be served", func() bool {
-			response, err := f.Request("entry-0", Ask{ID: "known", Path: "/safe/x", Key: "key-one"})
+			response, err := f.Request("entry-0", CallerRequest{ID: "known", Path: "/safe/x", Key: "key-one"})
 			return err == nil && response.Status == http.StatusOK
 		}))
 		// Requests with tokens may be refused with a retry time until there is a leader with the root.
 		assert.NilError(t, f.WaitFor(3*time.Second, "tokens at each entry node", func() bool {
-			for _, entry := range f.Names(false) {
+			for _, entry := range f.MachineNames(false) {
 				if response, err := f.Request(entry, newRequest("tokens", "/safe/x")); err != nil || response.Status != http.StatusOK {
 					return false
 				}
@@ -33,7 +33,7 @@
 			return true
 		}))
 		since := requestAll(t, f, "after")
-		for _, run := range f.Truth.Runs() {
+		for _, run := range f.GroundTruth.Runs() {
 			assert.Assert(t, run.Instance != "app-a" || run.Arrived < since)
 		}
 	})
@@ -43,13 +43,13 @@
 func TestTornInstanceFileIsIgnored(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		time.Sleep(4 * time.Second)
-		for _, name := range f.Names(true) {
+		for _, name := range f.MachineNames(true) {
 			f.Kill(name)
 			assert.NilError(t, f.Machine(name).Disk.Truncate("instances", 20))
 			f.Boot(name)
 		}
 		time.Sleep(3 * time.Second)
-		response, err := f.Request("entry-0", Ask{ID: "torn", Path: "/safe/x", Key: "key-one"})
+		response, err := f.Request("entry-0", CallerRequest{ID: "torn", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, response.Status, http.StatusOK)
 	})
--- a/internal/lab/openfleet/ledger_test.go
+++ b/internal/lab/openfleet/ledger_test.go
@@ -17,12 +17,12 @@
 func overchargedFraction(t *testing.T, f *Fleet) float64 {
 	t.Helper()
 	settled := uint64(0)
-	for _, name := range f.Names(true) {
+	for _, name := range f.MachineNames(true) {
 		budgets, err := f.Machine(name).running().Budgets(f.ctx, "one")
 		assert.NilError(t, err)
 		settled = max(settled, budgets[0].GetSettled())
 	}
-	return (float64(settled) - float64(f.Truth.Received("key-one"))) / prepaid
+	return (float64(settled) - float64(f.GroundTruth.ReceivedTokens("key-one"))) / prepaid
 }
 
 // Guards against a long time without tokens after all machines lose power. No token can be granted
@@ -38,10 +38,10 @@
 		var slowest time.Duration
 		for round := range 6 {
 			for number := range 12 {
-				_, err := f.Request(f.Names(false)[number%3], newRequest(fmt.Sprintf("before-%d-%d", round, number), "/stream/x"))
+				_, err := f.Request(f.MachineNames(false)[number%3], newRequest(fmt.Sprintf("before-%d-%d", round, number), "/stream/x"))
 				assert.NilError(t, err)
 			}
-			names := append(f.Names(true), f.Names(false)...)
+			names := append(f.MachineNames(true), f.MachineNames(false)...)
 			f.PowerOffAll()
 			time.Sleep(1500 * time.Millisecond)
 			// Machines start one after the other, in another order each round.
@@ -73,7 +73,7 @@
 	t.Helper()
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
-	for number, name := range f.Names(false) {
+	for number, name := range f.MachineNames(false) {
 		callers.Go(func() {
 			for turn := 0; !isClosed(stop); turn++ {
 				maximumWait := 2 * time.Second
@@ -104,7 +104,7 @@
 	for name, during := range map[string]func(*Fleet, *rand.Rand){
 		"normal operation": func(*Fleet, *rand.Rand) { time.Sleep(4 * time.Second) },
 		"graceful stops": func(f *Fleet, _ *rand.Rand) {
-			for _, entry := range f.Names(false) {
+			for _, entry := range f.MachineNames(false) {
 				f.Stop(entry)
 				f.Boot(entry)
 				time.Sleep(time.Second)
@@ -112,7 +112,7 @@
 		},
 		"partitions": func(f *Fleet, _ *rand.Rand) {
 			for range 2 {
-				f.Network.CutBetween(f.Names(true), f.Names(false))
+				f.Network.PartitionBetween(f.MachineNames(true), f.MachineNames(false))
 				time.Sleep(4 * time.Second)
 				f.Network.Heal()
 				time.Sleep(2 * time.Second)
@@ -133,8 +133,8 @@
 			withFleet(t, 3, func(t *testing.T, f *Fleet) {
 				spendWhile(t, f, func(random *rand.Rand) { during(f, random) })
 				overcharged := overchargedFraction(t, f)
-				t.Logf("%d tokens received, overcharged by %.4f of the budget", f.Truth.Received("key-one"), overcharged)
-				assert.Assert(t, f.Truth.Received("key-one") > prepaid/20, "inconclusive: too few tokens were received")
+				t.Logf("%d tokens received, overcharged by %.4f of the budget", f.GroundTruth.ReceivedTokens("key-one"), overcharged)
+				assert.Assert(t, f.GroundTruth.ReceivedTokens("key-one") > prepaid/20, "inconclusive: too few tokens were received")
 				assert.Assert(t, overcharged >= 0 && overcharged <= 0.005, "%.4f", overcharged)
 			})
 		})
@@ -148,14 +148,14 @@
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		spendWhile(t, f, func(*rand.Rand) {
 			assert.NilError(t, f.WaitFor(time.Minute, "most of the budget spent", func() bool {
-				return f.Truth.Received("key-one") > prepaid*8/10
+				return f.GroundTruth.ReceivedTokens("key-one") > prepaid*8/10
 			}))
 			f.PowerOffAll()
 			time.Sleep(1500 * time.Millisecond)
 			f.BootAll()
 		})
 		overcharged := overchargedFraction(t, f)
-		t.Logf("%d tokens received, overcharged by %.4f of the budget", f.Truth.Received("key-one"), overcharged)
+		t.Logf("%d tokens received, overcharged by %.4f of the budget", f.GroundTruth.ReceivedTokens("key-one"), overcharged)
 		assert.Assert(t, overcharged >= 0 && overcharged <= 0.08, "%.4f", overcharged)
 	})
 }
--- a/internal/lab/openfleet/manycontrols_test.go
+++ b/internal/lab/openfleet/manycontrols_test.go
@@ -20,11 +20,11 @@
 func TestInstancesAreKnownEverywhereWhicheverControlNodeFails(t *testing.T) {
 	withFleetOfControls(t, 11, 6, func(t *testing.T, f *Fleet) {
 		time.Sleep(time.Second)
-		for round, victim := range f.Names(true) {
+		for round, victim := range f.MachineNames(true) {
 			if round%2 == 0 {
 				f.Kill(victim)
 			} else {
-				f.Network.CutBetween([]string{victim}, f.Names(false))
+				f.Network.PartitionBetween([]string{victim}, f.MachineNames(false))
 			}
 			// Its id sorts first, so all nodes of its zone prefer it.
 			id, zone := fmt.Sprintf("app-%03d", round), zones[round%len(zones)]
@@ -33,12 +33,12 @@
 			assertZoneUses(t, f, id, zone)
 			assert.NilError(t, f.Drain(id))
 			time.Sleep(time.Second)
-			for _, entry := range f.Names(false) {
+			for _, entry := range f.MachineNames(false) {
 				request := fmt.Sprintf("drained-%s-%s", id, entry)
-				response, err := f.Request(entry, Ask{ID: request, Path: "/once/x", Key: "key-one"})
+				response, err := f.Request(entry, CallerRequest{ID: request, Path: "/once/x", Key: "key-one"})
 				assert.NilError(t, err)
 				assert.Equal(t, response.Status, http.StatusOK)
-				runs := f.Truth.Runs()
+				runs := f.GroundTruth.Runs()
 				assert.Assert(t, runs[len(runs)-1].Instance != id, "%s uses the draining instance %s", entry, id)
 			}
 			f.Network.Heal()
@@ -54,15 +54,15 @@
 // instance.
 func assertZoneUses(t *testing.T, f *Fleet, id, zone string) {
 	t.Helper()
-	for _, entry := range f.Names(false) {
+	for _, entry := range f.MachineNames(false) {
 		if f.Machine(entry).Zone != zone {
 			continue
 		}
 		request := fmt.Sprintf("use-%s-%s", id, entry)
-		response, err := f.Request(entry, Ask{ID: request, Path: "/once/x", Key: "key-one"})
+		response, err := f.Request(entry, CallerRequest{ID: request, Path: "/once/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, response.Status, http.StatusOK)
-		runs := f.Truth.Runs()
+		runs := f.GroundTruth.Runs()
 		assert.Equal(t, runs[len(runs)-1].Request, request)
 		assert.Equal(t, runs[len(runs)-1].Instance, id, "%s does not use the new instance", entry)
 	}
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -78,9 +78,9 @@
 
 // Fleet is a deployment in one process.
 type Fleet struct {
-	Network *fleet.Network
-	Truth   *Truth
-	Logger  zerolog.Logger
+	Network     *fleet.Network
+	GroundTruth *GroundTruth
+	Logger      zerolog.Logger
 	// machinesMutex guards machines, order and lost: machines are added while requests are in flight.
 	machinesMutex sync.RWMutex
 	machines      map[string]*Machine
@@ -104,7 +104,7 @@
 func New(controls, entries int, random *rand.Rand) *Fleet {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &Fleet{
-		Network: fleet.NewNetwork(), Truth: &Truth{startedAt: time.Now(), received: map[string]uint64{}, arrivals: map[string][]time.Duration{}, pauses: map[instanceAndNode]*pausecheck.Record{}}, Logger: zerolog.Nop(),
+		Network: fleet.NewNetwork(), GroundTruth: &GroundTruth{startedAt: time.Now(), received: map[string]uint64{}, arrivals: map[string][]time.Duration{}, pauses: map[instanceAndNode]*pausecheck.Record{}}, Logger: zerolog.Nop(),
 		machines: map[string]*Machine{}, engines: map[string]*Engine{}, lost: map[string]bool{}, random: random, ctx: ctx, cancel: cancel,
 	}
 	f.callers = &http.Transport{DialContext: f.Network.Dialer(callerMachine), DisableKeepAlives: true}
@@ -135,8 +135,8 @@
 	return f.machines[name]
 }
 
-// Names returns the names of the control or the entry machines.
-func (f *Fleet) Names(control bool) []string {
+// MachineNames returns the names of the control or the entry machines.
+func (f *Fleet) MachineNames(control bool) []string {
 	f.machinesMutex.RLock()
 	defer f.machinesMutex.RUnlock()
 	var names []string
@@ -202,7 +202,7 @@
 // settings of a node that boots now.
 func (f *Fleet) seeds() []string {
 	var seeds []string
-	for _, name := range f.Names(true) {
+	for _, name := range f.MachineNames(true) {
 		if !f.isLost(name) {
 			seeds = append(seeds, fmt.Sprintf("%s:%d", f.Machine(name).Host, controlPort))
 		}
@@ -210,8 +210,8 @@
 	return seeds[max(0, len(seeds)-seedCount):]
 }
 
-// Lose records that a machine never starts again.
-func (f *Fleet) Lose(name string) {
+// MarkLost records that a machine never starts again.
+func (f *Fleet) MarkLost(name string) {
 	f.machinesMutex.Lock()
 	defer f.machinesMutex.Unlock()
 	f.lost[name] = true
@@ -231,12 +231,12 @@
 // Kill ends a machine's process immediately; its files keep what was written.
 func (f *Fleet) Kill(name string) {
 	machine := f.Machine(name)
-	f.Network.Break(name)
+	f.Network.BreakMachine(name)
 	machine.Disk.Kill()
 	current := machine.process.Load()
 	current.cancel()
 	<-current.ended
-	f.Network.Break(name)
+	f.Network.BreakMachine(name)
 }
 
 // PowerOff cuts the power of a machine; its disk loses what was not synced.
@@ -252,7 +252,7 @@
 func (f *Fleet) BootAll() { f.forEachMachine(f.Boot) }
 
 func (f *Fleet) forEachMachine(act func(name string)) {
-	for _, name := range append(f.Names(true), f.Names(false)...) {
+	for _, name := range append(f.MachineNames(true), f.MachineNames(false)...) {
 		act(name)
 	}
 }
@@ -270,7 +270,7 @@
 	interrupted := current.node.Stop(ctx)
 	current.cancel()
 	<-current.ended
-	f.Network.Break(name)
+	f.Network.BreakMachine(name)
 	return interrupted
 }
 
@@ -279,10 +279,10 @@
 	f.Network.Heal()
 	f.cancel()
 	for _, name := range f.order {
-		f.Network.Break(name)
+		f.Network.BreakMachine(name)
 	}
 	for _, engine := range f.engines {
-		f.Network.Break(engine.ID)
+		f.Network.BreakMachine(engine.ID)
 	}
 	f.goroutines.Wait()
 	f.callers.CloseIdleConnections()
@@ -290,14 +290,14 @@
 
 // AddEngine starts a simulated engine, which sends heartbeats from then on.
 func (f *Fleet) AddEngine(id, service, zone string) *Engine {
-	return f.AddVersion(id, service, zone, "")
+	return f.AddEngineVersion(id, service, zone, "")
 }
 
-// AddVersion starts a simulated engine that runs a version of its service.
-func (f *Fleet) AddVersion(id, service, zone, version string) *Engine {
-	engine := &Engine{truth: f.Truth, Work: 10 * time.Millisecond}
+// AddEngineVersion starts a simulated engine that runs a version of its service.
+func (f *Fleet) AddEngineVersion(id, service, zone, version string) *Engine {
+	engine := &Engine{truth: f.GroundTruth, WorkTime: 10 * time.Millisecond}
 	engine.Instance = registry.Instance{ID: id, Service: service, Address: id + ":80", Zone: zone, Version: version, Slots: 8, State: registry.Ready, Sequence: 1, Born: time.Now().UnixMilli()}
-	engine.crash = func() { f.EndEngine(engine) }
+	engine.crash = func() { f.CrashEngine(engine) }
 	server := &http.Server{Handler: engine}
 	listener := f.Network.Listen(id, engine.Address)
 	f.goroutines.Go(func() { _ = server.Serve(listener) })
@@ -311,11 +311,11 @@
 	return engine
 }
 
-// EndEngine crashes an engine: its connections break, new ones are refused, and it sends no more
+// CrashEngine crashes an engine: its connections break, new ones are refused, and it sends no more
 // heartbeats.
-func (f *Fleet) EndEngine(engine *Engine) {
+func (f *Fleet) CrashEngine(engine *Engine) {
 	engine.hasCrashed.Store(true)
-	f.Network.Break(engine.ID)
+	f.Network.BreakMachine(engine.ID)
 }
 
 // heartbeatInterval is the time between an engine's heartbeats.
@@ -365,7 +365,7 @@
 // Heartbeat sends a heartbeat to the first control node that acknowledges it.
 func (f *Fleet) Heartbeat(instance registry.Instance) error {
 	err := errors.New("no control node runs")
-	for _, name := range f.Names(true) {
+	for _, name := range f.MachineNames(true) {
 		node := f.Machine(name).running()
 		if node == nil {
 			continue
@@ -389,8 +389,8 @@
 	}
 }
 
-// Put sends a configuration until a control node acknowledges it or the time is up.
-func (f *Fleet) Put(sent *document.Document, maximumWait time.Duration) error {
+// PutConfiguration sends a configuration until a control node acknowledges it or the time is up.
+func (f *Fleet) PutConfiguration(sent *document.Document, maximumWait time.Duration) error {
 	raw, err := sent.Encode()
 	if err != nil {
 		return err
@@ -401,8 +401,8 @@
 	})
 }
 
-// Read returns the newest configuration as one control node reads it, nil if there is none.
-func (f *Fleet) Read(name string) (*document.Document, error) {
+// ReadConfiguration returns the newest configuration as one control node reads it, nil if there is none.
+func (f *Fleet) ReadConfiguration(name string) (*document.Document, error) {
 	raw, err := f.Machine(name).running().ReadDocument(f.ctx)
 	if err != nil || raw == nil {
 		return nil, err
@@ -410,9 +410,9 @@
 	return document.Decode(raw)
 }
 
-// ReadAny returns the newest configuration from the first control node that can confirm that it is
+// ReadNewestConfiguration returns the newest configuration from the first control node that can confirm that it is
 // the newest.
-func (f *Fleet) ReadAny(maximumWait time.Duration) (*document.Document, error) {
+func (f *Fleet) ReadNewestConfiguration(maximumWait time.Duration) (*document.Document, error) {
 	var read *document.Document
 	err := f.tryControls(maximumWait, func(ctx context.Context, node *gateway.Node) error {
 		raw, err := node.ReadDocument(ctx)
@@ -436,7 +436,7 @@
 func (f *Fleet) tryControls(maximumWait time.Duration, try func(context.Context, *gateway.Node) error) error {
 	err := errors.New("no control node runs")
 	for start := time.Now(); time.Since(start) < maximumWait; time.Sleep(pollInterval) {
-		for _, name := range f.Names(true) {
+		for _, name := range f.MachineNames(true) {
 			node := f.Machine(name).running()
 			if node == nil {
 				continue
@@ -465,35 +465,35 @@
 	return err == nil && response.Status == http.StatusOK
 }
 
-// Operators returns a client of a node's operator listener.
-func (f *Fleet) Operators(name string) ravenwayv1connect.OperatorServiceClient {
+// OperatorClient returns a client of a node's operator listener.
+func (f *Fleet) OperatorClient(name string) ravenwayv1connect.OperatorServiceClient {
 	return ravenwayv1connect.NewOperatorServiceClient(&http.Client{Transport: f.callers}, fmt.Sprintf("http://%s:%d", f.Machine(name).Host, operatorsPort))
 }
 
-// Answer is the response that a caller received.
-type Answer struct {
+// CallerResponse is the response that a caller received.
+type CallerResponse struct {
 	Status int
 	Body   string
 	Header http.Header
-	// Broken is the error that ended the body early, or nil.
-	Broken error
+	// BodyError is the error that ended the body early, or nil.
+	BodyError error
 }
 
-// Ask describes a caller's request.
-type Ask struct {
+// CallerRequest describes a caller's request.
+type CallerRequest struct {
 	ID, Path, Key string
 	// Tokens is the value of wire.HeaderTokens: prompt tokens, a comma and output tokens.
 	Tokens  string
 	Wait    time.Duration
 	Context context.Context
 	Body    string
-	// Part identifies a part of the prompt that requests share, "" if there is none.
-	Part string
+	// PromptPart identifies a part of the prompt that requests share, "" if there is none.
+	PromptPart string
 }
 
 // Request sends a caller's request to an entry node. The error is that of a connection that failed
 // before the head of a response arrived.
-func (f *Fleet) Request(name string, ask Ask) (Answer, error) {
+func (f *Fleet) Request(name string, ask CallerRequest) (CallerResponse, error) {
 	ctx := ask.Context
 	if ctx == nil {
 		ctx = f.ctx
@@ -501,7 +501,7 @@
 	address := fmt.Sprintf("%s:%d", f.Machine(name).Host, callersPort)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+ask.Path, strings.NewReader(ask.Body))
 	if err != nil {
-		return Answer{}, err
+		return CallerResponse{}, err
 	}
 	request.Host = "lab"
 	request.Header.Set(wire.HeaderRequest, ask.ID)
@@ -511,8 +511,8 @@
 	if ask.Tokens != "" {
 		request.Header.Set(wire.HeaderTokens, ask.Tokens)
 	}
-	if ask.Part != "" {
-		request.Header.Set(wire.HeaderPart, ask.Part)
+	if ask.PromptPart != "" {
+		request.Header.Set(wire.HeaderPart, ask.PromptPart)
 	}
 	if ask.Wait > 0 {
 		request.Header.Set(wire.HeaderWait, ask.Wait.String())
@@ -523,31 +523,31 @@
 }
 
 // recordReceivedTokens counts the tokens that a caller received: the prompt's and one for each event.
-func (f *Fleet) recordReceivedTokens(ask Ask, response Answer) {
+func (f *Fleet) recordReceivedTokens(ask CallerRequest, response CallerResponse) {
 	var tokensIn, tokensOut uint64
 	if _, err := fmt.Sscanf(ask.Tokens, "%d,%d", &tokensIn, &tokensOut); err != nil || response.Status != http.StatusOK || response.Body == "" {
 		return
 	}
-	f.Truth.recordTokens(ask.Key, tokensIn+uint64(strings.Count(response.Body, eventEnd)))
+	f.GroundTruth.recordTokens(ask.Key, tokensIn+uint64(strings.Count(response.Body, eventEnd)))
 }
 
 // eventEnd terminates an event of a stream.
 const eventEnd = "\n\n"
 
-func (f *Fleet) get(url string) (Answer, error) {
+func (f *Fleet) get(url string) (CallerResponse, error) {
 	request, err := http.NewRequestWithContext(f.ctx, http.MethodGet, url, http.NoBody)
 	if err != nil {
-		return Answer{}, err
+		return CallerResponse{}, err
 	}
 	return f.roundTrip(request)
 }
 
-func (f *Fleet) roundTrip(request *http.Request) (Answer, error) {
+func (f *Fleet) roundTrip(request *http.Request) (CallerResponse, error) {
 	response, err := f.callers.RoundTrip(request)
 	if err != nil {
-		return Answer{}, err
+		return CallerResponse{}, err
 	}
 	defer response.Body.Close()
 	body, broken := io.ReadAll(response.Body)
-	return Answer{Status: response.StatusCode, Body: string(body), Header: response.Header, Broken: broken}, nil
+	return CallerResponse{Status: response.StatusCode, Body: string(body), Header: response.Header, BodyError: broken}, nil
 }
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -57,7 +57,7 @@
 		defer f.Close()
 		startWithEngines(t, f)
 		assert.NilError(t, f.WaitFor(8*time.Second, "all entry nodes ready", func() bool {
-			for _, name := range f.Names(false) {
+			for _, name := range f.MachineNames(false) {
 				if !f.Ready(name) {
 					return false
 				}
@@ -84,10 +84,12 @@
 		f.AddEngine("llm-"+zone, "llm", zone).Set(func(e *Engine) { e.Events = 5 })
 	}
 	f.Start()
-	assert.NilError(t, f.Put(configuration(1), 8*time.Second))
+	assert.NilError(t, f.PutConfiguration(configuration(1), 8*time.Second))
 }
 
-func newRequest(id, path string) Ask { return Ask{ID: id, Path: path, Key: "key-one", Tokens: "10,5"} }
+func newRequest(id, path string) CallerRequest {
+	return CallerRequest{ID: id, Path: path, Key: "key-one", Tokens: "10,5"}
+}
 
 func TestRequestAndStreamAreForwardedWhole(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
@@ -96,9 +98,9 @@
 		assert.Equal(t, plain.Status, http.StatusOK)
 		stream, err := f.Request("entry-1", newRequest("r2", "/stream/x"))
 		assert.NilError(t, err)
-		assert.NilError(t, stream.Broken)
+		assert.NilError(t, stream.BodyError)
 		assert.Equal(t, stream.Body, eventsText("r2", 5))
-		unknown, err := f.Request("entry-0", Ask{ID: "r3", Path: "/safe/x", Key: "no-key"})
+		unknown, err := f.Request("entry-0", CallerRequest{ID: "r3", Path: "/safe/x", Key: "no-key"})
 		assert.NilError(t, err)
 		assert.Equal(t, unknown.Status, http.StatusUnauthorized)
 		nowhere, err := f.Request("entry-0", newRequest("r4", "/nowhere/x"))
@@ -123,11 +125,11 @@
 			id := fmt.Sprintf("resumed-%d", number)
 			resumed, err := f.Request("entry-0", newRequest(id, "/resumable/x"))
 			assert.NilError(t, err)
-			assert.NilError(t, resumed.Broken)
+			assert.NilError(t, resumed.BodyError)
 			assert.Equal(t, resumed.Body, eventsText(id, 5))
 			broken, err := f.Request("entry-0", newRequest(fmt.Sprintf("broken-%d", number), "/stream/x"))
 			assert.NilError(t, err)
-			assert.Assert(t, broken.Broken != nil || broken.Body == eventsText(fmt.Sprintf("broken-%d", number), 5))
+			assert.Assert(t, broken.BodyError != nil || broken.Body == eventsText(fmt.Sprintf("broken-%d", number), 5))
 			engine.Set(func(e *Engine) { e.BreakAfter = 0 })
 		}
 	})
@@ -137,9 +139,9 @@
 // stopping node returned its tokens was.
 func TestGracefulStopInterruptsNoRequest(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
-		f.engines["llm-a"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
-		f.engines["llm-b"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
-		f.engines["llm-c"].Set(func(e *Engine) { e.Work = 60 * time.Millisecond })
+		f.engines["llm-a"].Set(func(e *Engine) { e.WorkTime = 60 * time.Millisecond })
+		f.engines["llm-b"].Set(func(e *Engine) { e.WorkTime = 60 * time.Millisecond })
+		f.engines["llm-c"].Set(func(e *Engine) { e.WorkTime = 60 * time.Millisecond })
 		var callers sync.WaitGroup
 		var mutex sync.Mutex
 		var cut []string
@@ -148,13 +150,13 @@
 			for number := 0; !isClosed(stopped); number++ {
 				callers.Go(func() {
 					response, err := f.Request("entry-0", newRequest(fmt.Sprintf("s%d", number), "/stream/x"))
-					if err == nil && response.Broken == nil {
+					if err == nil && response.BodyError == nil {
 						return
 					}
 					if err == nil || runsOf(f, fmt.Sprintf("s%d", number)) > 0 {
 						mutex.Lock()
 						defer mutex.Unlock()
-						cut = append(cut, fmt.Sprintf("s%d: %v %v", number, err, response.Broken))
+						cut = append(cut, fmt.Sprintf("s%d: %v %v", number, err, response.BodyError))
 					}
 				})
 				time.Sleep(15 * time.Millisecond)
@@ -172,7 +174,7 @@
 func TestLongStreamIsRefusedLateInAGracefulStop(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
-			f.engines["llm-"+zone].Set(func(e *Engine) { e.Work = 990 * time.Millisecond })
+			f.engines["llm-"+zone].Set(func(e *Engine) { e.WorkTime = 990 * time.Millisecond })
 		}
 		stopped := make(chan int64, 1)
 		go func() { stopped <- f.Stop("entry-0") }()
@@ -188,7 +190,7 @@
 
 func runsOf(f *Fleet, id string) int {
 	count := 0
-	for _, run := range f.Truth.Runs() {
+	for _, run := range f.GroundTruth.Runs() {
 		if run.Request == id {
 			count++
 		}
@@ -200,12 +202,12 @@
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		assert.NilError(t, f.Drain("app-a"))
 		time.Sleep(2 * time.Second)
-		since := time.Since(f.Truth.startedAt)
+		since := time.Since(f.GroundTruth.startedAt)
 		for number := range 60 {
-			_, err := f.Request(f.Names(false)[number%3], newRequest(fmt.Sprintf("d%d", number), "/safe/x"))
+			_, err := f.Request(f.MachineNames(false)[number%3], newRequest(fmt.Sprintf("d%d", number), "/safe/x"))
 			assert.NilError(t, err)
 		}
-		for _, run := range f.Truth.Runs() {
+		for _, run := range f.GroundTruth.Runs() {
 			assert.Assert(t, run.Instance != "app-a" || run.Arrived < since)
 		}
 	})
@@ -213,37 +215,37 @@
 
 func TestEntryNodesServeWithLastKnownInstancesWithoutControlNodes(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
-		for _, name := range f.Names(true) {
+		for _, name := range f.MachineNames(true) {
 			f.Kill(name)
 		}
 		time.Sleep(30 * time.Second)
-		response, err := f.Request("entry-0", Ask{ID: "alone", Path: "/safe/x", Key: "key-one"})
+		response, err := f.Request("entry-0", CallerRequest{ID: "alone", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, response.Status, http.StatusOK)
 		// The node can't confirm its configuration any more, so it must answer neither 401 nor 404.
-		unsure, err := f.Request("entry-0", Ask{ID: "unsure", Path: "/safe/x", Key: "new-key"})
+		unsure, err := f.Request("entry-0", CallerRequest{ID: "unsure", Path: "/safe/x", Key: "new-key"})
 		assert.NilError(t, err)
 		assert.Equal(t, unsure.Status, http.StatusServiceUnavailable)
-		for _, name := range f.Names(true) {
+		for _, name := range f.MachineNames(true) {
 			f.Boot(name)
 		}
-		assert.NilError(t, f.Put(configuration(2), 8*time.Second))
+		assert.NilError(t, f.PutConfiguration(configuration(2), 8*time.Second))
 	})
 }
 
 func TestAcknowledgedConfigurationSurvivesAWipedDiskAndAPowerLoss(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		for version := uint64(2); version < 6; version++ {
-			assert.NilError(t, f.Put(configuration(version), 8*time.Second))
-			wiped := f.Names(true)[version%3]
-			for _, name := range f.Names(true) {
+			assert.NilError(t, f.PutConfiguration(configuration(version), 8*time.Second))
+			wiped := f.MachineNames(true)[version%3]
+			for _, name := range f.MachineNames(true) {
 				f.PowerOff(name)
 			}
 			f.Wipe(wiped)
-			for _, name := range f.Names(true) {
+			for _, name := range f.MachineNames(true) {
 				f.Boot(name)
 			}
-			read, err := f.ReadAny(10 * time.Second)
+			read, err := f.ReadNewestConfiguration(10 * time.Second)
 			assert.NilError(t, err)
 			assert.Equal(t, read.Version, version)
 			time.Sleep(4 * time.Second)
@@ -254,14 +256,14 @@
 func TestControlNodeIsReplacedAtAnotherAddress(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		f.PowerOff("control-0")
-		f.Lose("control-0")
+		f.MarkLost("control-0")
 		f.AddMachine("control-3", "10.0.1.9", "a", true)
 		f.Boot("control-3")
 		time.Sleep(8 * time.Second)
 		// The replacement has the vote of the lost node, so another node may fail.
 		f.PowerOff("control-1")
-		assert.NilError(t, f.Put(configuration(2), 8*time.Second))
-		read, err := f.ReadAny(8 * time.Second)
+		assert.NilError(t, f.PutConfiguration(configuration(2), 8*time.Second))
+		read, err := f.ReadNewestConfiguration(8 * time.Second)
 		assert.NilError(t, err)
 		assert.Equal(t, read.Version, uint64(2))
 	})
@@ -269,18 +271,18 @@
 
 func TestPartitionedControlNodeRefusesReads(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
-		for _, cut := range f.Names(true) {
+		for _, cut := range f.MachineNames(true) {
 			others := []string{}
-			for _, name := range f.Names(true) {
+			for _, name := range f.MachineNames(true) {
 				if name != cut {
 					others = append(others, name)
 				}
 			}
-			f.Network.CutBetween([]string{cut}, others)
-			version, err := f.ReadAny(8 * time.Second)
+			f.Network.PartitionBetween([]string{cut}, others)
+			version, err := f.ReadNewestConfiguration(8 * time.Second)
 			assert.NilError(t, err)
-			assert.NilError(t, f.Put(configuration(version.Version+1), 8*time.Second))
-			read, err := f.Read(cut)
+			assert.NilError(t, f.PutConfiguration(configuration(version.Version+1), 8*time.Second))
+			read, err := f.ReadConfiguration(cut)
 			assert.Assert(t, err != nil, "%s read version %v", cut, read)
 			f.Network.Heal()
 			time.Sleep(4 * time.Second)
@@ -291,11 +293,11 @@
 func TestFullDiskOnOneControlNodeDoesNotBlockConfigurations(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		version := uint64(1)
-		for _, name := range f.Names(true) {
+		for _, name := range f.MachineNames(true) {
 			f.Machine(name).Disk.SetFull(true)
 			for range 3 {
 				version++
-				assert.NilError(t, f.Put(configuration(version), 4*time.Second))
+				assert.NilError(t, f.PutConfiguration(configuration(version), 4*time.Second))
 			}
 			f.Machine(name).Disk.SetFull(false)
 			time.Sleep(4 * time.Second)
@@ -310,7 +312,7 @@
 		random := rand.New(rand.NewPCG(7, 7))
 		stop := make(chan struct{})
 		var callers sync.WaitGroup
-		for number, name := range f.Names(false) {
+		for number, name := range f.MachineNames(false) {
 			callers.Go(func() {
 				for turn := 0; !isClosed(stop); turn++ {
 					ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -323,7 +325,7 @@
 			})
 		}
 		for range 12 {
-			entries := f.Names(false)
+			entries := f.MachineNames(false)
 			name := entries[random.IntN(len(entries))]
 			switch random.IntN(3) {
 			case 0:
@@ -331,11 +333,11 @@
 				time.Sleep(time.Second)
 				f.Boot(name)
 			case 1:
-				f.Network.CutBetween(f.Names(true), entries)
+				f.Network.PartitionBetween(f.MachineNames(true), entries)
 				time.Sleep(4 * time.Second)
 				f.Network.Heal()
 			case 2:
-				control := f.Names(true)[random.IntN(3)]
+				control := f.MachineNames(true)[random.IntN(3)]
 				f.PowerOff(control)
 				time.Sleep(time.Second)
 				f.Boot(control)
@@ -344,8 +346,8 @@
 		}
 		close(stop)
 		callers.Wait()
-		assert.Assert(t, f.Truth.Received("key-one") <= prepaid, "delivered %d of %d tokens", f.Truth.Received("key-one"), prepaid)
-		assert.Assert(t, f.Truth.Received("key-one") > prepaid/4, "delivered only %d of %d tokens", f.Truth.Received("key-one"), prepaid)
+		assert.Assert(t, f.GroundTruth.ReceivedTokens("key-one") <= prepaid, "delivered %d of %d tokens", f.GroundTruth.ReceivedTokens("key-one"), prepaid)
+		assert.Assert(t, f.GroundTruth.ReceivedTokens("key-one") > prepaid/4, "delivered only %d of %d tokens", f.GroundTruth.ReceivedTokens("key-one"), prepaid)
 	})
 }
 
@@ -359,7 +361,7 @@
 			assert.Equal(t, response.Status, http.StatusOK)
 			time.Sleep(50 * time.Millisecond)
 		}
-		f.Network.CutBetween(f.Names(true), f.Names(false))
+		f.Network.PartitionBetween(f.MachineNames(true), f.MachineNames(false))
 		time.Sleep(2 * time.Second)
 		f.Stop("entry-0")
 		// No other node had any tokens, and the root is unreachable.
@@ -368,6 +370,6 @@
 		assert.Equal(t, response.Status, http.StatusOK)
 		f.Network.Heal()
 		time.Sleep(5 * time.Second)
-		assert.Assert(t, f.Truth.Received("key-one") <= prepaid)
+		assert.Assert(t, f.GroundTruth.ReceivedTokens("key-one") <= prepaid)
 	})
 }
--- a/internal/lab/openfleet/pauses_test.go
+++ b/internal/lab/openfleet/pauses_test.go
@@ -18,7 +18,7 @@
 // rejectWithPause makes some engines reject all requests and request a pause.
 func rejectWithPause(engines []*Engine, duration time.Duration) {
 	for _, engine := range engines {
-		engine.Set(func(e *Engine) { e.TurnAway, e.Pause = true, duration })
+		engine.Set(func(e *Engine) { e.RejectsAll, e.Pause = true, duration })
 	}
 }
 
@@ -28,8 +28,8 @@
 	t.Helper()
 	requested, highest := 0, 0
 	for _, engine := range engines {
-		for _, node := range l.Names(false) {
-			maximum, pauses := l.Truth.InPause(engine.ID, node)
+		for _, node := range l.MachineNames(false) {
+			maximum, pauses := l.GroundTruth.MaximumInPause(engine.ID, node)
 			requested, highest = requested+pauses, max(highest, maximum)
 			assert.Check(t, maximum <= pausecheck.Allowed, "%s got %d requests from %s in a pause", engine.ID, maximum, node)
 		}
@@ -71,9 +71,9 @@
 // leaves, until its heartbeats report it too.
 func TestEngineThatSignalsLeavingGetsNoMoreRequests(t *testing.T) {
 	for name, change := range map[string]func(*Engine){
-		"serving":   func(e *Engine) { e.Leaves = true },
-		"rejecting": func(e *Engine) { e.Leaves, e.TurnAway = true, true },
-		"failing":   func(e *Engine) { e.Leaves, e.Events, e.Status = true, 0, http.StatusInternalServerError },
+		"serving":   func(e *Engine) { e.IsLeaving = true },
+		"rejecting": func(e *Engine) { e.IsLeaving, e.RejectsAll = true, true },
+		"failing":   func(e *Engine) { e.IsLeaving, e.Events, e.Status = true, 0, http.StatusInternalServerError },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withRateLimitedFleet(t, 8, func(t *testing.T, l *rateLimitedFleet) {
@@ -84,8 +84,8 @@
 				l.sendStreams(rand.New(rand.NewPCG(48, 3)), 60, 12*time.Second)
 				signalled := 0
 				for _, engine := range leaving {
-					for _, node := range l.Names(false) {
-						late, wasSignalled := l.Truth.AfterLeaving(engine.ID, node)
+					for _, node := range l.MachineNames(false) {
+						late, wasSignalled := l.GroundTruth.RequestsAfterLeaving(engine.ID, node)
 						assert.Check(t, late == 0, "%s got %d requests from %s after it had told it that it leaves", engine.ID, late, node)
 						if wasSignalled {
 							signalled++
@@ -101,9 +101,9 @@
 func TestOperatorListsThePausesOfANode(t *testing.T) {
 	withRateLimitedFleet(t, 3, func(t *testing.T, l *rateLimitedFleet) {
 		rejectWithPause(l.engines[:1], 30*time.Second)
-		l.engines[1].Set(func(e *Engine) { e.Leaves = true })
+		l.engines[1].Set(func(e *Engine) { e.IsLeaving = true })
 		l.sendStreams(rand.New(rand.NewPCG(48, 4)), 60, 5*time.Second)
-		listed, err := l.Operators("entry-1").GetPauses(l.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
+		listed, err := l.OperatorClient("entry-1").GetPauses(l.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
 		assert.NilError(t, err)
 		pauses := listed.Msg.GetPauses()
 		assert.Equal(t, len(pauses), 2)
@@ -113,7 +113,7 @@
 		assert.Equal(t, pauses[0].GetService(), "model")
 		assert.Assert(t, pauses[0].GetRequest() != "")
 		assert.Equal(t, pauses[1].GetPhase(), "leaving")
-		_, err = l.Operators("control-0").GetPauses(l.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
+		_, err = l.OperatorClient("control-0").GetPauses(l.ctx, connect.NewRequest(&ravenwayv1.GetPausesRequest{}))
 		assert.Equal(t, connect.CodeOf(err), connect.CodeFailedPrecondition)
 	})
 }
@@ -126,33 +126,33 @@
 		pausing, leaving := l.engines[:4], l.engines[4:6]
 		rejectWithPause(pausing, 3*time.Second)
 		for _, engine := range leaving {
-			engine.Set(func(e *Engine) { e.Leaves = true })
+			engine.Set(func(e *Engine) { e.IsLeaving = true })
 		}
 		l.goroutines.Go(func() { l.sendStreams(rand.New(rand.NewPCG(48, 5)), 60, 25*time.Second) })
 		time.Sleep(3 * time.Second)
-		changed, err := l.ReadAny(3 * time.Second)
+		changed, err := l.ReadNewestConfiguration(3 * time.Second)
 		assert.NilError(t, err)
 		changed.Version++
-		assert.NilError(t, l.Put(changed, 3*time.Second))
+		assert.NilError(t, l.PutConfiguration(changed, 3*time.Second))
 		time.Sleep(time.Second)
 		assert.NilError(t, l.flap(pausing[0].ID))
 		assert.NilError(t, l.flap(leaving[0].ID))
-		l.Network.CutBetween(l.Names(false), l.Names(true))
+		l.Network.PartitionBetween(l.MachineNames(false), l.MachineNames(true))
 		time.Sleep(8 * time.Second)
 		l.Network.Heal()
 		time.Sleep(2 * time.Second)
-		for _, name := range l.Names(true) {
+		for _, name := range l.MachineNames(true) {
 			l.Kill(name)
 		}
 		time.Sleep(time.Second)
-		for _, name := range l.Names(true) {
+		for _, name := range l.MachineNames(true) {
 			l.Boot(name)
 		}
 		time.Sleep(8 * time.Second)
 		l.assertPausesKept(t, pausing)
 		for _, engine := range leaving {
-			for _, node := range l.Names(false) {
-				late, _ := l.Truth.AfterLeaving(engine.ID, node)
+			for _, node := range l.MachineNames(false) {
+				late, _ := l.GroundTruth.RequestsAfterLeaving(engine.ID, node)
 				assert.Check(t, late == 0, "%s got %d requests from %s after it had told it that it leaves", engine.ID, late, node)
 			}
 		}
--- a/internal/lab/openfleet/poison_test.go
+++ b/internal/lab/openfleet/poison_test.go
@@ -51,12 +51,14 @@
 
 func (p *poisonedFleet) addEngine(id, service, zone string, events int, after time.Duration) {
 	engine := p.AddEngine(id, service, zone)
-	engine.Set(func(e *Engine) { e.Events, e.EndsOn, e.EndsAfter, e.Work = events, poison, after, 30*time.Millisecond })
+	engine.Set(func(e *Engine) {
+		e.Events, e.CrashesOn, e.CrashesAfter, e.WorkTime = events, poison, after, 30*time.Millisecond
+	})
 	engine.crash = func() {
 		p.mutex.Lock()
-		p.crashes = append(p.crashes, time.Since(p.Truth.startedAt))
+		p.crashes = append(p.crashes, time.Since(p.GroundTruth.startedAt))
 		p.mutex.Unlock()
-		p.EndEngine(engine)
+		p.CrashEngine(engine)
 		time.AfterFunc(engineRestartDelay, func() {
 			if p.ctx.Err() == nil {
 				p.addEngine(id+"~", service, zone, events, after)
@@ -74,10 +76,12 @@
 // sendPoison sends the poison request periodically for a time, each time with another id to a random entry
 // node.
 func (p *poisonedFleet) sendPoison(random *rand.Rand, path string, every, duration time.Duration) {
-	entries := p.Names(false)
+	entries := p.MachineNames(false)
 	for start := time.Now(); time.Since(start) < duration; time.Sleep(every) {
 		name, id := entries[random.IntN(len(entries))], fmt.Sprintf("poison-%d", random.Uint64())
-		p.goroutines.Go(func() { _, _ = p.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "1,1", Body: poison}) })
+		p.goroutines.Go(func() {
+			_, _ = p.Request(name, CallerRequest{ID: id, Path: path, Key: "key-one", Tokens: "1,1", Body: poison})
+		})
 	}
 }
 
@@ -90,7 +94,7 @@
 	if len(crashes) < 3 {
 		return 0
 	}
-	return len(slices.DeleteFunc(p.Truth.Runs(), func(run Run) bool { return run.Body != poison || run.Arrived <= crashes[2]+propagationTime }))
+	return len(slices.DeleteFunc(p.GroundTruth.Runs(), func(run Run) bool { return run.Body != poison || run.Arrived <= crashes[2]+propagationTime }))
 }
 
 // withPoisonedFleet runs a test against six entry nodes and two services of nine engines each, which
@@ -112,7 +116,7 @@
 		p := &poisonedFleet{Fleet: f}
 		p.addEngines("model", 9, 5, after)
 		p.addEngines("portal", 9, 0, after)
-		assert.NilError(t, f.Put(changed, 3*time.Second))
+		assert.NilError(t, f.PutConfiguration(changed, 3*time.Second))
 		time.Sleep(3 * time.Second)
 		test(t, p)
 	})
@@ -134,8 +138,8 @@
 // quarantiningNodes returns the names of the entry nodes that refuse the poison request as quarantined.
 func (p *poisonedFleet) quarantiningNodes() []string {
 	var names []string
-	for _, name := range p.Names(false) {
-		response, err := p.Request(name, Ask{ID: fmt.Sprintf("probe-%s-%d", name, time.Now().UnixNano()), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
+	for _, name := range p.MachineNames(false) {
+		response, err := p.Request(name, CallerRequest{ID: fmt.Sprintf("probe-%s-%d", name, time.Now().UnixNano()), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
 		if err == nil && strings.Contains(response.Body, "quarantined") {
 			names = append(names, name)
 		}
@@ -146,7 +150,7 @@
 // crashThree sends the poison request to three entry nodes, each of which sees one engine crash.
 func (p *poisonedFleet) crashThree() {
 	for number, name := range []string{"entry-0", "entry-1", "entry-2"} {
-		_, _ = p.Request(name, Ask{ID: fmt.Sprintf("poison-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
+		_, _ = p.Request(name, CallerRequest{ID: fmt.Sprintf("poison-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
 		time.Sleep(300 * time.Millisecond)
 	}
 }
@@ -160,7 +164,7 @@
 		assert.Equal(t, len(p.quarantiningNodes()), 6)
 		assert.Equal(t, p.crashCount(), 3)
 		// Another body is served.
-		served, err := p.Request("entry-0", Ask{ID: "other", Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
+		served, err := p.Request("entry-0", CallerRequest{ID: "other", Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
 		assert.NilError(t, err)
 		assert.Equal(t, served.Status, http.StatusOK)
 	})
@@ -195,12 +199,12 @@
 		own := []string{"control-2", "entry-2", "entry-5"}
 		others := []string{"control-0", "control-1", "entry-0", "entry-1", "entry-3", "entry-4"}
 		for number := range 5 {
-			_, _ = p.Request("entry-2", Ask{ID: fmt.Sprintf("before-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
+			_, _ = p.Request("entry-2", CallerRequest{ID: fmt.Sprintf("before-%d", number), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: "harmless"})
 		}
-		p.Network.CutBetween(own, others)
+		p.Network.PartitionBetween(own, others)
 		crashOne := func(name string) {
 			for before, try := p.crashCount(), 0; p.crashCount() == before && try < 20; try++ {
-				_, _ = p.Request(name, Ask{ID: fmt.Sprintf("%s-%d", name, try), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
+				_, _ = p.Request(name, CallerRequest{ID: fmt.Sprintf("%s-%d", name, try), Path: "/stream/x", Key: "key-one", Tokens: "1,1", Body: poison})
 				time.Sleep(400 * time.Millisecond)
 			}
 		}
@@ -221,7 +225,7 @@
 	withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
 		p.crashThree()
 		time.Sleep(time.Second)
-		control, entry := p.Operators("control-0"), p.Operators("entry-3")
+		control, entry := p.OperatorClient("control-0"), p.OperatorClient("entry-3")
 		listed, err := control.GetQuarantine(p.ctx, connect.NewRequest(&ravenwayv1.GetQuarantineRequest{}))
 		assert.NilError(t, err)
 		assert.Equal(t, len(listed.Msg.GetRequests()), 1)
--- a/internal/lab/openfleet/ratelimit_test.go
+++ b/internal/lab/openfleet/ratelimit_test.go
@@ -59,8 +59,8 @@
 		for number := range 12 {
 			l.engines = append(l.engines, f.AddEngine(fmt.Sprintf("model-%d", number), "model", zones[number%len(zones)]))
 		}
-		l.setEngines(func(e *Engine) { e.Events, e.Work = 5, 30*time.Millisecond })
-		assert.NilError(t, f.Put(changed, 3*time.Second))
+		l.setEngines(func(e *Engine) { e.Events, e.WorkTime = 5, 30*time.Millisecond })
+		assert.NilError(t, f.PutConfiguration(changed, 3*time.Second))
 		time.Sleep(2 * time.Second)
 		test(t, l)
 	})
@@ -80,15 +80,15 @@
 // sendRequests is sendStreams with a path, of whose requests only streams share parts of prompts.
 func (l *rateLimitedFleet) sendRequests(random *rand.Rand, path string, perSecond float64, duration time.Duration) {
 	for start := time.Now(); time.Since(start) < duration; time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))) {
-		entries := l.Names(false)
+		entries := l.MachineNames(false)
 		name, id, part := entries[random.IntN(len(entries))], fmt.Sprintf("call-%d", random.Uint64()), ""
 		if strings.HasPrefix(path, "/stream") {
 			part = "part-" + strconv.Itoa(random.IntN(80))
 		}
 		l.goroutines.Go(func() {
 			sent := time.Now()
-			response, err := l.Request(name, Ask{ID: id, Path: path, Key: "key-one", Tokens: "1000,5", Part: part})
-			if err != nil || response.Broken != nil {
+			response, err := l.Request(name, CallerRequest{ID: id, Path: path, Key: "key-one", Tokens: "1000,5", PromptPart: part})
+			if err != nil || response.BodyError != nil {
 				response.Status = 0
 			}
 			l.mutex.Lock()
@@ -126,11 +126,11 @@
 }
 
 // sinceStart is the time since the fleet was made, as the ground truth records it.
-func (f *Fleet) sinceStart() time.Duration { return time.Since(f.Truth.startedAt) }
+func (f *Fleet) sinceStart() time.Duration { return time.Since(f.GroundTruth.startedAt) }
 
 // arrivalsSince returns the times, from a given one on, at which requests arrived at an engine.
 func (f *Fleet) arrivalsSince(engine *Engine, from time.Duration) []time.Duration {
-	return slices.DeleteFunc(f.Truth.Arrivals(engine.ID), func(at time.Duration) bool { return at < from })
+	return slices.DeleteFunc(f.GroundTruth.Arrivals(engine.ID), func(at time.Duration) bool { return at < from })
 }
 
 // assertWithinLimit checks that an engine got no more requests than the rate limit allows that it has
@@ -169,10 +169,10 @@
 func TestFailedAndRepeatedRequestsCountTowardsARateLimit(t *testing.T) {
 	for name, change := range map[string]func(*Engine){
 		"failing":   func(e *Engine) { e.Events, e.Status = 0, http.StatusInternalServerError },
-		"rejecting": func(e *Engine) { e.TurnAway = true },
+		"rejecting": func(e *Engine) { e.RejectsAll = true },
 		// A rejection that named no limit was read as the end of the limit, and all nodes were
 		// informed, until the next response that named it: 18 requests in 4 s, where 17 are allowed.
-		"rejecting_half_without_naming_it": func(e *Engine) { e.BareRefusals = 0.5 },
+		"rejecting_half_without_naming_it": func(e *Engine) { e.BareRejections = 0.5 },
 		"aborting":                         func(e *Engine) { e.Events, e.BreakAfter = 5, 2 },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -252,13 +252,13 @@
 func TestRateLimitsHoldWhileNodesCrashStartAndArePartitioned(t *testing.T) {
 	disturbances := map[string]func(l *rateLimitedFleet, step int){
 		"nodes_crash_and_restart": func(l *rateLimitedFleet, step int) {
-			name := l.Names(false)[step%8]
+			name := l.MachineNames(false)[step%8]
 			l.Kill(name)
 			time.Sleep(time.Second)
 			l.Boot(name)
 		},
 		"nodes_stop_gracefully": func(l *rateLimitedFleet, step int) {
-			name := l.Names(false)[step%8]
+			name := l.MachineNames(false)[step%8]
 			l.Stop(name)
 			l.Boot(name)
 		},
@@ -272,12 +272,12 @@
 				l.Network.Heal()
 				return
 			}
-			l.Network.CutBetween(l.Names(true), l.Names(false))
+			l.Network.PartitionBetween(l.MachineNames(true), l.MachineNames(false))
 		},
 		"single_nodes_are_partitioned": func(l *rateLimitedFleet, step int) {
 			l.Network.Heal()
-			cut := l.Names(false)[step%8]
-			l.Network.CutBetween([]string{cut}, slices.DeleteFunc(append(l.Names(true), l.Names(false)...), func(name string) bool { return name == cut }))
+			cut := l.MachineNames(false)[step%8]
+			l.Network.PartitionBetween([]string{cut}, slices.DeleteFunc(append(l.MachineNames(true), l.MachineNames(false)...), func(name string) bool { return name == cut }))
 		},
 		"a_zone_is_partitioned_but_reaches_all_engines": func(l *rateLimitedFleet, step int) {
 			if step%3 == 1 {
@@ -285,8 +285,8 @@
 				return
 			}
 			own := func(name string) bool { return l.Machine(name).Zone == "b" }
-			all := append(l.Names(true), l.Names(false)...)
-			l.Network.CutBetween(slices.DeleteFunc(slices.Clone(all), func(name string) bool { return !own(name) }), slices.DeleteFunc(all, own))
+			all := append(l.MachineNames(true), l.MachineNames(false)...)
+			l.Network.PartitionBetween(slices.DeleteFunc(slices.Clone(all), func(name string) bool { return !own(name) }), slices.DeleteFunc(all, own))
 		},
 	}
 	for name, disturb := range disturbances {
@@ -375,7 +375,7 @@
 	withRateLimitedFleet(t, 3, func(t *testing.T, l *rateLimitedFleet) {
 		setRateLimit(l.engines[:1], "0.5")
 		l.sendStreams(rand.New(rand.NewPCG(45, 9)), 40, 8*time.Second)
-		listed, err := l.Operators("entry-1").GetLimits(l.ctx, connect.NewRequest(&ravenwayv1.GetLimitsRequest{}))
+		listed, err := l.OperatorClient("entry-1").GetLimits(l.ctx, connect.NewRequest(&ravenwayv1.GetLimitsRequest{}))
 		assert.NilError(t, err)
 		assert.Equal(t, len(listed.Msg.GetLimits()), 1)
 		limit := listed.Msg.GetLimits()[0]
@@ -384,7 +384,7 @@
 		assert.Equal(t, limit.GetService(), "model")
 		// The only entry node of the engine's zone issues its permits.
 		assert.Equal(t, limit.GetHolder(), l.Machine("entry-0").Peer())
-		_, err = l.Operators("control-0").GetLimits(l.ctx, connect.NewRequest(&ravenwayv1.GetLimitsRequest{}))
+		_, err = l.OperatorClient("control-0").GetLimits(l.ctx, connect.NewRequest(&ravenwayv1.GetLimitsRequest{}))
 		assert.Equal(t, connect.CodeOf(err), connect.CodeFailedPrecondition)
 	})
 }
--- a/internal/lab/openfleet/restart_test.go
+++ b/internal/lab/openfleet/restart_test.go
@@ -14,7 +14,7 @@
 // restartEngine crashes an engine, and some time later starts it again with the same id.
 func (f *Fleet) restartEngine(id string, downtime time.Duration) *Engine {
 	before := f.engines[id]
-	f.EndEngine(before)
+	f.CrashEngine(before)
 	time.Sleep(downtime)
 	after := f.AddEngine(id, before.Service, before.Zone)
 	after.Set(func(e *Engine) { e.Events = before.Events })
@@ -24,7 +24,7 @@
 // keepOneEngine crashes all but one engine of a service and returns the id of the remaining one.
 func (f *Fleet) keepOneEngine(service string) string {
 	for _, zone := range zones[1:] {
-		f.EndEngine(f.engines[service+"-"+zone])
+		f.CrashEngine(f.engines[service+"-"+zone])
 	}
 	return service + "-" + zones[0]
 }
@@ -41,7 +41,7 @@
 				f.restartEngine(id, downtime)
 				isServed := func() bool {
 					response, err := f.Request("entry-0", newRequest(fmt.Sprint("r", time.Now().UnixNano()), "/stream/x"))
-					return err == nil && response.Status == http.StatusOK && response.Broken == nil
+					return err == nil && response.Status == http.StatusOK && response.BodyError == nil
 				}
 				assert.NilError(t, f.WaitFor(heartbeatInterval+time.Second, "a response of the restarted engine", isServed))
 				// Its lease must be renewed by the heartbeats of the new incarnation.
@@ -58,17 +58,17 @@
 func TestNewerIncarnationEndsStreamsOfThePreviousOneBehindAPartition(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
-			f.engines["llm-"+zone].Set(func(e *Engine) { e.Work = 300 * time.Millisecond })
+			f.engines["llm-"+zone].Set(func(e *Engine) { e.WorkTime = 300 * time.Millisecond })
 		}
-		isServed := make(chan Answer, 1)
+		isServed := make(chan CallerResponse, 1)
 		go func() {
 			response, _ := f.Request("entry-0", newRequest("r1", "/resumable/x"))
 			isServed <- response
 		}()
 		time.Sleep(400 * time.Millisecond)
-		runs := f.Truth.Runs()
+		runs := f.GroundTruth.Runs()
 		id := runs[len(runs)-1].Instance
-		f.Network.CutBetween([]string{id}, []string{"entry-0"})
+		f.Network.PartitionBetween([]string{id}, []string{"entry-0"})
 		// For the entry node the connection stays open, but nothing arrives over it.
 		before := f.engines[id]
 		before.hasCrashed.Store(true)
@@ -78,7 +78,7 @@
 		renewed.Born, renewed.Sequence = time.Now().UnixMilli(), 1
 		assert.NilError(t, f.Heartbeat(renewed))
 		response := <-isServed
-		assert.NilError(t, response.Broken)
+		assert.NilError(t, response.BodyError)
 		assert.Equal(t, response.Body, eventsText("r1", 5))
 		assert.Assert(t, time.Since(start) < 3*time.Second, "resumed and completed %s after the heartbeat of the newer incarnation", time.Since(start))
 	})
--- a/internal/lab/openfleet/rollout_test.go
+++ b/internal/lab/openfleet/rollout_test.go
@@ -53,7 +53,7 @@
 // startNewVersion starts engines of the new version in addition to the old ones.
 func startNewVersion(f *Fleet, change func(*Engine)) {
 	for _, zone := range zones {
-		f.AddVersion(newVersion+"-"+zone, "app", zone, newVersion).Set(change)
+		f.AddEngineVersion(newVersion+"-"+zone, "app", zone, newVersion).Set(change)
 	}
 }
 
@@ -64,16 +64,16 @@
 	var callers sync.WaitGroup
 	var mutex sync.Mutex
 	statuses := map[int]int{}
-	for _, entry := range f.Names(false) {
+	for _, entry := range f.MachineNames(false) {
 		callers.Go(func() {
 			var calls sync.WaitGroup
 			for number := 0; ctx.Err() == nil; number++ {
 				calls.Go(func() {
 					path := []string{"/safe/x", "/once/x"}[number%2]
-					response, err := f.Request(entry, Ask{ID: fmt.Sprintf("call-%s-%d", entry, number), Path: path, Key: "key-one"})
+					response, err := f.Request(entry, CallerRequest{ID: fmt.Sprintf("call-%s-%d", entry, number), Path: path, Key: "key-one"})
 					mutex.Lock()
 					defer mutex.Unlock()
-					if err != nil || response.Broken != nil {
+					if err != nil || response.BodyError != nil {
 						response.Status = 0
 					}
 					statuses[response.Status]++
@@ -92,7 +92,7 @@
 
 // runsOfNewVersion returns the number of runs at engines of the new version and when the last began.
 func runsOfNewVersion(f *Fleet) (count int, last time.Duration) {
-	for _, run := range f.Truth.Runs() {
+	for _, run := range f.GroundTruth.Runs() {
 		if strings.HasPrefix(run.Instance, newVersion) {
 			count++
 			last = max(last, run.Arrived)
@@ -107,7 +107,7 @@
 	t.Helper()
 	stop = callAll(f)
 	time.Sleep(2 * time.Second)
-	before = len(f.Truth.Runs())
+	before = len(f.GroundTruth.Runs())
 	assert.NilError(t, orderRollout(f, 3*time.Second))
 	startNewVersion(f, func(e *Engine) { e.Status = http.StatusInternalServerError })
 	return before, stop
@@ -120,11 +120,11 @@
 		before, stop := startBadRollout(t, f)
 		assert.NilError(t, f.WaitFor(rolloutTime/2, "the rollback", func() bool { return stageOf(f) == rollout.RolledBack }))
 		time.Sleep(time.Second)
-		rolledBackAt := time.Since(f.Truth.startedAt)
+		rolledBackAt := time.Since(f.GroundTruth.startedAt)
 		time.Sleep(rolloutTime)
 		stop()
 		count, last := runsOfNewVersion(f)
-		assert.Assert(t, count > 0 && float64(count) <= 0.1*float64(len(f.Truth.Runs())-before)+50, "%d runs", count)
+		assert.Assert(t, count > 0 && float64(count) <= 0.1*float64(len(f.GroundTruth.Runs())-before)+50, "%d runs", count)
 		assert.Assert(t, last < rolledBackAt, "a run at the new version %s after the rollback", last-rolledBackAt)
 		assert.Equal(t, stageOf(f), rollout.RolledBack)
 	})
@@ -142,7 +142,7 @@
 		assert.NilError(t, f.WaitFor(rolloutTime, "the rollout to be done", func() bool { return stageOf(f) == rollout.Done }))
 		assert.Assert(t, time.Since(start) < rolloutTime, "%s", time.Since(start))
 		for _, zone := range zones {
-			f.EndEngine(f.engines["app-"+zone])
+			f.CrashEngine(f.engines["app-"+zone])
 		}
 		time.Sleep(3 * time.Second)
 		statuses := stop()
@@ -184,7 +184,7 @@
 func TestBadVersionIsRolledBackAlthoughLeadersCrash(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		before, stop := startBadRollout(t, f)
-		for _, name := range f.Names(true) {
+		for _, name := range f.MachineNames(true) {
 			f.Kill(name)
 			time.Sleep(300 * time.Millisecond)
 			f.Boot(name)
@@ -193,7 +193,7 @@
 		assert.NilError(t, f.WaitFor(rolloutTime, "the rollback", func() bool { return stageOf(f) == rollout.RolledBack }))
 		stop()
 		count, _ := runsOfNewVersion(f)
-		assert.Assert(t, float64(count) <= 0.1*float64(len(f.Truth.Runs())-before)+50, "%d runs", count)
+		assert.Assert(t, float64(count) <= 0.1*float64(len(f.GroundTruth.Runs())-before)+50, "%d runs", count)
 	})
 }
 
@@ -226,11 +226,11 @@
 func TestOperatorsSeeRolloutsAtEachNode(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		request := &ravenwayv1.OrderRolloutRequest{Service: "app", Version: newVersion, DurationMilliseconds: uint64(rolloutTime.Milliseconds())}
-		_, err := f.Operators("entry-0").OrderRollout(f.ctx, connect.NewRequest(request))
+		_, err := f.OperatorClient("entry-0").OrderRollout(f.ctx, connect.NewRequest(request))
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		for _, name := range append(f.Names(true), f.Names(false)...) {
-			status, err := f.Operators(name).GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
+		for _, name := range append(f.MachineNames(true), f.MachineNames(false)...) {
+			status, err := f.OperatorClient(name).GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
 			assert.NilError(t, err)
 			assert.Equal(t, len(status.Msg.GetRollouts()), 1, name)
 			assert.Equal(t, status.Msg.GetRollouts()[0].GetStage(), "canary")
@@ -238,7 +238,7 @@
 				assert.Equal(t, node.GetDialect(), uint32(peer.OwnDialect))
 			}
 		}
-		_, err = f.Operators("entry-1").OrderRollout(f.ctx, connect.NewRequest(request))
+		_, err = f.OperatorClient("entry-1").OrderRollout(f.ctx, connect.NewRequest(request))
 		assert.Equal(t, connect.CodeOf(err), connect.CodeAlreadyExists)
 	})
 }
@@ -270,18 +270,18 @@
 
 // leaderOf returns the name of the leader, as the first control node that responds knows it.
 func leaderOf(f *Fleet) string {
-	for _, name := range f.Names(true) {
-		status, err := f.Operators(name).GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
+	for _, name := range f.MachineNames(true) {
+		status, err := f.OperatorClient(name).GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
 		if err != nil {
 			continue
 		}
-		for _, other := range f.Names(true) {
+		for _, other := range f.MachineNames(true) {
 			if f.Machine(other).Peer() == status.Msg.GetLeader() {
 				return other
 			}
 		}
 	}
-	return f.Names(true)[0]
+	return f.MachineNames(true)[0]
 }
 
 // Guards against a leader that refuses a rollout because it has not read the configuration yet: it
@@ -295,7 +295,7 @@
 		f.Boot(leader)
 		isAcknowledged := false
 		for start := time.Now(); !isAcknowledged && time.Since(start) < 8*time.Second; time.Sleep(5 * time.Millisecond) {
-			for _, name := range f.Names(true) {
+			for _, name := range f.MachineNames(true) {
 				err := f.Machine(name).running().OrderRollout(f.ctx, "app", newVersion, rolloutTime)
 				assert.Assert(t, !errors.Is(err, gateway.ErrUnknownService), "%s: %v", name, err)
 				isAcknowledged = isAcknowledged || err == nil || errors.Is(err, gateway.ErrRolloutUnderWay)
--- a/internal/lab/openfleet/saturatedlink_test.go
+++ b/internal/lab/openfleet/saturatedlink_test.go
@@ -15,7 +15,7 @@
 // expectInEffect sends a configuration and checks that it is in effect at a node in time.
 func expectInEffect(t *testing.T, f *Fleet, name string, version uint64) {
 	t.Helper()
-	assert.NilError(t, f.Put(configuration(version), time.Second))
+	assert.NilError(t, f.PutConfiguration(configuration(version), time.Second))
 	assert.NilError(t, f.WaitFor(inEffectWithin, "the configuration to be in effect at "+name, func() bool {
 		return f.Machine(name).running().Version() == version
 	}))
@@ -26,7 +26,7 @@
 // afterwards took two such delays in sequence.
 func TestNodeBehindASaturatedLinkAppliesANewVersionInTime(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
-		f.Network.Delay("entry-0", 1300*time.Millisecond)
+		f.Network.SetDelay("entry-0", 1300*time.Millisecond)
 		time.Sleep(3 * time.Second)
 		expectInEffect(t, f, "entry-0", 2)
 		expectInEffect(t, f, "entry-1", 3)
@@ -37,7 +37,7 @@
 // handshake needs two messages to the node, and neither may take more than a second.
 func TestNodeBehindASaturatedLinkIsReachedOverANewConnection(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
-		f.Network.Delay("entry-0", 550*time.Millisecond)
+		f.Network.SetDelay("entry-0", 550*time.Millisecond)
 		f.Network.BreakConnections("entry-0")
 		time.Sleep(4 * time.Second)
 		expectInEffect(t, f, "entry-0", 2)
@@ -48,7 +48,7 @@
 // other control nodes have the version.
 func TestVersionComesFromAnotherControlNodeIfTheSameZoneOneIsUnreachable(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
-		f.Network.CutOneWay("control-0", "entry-0")
+		f.Network.PartitionOneWay("control-0", "entry-0")
 		expectInEffect(t, f, "entry-0", 2)
 	})
 }
@@ -58,14 +58,14 @@
 func TestNodeBehindASaturatedLinkIsNotReadyUntilTheLinkRecovers(t *testing.T) {
 	withFleet(t, 4, func(t *testing.T, f *Fleet) {
 		readyIs := func(name string, expected bool) func() bool { return func() bool { return f.Ready(name) == expected } }
-		f.Network.Delay("entry-0", 500*time.Millisecond)
+		f.Network.SetDelay("entry-0", 500*time.Millisecond)
 		assert.NilError(t, f.WaitFor(5*time.Second, "entry-0 not to be ready with a saturated link", readyIs("entry-0", false)))
 		assert.Assert(t, f.Ready("entry-3"))
 		// Requests that arrive nevertheless are served, and their connections are closed.
-		response, err := f.Request("entry-0", Ask{ID: "r1", Path: "/safe/x", Key: "key-one"})
+		response, err := f.Request("entry-0", CallerRequest{ID: "r1", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, response.Status, http.StatusOK)
-		f.Network.Delay("entry-0", 0)
+		f.Network.SetDelay("entry-0", 0)
 		assert.NilError(t, f.WaitFor(10*time.Second, "entry-0 to be ready again", readyIs("entry-0", true)))
 	})
 }
