--- a/internal/lab/fleet/chaos.go
+++ b/internal/lab/fleet/chaos.go
@@ -33,30 +33,30 @@
 // Run sends load and injects faults for a time, repairs all of them, and checks the fleet's guarantees
 // against the ground truth.
 func (c *Chaos) Run(seed uint64, duration time.Duration) (load.Report, error) {
-	ledger := &ResponseLog{}
-	ended := make(chan error, 1)
+	responses := &ResponseLog{}
+	faultsEnded := make(chan error, 1)
 	ctx, cancel := context.WithTimeout(context.Background(), duration)
 	defer cancel()
 	go func() {
 		err := c.injectFaults(ctx)
 		// Streams in a partition that never ends would block the load forever.
 		c.fleet.Network.Heal()
-		ended <- err
+		faultsEnded <- err
 	}()
 	report, err := load.Run(context.Background(), load.Options{
 		Entries: c.fleet.EntryAddresses(c.fleet.Order...), Mix: c.fleet.Mix(seed), Rate: 20, Duration: duration, Seed: seed,
-		Client: c.fleet.LoadClient(), Retry: true, Done: ledger.Record,
+		Client: c.fleet.LoadClient(), Retry: true, Done: responses.Record,
 	})
 	if err != nil {
 		return report, err
 	}
-	if err := <-ended; err != nil {
+	if err := <-faultsEnded; err != nil {
 		return report, err
 	}
 	if err := c.repair(); err != nil {
 		return report, err
 	}
-	if err := c.fleet.CheckGuarantees(ledger, 3*time.Minute); err != nil {
+	if err := c.fleet.CheckGuarantees(responses, 3*time.Minute); err != nil {
 		return report, err
 	}
 	return report, c.checkTopUps()
@@ -79,13 +79,13 @@
 	case 0, 1:
 		return c.killOrBoot()
 	case 2:
-		c.countFault("zone cut")
+		c.countFault("zone partition")
 		f.PartitionZone(f.Plan.Zones[c.random.IntN(len(f.Plan.Zones))])
 	case 3:
 		c.countFault("heal")
 		f.Network.Heal()
 	case 4:
-		c.countFault("one-way cut")
+		c.countFault("one-way partition")
 		f.Network.PartitionOneWay(c.anyNode(), c.anyNode())
 	case 5:
 		c.countFault("broken connections")
@@ -116,11 +116,11 @@
 		return nil
 	}
 	name := c.anyNode()
-	repaired := f.HasAllVoters()
+	hasAllVoters := f.HasAllVoters()
 	f.Kill(name)
 	c.down = name
 	c.countFault("kill")
-	if f.machines[name].Control && repaired && c.random.IntN(2) == 0 {
+	if f.machines[name].Control && hasAllVoters && c.random.IntN(2) == 0 {
 		c.countFault("lost disk")
 		f.EraseDisk(name)
 	}
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -14,28 +14,28 @@
 // ResponseLog records the responses that callers received, for comparison with the ground truth.
 type ResponseLog struct {
 	mutex   sync.Mutex
-	entries []ledgerEntry
+	entries []responseEntry
 }
 
-type ledgerEntry struct {
+type responseEntry struct {
 	request  load.Request
 	response load.Answer
 	tries    int
 }
 
 // Record records the last response to a request and the number of times that it was sent.
-func (l *ResponseLog) Record(request load.Request, response load.Answer, tries int) {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
-	l.entries = append(l.entries, ledgerEntry{request: request, response: response, tries: tries})
+func (r *ResponseLog) Record(request load.Request, response load.Answer, tries int) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.entries = append(r.entries, responseEntry{request: request, response: response, tries: tries})
 }
 
 // Outcomes returns the number of responses by outcome.
-func (l *ResponseLog) Outcomes() map[load.Outcome]int {
-	l.mutex.Lock()
-	defer l.mutex.Unlock()
+func (r *ResponseLog) Outcomes() map[load.Outcome]int {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
 	counts := map[load.Outcome]int{}
-	for _, entry := range l.entries {
+	for _, entry := range r.entries {
 		counts[entry.response.Outcome]++
 	}
 	return counts
@@ -43,8 +43,8 @@
 
 // CheckGuarantees compares the responses to callers and the bills with what the back ends ran. It waits for late
 // settlements.
-func (f *Fleet) CheckGuarantees(ledger *ResponseLog, maximumWait time.Duration) error {
-	if err := f.checkResponses(ledger); err != nil {
+func (f *Fleet) CheckGuarantees(responses *ResponseLog, maximumWait time.Duration) error {
+	if err := f.checkResponses(responses); err != nil {
 		return err
 	}
 	var last error
@@ -59,7 +59,7 @@
 }
 
 // checkResponses checks the guarantees that concern single responses.
-func (f *Fleet) checkResponses(ledger *ResponseLog) error {
+func (f *Fleet) checkResponses(responses *ResponseLog) error {
 	ran := map[string]int{}
 	bodies := map[string]int{}
 	for _, event := range f.Emulator.Truth.Events() {
@@ -73,9 +73,9 @@
 			return fmt.Errorf("a call that may not be repeated ran %d times: %q", count, body)
 		}
 	}
-	ledger.mutex.Lock()
-	defer ledger.mutex.Unlock()
-	for _, entry := range ledger.entries {
+	responses.mutex.Lock()
+	defer responses.mutex.Unlock()
+	for _, entry := range responses.entries {
 		switch entry.response.Outcome {
 		case load.Wrong:
 			return fmt.Errorf("request %s received a wrong response: %s", entry.request.Key, entry.response.Detail)
--- a/internal/lab/fleet/failure_test.go
+++ b/internal/lab/fleet/failure_test.go
@@ -15,11 +15,11 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// runUnderLoad sends the mix while faults are injected, and returns the report and the ledger.
+// runUnderLoad sends the mix while faults are injected, and returns the report and the response log.
 func runUnderLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *ResponseLog) {
 	t.Helper()
-	ledger := &ResponseLog{}
-	options.Mix, options.Client, options.Done = f.Mix(options.Seed), f.LoadClient(), ledger.Record
+	responses := &ResponseLog{}
+	options.Mix, options.Client, options.Done = f.Mix(options.Seed), f.LoadClient(), responses.Record
 	if options.Entries == nil {
 		options.Entries = f.EntryAddresses(f.Order...)
 	}
@@ -31,14 +31,14 @@
 	report, err := load.Run(context.Background(), options)
 	assert.NilError(t, err)
 	<-done
-	return report, ledger
+	return report, responses
 }
 
 // Guards against lost or doubly billed requests when one of eight nodes crashes with streams open.
 // Callers retry with their keys through the others, and each request completes and is billed once.
 func TestNodeCrashUnderLoadLosesNoRetriedRequest(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		report, ledger := runUnderLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 2, Retry: true}, func() {
+		report, responses := runUnderLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 2, Retry: true}, func() {
 			time.Sleep(5 * time.Second)
 			f.Kill("lhr-a-2")
 			time.Sleep(4 * time.Second)
@@ -50,7 +50,7 @@
 		// /readyz first.
 		starting := report.Codes[string(caller.CodeStarting)]
 		assert.Equal(t, report.Outcomes[load.Whole]+starting, report.Sent, "%s", report)
-		assert.NilError(t, f.CheckGuarantees(ledger, 60*time.Second))
+		assert.NilError(t, f.CheckGuarantees(responses, 60*time.Second))
 	})
 }
 
@@ -58,7 +58,7 @@
 func TestGracefulStopInterruptsNothing(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		var interrupted int64
-		report, ledger := runUnderLoad(t, f, load.Options{
+		report, responses := runUnderLoad(t, f, load.Options{
 			Rate: 40, Duration: 15 * time.Second, Seed: 3, Entries: f.EntryAddresses("lhr-a-1", "lhr-b-2"),
 		}, func() {
 			// The load is sent to two nodes that stay up. The stopping node still completes the
@@ -68,7 +68,7 @@
 		})
 		assert.Equal(t, interrupted, int64(0))
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
-		assert.NilError(t, f.CheckGuarantees(ledger, 30*time.Second))
+		assert.NilError(t, f.CheckGuarantees(responses, 30*time.Second))
 	})
 }
 
@@ -76,7 +76,7 @@
 // callers reach all zones. The partitioned zone continues to serve what its grants allow.
 func TestPartitionedZoneUnderLoadServesWithoutOverspending(t *testing.T) {
 	withFleet(t, deployment.Drukwacht(), func(t *testing.T, f *Fleet) {
-		report, ledger := runUnderLoad(t, f, load.Options{Rate: 30, Duration: 40 * time.Second, Seed: 4, Retry: true}, func() {
+		report, responses := runUnderLoad(t, f, load.Options{Rate: 30, Duration: 40 * time.Second, Seed: 4, Retry: true}, func() {
 			time.Sleep(8 * time.Second)
 			f.PartitionZone("hall-c")
 			time.Sleep(20 * time.Second)
@@ -84,7 +84,7 @@
 		})
 		t.Log(report)
 		assert.Assert(t, report.Outcomes[load.Whole] > report.Sent*7/10, "%s", report)
-		assert.NilError(t, f.CheckGuarantees(ledger, 90*time.Second))
+		assert.NilError(t, f.CheckGuarantees(responses, 90*time.Second))
 	})
 }
 
--- a/internal/lab/fleet/fleet_test.go
+++ b/internal/lab/fleet/fleet_test.go
@@ -38,13 +38,13 @@
 
 func TestMixIsServedWholeAndBilledAsItRan(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
-		ledger := &ResponseLog{}
+		responses := &ResponseLog{}
 		report, err := load.Run(context.Background(), load.Options{
 			Entries: f.EntryAddresses(f.Order...), Mix: f.Mix(1), Rate: 30, Duration: 10 * time.Second, Seed: 1,
-			Client: f.LoadClient(), Done: ledger.Record,
+			Client: f.LoadClient(), Done: responses.Record,
 		})
 		assert.NilError(t, err)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
-		assert.NilError(t, f.CheckGuarantees(ledger, 20*time.Second))
+		assert.NilError(t, f.CheckGuarantees(responses, 20*time.Second))
 	})
 }
--- a/internal/lab/fleet/pause_test.go
+++ b/internal/lab/fleet/pause_test.go
@@ -24,7 +24,7 @@
 				pausing = append(pausing, engine)
 			}
 		}
-		report, ledger := runUnderLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 48, Retry: true}, func() {
+		report, responses := runUnderLoad(t, f, load.Options{Rate: 40, Duration: 15 * time.Second, Seed: 48, Retry: true}, func() {
 			time.Sleep(2 * time.Second)
 			for _, engine := range pausing {
 				engine.SetPause(3 * time.Second)
@@ -48,6 +48,6 @@
 		t.Logf("%d pauses requested", requested)
 		assert.Check(t, requested > 0)
 		assert.Equal(t, report.Outcomes[load.Whole], report.Sent, "%s", report)
-		assert.NilError(t, f.CheckGuarantees(ledger, 60*time.Second))
+		assert.NilError(t, f.CheckGuarantees(responses, 60*time.Second))
 	})
 }
--- a/internal/lab/openfleet/engine.go
+++ b/internal/lab/openfleet/engine.go
@@ -149,7 +149,7 @@
 	Status int
 	// RejectsAll makes the engine reject all requests.
 	RejectsAll bool
-	// CrashesOn is the body of requests that crash the engine, with all runs in progress, EndsAfter
+	// CrashesOn is the body of requests that crash the engine, with all runs in progress, CrashesAfter
 	// they began to run; "" means that there are none.
 	CrashesOn    string
 	CrashesAfter time.Duration
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -493,42 +493,42 @@
 
 // Request sends a caller's request to an entry node. The error is that of a connection that failed
 // before the head of a response arrived.
-func (f *Fleet) Request(name string, ask CallerRequest) (CallerResponse, error) {
-	ctx := ask.Context
+func (f *Fleet) Request(name string, call CallerRequest) (CallerResponse, error) {
+	ctx := call.Context
 	if ctx == nil {
 		ctx = f.ctx
 	}
 	address := fmt.Sprintf("%s:%d", f.Machine(name).Host, callersPort)
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+ask.Path, strings.NewReader(ask.Body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+call.Path, strings.NewReader(call.Body))
 	if err != nil {
 		return CallerResponse{}, err
 	}
 	request.Host = "lab"
-	request.Header.Set(wire.HeaderRequest, ask.ID)
-	if ask.Key != "" {
-		request.Header.Set(wire.HeaderKey, ask.Key)
+	request.Header.Set(wire.HeaderRequest, call.ID)
+	if call.Key != "" {
+		request.Header.Set(wire.HeaderKey, call.Key)
 	}
-	if ask.Tokens != "" {
-		request.Header.Set(wire.HeaderTokens, ask.Tokens)
+	if call.Tokens != "" {
+		request.Header.Set(wire.HeaderTokens, call.Tokens)
 	}
-	if ask.PromptPart != "" {
-		request.Header.Set(wire.HeaderPart, ask.PromptPart)
+	if call.PromptPart != "" {
+		request.Header.Set(wire.HeaderPart, call.PromptPart)
 	}
-	if ask.Wait > 0 {
-		request.Header.Set(wire.HeaderWait, ask.Wait.String())
+	if call.Wait > 0 {
+		request.Header.Set(wire.HeaderWait, call.Wait.String())
 	}
 	response, err := f.roundTrip(request)
-	f.recordReceivedTokens(ask, response)
+	f.recordReceivedTokens(call, response)
 	return response, err
 }
 
 // recordReceivedTokens counts the tokens that a caller received: the prompt's and one for each event.
-func (f *Fleet) recordReceivedTokens(ask CallerRequest, response CallerResponse) {
+func (f *Fleet) recordReceivedTokens(call CallerRequest, response CallerResponse) {
 	var tokensIn, tokensOut uint64
-	if _, err := fmt.Sscanf(ask.Tokens, "%d,%d", &tokensIn, &tokensOut); err != nil || response.Status != http.StatusOK || response.Body == "" {
+	if _, err := fmt.Sscanf(call.Tokens, "%d,%d", &tokensIn, &tokensOut); err != nil || response.Status != http.StatusOK || response.Body == "" {
 		return
 	}
-	f.GroundTruth.recordTokens(ask.Key, tokensIn+uint64(strings.Count(response.Body, eventEnd)))
+	f.GroundTruth.recordTokens(call.Key, tokensIn+uint64(strings.Count(response.Body, eventEnd)))
 }
 
 // eventEnd terminates an event of a stream.
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -144,7 +144,7 @@
 		f.engines["llm-c"].Set(func(e *Engine) { e.WorkTime = 60 * time.Millisecond })
 		var callers sync.WaitGroup
 		var mutex sync.Mutex
-		var cut []string
+		var interrupted []string
 		stopped := make(chan struct{})
 		callers.Go(func() {
 			for number := 0; !isClosed(stopped); number++ {
@@ -156,7 +156,7 @@
 					if err == nil || runsOf(f, fmt.Sprintf("s%d", number)) > 0 {
 						mutex.Lock()
 						defer mutex.Unlock()
-						cut = append(cut, fmt.Sprintf("s%d: %v %v", number, err, response.BodyError))
+						interrupted = append(interrupted, fmt.Sprintf("s%d: %v %v", number, err, response.BodyError))
 					}
 				})
 				time.Sleep(15 * time.Millisecond)
@@ -165,7 +165,7 @@
 		assert.Equal(t, f.Stop("entry-0"), int64(0))
 		close(stopped)
 		callers.Wait()
-		assert.Equal(t, len(cut), 0, "%v", cut)
+		assert.Equal(t, len(interrupted), 0, "%v", interrupted)
 	})
 }
 
@@ -222,7 +222,7 @@
 		response, err := f.Request("entry-0", CallerRequest{ID: "alone", Path: "/safe/x", Key: "key-one"})
 		assert.NilError(t, err)
 		assert.Equal(t, response.Status, http.StatusOK)
-		// The node can't confirm its configuration any more, so it must answer neither 401 nor 404.
+		// The node can't confirm its configuration any more, so it must respond with neither 401 nor 404.
 		unsure, err := f.Request("entry-0", CallerRequest{ID: "unsure", Path: "/safe/x", Key: "new-key"})
 		assert.NilError(t, err)
 		assert.Equal(t, unsure.Status, http.StatusServiceUnavailable)
@@ -271,19 +271,19 @@
 
 func TestPartitionedControlNodeRefusesReads(t *testing.T) {
 	withFleet(t, 1, func(t *testing.T, f *Fleet) {
-		for _, cut := range f.MachineNames(true) {
+		for _, partitioned := range f.MachineNames(true) {
 			others := []string{}
 			for _, name := range f.MachineNames(true) {
-				if name != cut {
+				if name != partitioned {
 					others = append(others, name)
 				}
 			}
-			f.Network.PartitionBetween([]string{cut}, others)
+			f.Network.PartitionBetween([]string{partitioned}, others)
 			version, err := f.ReadNewestConfiguration(8 * time.Second)
 			assert.NilError(t, err)
 			assert.NilError(t, f.PutConfiguration(configuration(version.Version+1), 8*time.Second))
-			read, err := f.ReadConfiguration(cut)
-			assert.Assert(t, err != nil, "%s read version %v", cut, read)
+			read, err := f.ReadConfiguration(partitioned)
+			assert.Assert(t, err != nil, "%s read version %v", partitioned, read)
 			f.Network.Heal()
 			time.Sleep(4 * time.Second)
 		}
--- a/internal/lab/openfleet/pauses_test.go
+++ b/internal/lab/openfleet/pauses_test.go
@@ -86,7 +86,7 @@
 				for _, engine := range leaving {
 					for _, node := range l.MachineNames(false) {
 						late, wasSignalled := l.GroundTruth.RequestsAfterLeaving(engine.ID, node)
-						assert.Check(t, late == 0, "%s got %d requests from %s after it had told it that it leaves", engine.ID, late, node)
+						assert.Check(t, late == 0, "%s got %d requests from %s after it had signalled to that node that it leaves", engine.ID, late, node)
 						if wasSignalled {
 							signalled++
 						}
@@ -153,7 +153,7 @@
 		for _, engine := range leaving {
 			for _, node := range l.MachineNames(false) {
 				late, _ := l.GroundTruth.RequestsAfterLeaving(engine.ID, node)
-				assert.Check(t, late == 0, "%s got %d requests from %s after it had told it that it leaves", engine.ID, late, node)
+				assert.Check(t, late == 0, "%s got %d requests from %s after it had signalled to that node that it leaves", engine.ID, late, node)
 			}
 		}
 	})
--- a/internal/lab/openfleet/ratelimit_test.go
+++ b/internal/lab/openfleet/ratelimit_test.go
@@ -276,8 +276,8 @@
 		},
 		"single_nodes_are_partitioned": func(l *rateLimitedFleet, step int) {
 			l.Network.Heal()
-			cut := l.MachineNames(false)[step%8]
-			l.Network.PartitionBetween([]string{cut}, slices.DeleteFunc(append(l.MachineNames(true), l.MachineNames(false)...), func(name string) bool { return name == cut }))
+			partitioned := l.MachineNames(false)[step%8]
+			l.Network.PartitionBetween([]string{partitioned}, slices.DeleteFunc(append(l.MachineNames(true), l.MachineNames(false)...), func(name string) bool { return name == partitioned }))
 		},
 		"a_zone_is_partitioned_but_reaches_all_engines": func(l *rateLimitedFleet, step int) {
 			if step%3 == 1 {
