--- a/internal/forward/admission.go
+++ b/internal/forward/admission.go
@@ -10,7 +10,8 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// Backoff keeps the pauses that instances request of this node.
+// Backoff keeps the pauses that instances request of this node: the times for which it sends them
+// no requests.
 type Backoff interface {
 	// Learn applies the signal in an instance's response to a request that was written at
 	// writtenAt. The zero time means that the response belongs to an earlier request.
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -17,10 +17,11 @@
 	// maximumDials bounds the instances that a request fails to connect to.
 	maximumDials = 4
 	// attemptTimeoutObjectives is the time, in multiples of the route's objective, after which a
-	// repeatable request without a response is sent to another instance.
+	// repeatable request without a response is sent to another instance, but never before
+	// minimumAttemptTimeout.
 	attemptTimeoutObjectives = 2.5
-	// minimumTimeLeft is the minimum time left for another attempt. The connection's own deadline
-	// may also expire slightly before the request's.
+	// minimumTimeLeft is the minimum time left for another attempt. It also covers an attempt that
+	// failed because the connection's deadline expired slightly before the request's.
 	minimumTimeLeft       = 10 * time.Millisecond
 	minimumAttemptTimeout = 200 * time.Millisecond
 )
@@ -207,7 +208,8 @@
 func (r *request) attempt(ctx context.Context, choice balance.Choice) (*exchange, attemptResult) {
 	outcome := balance.Abandoned
 	var sending *exchange
-	// relay updates the choice when the instance starts to generate.
+	// The closure reads the choice at the end of the attempt, because relay updates it when the
+	// instance starts to generate.
 	defer func() {
 		r.pipeline.options.Table.Done(r.pipeline.options.Environment.Now(), choice, outcome)
 		r.recordResponse(choice, outcome, sending)
--- a/internal/forward/charge_test.go
+++ b/internal/forward/charge_test.go
@@ -14,7 +14,7 @@
 )
 
 // Tokens charged beyond what callers received are lost to the tenant that paid for them: a stream
-// is charged for the events that were relayed, whether or not it ends as it should.
+// is charged for the events that were relayed, whether or not it is complete.
 func TestStreamIsChargedForTheEventsThatWereRelayed(t *testing.T) {
 	for _, ending := range []struct {
 		name    string
--- a/internal/forward/crashes.go
+++ b/internal/forward/crashes.go
@@ -113,6 +113,7 @@
 
 // suspectedEngine is an engine whose runs were interrupted recently.
 type suspectedEngine struct {
+	// since is when the first run was interrupted, or when the crash was detected.
 	since      time.Time
 	hasCrashed bool
 	// unreported are the interrupted runs that have not been reported yet.
@@ -156,7 +157,8 @@
 	}
 }
 
-// check connects to an engine at which a run was interrupted.
+// check connects to an engine at which a run was interrupted, until a connection stays open, which
+// shows that the engine is alive, or none can be opened.
 func (d *crashDetector) check(choice balance.Choice) {
 	ctx, cancel := context.WithTimeout(context.Background(), maximumDialTimeout)
 	defer cancel()
--- a/internal/forward/crashes_test.go
+++ b/internal/forward/crashes_test.go
@@ -165,7 +165,7 @@
 	assert.Equal(t, sink.reported(), 0)
 }
 
-// A caller that leaves interrupts its run itself.
+// A run that is interrupted because its caller leaves does not indicate a crash.
 func TestRunThatItsCallerLeftIsNotReported(t *testing.T) {
 	left := make(chan struct{})
 	var engine *scriptedEngine
@@ -187,8 +187,8 @@
 	assert.Equal(t, sink.reported(), 0)
 }
 
-// A suspected request is left to its caller to retry: the node that saw an engine crash under it
-// does not send it to the next one.
+// After an engine has crashed during a suspected request, the node does not send the request to
+// another engine; only the caller may retry it.
 func TestSuspectedRequestIsNotResumedAtAnotherEngine(t *testing.T) {
 	engines := []*scriptedEngine{crashingEngine(t, true), crashingEngine(t, true), crashingEngine(t, true)}
 	h := newHarness(t, engines...)
@@ -207,8 +207,9 @@
 	assert.Equal(t, requests, 1)
 }
 
-// In an incident, several retries of the request waited at engines, for up to two seconds, when
-// it crashed its third engine. Such requests are canceled before they begin.
+// Guards against further crashes after the verdict: when a poison request crashed its third engine,
+// several retries of it had been waiting at other engines for up to two seconds. Such requests are
+// canceled before they begin.
 func TestQuarantinedRequestThatWaitsAtAnEngineIsCanceled(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	engine := newEngine(t, func(_ net.Conn, reader *bufio.Reader, _ received) {
--- a/internal/forward/dialect.go
+++ b/internal/forward/dialect.go
@@ -6,6 +6,13 @@
 // if it may run more than once, a response is relayed only to the request that it belongs to, a
 // response that ended early never looks complete, "not run" is stated only when it is true, and a
 // caller that disconnects frees its engine immediately.
+//
+// An instance is one registered engine process, and an incarnation is one run of it between its
+// start and its end. An instance may name a rate limit in its responses: requests to it then need
+// permits. It may also request a pause, for which this node sends it no requests. A route's
+// objective is the target for the time to the response, or to a stream's first event. A poison
+// request crashes the engines that run it; it is suspected after some crashes and then quarantined,
+// that is, sent to no further engine.
 package forward
 
 import (
--- a/internal/forward/exchange.go
+++ b/internal/forward/exchange.go
@@ -48,7 +48,9 @@
 	writeErr error
 	// isLong indicates that the body is written while the response is awaited.
 	isLong bool
-	stop   func() bool
+	// stop keeps the end of the request's context from closing the connection; it returns false if
+	// that has already begun.
+	stop func() bool
 }
 
 // outgoing is a request as it is written to an engine.
@@ -149,7 +151,7 @@
 		isOwn := e.head.ID == request.id || e.head.ID == "" && (e.head.NotRun || e.head.OtherInstance)
 		switch {
 		case e.head.OtherInstance:
-			// The response describes the other instance.
+			// The response comes from the other instance, so its signals don't apply to this one.
 		case isOwn:
 			request.learn(e, e.sentAt)
 		default:
@@ -170,7 +172,7 @@
 	}
 }
 
-// hasRun reports whether the engine accepted the request and did not fail it.
+// hasRun reports whether the engine accepted the request and did not respond with a server error.
 func (e *exchange) hasRun() bool {
 	return !e.head.NotRun && e.response.StatusCode < http.StatusInternalServerError
 }
--- a/internal/forward/incarnations.go
+++ b/internal/forward/incarnations.go
@@ -7,8 +7,8 @@
 )
 
 // replacedIdleTimeout is how long an exchange with a replaced incarnation may receive nothing
-// before it is closed. Its connection may lead to the engine's new incarnation already, which was
-// sent the request under the same id. In that case data arrives within the longest gap between
+// before it is closed. Its request may in fact run at the new incarnation, which has the same
+// instance ID and accepted the connection. In that case data arrives within the longest gap between
 // two events, 400 ms on the users' routes.
 const replacedIdleTimeout = 500 * time.Millisecond
 
--- a/internal/forward/permits.go
+++ b/internal/forward/permits.go
@@ -15,7 +15,9 @@
 // ErrNoPermit means that an instance's rate limit has no headroom for a request soon enough.
 var ErrNoPermit = errors.New("forward: the instance's rate limit has no headroom for the request")
 
-// RateLimits enforces the rate limits that instances name, across all nodes.
+// RateLimits enforces the rate limits that instances name, across all nodes. A permit allows one
+// request to be written to an instance. Each instance has an issuer, the entry node that issues its
+// permits.
 type RateLimits interface {
 	// Permit waits until one request may be written to an instance. The error is ErrNoPermit or
 	// the context's.
@@ -37,7 +39,7 @@
 	// maximumRefusals is how many issuers may refuse a request a permit before it requests no
 	// more and goes to an instance without a rate limit: each refusal takes a round trip.
 	maximumRefusals = 2
-	// permitShare is the share of the objective that a request may wait for a permit.
+	// permitShare is the share of the route's objective that a request may wait for a permit.
 	// resumedPermitShare is the share for a stream in progress, whose caller has waited already.
 	permitShare        = 0.125
 	resumedPermitShare = 0.5
--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -44,8 +44,8 @@
 	Configuration() *document.Index
 	// HasNewestConfiguration reports whether the document in effect is known to be the newest.
 	HasNewestConfiguration() bool
-	// NewestKnown returns the highest version known to be in effect at some node, and the time
-	// since this node first learned of it.
+	// NewestKnown returns the highest document version known to be in effect at some node, and the
+	// time since this node first learned of it.
 	NewestKnown() (version uint64, since time.Duration)
 	// Reserve reserves tokens of a tenant before a request is sent. It waits for them no longer
 	// than maximumWait.
@@ -119,9 +119,12 @@
 	headers    *unknownHeaderDetector
 	retries    *balance.RetryBudget
 	retryTimes *ratelimit.Retries
-	buffered   atomic.Int64
-	active     atomic.Int64
-	received   atomic.Int64
+	// buffered is the memory that bodies and responses take, in bytes.
+	buffered atomic.Int64
+	// active is the number of requests in progress.
+	active atomic.Int64
+	// received is the number of bytes received in callers' bodies.
+	received atomic.Int64
 }
 
 // Time of each request from its arrival to the end of its response, of each wait for prepaid
--- a/internal/forward/pipeline_test.go
+++ b/internal/forward/pipeline_test.go
@@ -491,8 +491,8 @@
 	}
 }
 
-// Incident CONFIG on zhf-valuation-grown: the logs did not show that a request was handled under
-// an older document than the newest known.
+// Guards against logs that do not show that a request was handled under an older document than the
+// newest known.
 func TestRequestUnderAnOlderDocumentThanTheNewestKnownIsExplained(t *testing.T) {
 	h := newHarness(t, newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = io.WriteString(connection, responseOf(request.Header.Get("Id"), "done"))
@@ -542,8 +542,8 @@
 	assert.Equal(t, h.pipeline.ReceivedBytes(), int64(2*len("body")))
 }
 
-// Incident CONFIG on zhf-valuation-grown: a node whose own link was congested considered all
-// engines unreachable, because none accepted a new connection within 250 ms.
+// Guards against a node with a congested link that considers all engines unreachable, because none
+// accepts a new connection within 250 ms.
 func TestDialTimeoutIncludesTheOwnLinksDelay(t *testing.T) {
 	environment := &testEnvironment{}
 	slow := func(ctx context.Context, _ string) (net.Conn, error) {
--- a/internal/forward/refusal.go
+++ b/internal/forward/refusal.go
@@ -62,7 +62,8 @@
 type retryRange struct{ minimum, maximum float64 }
 
 // minimumRedirectObjective is the objective from which an overloaded node may redirect a request
-// to another node: the redirection takes up to a quarter of it.
+// to another node, by a refusal with a short Retry-After: the redirection takes up to a quarter of
+// the objective.
 const minimumRedirectObjective = 400 * time.Millisecond
 
 var (
@@ -75,7 +76,7 @@
 	// machines a leader is elected within 0.6 s and all requests are served within 1.2 s.
 	retryAfterStart = retryRange{minimum: 0.9, maximum: 1.8}
 	// retryLater is for tokens that can't be reserved and for missing instances in an allowed
-	// region: this lasts as long as a network partition, and an earlier retry is only refused
+	// region: both last as long as a network partition, and an earlier retry is only refused
 	// again.
 	retryLater = retryRange{minimum: 2.5, maximum: 4.5}
 )
