--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -46,9 +46,9 @@
 	return h, tracker
 }
 
-// refusingEngine responds to each request with a head in which "ID" is replaced by the request's
+// newEngineWithHead responds to each request with a head in which "ID" is replaced by the request's
 // id.
-func refusingEngine(t *testing.T, head string) *scriptedEngine {
+func newEngineWithHead(t *testing.T, head string) *scriptedEngine {
 	t.Helper()
 	return newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = io.WriteString(connection, strings.ReplaceAll(head, "ID", request.Header.Get("Id"))+"Content-Length: 0\r\n\r\n")
@@ -60,7 +60,7 @@
 func assertOneRequestOnly(t *testing.T, head string) {
 	t.Helper()
 	for _, path := range []string{"/safe/x", "/once/x", "/stream/x", "/resumable/x"} {
-		engine := refusingEngine(t, head)
+		engine := newEngineWithHead(t, head)
 		h, tracker := newBackoffHarness(t, engine)
 		h.send(t, http.MethodPost, path, "r1", "b")
 		got := h.send(t, http.MethodPost, path, "r2", "b")
@@ -120,7 +120,7 @@
 		for _, path := range []string{"/safe/x", "/once/x", "/resumable/x"} {
 			t.Run(name+" "+path, func(t *testing.T) {
 				requested = make(chan struct{})
-				engine := refusingEngine(t, "HTTP/1.1 200 OK\r\nId: ID\r\n")
+				engine := newEngineWithHead(t, "HTTP/1.1 200 OK\r\nId: ID\r\n")
 				h, tracker := newBackoffHarness(t, engine)
 				wait(h)
 				results := make(chan result, 1)
@@ -151,7 +151,7 @@
 // Guards against callers that are kept waiting, or told to retry too early, while all instances
 // have requested a pause.
 func TestRequestIsRefusedWithTheEndOfThePauseWhenAllInstancesArePaused(t *testing.T) {
-	h, _ := newBackoffHarness(t, refusingEngine(t, pauseHead), refusingEngine(t, strings.ReplaceAll(pauseHead, "Pause: 3", "Pause: 20")))
+	h, _ := newBackoffHarness(t, newEngineWithHead(t, pauseHead), newEngineWithHead(t, strings.ReplaceAll(pauseHead, "Pause: 3", "Pause: 20")))
 	// The first request learns of both pauses, the others reach no instance.
 	for number := range 4 {
 		sent := time.Now()
--- a/internal/forward/callerleft_test.go
+++ b/internal/forward/callerleft_test.go
@@ -17,9 +17,9 @@
 const engineFreedWithin = 100 * time.Millisecond
 
 // leaveAfter sends a request whose caller leaves after the given time, and returns when it left.
-func (h *harness) leaveAfter(t *testing.T, maximumWait time.Duration, path string) time.Time {
+func (h *harness) leaveAfter(t *testing.T, after time.Duration, path string) time.Time {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), maximumWait)
+	ctx, cancel := context.WithTimeout(context.Background(), after)
 	defer cancel()
 	assert.ErrorIs(t, h.do(h.request(t, http.MethodPost, path, "r1", "b").WithContext(ctx)).err, context.DeadlineExceeded)
 	return time.Now()
--- a/internal/forward/crashes_test.go
+++ b/internal/forward/crashes_test.go
@@ -29,7 +29,7 @@
 		_ = connection.Close()
 	})
 	h := newHarness(t, engine)
-	named := func(id, body string) string {
+	loggedFingerprint := func(id, body string) string {
 		_ = h.send(t, http.MethodPost, "/stream/x", id, body)
 		text := strings.Join(h.log.Explain(id), "\n")
 		assert.Assert(t, strings.Contains(text, "its answer had begun"), text)
@@ -37,19 +37,19 @@
 		assert.Equal(t, len(found), 2, text)
 		return found[1]
 	}
-	first := named("r1", "body")
-	assert.Equal(t, named("r2", "body"), first)
-	assert.Assert(t, named("r3", "another") != first)
+	first := loggedFingerprint("r1", "body")
+	assert.Equal(t, loggedFingerprint("r2", "body"), first)
+	assert.Assert(t, loggedFingerprint("r3", "another") != first)
 }
 
-// crashingEngine sends the head of a stream and then closes its connection; with endsWhole it also
+// crashingEngine sends the head of a stream and then closes its connection; with closesListener it also
 // closes its listener, like a process that crashes.
-func crashingEngine(t *testing.T, endsWhole bool) *scriptedEngine {
+func crashingEngine(t *testing.T, closesListener bool) *scriptedEngine {
 	t.Helper()
 	var engine *scriptedEngine
 	engine = newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: "+request.Header.Get("Id")+"\r\nContent-Length: 9\r\n\r\n")
-		if endsWhole {
+		if closesListener {
 			_ = engine.listener.Close()
 		}
 		_ = connection.Close()
--- a/internal/forward/decisions.go
+++ b/internal/forward/decisions.go
@@ -233,11 +233,11 @@
 	served, late, refused := l.served, l.lateCount, l.refused
 	l.served, l.lateCount, l.refused = 0, 0, map[Reason]int{}
 	l.mutex.Unlock()
-	leftOut := l.lines.TakeOmitted()
-	if served == 0 && leftOut == 0 && len(refused) == 0 {
+	omitted := l.lines.TakeOmitted()
+	if served == 0 && omitted == 0 && len(refused) == 0 {
 		return
 	}
-	line := l.logger.Info().Str("event", "summary").Int("served", served).Int("late", late).Int("lines_left_out", leftOut)
+	line := l.logger.Info().Str("event", "summary").Int("served", served).Int("late", late).Int("lines_left_out", omitted)
 	if len(refused) > 0 {
 		line = line.Interface("refused", refused)
 	}
--- a/internal/forward/linebudget.go
+++ b/internal/forward/linebudget.go
@@ -11,7 +11,7 @@
 	mutex     sync.Mutex
 	second    int64
 	lines     int
-	leftOut   int
+	omitted   int
 }
 
 // NewLineBudget returns a budget of perSecond lines per second.
@@ -26,7 +26,7 @@
 	}
 	b.lines++
 	if b.lines > b.perSecond {
-		b.leftOut++
+		b.omitted++
 		return false
 	}
 	return true
@@ -36,7 +36,7 @@
 func (b *LineBudget) TakeOmitted() int {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	leftOut := b.leftOut
-	b.leftOut = 0
-	return leftOut
+	omitted := b.omitted
+	b.omitted = 0
+	return omitted
 }
--- a/internal/forward/pipeline_test.go
+++ b/internal/forward/pipeline_test.go
@@ -64,8 +64,8 @@
 
 // testEnvironment is a node with one document, which records reservations and charges.
 type testEnvironment struct {
-	index   *document.Index
-	certain bool
+	index     *document.Index
+	hasNewest bool
 	// newestVersion is the highest version known to be in effect at some node.
 	newestVersion uint64
 	began         time.Time
@@ -81,7 +81,7 @@
 }
 
 func (e *testEnvironment) Configuration() *document.Index       { return e.index }
-func (e *testEnvironment) HasNewestConfiguration() bool         { return e.certain }
+func (e *testEnvironment) HasNewestConfiguration() bool         { return e.hasNewest }
 func (e *testEnvironment) NewestKnown() (uint64, time.Duration) { return e.newestVersion, time.Second }
 func (e *testEnvironment) LinkDelay() time.Duration             { return e.linkDelay }
 func (e *testEnvironment) EntryNodes() int                      { return 1 }
@@ -204,7 +204,7 @@
 		Routes:  []document.Route{route("safe", document.Repeatable), once, route("stream", document.Stream), resumable},
 		Tenants: []document.Tenant{{Name: "t", Keys: []string{"k"}, HasPrepaid: true, Prepaid: 1000}},
 	})
-	made := &harness{environment: &testEnvironment{index: index, certain: true, began: time.Now()}, log: NewDecisionLog(zerolog.Nop())}
+	made := &harness{environment: &testEnvironment{index: index, hasNewest: true, began: time.Now()}, log: NewDecisionLog(zerolog.Nop())}
 	table := balance.NewTable("a")
 	var instances []registry.Instance
 	for number, engine := range engines {
@@ -457,7 +457,7 @@
 	h := newHarness(t)
 	assert.Equal(t, h.send(t, http.MethodGet, "/nowhere/", "r1", "").status, http.StatusNotFound)
 	assert.Equal(t, h.send(t, http.MethodGet, "/safe/", "r2", "").status, http.StatusServiceUnavailable)
-	h.environment.certain = false
+	h.environment.hasNewest = false
 	assert.Equal(t, h.send(t, http.MethodGet, "/nowhere/", "r3", "").status, http.StatusServiceUnavailable)
 	h.environment.refusal = ErrPrepaidSpent
 	assert.Equal(t, h.send(t, http.MethodGet, "/safe/", "r4", "").status, http.StatusPaymentRequired)
--- a/internal/forward/unknownheaders_test.go
+++ b/internal/forward/unknownheaders_test.go
@@ -17,27 +17,27 @@
 
 // Guards against unknown signals from engines that are ignored without a log line.
 func TestUnknownResponseHeaderIsReportedOncePerService(t *testing.T) {
-	watch := newUnknownHeaderDetector()
+	detector := newUnknownHeaderDetector()
 	header := http.Header{"Id": {"r1"}, "Server-Mood": {"bad"}, "A-New-One": {"1"}}
-	assert.DeepEqual(t, watch.takeNew("s", header, isTestHeader), []string{"A-New-One", "Server-Mood"})
-	assert.Equal(t, len(watch.takeNew("s", header, isTestHeader)), 0)
-	assert.Equal(t, len(watch.takeNew("other", header, isTestHeader)), 2)
+	assert.DeepEqual(t, detector.takeNew("s", header, isTestHeader), []string{"A-New-One", "Server-Mood"})
+	assert.Equal(t, len(detector.takeNew("s", header, isTestHeader)), 0)
+	assert.Equal(t, len(detector.takeNew("other", header, isTestHeader)), 2)
 }
 
 func TestUnknownHeadersAreRememberedWithinBounds(t *testing.T) {
-	watch := newUnknownHeaderDetector()
+	detector := newUnknownHeaderDetector()
 	for number := range 2 * maximumUnknownHeaders {
-		watch.takeNew("s", http.Header{fmt.Sprintf("X-%d", number): {"1"}}, isTestHeader)
+		detector.takeNew("s", http.Header{fmt.Sprintf("X-%d", number): {"1"}}, isTestHeader)
 	}
-	assert.Equal(t, watch.seen.Len(), maximumUnknownHeaders)
-	assert.Equal(t, len(watch.takeNew("s", http.Header{"X-New": {"1"}}, isTestHeader)), 0)
+	assert.Equal(t, detector.seen.Len(), maximumUnknownHeaders)
+	assert.Equal(t, len(detector.takeNew("s", http.Header{"X-New": {"1"}}, isTestHeader)), 0)
 }
 
 func BenchmarkResponseHeaders(b *testing.B) {
-	watch := newUnknownHeaderDetector()
+	detector := newUnknownHeaderDetector()
 	header := http.Header{"Id": {"r1"}, "Server-Mood": {"bad"}, "Content-Length": {"1"}, "Date": {"today"}}
 	for b.Loop() {
-		watch.takeNew("s", header, isTestHeader)
+		detector.takeNew("s", header, isTestHeader)
 	}
 }
 
--- a/internal/forward/unread_test.go
+++ b/internal/forward/unread_test.go
@@ -83,11 +83,11 @@
 // isRefused reports whether a caller was refused and has to retry, as when the connection to
 // its engine took too long to open.
 func isRefused(caller net.Conn) bool {
-	const turnedAway = "HTTP/1.1 503"
+	const refusedStatus = "HTTP/1.1 503"
 	_ = caller.SetReadDeadline(time.Now().Add(time.Millisecond))
-	status := make([]byte, len(turnedAway))
+	status := make([]byte, len(refusedStatus))
 	_, err := io.ReadFull(caller, status)
-	return err == nil && string(status) == turnedAway
+	return err == nil && string(status) == refusedStatus
 }
 
 func TestCallersThatDoNotReadUseLittleMemory(t *testing.T) {
