--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -23,8 +23,8 @@
 	instancesResumed   = metrics.GetOrCreateCounter("ravenway_instances_back_total")
 )
 
-// pauseRecorder tracks the pauses that instances request from this entry node in their responses,
-// and logs and counts the changes.
+// pauseRecorder tracks the pauses that instances request of this entry node in their responses, and
+// logs and counts the changes. During a pause this node sends the instance no requests.
 type pauseRecorder struct {
 	node    *Node
 	tracker *backoff.Tracker
--- a/internal/gateway/canary.go
+++ b/internal/gateway/canary.go
@@ -35,7 +35,9 @@
 }
 
 // canaryDuty reports the samples of an entry node to the leader, and on the leading control node
-// decides on the rollouts by canary analysis.
+// decides on the rollouts by canary analysis: it compares the responses of the new version with
+// those of the old one. Samples are counts of all and of bad responses by version, route and
+// instance.
 type canaryDuty struct {
 	node *Node
 	duty *duty.Duty
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -31,8 +31,8 @@
 	Have uint64 `msgpack:"h"`
 }
 
-// readDocumentResponse carries the newest document as it was received, packed; Same indicates that
-// the requesting node already has it.
+// readDocumentResponse carries the newest document as it was received, compressed; Same indicates
+// that the requesting node already has it.
 type readDocumentResponse struct {
 	Raw  []byte `msgpack:"r"`
 	Same bool   `msgpack:"s"`
@@ -51,7 +51,7 @@
 // CommitDocument implements Control.
 func (n *Node) CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (uint64, error) {
 	if heldVersion := n.documents.version(); taken.Version <= heldVersion {
-		// This version comes from the log, so an equal or higher version is already committed.
+		// The held version comes from the log, so an equal or higher one is already committed.
 		return heldVersion, nil
 	}
 	n.warnOfUnknownRegions(taken)
@@ -120,10 +120,11 @@
 	return document.Decompress(response.Raw)
 }
 
-// errNoLeader says that no leader of the control group is known.
+// errNoLeader means that no leader of the control group is known.
 var errNoLeader = errors.New("no leader of the control group is known")
 
-// atLeader calls here if this node leads, and otherwise sends the request to the leader.
+// atLeader calls the function here if this node leads, and otherwise sends the request to the
+// leader.
 func atLeader[T any](ctx context.Context, n *Node, method peer.Method, request any, here func() (T, error)) (T, error) {
 	var none T
 	leader := n.leader()
--- a/internal/gateway/entry.go
+++ b/internal/gateway/entry.go
@@ -19,8 +19,8 @@
 // Configuration implements forward.Environment.
 func (e *entryEnvironment) Configuration() *document.Index { return e.node.documents.index.Load() }
 
-// HasNewestConfiguration implements forward.Environment: no control node that recently had contact with a quorum
-// has a higher version.
+// HasNewestConfiguration implements forward.Environment: no control node that recently had contact
+// with a quorum has a higher version.
 func (e *entryEnvironment) HasNewestConfiguration() bool {
 	view := e.node.fleet.view.Load()
 	return e.node.now() < view.rootContactAt+versionValidity && e.node.documents.version() >= view.certainVersion
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,8 +25,8 @@
 	// interval each of the tens of control nodes' hellos a second would trigger one.
 	viewIntervalPerNode = 100 * time.Microsecond
 	// reducedHelloRounds is the number of rounds, 1.8 s, between hellos of an entry node and a
-	// control node that rarely need each other. A single lost hello already brings them close to
-	// the limit: they count each other as lost after 2.5 s without contact.
+	// control node that rarely need each other. If a single hello is lost, they count each other
+	// as lost until the next one arrives, since they do so after 2.5 s without contact.
 	reducedHelloRounds = 3
 	// hintTicks is the number of ticks, 3 s, between checks whether the instances have changed
 	// since they were last written to a control node's disk.
@@ -58,8 +58,10 @@
 	// this entry node the list of all nodes.
 	helloRounds int
 	listSenders []string
-	isViewDue   bool
-	mismatches  map[string]mismatch
+	// isViewDue is set while the publication of a view is scheduled.
+	isViewDue bool
+	// mismatches are the nodes whose digest of the registry differs from this node's, by address.
+	mismatches map[string]mismatch
 	// requestedAt is when instances were last requested from another node, if hasRequested is set.
 	requestedAt  time.Duration
 	hasRequested bool
@@ -70,8 +72,9 @@
 	// unrelayed are changes from other control nodes that are yet to be relayed to entry nodes.
 	unrelayed []registry.Instance
 	// unapplied are the IDs of instances whose changes are yet to take effect on this node.
-	unapplied                      map[string]struct{}
-	encodedList                    instanceList
+	unapplied   map[string]struct{}
+	encodedList instanceList
+	// announcing, relaying and applying schedule the work on unannounced, unrelayed and unapplied.
 	announcing, relaying, applying batchSchedule
 	// helloReceivers are the nodes that were selected for the last hello.
 	helloReceivers map[string]bool
@@ -257,7 +260,7 @@
 	return (uint64(f.helloRounds)+xxhash.Sum64String(receiver))%reducedHelloRounds == 0
 }
 
-// chooseListSenders are the control nodes that send this entry node the list of all nodes.
+// chooseListSenders returns the control nodes that send this entry node the list of all nodes.
 func (f *fleetDuty) chooseListSenders() []string {
 	if f.isControl() {
 		return nil
@@ -280,7 +283,7 @@
 	if f.isControl() {
 		sorted := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
-			// The addresses from Greet are sorted, and few.
+			// The addresses from HelloTargets are sorted, and few.
 			if _, found := slices.BinarySearch(receivers[:sorted], known.Address); !found {
 				receivers = append(receivers, known.Address)
 			}
@@ -403,7 +406,7 @@
 	}
 }
 
-// handleNewNode handles the first hello of a node that was unknown or recently unreachable.
+// handleNewNode handles the first hello of a node that was unknown or unreachable until now.
 func (f *fleetDuty) handleNewNode(now time.Duration, hello peer.Hello) {
 	f.node.log.Info().Str("event", "node_heard").Str("peer", hello.Node).Str("address", hello.Address).
 		Str("life", hello.Incarnation).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -39,7 +39,8 @@
 )
 
 // limitEnforcer is this entry node's part in enforcing the rate limits that instances name in their
-// responses.
+// responses. A request to such an instance needs a permit of its issuer, the entry node that issues
+// the instance's permits.
 type limitEnforcer struct {
 	node   *Node
 	limits *ratelimit.Limits
@@ -133,7 +134,7 @@
 	if err != nil {
 		permitsUnanswered.Inc()
 		e.limits.RecordNoResponse(now, incarnation)
-		return fmt.Errorf("%w: the holder %q of %s gave no answer: %w", forward.ErrNoPermit, issuer, incarnation, err)
+		return fmt.Errorf("%w: the issuer %q of %s did not respond: %w", forward.ErrNoPermit, issuer, incarnation, err)
 	}
 	e.record("holder", e.limits.RecordResponse(now, incarnation, response)...)
 	if !response.IsGranted {
@@ -141,21 +142,21 @@
 			return nil
 		}
 		permitsDenied.Inc()
-		return fmt.Errorf("%w: the holder %s of %s has one in %d ms", forward.ErrNoPermit, issuer, incarnation, response.FreeMS)
+		return fmt.Errorf("%w: the issuer %s of %s has a permit in %d ms", forward.ErrNoPermit, issuer, incarnation, response.FreeMS)
 	}
 	if !pause.For(ctx, time.Duration(response.DelayMS)*time.Millisecond) {
 		return context.Cause(ctx)
 	}
 	if e.node.now()-startedAt > needs.MaximumWait()+ratelimit.PermitLifetime {
 		permitsStale.Inc()
-		return fmt.Errorf("%w: that for %s came too late", forward.ErrNoPermit, incarnation)
+		return fmt.Errorf("%w: the permit for %s arrived too late", forward.ErrNoPermit, incarnation)
 	}
 	permitsUsed.Inc()
 	permitSeconds.Update((e.node.now() - startedAt).Seconds())
 	return nil
 }
 
-var errNoIssuer = errors.New("gateway: no node holds the limit")
+var errNoIssuer = errors.New("gateway: no node issues permits for the instance")
 
 // requestPermit requests a permit from the issuer.
 func (e *limitEnforcer) requestPermit(ctx context.Context, issuer string, permitRequest ratelimit.PermitRequest) (ratelimit.PermitResponse, error) {
--- a/internal/gateway/logversion.go
+++ b/internal/gateway/logversion.go
@@ -9,7 +9,7 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// errNewerLog says that the log on disk has a version of a later build.
+// errNewerLog means that the log on disk has a version of a later build.
 var errNewerLog = errors.New("gateway: the log holds commands that this build can't read")
 
 // checkLogVersion refuses a log whose version is higher than this build reads: this build would
@@ -45,7 +45,9 @@
 	r.raise.Update(r.node.now(), controls, members)
 }
 
-// raiseLogVersion raises the log's version once it is due.
+// raiseLogVersion raises the log's version once it is due: all control nodes run a build that reads
+// the new version, and have done so for the settling time, in which the fleet can still return to
+// its earlier build.
 func (r *replicaDuty) raiseLogVersion() {
 	now := r.node.now()
 	if r.machine.LogVersion() >= machine.OwnLogVersion || !r.raise.IsDue(now, r.node.settings.Load().Fleet.UpgradeSettling) {
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -79,7 +79,7 @@
 	OrderZone(ctx context.Context, zone string, evacuated bool) (evacuation.Zones, error)
 }
 
-// ErrUnavailable says that a control node can't serve a request at the moment; another control node
+// ErrUnavailable means that a control node can't serve a request at the moment; another control node
 // may be able to.
 var ErrUnavailable = errors.New("gateway: not possible here now")
 
@@ -316,8 +316,8 @@
 // Version is the version of the configuration in effect on this node, 0 before the first.
 func (n *Node) Version() uint64 { return n.documents.version() }
 
-// Reload applies changed settings. Only changes of the seeds take effect at once; other settings
-// keep their values until a restart.
+// Reload applies changed settings. Only changes of the seeds take effect immediately; other
+// settings keep their values until a restart.
 func (n *Node) Reload(changed *settings.Settings) {
 	n.settings.Store(changed)
 	n.fleet.setSeeds(seedAddresses(changed))
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -216,7 +216,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// errNoLimits says that a node tracks no rate limits of instances.
+// errNoLimits means that a node tracks no rate limits of instances.
 var errNoLimits = errors.New("only entry nodes know the limits that instances name")
 
 // GetLimits implements the schema's GetLimits.
@@ -240,7 +240,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// errNoPauses says that a node sends no requests to instances.
+// errNoPauses means that a node sends no requests to instances.
 var errNoPauses = errors.New("only entry nodes are asked for pauses by instances")
 
 // GetPauses implements the schema's GetPauses.
--- a/internal/gateway/publish.go
+++ b/internal/gateway/publish.go
@@ -48,7 +48,7 @@
 }
 
 // isDue records the version that an entry node has and reports whether the document is to be sent
-// to it now. An empty life means the known incarnation.
+// to it now. An empty incarnation stands for the known one.
 func (p *documentPublisher) isDue(address, incarnation string, has uint64, document peer.DocumentData) bool {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -52,7 +52,8 @@
 	digest atomic.Uint64
 	// knownDigest is the digest of the control nodes' list that was last merged here.
 	knownDigest uint64
-	mismatches  int
+	// mismatches is the number of consecutive hellos that reported another digest.
+	mismatches int
 	// decidedAt is when the tracker last decided.
 	decidedAt    time.Duration
 	requestedAt  time.Duration
@@ -113,8 +114,8 @@
 	}
 }
 
-// flush decides on the reports received and distributes the results. An engine's crash breaks many
-// runs of many nodes, whose reports arrive within milliseconds of each other, so they are decided
+// flush decides on the reports received and distributes the results. An engine's crash interrupts
+// many runs of many nodes, whose reports arrive within milliseconds of each other, so they are decided
 // on together.
 func (q *quarantineDuty) flush() {
 	now := q.node.now()
@@ -207,7 +208,7 @@
 }
 
 // handleDigest compares a control node's digest with the known one, and requests its list if they
-// differ. A control node that is new or was recently unreachable is sent all records of this node:
+// differ. A control node that is new or reachable again is sent all records of this node:
 // it may have been partitioned, or have lost its state.
 func (q *quarantineDuty) handleDigest(from string, digest uint64, isNew bool) {
 	if digest == 0 && q.digest.Load() == 0 && !isNew {
@@ -247,7 +248,7 @@
 	q.sendTo([]string{from}, request)
 }
 
-// ErrNotRecorded says that no crash is recorded against a request.
+// ErrNotRecorded means that no crash is recorded against a request.
 var ErrNotRecorded = errors.New("gateway: nothing is held against the request")
 
 // summaries lists the summaries of the requests with recorded crashes: those in quarantine first,
--- a/internal/gateway/quarantine_test.go
+++ b/internal/gateway/quarantine_test.go
@@ -25,9 +25,9 @@
 	return tracker.Records(0)[0]
 }
 
-// Limits the traffic that an engine's crash causes: a crash report of each broken run to each
-// control node, and for each request that all nodes must know its record to each node. In the
-// incident, 47 crashes had 7.7 broken runs on average, within 40 s at eight nodes.
+// Limits the traffic that an engine's crash causes: a crash report of each interrupted run
+// to each control node, and for each request that all nodes must know its record to each node. One
+// incident at eight nodes had 47 crashes within 40 s, with 7.7 interrupted runs each on average.
 func TestQuarantineRecordOfACrashIsSmall(t *testing.T) {
 	for crashes, maximum := range map[int]int{1: 90, 3: 150, 8: 300} {
 		frame, err := peer.Encode(peer.KindQuarantine, &quarantineMessage{Records: []quarantine.Record{recordOf(crashes)}})
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -74,8 +74,10 @@
 	// bootstrapSince is when this node began to wait for the other seeds to bootstrap the group; 0
 	// before.
 	bootstrapSince time.Duration
-	raise          logversion.Raise
-	shared         atomic.Pointer[replicaView]
+	// raise tracks when the version of the log may be raised.
+	raise logversion.Raise
+	// shared is the state that other goroutines may read.
+	shared atomic.Pointer[replicaView]
 }
 
 // replicaView is an immutable snapshot of the replica's state for other goroutines.
--- a/internal/gateway/rolloutorders.go
+++ b/internal/gateway/rolloutorders.go
@@ -20,22 +20,22 @@
 
 // Errors of rollout orders.
 var (
-	// ErrUnknownService says that the configuration has no such service.
+	// ErrUnknownService means that the configuration has no such service.
 	ErrUnknownService = errors.New("gateway: no such service")
-	// ErrRolloutInProgress says that the same order was accepted before: its rollout is running, or
+	// ErrRolloutInProgress means that the same order was accepted before: its rollout is running, or
 	// was ordered so recently that the new order counts as a repetition.
 	ErrRolloutInProgress = errors.New("gateway: the rollout is under way")
-	// ErrOtherRollout says that another rollout of the service is running.
+	// ErrOtherRollout means that another rollout of the service is running.
 	ErrOtherRollout = errors.New("gateway: another rollout of the service is running")
-	// ErrVersionAlreadyRunning says that all of the service's instances already run the version.
+	// ErrVersionAlreadyRunning means that all of the service's instances already run the version.
 	ErrVersionAlreadyRunning = errors.New("gateway: the version runs already")
-	// ErrRolloutDuration says that an order's duration is out of range.
+	// ErrRolloutDuration means that an order's duration is out of range.
 	ErrRolloutDuration = errors.New("gateway: a rollout can't take that time")
-	// ErrNoRollout says that no rollout of the service was ordered.
+	// ErrNoRollout means that no rollout of the service was ordered.
 	ErrNoRollout = errors.New("gateway: no rollout of the service was ordered")
-	// errConfigurationNotRead says that the leader has not read the configuration yet.
+	// errConfigurationNotRead means that the leader has not read the configuration yet.
 	errConfigurationNotRead = errors.New("the leader has not read its configuration yet")
-	// errOlderNodes says that nodes run builds that do not support rollouts.
+	// errOlderNodes means that nodes run builds that do not support rollouts.
 	errOlderNodes = errors.New("nodes run a build that knows no rollouts")
 )
 
--- a/internal/gateway/rollouts.go
+++ b/internal/gateway/rollouts.go
@@ -12,8 +12,9 @@
 )
 
 const (
-	// canaryShare is the part of the permitted exposure to a bad version that a canary may use. The
-	// remainder covers nodes that crash, whose counts of served requests are lost with them.
+	// canaryShare is the part of the permitted exposure that a canary may use; the exposure is the
+	// share of a service's requests that a bad version may receive. The remainder covers nodes that
+	// crash, whose counts of served requests are lost with them.
 	canaryShare = 0.8
 	// doneRetention is how long a completed rollout is still distributed and keeps requests from
 	// the old version, whose instances end in that time. Instances of any version that start later
--- a/internal/gateway/servers.go
+++ b/internal/gateway/servers.go
@@ -25,7 +25,7 @@
 	readyTimeout         = 2 * time.Second
 )
 
-// server is a server on an open listener.
+// server serves one open listener until it is closed.
 type server interface {
 	close()
 }
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -12,7 +12,7 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// ErrUnknownZone says that an order names a zone that does not exist.
+// ErrUnknownZone means that an order names a zone that does not exist.
 var ErrUnknownZone = errors.New("gateway: no such zone")
 
 // zoneStore holds the evacuated zones in effect at this node. A control node reads them from the
