--- a/internal/gateway/backoff.go
+++ b/internal/gateway/backoff.go
@@ -65,8 +65,8 @@
 
 // forget drops the incarnations that newer ones have replaced.
 func (p *pauseRecorder) forget(replaced []registry.Instance) {
-	for _, replacedOne := range replaced {
-		p.tracker.Forget(replacedOne.Incarnation())
+	for _, previous := range replaced {
+		p.tracker.Forget(previous.Incarnation())
 	}
 }
 
@@ -99,7 +99,7 @@
 
 // summarize logs how many lines on pauses were omitted since the last call.
 func (p *pauseRecorder) summarize() {
-	if leftOut := p.lines.TakeOmitted(); leftOut > 0 {
-		p.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", leftOut).Int64("in_backoff", p.tracker.Count()).Send()
+	if omitted := p.lines.TakeOmitted(); omitted > 0 {
+		p.node.log.Info().Str("event", "instance_pauses").Int("lines_left_out", omitted).Int64("in_backoff", p.tracker.Count()).Send()
 	}
 }
--- a/internal/gateway/control.go
+++ b/internal/gateway/control.go
@@ -49,27 +49,27 @@
 }
 
 // CommitDocument implements Control.
-func (n *Node) CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (uint64, error) {
-	if heldVersion := n.documents.version(); taken.Version <= heldVersion {
+func (n *Node) CommitDocument(ctx context.Context, submitted *document.Document, raw []byte) (uint64, error) {
+	if heldVersion := n.documents.version(); submitted.Version <= heldVersion {
 		// The held version comes from the log, so an equal or higher one is already committed.
 		return heldVersion, nil
 	}
-	n.warnOfUnknownRegions(taken)
-	encoded, err := taken.Encode()
+	n.warnOfUnknownRegions(submitted)
+	encoded, err := submitted.Encode()
 	if err != nil {
 		return 0, err
 	}
-	packed, err := document.Compress(raw)
+	compressed, err := document.Compress(raw)
 	if err != nil {
 		return 0, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	command := machine.DocumentCommand{Version: taken.Version, Raw: packed, Encoded: encoded}
+	command := machine.DocumentCommand{Version: submitted.Version, Raw: compressed, Encoded: encoded}
 	outcome, err := atLeader(ctx, n, peer.MethodSubmitDocument, &commitDocumentRequest{Command: command}, func() (machine.DocumentOutcome, error) {
 		return n.commitDocumentHere(ctx, command)
 	})
-	n.log.Info().Str("event", "document_order").Uint64("version", taken.Version).Int("bytes", len(raw)).
+	n.log.Info().Str("event", "document_order").Uint64("version", submitted.Version).Int("bytes", len(raw)).
 		Uint64("held", outcome.ActiveVersion).Bool("taken", outcome.Applied).AnErr("error", err).Send()
 	if err != nil {
 		return 0, fmt.Errorf("%w: %w", ErrUnavailable, err)
@@ -80,7 +80,7 @@
 // warnOfUnknownRegions logs a warning for each region that a configuration binds requests to but
 // that has no zone of the fleet, so that no request is served there. The configuration is accepted
 // regardless, since zones of the region may be added later.
-func (n *Node) warnOfUnknownRegions(taken *document.Document) {
+func (n *Node) warnOfUnknownRegions(submitted *document.Document) {
 	known := map[string]bool{"": true}
 	for _, region := range n.settings.Load().Fleet.Regions {
 		known[region] = true
@@ -88,15 +88,15 @@
 	warn := func(place string, regions []string) {
 		for position, region := range regions {
 			if !known[region] {
-				n.log.Warn().Str("event", "region_not_known").Uint64("version", taken.Version).
+				n.log.Warn().Str("event", "region_not_known").Uint64("version", submitted.Version).
 					Str("place", fmt.Sprintf("%s.regions[%d]", place, position)).Str("region", region).Send()
 			}
 		}
 	}
-	for position, route := range taken.Routes {
+	for position, route := range submitted.Routes {
 		warn(fmt.Sprintf("routes[%d]", position), route.Regions)
 	}
-	for position, tenant := range taken.Tenants {
+	for position, tenant := range submitted.Tenants {
 		warn(fmt.Sprintf("tenants[%d]", position), tenant.Regions)
 	}
 }
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -31,9 +31,9 @@
 	// hintTicks is the number of ticks, 3 s, between checks whether the instances have changed
 	// since they were last written to a control node's disk.
 	hintTicks = 10
-	// instancesHeardTicks is the number of ticks between lists of the instances that sent
+	// instanceContactsTicks is the number of ticks between lists of the instances that sent
 	// heartbeats.
-	instancesHeardTicks = 8
+	instanceContactsTicks = 8
 	// versionValidity is how long the newest version that a control node reported is taken as
 	// current.
 	versionValidity = 2 * time.Second
@@ -197,8 +197,8 @@
 		f.listSenders = f.chooseListSenders()
 		f.sendHello(f.isHelloDue)
 	}
-	if f.isControl() && f.ticks%instancesHeardTicks == 0 {
-		f.sendInstancesHeard()
+	if f.isControl() && f.ticks%instanceContactsTicks == 0 {
+		f.sendInstanceContacts()
 		f.announce(f.registry.Expire(now))
 	}
 	if f.hints != nil && f.ticks%hintTicks == 0 {
@@ -281,10 +281,10 @@
 	own := f.ownHello()
 	receivers := f.roster.HelloTargets(now)
 	if f.isControl() {
-		sorted := len(receivers)
+		sortedCount := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
 			// The addresses from HelloTargets are sorted, and few.
-			if _, found := slices.BinarySearch(receivers[:sorted], known.Address); !found {
+			if _, found := slices.BinarySearch(receivers[:sortedCount], known.Address); !found {
 				receivers = append(receivers, known.Address)
 			}
 		}
@@ -313,22 +313,22 @@
 	}
 }
 
-// sendHelloToNamed sends a hello to control nodes that were learnt of since the last round. After a
-// power loss of the whole fleet it brings each node into contact with the root a second sooner, as
-// the leader may be a control node that is not a seed; until then the tokens that ended
+// sendHelloToNewControls sends a hello to control nodes that were learnt of since the last round.
+// After a power loss of the whole fleet it brings each node into contact with the root a second
+// sooner, as the leader may be a control node that is not a seed; until then the tokens that ended
 // incarnations held can't be granted.
-func (f *fleetDuty) sendHelloToNamed(now time.Duration) {
-	var named []string
+func (f *fleetDuty) sendHelloToNewControls(now time.Duration) {
+	var newControls []string
 	for _, address := range f.roster.HelloTargets(now) {
 		if !f.helloReceivers[address] {
 			f.helloReceivers[address] = true
-			named = append(named, address)
+			newControls = append(newControls, address)
 		}
 	}
-	if len(named) == 0 {
+	if len(newControls) == 0 {
 		return
 	}
-	f.node.sendAll(named, peer.NewMessage(peer.KindHello, f.ownHello()))
+	f.node.sendAll(newControls, peer.NewMessage(peer.KindHello, f.ownHello()))
 }
 
 func (f *fleetDuty) ownHello() peer.Hello {
@@ -381,7 +381,7 @@
 		f.node.documents.handleVersion(follow.Node{Address: hello.Address, Zone: hello.Zone}, hello.Version)
 	}
 	if hello.Control && (isNew || len(hello.Nodes) > 0) {
-		f.sendHelloToNamed(now)
+		f.sendHelloToNewControls(now)
 	}
 	if f.isControl() {
 		f.node.publisher.handleHello(hello)
--- a/internal/gateway/incarnations.go
+++ b/internal/gateway/incarnations.go
@@ -56,8 +56,8 @@
 			continue
 		}
 		// The successor has been running for this long, so the incarnation ended before.
-		sinceOver := time.Duration(successor.AgeMS)*time.Millisecond + reading.Monotonic - successor.ReceivedAt
-		sinceContact, known := clocks.TimeSinceContact(r.machine.Accounts().LastContact(holder), reading, sinceOver)
+		sinceEnd := time.Duration(successor.AgeMS)*time.Millisecond + reading.Monotonic - successor.ReceivedAt
+		sinceContact, known := clocks.TimeSinceContact(r.machine.Accounts().LastContact(holder), reading, sinceEnd)
 		if !known && r.node.now()-r.leaderSince < clockTimeout {
 			continue
 		}
--- a/internal/gateway/instances.go
+++ b/internal/gateway/instances.go
@@ -212,13 +212,13 @@
 	}
 }
 
-func (f *fleetDuty) handleInstancesHeard(received peer.InstanceContacts) {
+func (f *fleetDuty) handleInstanceContacts(received peer.InstanceContacts) {
 	f.duty.Offer(func() { f.registry.RecordContact(f.node.now(), received.IDs) })
 }
 
-// sendInstancesHeard sends the other control nodes the IDs of the instances whose heartbeats this
+// sendInstanceContacts sends the other control nodes the IDs of the instances whose heartbeats this
 // node received.
-func (f *fleetDuty) sendInstancesHeard() {
+func (f *fleetDuty) sendInstanceContacts() {
 	ids := f.registry.TakeContacts()
 	if len(ids) == 0 {
 		return
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -138,7 +138,7 @@
 	}
 	e.record("holder", e.limits.RecordResponse(now, incarnation, response)...)
 	if !response.IsGranted {
-		if _, isStill := e.limits.Headroom(now, incarnation); !isStill {
+		if _, isStillLimited := e.limits.Headroom(now, incarnation); !isStillLimited {
 			return nil
 		}
 		permitsDenied.Inc()
@@ -190,7 +190,7 @@
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
-	if leftOut := e.lines.TakeOmitted(); leftOut > 0 {
-		e.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", leftOut).Int("in_force", len(e.limits.List(now))).Send()
+	if omitted := e.lines.TakeOmitted(); omitted > 0 {
+		e.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", omitted).Int("in_force", len(e.limits.List(now))).Send()
 	}
 }
--- a/internal/gateway/lists.go
+++ b/internal/gateway/lists.go
@@ -198,10 +198,10 @@
 
 // withAllNodes returns the hello about all nodes: only the changes since a version where these are
 // known and the full list is not required.
-func (h *listHellos) withAllNodes(since uint64, isWhole bool) *peer.Message {
+func (h *listHellos) withAllNodes(since uint64, isFullRequired bool) *peer.Message {
 	list := &h.fleet.nodes
 	change, isKnown := list.changesSince(since)
-	if isWhole || !isKnown {
+	if isFullRequired || !isKnown {
 		if h.full == nil {
 			own := h.hello
 			own.Nodes, own.ListVersion, own.OlderNodeProtocols = list.nodes, list.version, h.fleet.node.protocols.olderVersions(list.nodes)
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -64,7 +64,7 @@
 	Leave(ctx context.Context, incarnation registry.Incarnation) error
 	// CommitDocument commits a validated configuration to the log. It returns the version held
 	// afterwards, which is higher than the given one if a higher one was already committed.
-	CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
+	CommitDocument(ctx context.Context, submitted *document.Document, raw []byte) (held uint64, err error)
 	// ReadDocument returns the newest configuration in the form in which it was received; nil if
 	// there is none yet.
 	ReadDocument(ctx context.Context) (raw []byte, err error)
@@ -394,7 +394,7 @@
 	case peer.KindInstances:
 		return peer.Dispatch(envelope, func(message instancesMessage) { n.fleet.handleInstances(from, message) })
 	case peer.KindInstanceContacts:
-		return peer.Dispatch(envelope, n.fleet.handleInstancesHeard)
+		return peer.Dispatch(envelope, n.fleet.handleInstanceContacts)
 	case peer.KindDocumentNotice:
 		return peer.Dispatch(envelope, func(notice peer.DocumentNotice) { n.documents.handleNotice(from, notice.Version) })
 	case peer.KindDocumentFetch:
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -268,9 +268,9 @@
 		Fingerprint: one.Fingerprint.String(), Route: one.Route, Tenant: one.Tenant, Quarantined: one.IsQuarantined,
 		CountedEnds: uint32(one.Counted), Generation: one.Generation,
 	}
-	for _, end := range one.Crashes {
+	for _, crash := range one.Crashes {
 		described.Ends = append(described.Ends, &ravenwayv1.EngineEnd{
-			Engine: end.Incarnation.String(), AgeMilliseconds: uint64(end.Age.Milliseconds()), Suspicion: end.Suspicion.String(),
+			Engine: crash.Incarnation.String(), AgeMilliseconds: uint64(crash.Age.Milliseconds()), Suspicion: crash.Suspicion.String(),
 		})
 	}
 	return described
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -154,10 +154,10 @@
 		quarantineVerdicts.Inc()
 	}
 	incarnations, ages, suspicions := make([]string, 0, len(verdict.Crashes)), make([]int64, 0, len(verdict.Crashes)), make([]string, 0, len(verdict.Crashes))
-	for _, end := range verdict.Crashes {
-		incarnations = append(incarnations, end.Incarnation.String())
-		ages = append(ages, end.Age.Milliseconds())
-		suspicions = append(suspicions, end.Suspicion.String())
+	for _, crash := range verdict.Crashes {
+		incarnations = append(incarnations, crash.Incarnation.String())
+		ages = append(ages, crash.Age.Milliseconds())
+		suspicions = append(suspicions, crash.Suspicion.String())
 	}
 	q.node.log.Warn().Str("event", event).Stringer("fingerprint", verdict.Fingerprint).Str("route", verdict.Route).
 		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.OtherRequests).
@@ -259,8 +259,8 @@
 
 // release clears the crashes recorded against a request, on all nodes.
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
-	wasHeld, err := duty.Ask(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
-	if err == nil && !wasHeld {
+	wasRecorded, err := duty.Ask(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
+	if err == nil && !wasRecorded {
 		err = ErrNotRecorded
 	}
 	return err
--- a/internal/gateway/stale.go
+++ b/internal/gateway/stale.go
@@ -21,8 +21,8 @@
 type staleFrames struct {
 	node *Node
 
-	mutex   sync.Mutex
-	waiting map[staleKind]staleSum
+	mutex    sync.Mutex
+	unlogged map[staleKind]staleSum
 }
 
 // staleKind is the key by which stale frames are summed up.
@@ -39,7 +39,7 @@
 }
 
 func newStaleFrames(node *Node) *staleFrames {
-	return &staleFrames{node: node, waiting: map[staleKind]staleSum{}}
+	return &staleFrames{node: node, unlogged: map[staleKind]staleSum{}}
 }
 
 // record counts one frame for the next summary.
@@ -53,8 +53,8 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	key := staleKind{peer: to, kind: envelope.Kind}
-	sum := s.waiting[key]
-	s.waiting[key] = staleSum{
+	sum := s.unlogged[key]
+	s.unlogged[key] = staleSum{
 		staleKind: key, frames: sum.frames + 1, bytes: sum.bytes + len(frame), longestWait: max(sum.longestWait, waited),
 	}
 }
@@ -85,10 +85,10 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	var sums []staleSum
-	for _, sum := range s.waiting {
+	for _, sum := range s.unlogged {
 		sums = append(sums, sum)
 	}
-	clear(s.waiting)
+	clear(s.unlogged)
 	slices.SortFunc(sums, func(a, b staleSum) int {
 		return cmp.Or(cmp.Compare(b.frames, a.frames), cmp.Compare(a.peer, b.peer), cmp.Compare(a.kind, b.kind))
 	})
--- a/internal/gateway/stop.go
+++ b/internal/gateway/stop.go
@@ -40,7 +40,7 @@
 	n.log.Info().Str("event", "stopping").Int64("requests", n.active()).Send()
 	n.fleet.duty.Offer(n.fleet.sendHelloToAll)
 	if n.replica != nil {
-		n.handOverLeadership()
+		n.transferLeadership()
 	}
 	if n.pipeline != nil {
 		n.tokens.setStopping()
@@ -85,9 +85,9 @@
 	return time.Now().Add(defaultRequestsWait)
 }
 
-// handOverLeadership transfers leadership to another voter, so that no work has to wait for an
+// transferLeadership transfers leadership to another voter, so that no work has to wait for an
 // election.
-func (n *Node) handOverLeadership() {
+func (n *Node) transferLeadership() {
 	n.replica.duty.Offer(func() {
 		if !n.replica.leading() {
 			return
--- a/internal/gateway/wire_test.go
+++ b/internal/gateway/wire_test.go
@@ -304,12 +304,12 @@
 // visible, and checks that the fields of an earlier build stay at the positions where that build
 // expects them.
 func TestMessagesChangeOnlyByAppendedFields(t *testing.T) {
-	today := shapes()
+	current := shapes()
 	if *writeShapes {
-		assert.NilError(t, os.WriteFile(filepath.Join("testdata", "shapes.txt"), []byte(strings.Join(today, "\n")+"\n"), 0o600))
+		assert.NilError(t, os.WriteFile(filepath.Join("testdata", "shapes.txt"), []byte(strings.Join(current, "\n")+"\n"), 0o600))
 	}
-	assert.DeepEqual(t, today, readShapes(t, "shapes.txt"))
-	fields := byStruct(today)
+	assert.DeepEqual(t, current, readShapes(t, "shapes.txt"))
+	fields := byStruct(current)
 	for owner, earlier := range byStruct(readShapes(t, "shapes-619b733.txt")) {
 		assert.Assert(t, len(fields[owner]) >= len(earlier), "%s lost a field", owner)
 		assert.DeepEqual(t, fields[owner][:len(earlier)], earlier)
