--- a/internal/gateway/refusedheartbeats.go
+++ b/internal/gateway/refusedheartbeats.go
@@ -38,8 +38,8 @@
 }
 
 // HeartbeatRefused implements Control. A known engine stays in use with its last valid heartbeat
-// until its lease expires: invalid bytes may come from another sender and say nothing about the
-// engine.
+// until its lease, the time for which a heartbeat is valid, expires: invalid bytes may come from
+// another sender and say nothing about the engine.
 func (n *Node) HeartbeatRefused(id string, err error) {
 	if n.refused.isDue(n.now(), id, err.Error()) {
 		n.log.Warn().Str("event", "heartbeat_refused").Str("instance", id).Err(err).Send()
--- a/internal/gateway/replica.go
+++ b/internal/gateway/replica.go
@@ -29,8 +29,8 @@
 	startElectionTicks = 2
 	// heartbeatTicks is the interval of the leader's heartbeats, 150 milliseconds.
 	heartbeatTicks = 3
-	// lostContactTicks is the time without contact, 2.5 seconds, after which a learner may replace
-	// a voter.
+	// lostContactTicks is the time without contact, 2.5 seconds, after which a voter may be replaced
+	// by a learner, a member of the group that receives the log but has no vote yet.
 	lostContactTicks = 50
 	// membershipTicks is the number of ticks between checks of the group's members, and
 	// closeIncarnationsTicks between checks for ended incarnations.
@@ -41,7 +41,7 @@
 	accountLogTicks     = 100
 	maximumAccountLines = 16
 	// recallRetryInterval is the time after an unsuccessful recall of a budget before it may be
-	// recalled again.
+	// recalled again. A recall asks the holders to return their unused grants of a spent budget.
 	recallRetryInterval = 500 * time.Millisecond
 	// reopenInterval is the time between attempts to reopen a disk that failed.
 	reopenInterval = 300 * time.Millisecond
--- a/internal/gateway/zones.go
+++ b/internal/gateway/zones.go
@@ -15,9 +15,9 @@
 // ErrUnknownZone means that an order names a zone that does not exist.
 var ErrUnknownZone = errors.New("gateway: no such zone")
 
-// zoneStore holds the evacuated zones in effect at this node. A control node reads them from the
-// log, an entry node receives them in the hellos of control nodes; an older revision never replaces
-// a newer one.
+// zoneStore holds the evacuated zones in effect at this node; their instances receive no new
+// requests. A control node reads the zones from the log, an entry node receives them in the hellos
+// of control nodes; an older revision never replaces a newer one.
 type zoneStore struct {
 	node  *Node
 	mutex sync.Mutex
