--- a/internal/gateway/gate.go
+++ b/internal/gateway/gate.go
@@ -29,8 +29,8 @@
 	schedulerLag    = metrics.GetOrCreateHistogram("ravenway_scheduler_lag_seconds")
 )
 
-// read takes a reading of the node's load and updates the gate.
-func (c *callerGate) read() {
+// update takes a reading of the node's load and updates the gate.
+func (c *callerGate) update() {
 	lag := measureLag()
 	schedulerLag.Update(lag.Seconds())
 	pressure := overload.Pressure{
--- a/internal/gateway/loads.go
+++ b/internal/gateway/loads.go
@@ -48,7 +48,7 @@
 }
 
 func (l *loadsDuty) tick() {
-	l.node.gate.read()
+	l.node.gate.update()
 	l.ticks++
 	neighbours := &l.node.fleet.view.Load().neighbours
 	interval := loadsInterval
