--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -467,8 +467,9 @@
 	}
 }
 
-// attemptKey returns the key for the choice of an instance: the last part of the prompt that
-// other requests share.
+// attemptKey returns the ID of the part of the prompt by which an instance is chosen: the last one
+// that other requests share. The last part of a prompt is the request's own, so it is chosen only if
+// there is no other.
 func (c *Call) attemptKey() string {
 	switch count := len(c.Parts); count {
 	case 0:
@@ -480,7 +481,8 @@
 	}
 }
 
-// sharedTokens returns the number of tokens up to and including the part that attemptKey names.
+// sharedTokens returns the number of tokens in the parts that other requests share: all but the
+// last.
 func (c *Call) sharedTokens() int {
 	shared := uint64(0)
 	for _, part := range c.Parts[:max(0, len(c.Parts)-1)] {
