--- a/internal/forward/pipeline.go
+++ b/internal/forward/pipeline.go
@@ -467,10 +467,10 @@
 	}
 }
 
-// attemptKey returns the ID of the part of the prompt by which an instance is chosen: the last one
-// that other requests share. The last part of a prompt is the request's own, so it is chosen only if
-// there is no other.
-func (c *Call) attemptKey() string {
+// affinityPartID returns the ID of the part of the prompt by which an instance is chosen: the last
+// one that other requests share. The last part of a prompt is the request's own, so it is chosen
+// only if there is no other.
+func (c *Call) affinityPartID() string {
 	switch count := len(c.Parts); count {
 	case 0:
 		return ""
