--- a/internal/forward/crashes_test.go
+++ b/internal/forward/crashes_test.go
@@ -29,7 +29,7 @@
 		_ = connection.Close()
 	})
 	h := newHarness(t, engine)
-	named := func(id, body string) string {
+	loggedFingerprint := func(id, body string) string {
 		_ = h.send(t, http.MethodPost, "/stream/x", id, body)
 		text := strings.Join(h.log.Explain(id), "\n")
 		assert.Assert(t, strings.Contains(text, "its answer had begun"), text)
@@ -37,19 +37,19 @@
 		assert.Equal(t, len(found), 2, text)
 		return found[1]
 	}
-	first := named("r1", "body")
-	assert.Equal(t, named("r2", "body"), first)
-	assert.Assert(t, named("r3", "another") != first)
+	first := loggedFingerprint("r1", "body")
+	assert.Equal(t, loggedFingerprint("r2", "body"), first)
+	assert.Assert(t, loggedFingerprint("r3", "another") != first)
 }
 
-// crashingEngine sends the head of a stream and then closes its connection; with endsWhole it also
+// crashingEngine sends the head of a stream and then closes its connection; with closesListener it also
 // closes its listener, like a process that crashes.
-func crashingEngine(t *testing.T, endsWhole bool) *scriptedEngine {
+func crashingEngine(t *testing.T, closesListener bool) *scriptedEngine {
 	t.Helper()
 	var engine *scriptedEngine
 	engine = newEngine(t, func(connection net.Conn, _ *bufio.Reader, request received) {
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: "+request.Header.Get("Id")+"\r\nContent-Length: 9\r\n\r\n")
-		if endsWhole {
+		if closesListener {
 			_ = engine.listener.Close()
 		}
 		_ = connection.Close()
@@ -165,7 +165,7 @@
 	assert.Equal(t, sink.reported(), 0)
 }
 
-// A caller that leaves interrupts its run itself.
+// A run that is interrupted because its caller leaves does not indicate a crash.
 func TestRunThatItsCallerLeftIsNotReported(t *testing.T) {
 	left := make(chan struct{})
 	var engine *scriptedEngine
@@ -187,8 +187,8 @@
 	assert.Equal(t, sink.reported(), 0)
 }
 
-// A suspected request is left to its caller to retry: the node that saw an engine crash under it
-// does not send it to the next one.
+// After an engine has crashed during a suspected request, the node does not send the request to
+// another engine; only the caller may retry it.
 func TestSuspectedRequestIsNotResumedAtAnotherEngine(t *testing.T) {
 	engines := []*scriptedEngine{crashingEngine(t, true), crashingEngine(t, true), crashingEngine(t, true)}
 	h := newHarness(t, engines...)
@@ -207,8 +207,9 @@
 	assert.Equal(t, requests, 1)
 }
 
-// In an incident, several retries of the request waited at engines, for up to two seconds, when
-// it crashed its third engine. Such requests are canceled before they begin.
+// Guards against further crashes after the verdict: when a poison request crashed its third engine,
+// several retries of it had been waiting at other engines for up to two seconds. Such requests are
+// canceled before they begin.
 func TestQuarantinedRequestThatWaitsAtAnEngineIsCanceled(t *testing.T) {
 	arrived, closed := make(chan struct{}), make(chan struct{})
 	engine := newEngine(t, func(_ net.Conn, reader *bufio.Reader, _ received) {
--- a/internal/gateway/fleet.go
+++ b/internal/gateway/fleet.go
@@ -25,15 +25,15 @@
 	// interval each of the tens of control nodes' hellos a second would trigger one.
 	viewIntervalPerNode = 100 * time.Microsecond
 	// reducedHelloRounds is the number of rounds, 1.8 s, between hellos of an entry node and a
-	// control node that rarely need each other. A single lost hello already brings them close to
-	// the limit: they count each other as lost after 2.5 s without contact.
+	// control node that rarely need each other. If a single hello is lost, they count each other
+	// as lost until the next one arrives, since they do so after 2.5 s without contact.
 	reducedHelloRounds = 3
 	// hintTicks is the number of ticks, 3 s, between checks whether the instances have changed
 	// since they were last written to a control node's disk.
 	hintTicks = 10
-	// instancesHeardTicks is the number of ticks between lists of the instances that sent
+	// instanceContactsTicks is the number of ticks between lists of the instances that sent
 	// heartbeats.
-	instancesHeardTicks = 8
+	instanceContactsTicks = 8
 	// versionValidity is how long the newest version that a control node reported is taken as
 	// current.
 	versionValidity = 2 * time.Second
@@ -58,8 +58,10 @@
 	// this entry node the list of all nodes.
 	helloRounds int
 	listSenders []string
-	isViewDue   bool
-	mismatches  map[string]mismatch
+	// isViewDue is set while the publication of a view is scheduled.
+	isViewDue bool
+	// mismatches are the nodes whose digest of the registry differs from this node's, by address.
+	mismatches map[string]mismatch
 	// requestedAt is when instances were last requested from another node, if hasRequested is set.
 	requestedAt  time.Duration
 	hasRequested bool
@@ -70,8 +72,9 @@
 	// unrelayed are changes from other control nodes that are yet to be relayed to entry nodes.
 	unrelayed []registry.Instance
 	// unapplied are the IDs of instances whose changes are yet to take effect on this node.
-	unapplied                      map[string]struct{}
-	encodedList                    instanceList
+	unapplied   map[string]struct{}
+	encodedList instanceList
+	// announcing, relaying and applying schedule the work on unannounced, unrelayed and unapplied.
 	announcing, relaying, applying batchSchedule
 	// helloReceivers are the nodes that were selected for the last hello.
 	helloReceivers map[string]bool
@@ -194,8 +197,8 @@
 		f.listSenders = f.chooseListSenders()
 		f.sendHello(f.isHelloDue)
 	}
-	if f.isControl() && f.ticks%instancesHeardTicks == 0 {
-		f.sendInstancesHeard()
+	if f.isControl() && f.ticks%instanceContactsTicks == 0 {
+		f.sendInstanceContacts()
 		f.announce(f.registry.Expire(now))
 	}
 	if f.hints != nil && f.ticks%hintTicks == 0 {
@@ -257,7 +260,7 @@
 	return (uint64(f.helloRounds)+xxhash.Sum64String(receiver))%reducedHelloRounds == 0
 }
 
-// chooseListSenders are the control nodes that send this entry node the list of all nodes.
+// chooseListSenders returns the control nodes that send this entry node the list of all nodes.
 func (f *fleetDuty) chooseListSenders() []string {
 	if f.isControl() {
 		return nil
@@ -278,10 +281,10 @@
 	own := f.ownHello()
 	receivers := f.roster.HelloTargets(now)
 	if f.isControl() {
-		sorted := len(receivers)
+		sortedCount := len(receivers)
 		for _, known := range f.roster.AliveNodes(now) {
-			// The addresses from Greet are sorted, and few.
-			if _, found := slices.BinarySearch(receivers[:sorted], known.Address); !found {
+			// The addresses from HelloTargets are sorted, and few.
+			if _, found := slices.BinarySearch(receivers[:sortedCount], known.Address); !found {
 				receivers = append(receivers, known.Address)
 			}
 		}
@@ -310,22 +313,22 @@
 	}
 }
 
-// sendHelloToNamed sends a hello to control nodes that were learnt of since the last round. After a
-// power loss of the whole fleet it brings each node into contact with the root a second sooner, as
-// the leader may be a control node that is not a seed; until then the tokens that ended
+// sendHelloToNewControls sends a hello to control nodes that were learnt of since the last round.
+// After a power loss of the whole fleet it brings each node into contact with the root a second
+// sooner, as the leader may be a control node that is not a seed; until then the tokens that ended
 // incarnations held can't be granted.
-func (f *fleetDuty) sendHelloToNamed(now time.Duration) {
-	var named []string
+func (f *fleetDuty) sendHelloToNewControls(now time.Duration) {
+	var newControls []string
 	for _, address := range f.roster.HelloTargets(now) {
 		if !f.helloReceivers[address] {
 			f.helloReceivers[address] = true
-			named = append(named, address)
+			newControls = append(newControls, address)
 		}
 	}
-	if len(named) == 0 {
+	if len(newControls) == 0 {
 		return
 	}
-	f.node.sendAll(named, peer.NewMessage(peer.KindHello, f.ownHello()))
+	f.node.sendAll(newControls, peer.NewMessage(peer.KindHello, f.ownHello()))
 }
 
 func (f *fleetDuty) ownHello() peer.Hello {
@@ -378,7 +381,7 @@
 		f.node.documents.handleVersion(follow.Node{Address: hello.Address, Zone: hello.Zone}, hello.Version)
 	}
 	if hello.Control && (isNew || len(hello.Nodes) > 0) {
-		f.sendHelloToNamed(now)
+		f.sendHelloToNewControls(now)
 	}
 	if f.isControl() {
 		f.node.publisher.handleHello(hello)
@@ -403,7 +406,7 @@
 	}
 }
 
-// handleNewNode handles the first hello of a node that was unknown or recently unreachable.
+// handleNewNode handles the first hello of a node that was unknown or unreachable until now.
 func (f *fleetDuty) handleNewNode(now time.Duration, hello peer.Hello) {
 	f.node.log.Info().Str("event", "node_heard").Str("peer", hello.Node).Str("address", hello.Address).
 		Str("life", hello.Incarnation).Bool("control", hello.Control).Uint64("version", hello.Version).Send()
--- a/internal/gateway/limits.go
+++ b/internal/gateway/limits.go
@@ -39,7 +39,8 @@
 )
 
 // limitEnforcer is this entry node's part in enforcing the rate limits that instances name in their
-// responses.
+// responses. A request to such an instance needs a permit of its issuer, the entry node that issues
+// the instance's permits.
 type limitEnforcer struct {
 	node   *Node
 	limits *ratelimit.Limits
@@ -137,7 +138,7 @@
 	}
 	e.record("holder", e.limits.RecordResponse(now, incarnation, response)...)
 	if !response.IsGranted {
-		if _, isStill := e.limits.Headroom(now, incarnation); !isStill {
+		if _, isStillLimited := e.limits.Headroom(now, incarnation); !isStillLimited {
 			return nil
 		}
 		permitsDenied.Inc()
@@ -148,14 +149,14 @@
 	}
 	if e.node.now()-startedAt > needs.MaximumWait()+ratelimit.PermitLifetime {
 		permitsStale.Inc()
-		return fmt.Errorf("%w: that for %s came too late", forward.ErrNoPermit, incarnation)
+		return fmt.Errorf("%w: the permit for %s arrived too late", forward.ErrNoPermit, incarnation)
 	}
 	permitsUsed.Inc()
 	permitSeconds.Update((e.node.now() - startedAt).Seconds())
 	return nil
 }
 
-var errNoIssuer = errors.New("gateway: no node holds the limit")
+var errNoIssuer = errors.New("gateway: no node issues permits for the instance")
 
 // requestPermit requests a permit from the issuer.
 func (e *limitEnforcer) requestPermit(ctx context.Context, issuer string, permitRequest ratelimit.PermitRequest) (ratelimit.PermitResponse, error) {
@@ -189,7 +190,7 @@
 				Int("granted", use.Granted).Int("denied", use.Denied).Int64("free_in_ms", use.Wait.Milliseconds()).Send()
 		}
 	}
-	if leftOut := e.lines.TakeOmitted(); leftOut > 0 {
-		e.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", leftOut).Int("in_force", len(e.limits.List(now))).Send()
+	if omitted := e.lines.TakeOmitted(); omitted > 0 {
+		e.node.log.Info().Str("event", "instance_limits").Int("lines_left_out", omitted).Int("in_force", len(e.limits.List(now))).Send()
 	}
 }
--- a/internal/gateway/node.go
+++ b/internal/gateway/node.go
@@ -64,7 +64,7 @@
 	Leave(ctx context.Context, incarnation registry.Incarnation) error
 	// CommitDocument commits a validated configuration to the log. It returns the version held
 	// afterwards, which is higher than the given one if a higher one was already committed.
-	CommitDocument(ctx context.Context, taken *document.Document, raw []byte) (held uint64, err error)
+	CommitDocument(ctx context.Context, submitted *document.Document, raw []byte) (held uint64, err error)
 	// ReadDocument returns the newest configuration in the form in which it was received; nil if
 	// there is none yet.
 	ReadDocument(ctx context.Context) (raw []byte, err error)
@@ -79,7 +79,7 @@
 	OrderZone(ctx context.Context, zone string, evacuated bool) (evacuation.Zones, error)
 }
 
-// ErrUnavailable says that a control node can't serve a request at the moment; another control node
+// ErrUnavailable means that a control node can't serve a request at the moment; another control node
 // may be able to.
 var ErrUnavailable = errors.New("gateway: not possible here now")
 
@@ -316,8 +316,8 @@
 // Version is the version of the configuration in effect on this node, 0 before the first.
 func (n *Node) Version() uint64 { return n.documents.version() }
 
-// Reload applies changed settings. Only changes of the seeds take effect at once; other settings
-// keep their values until a restart.
+// Reload applies changed settings. Only changes of the seeds take effect immediately; other
+// settings keep their values until a restart.
 func (n *Node) Reload(changed *settings.Settings) {
 	n.settings.Store(changed)
 	n.fleet.setSeeds(seedAddresses(changed))
@@ -394,7 +394,7 @@
 	case peer.KindInstances:
 		return peer.Dispatch(envelope, func(message instancesMessage) { n.fleet.handleInstances(from, message) })
 	case peer.KindInstanceContacts:
-		return peer.Dispatch(envelope, n.fleet.handleInstancesHeard)
+		return peer.Dispatch(envelope, n.fleet.handleInstanceContacts)
 	case peer.KindDocumentNotice:
 		return peer.Dispatch(envelope, func(notice peer.DocumentNotice) { n.documents.handleNotice(from, notice.Version) })
 	case peer.KindDocumentFetch:
--- a/internal/gateway/operators.go
+++ b/internal/gateway/operators.go
@@ -216,7 +216,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// errNoLimits says that a node tracks no rate limits of instances.
+// errNoLimits means that a node tracks no rate limits of instances.
 var errNoLimits = errors.New("only entry nodes know the limits that instances name")
 
 // GetLimits implements the schema's GetLimits.
@@ -240,7 +240,7 @@
 	return connect.NewResponse(response), nil
 }
 
-// errNoPauses says that a node sends no requests to instances.
+// errNoPauses means that a node sends no requests to instances.
 var errNoPauses = errors.New("only entry nodes are asked for pauses by instances")
 
 // GetPauses implements the schema's GetPauses.
@@ -268,9 +268,9 @@
 		Fingerprint: one.Fingerprint.String(), Route: one.Route, Tenant: one.Tenant, Quarantined: one.IsQuarantined,
 		CountedEnds: uint32(one.Counted), Generation: one.Generation,
 	}
-	for _, end := range one.Crashes {
+	for _, crash := range one.Crashes {
 		described.Ends = append(described.Ends, &ravenwayv1.EngineEnd{
-			Engine: end.Incarnation.String(), AgeMilliseconds: uint64(end.Age.Milliseconds()), Suspicion: end.Suspicion.String(),
+			Engine: crash.Incarnation.String(), AgeMilliseconds: uint64(crash.Age.Milliseconds()), Suspicion: crash.Suspicion.String(),
 		})
 	}
 	return described
--- a/internal/gateway/quarantine.go
+++ b/internal/gateway/quarantine.go
@@ -52,7 +52,8 @@
 	digest atomic.Uint64
 	// knownDigest is the digest of the control nodes' list that was last merged here.
 	knownDigest uint64
-	mismatches  int
+	// mismatches is the number of consecutive hellos that reported another digest.
+	mismatches int
 	// decidedAt is when the tracker last decided.
 	decidedAt    time.Duration
 	requestedAt  time.Duration
@@ -113,8 +114,8 @@
 	}
 }
 
-// flush decides on the reports received and distributes the results. An engine's crash breaks many
-// runs of many nodes, whose reports arrive within milliseconds of each other, so they are decided
+// flush decides on the reports received and distributes the results. An engine's crash interrupts
+// many runs of many nodes, whose reports arrive within milliseconds of each other, so they are decided
 // on together.
 func (q *quarantineDuty) flush() {
 	now := q.node.now()
@@ -153,10 +154,10 @@
 		quarantineVerdicts.Inc()
 	}
 	incarnations, ages, suspicions := make([]string, 0, len(verdict.Crashes)), make([]int64, 0, len(verdict.Crashes)), make([]string, 0, len(verdict.Crashes))
-	for _, end := range verdict.Crashes {
-		incarnations = append(incarnations, end.Incarnation.String())
-		ages = append(ages, end.Age.Milliseconds())
-		suspicions = append(suspicions, end.Suspicion.String())
+	for _, crash := range verdict.Crashes {
+		incarnations = append(incarnations, crash.Incarnation.String())
+		ages = append(ages, crash.Age.Milliseconds())
+		suspicions = append(suspicions, crash.Suspicion.String())
 	}
 	q.node.log.Warn().Str("event", event).Stringer("fingerprint", verdict.Fingerprint).Str("route", verdict.Route).
 		Str("tenant", verdict.Tenant).Int("counted", verdict.Counted).Int("beside", verdict.OtherRequests).
@@ -207,7 +208,7 @@
 }
 
 // handleDigest compares a control node's digest with the known one, and requests its list if they
-// differ. A control node that is new or was recently unreachable is sent all records of this node:
+// differ. A control node that is new or reachable again is sent all records of this node:
 // it may have been partitioned, or have lost its state.
 func (q *quarantineDuty) handleDigest(from string, digest uint64, isNew bool) {
 	if digest == 0 && q.digest.Load() == 0 && !isNew {
@@ -247,7 +248,7 @@
 	q.sendTo([]string{from}, request)
 }
 
-// ErrNotRecorded says that no crash is recorded against a request.
+// ErrNotRecorded means that no crash is recorded against a request.
 var ErrNotRecorded = errors.New("gateway: nothing is held against the request")
 
 // summaries lists the summaries of the requests with recorded crashes: those in quarantine first,
@@ -258,8 +259,8 @@
 
 // release clears the crashes recorded against a request, on all nodes.
 func (q *quarantineDuty) release(ctx context.Context, fingerprint quarantine.Fingerprint) error {
-	wasHeld, err := duty.Call(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
-	if err == nil && !wasHeld {
+	wasRecorded, err := duty.Call(ctx, q.duty, func(respond func(bool)) { respond(q.clear(fingerprint, "released by an operator")) })
+	if err == nil && !wasRecorded {
 		err = ErrNotRecorded
 	}
 	return err
