--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -63,7 +63,8 @@
 	// pooled reports whether the node leaves this budget to the zone's pool holders.
 	pooled bool
 
-	// demand is the rate of tokens that requests require, reserving the rate that they receive.
+	// demand is the rate at which requests require tokens, reserving the rate at which they receive
+	// them.
 	demand, reserving smoothedRate
 	// requestSize is the smoothed size of a request in tokens, and requestedLast is the time of the
 	// last one.
@@ -151,7 +152,7 @@
 // desired returns the desired amount: the tokens that the node would hold if the budget were not short.
 // It is the demand of one horizon, and while there is any demand at least enough for a request of
 // average size, so that a partitioned node can go on serving a tenant that sends little. Nodes lend
-// each other what larger requests require. A budget that is left to pool holders is not held ahead.
+// each other what larger requests require. A budget that is left to pool holders is not held ahead of demand.
 func (a *account) desired(now time.Duration) uint64 {
 	if a.pooled {
 		return 0
@@ -272,7 +273,8 @@
 	return report
 }
 
-// smoothedRate is a rate in tokens a second, smoothed with an exponential decay.
+// smoothedRate is a rate in tokens a second, smoothed with an exponential decay. The sum is decayed up
+// to the time decayedAt.
 type smoothedRate struct {
 	sum     float64
 	summed  time.Duration
--- a/internal/coordination/escrow/allowances.go
+++ b/internal/coordination/escrow/allowances.go
@@ -11,8 +11,8 @@
 	// requests don't wait for the root. It is charged if the holder's incarnation crashes without a
 	// final report.
 	allowanceAhead = 400 * time.Millisecond
-	// paceFactor is how much faster than before a holder may use its grant without contact to the root,
-	// because requests arrive in bursts. A lower factor leaves more requests unserved in a partition; a
+	// paceFactor sets an allowance's pace, the rate at which a holder may use its grant without contact
+	// to the root, as a multiple of its rate before: requests arrive in bursts. A lower factor leaves more requests unserved in a partition; a
 	// higher one charges more unused tokens when all machines are lost.
 	paceFactor = 1.2
 	// contactInterval is the time between a holder's reports if it has nothing else to report. The root
@@ -22,8 +22,8 @@
 	// lower an allowance.
 	raiseInterval = 50 * time.Millisecond
 	lowerInterval = 150 * time.Millisecond
-	// looseAllowanceFactor is the multiple of allowanceAhead's tokens that may be allowed and
-	// unused before the allowance is lowered. What was allowed for requests that were then refused,
+	// looseAllowanceFactor sets when an allowance is lowered: once it exceeds the use by this multiple
+	// of the use expected within allowanceAhead. What was allowed for requests that were then refused,
 	// or that used less, is charged too if the incarnation is lost.
 	looseAllowanceFactor = 1.5
 )
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -30,7 +30,7 @@
 	lastResend  = 1200 * time.Millisecond
 	// A node requests more when it holds less than topUpShare of its target, and returns the
 	// surplus when it holds more than surplusShare of it. Between the two it keeps what it holds:
-	// the tokens that a node requires in a partition are the same ones that are lost with the node.
+	// with less it would lack tokens in a partition, and with more a crash would lose more.
 	topUpShare   = 0.85
 	surplusShare = 1.3
 	// demandHalfLife is the half-life of the smoothed demand.
@@ -125,7 +125,8 @@
 	options  HolderOptions
 	accounts map[string]*account
 	// names holds the names of the accounts, sorted.
-	names    []string
+	names []string
+	// recalled holds the recalls that the next report responds to.
 	recalled []RecallMessage
 	loans    []OutgoingLoan
 	pools    []OutgoingPool
@@ -438,8 +439,8 @@
 	return slices.ContainsFunc(h.recalled, func(recall RecallMessage) bool { return recall.Budget == budget })
 }
 
-// TakeResponse applies the root's responses. It returns those whose watermarks have become durable,
-// so that the caller can forget the claims up to them.
+// TakeResponse applies the root's responses. It returns those whose watermarks have advanced, and so are
+// in the root's log, so that the caller can forget the claims up to them.
 func (h *Holder) TakeResponse(now time.Duration, message ResponseMessage) []accounts.Response {
 	if message.Holder != h.options.ID {
 		return nil
--- a/internal/coordination/escrow/holder_test.go
+++ b/internal/coordination/escrow/holder_test.go
@@ -46,8 +46,8 @@
 	return reserved
 }
 
-// A report that is lost with the leader that it was sent to is sent again, although nothing changes at
-// the node. It once waited for the next change.
+// Guards against a report that is lost with the leader that it was sent to and is not sent again until
+// something changes at the node.
 func TestLostReportIsSentAgain(t *testing.T) {
 	root := rootWith(10_000)
 	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}})
@@ -96,8 +96,8 @@
 	assert.Assert(t, target > 8*perSecond && target < 14*perSecond, "%d", target)
 }
 
-// Found in run quiet-1 of site zhf: in a partition only every other request sent loan requests; the
-// others were refused because an earlier request had received no loan.
+// Guards against a partition in which only every other request sends loan requests, and the others are
+// refused because an earlier request has received no loan.
 func TestEachRequestRequestsLoansWhenTheRootDoesNotRespond(t *testing.T) {
 	holder := NewHolder(HolderOptions{ID: accounts.HolderID{Node: "n", Incarnation: 1}, ResponseTimeout: 50 * time.Millisecond, Lenders: []string{"m"}})
 	now := time.Duration(0)
@@ -115,8 +115,8 @@
 	}
 }
 
-// Found in run roll_term of site drukwacht: a stopping node returned its tokens, immediately requested
-// as many ahead of demand, and stopped with those.
+// Guards against a stopping node that returns its tokens, immediately requests as many ahead of demand,
+// and stops with those.
 func TestStoppingHolderRequestsNothingAhead(t *testing.T) {
 	id := accounts.HolderID{Node: "n", Incarnation: 1}
 	holder := NewHolder(HolderOptions{ID: id})
@@ -147,8 +147,9 @@
 	assert.Assert(t, errors.Is(refusalOf(Response{Response: short}, 9), ErrExhausted))
 }
 
-// In a partition a request that the whole budget could not hold before it is refused immediately. Its
-// caller once waited 140 ms for loan requests that no neighbour could grant.
+// If the whole budget held less than a request requires at the last contact with the root, the request
+// is refused immediately in a partition. Otherwise its caller waits 140 ms for loans that no neighbour
+// can grant.
 func TestRequestBeyondTheWholeBudgetIsRefusedImmediatelyInAPartition(t *testing.T) {
 	isReachable := true
 	holder := NewHolder(HolderOptions{
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -32,7 +32,7 @@
 
 // Lend subtracts a loan for another holder: what it requires if that much is free, else half of what
 // is free. It reports whether there is a loan to agree; the caller has it agreed in the claim register
-// and then calls Agreed.
+// and then calls LoanAgreed.
 func (h *Holder) Lend(request LoanRequest, fenced func(accounts.HolderID) bool) (accounts.Loan, bool) {
 	budgetAccount := h.accounts[request.Budget]
 	if budgetAccount == nil || h.closed || request.Borrower.Node == h.options.ID.Node || fenced(request.Borrower) {
@@ -162,8 +162,8 @@
 
 // MergeLoans combines what is known of a fenced incarnation's loans: the other side's own report if
 // it is alive, else what was agreed in the claim register. A loan that was agreed but never accepted
-// stays in the result with a total of 0, so that the register does not count when the other side is
-// closed later.
+// stays in the result with a total of 0, so that the register's total is not used when the other side
+// is closed later.
 func MergeLoans(registered, own []accounts.Loan) []accounts.Loan {
 	merged := map[loanKey]accounts.Loan{}
 	for _, loan := range registered {
--- a/internal/coordination/escrow/loans_test.go
+++ b/internal/coordination/escrow/loans_test.go
@@ -31,15 +31,16 @@
 	return count
 }
 
-// Each request of a partitioned node once waited 50 to 90 ms before the first loan request, though the
-// root was known to be unreachable.
+// Guards against a wait of 50 to 90 ms before each request's first loan request, though the root is
+// known to be unreachable.
 func TestLoansAreRequestedImmediatelyWhenTheRootIsKnownToBeUnreachable(t *testing.T) {
 	holder := partitionedHolder(3)
 	holder.Reserve(time.Second, 2*time.Second, "b", 10, Policy{}, func(Reservation, error) {})
 	assert.Equal(t, countLoanRequests(holder), 3)
 }
 
-// With 85 nodes, each request in a partition once sent 84 loan requests immediately.
+// Guards against requests to all neighbours at the same time: with 85 nodes, each request in a partition
+// would send 84 loan requests immediately.
 func TestLoansAreRequestedInRounds(t *testing.T) {
 	holder := partitionedHolder(84)
 	now := time.Second
@@ -57,7 +58,8 @@
 	assert.DeepEqual(t, rounds, []int{16, 48, 12})
 }
 
-// On a site with many nodes every refusal of a spent budget once recalled it from all holders.
+// Guards against a recall from all holders at every refusal of a spent budget, which is a high load with
+// many nodes.
 func TestBudgetRecalledWithoutSuccessIsNotRecalledAgainImmediately(t *testing.T) {
 	g := newGroup(100_000, 8)
 	g.root.options.RecallInterval = 500 * time.Millisecond
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -10,8 +10,9 @@
 	Reports []accounts.Report `msgpack:"r"`
 	// Recalled holds the recalls that these reports respond to.
 	Recalled []RecallMessage `msgpack:"c,omitempty"`
-	// Allowances reports whether the holder respects allowances. LastContact is the newest contact
-	// that it has received, once the allowances cover its use.
+	// Allowances reports whether the holder respects allowances, which limit the use of its grants
+	// (accounts.Allowance). LastContact is the holder's newest contact with the root up to which
+	// its allowances cover all its use.
 	Allowances  bool             `msgpack:"m,omitempty"`
 	LastContact accounts.Contact `msgpack:"k"`
 }
@@ -20,7 +21,8 @@
 type ResponseMessage struct {
 	Holder    accounts.HolderID `msgpack:"h"`
 	Responses []Response        `msgpack:"a"`
-	// Contact is when the root decided, for holders that respect allowances; else it is zero.
+	// Contact is the leader's clocks when the root decided, for holders that respect allowances;
+	// else it is zero.
 	Contact accounts.Contact `msgpack:"k"`
 }
 
@@ -57,7 +59,7 @@
 }
 
 // LoanMessage is one step of a loan: one field is set. The borrower sends a Request. The lender
-// subtracts the loan, has it agreed in a claim register of the zone, and only then sends it as
+// subtracts the loan, has it agreed in a claim register (package claims), and only then sends it as
 // Loan, repeatedly until the borrower has confirmed it with Confirmed. So a loan is still known
 // when both sides are lost together.
 //
@@ -76,7 +78,7 @@
 	Budgets []OfferedBudget   `msgpack:"b"`
 }
 
-// OfferedBudget is the tokens that are free of one budget.
+// OfferedBudget is what a holder offers of one budget: its free tokens.
 type OfferedBudget struct {
 	Budget string `msgpack:"b"`
 	Free   uint64 `msgpack:"f"`
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -11,14 +11,15 @@
 const (
 	// MinimumPoolNodes is the minimum number of entry nodes at which a zone's nodes leave budgets to
 	// pool holders. With fewer nodes, each holding for itself and borrowing from its neighbours
-	// serves more in a partition, or not much less. The shares of requests refused in RunCutLoans
-	// (five seeds), without and with pools: 0.016 and 0.025 at 10 nodes a zone, 0.025 and 0.018 at
+	// serves more in a partition, or not much less. The shares of requests refused in a partition,
+	// without and with pools: 0.016 and 0.025 at 10 nodes a zone, 0.025 and 0.018 at
 	// 20, 0.033 and 0.028 at 30, 0.052 and 0.024 at 60.
 	MinimumPoolNodes = 30
 	// poolRoundTime is how long a node waits for one pool holder before it sends the request to the
 	// next: a few messages within the zone, and the root's response to the pool holder.
 	poolRoundTime = 40 * time.Millisecond
-	// PoolHolders is the number of a zone's pool holders of a budget. A request goes to one after the
+	// PoolHolders is the number of a zone's pool holders of a budget: the nodes that hold it for all
+	// nodes of the zone and lend each request what it requires. A request goes to one after the
 	// other before it goes to the root.
 	PoolHolders = 2
 )
@@ -186,7 +187,8 @@
 	}
 }
 
-// lendToWaiter lends a waiting request of another node its tokens.
+// lendToWaiter lends a waiting request of another node its tokens. The loan counts as agreed without a
+// claim register: it stays charged to the pool holder's grant.
 func (h *Holder) lendToWaiter(now time.Duration, budgetAccount *account, next waiter) {
 	state := budgetAccount.loanTo(next.borrower)
 	state.total += next.amount
--- a/internal/coordination/escrow/pool_test.go
+++ b/internal/coordination/escrow/pool_test.go
@@ -90,8 +90,8 @@
 	assert.Assert(t, errors.Is(second.err, ErrUnreachable))
 }
 
-// A node once requested the tokens of one waiter at a time, which limits it to 50 requests a second of
-// one tenant at a round trip of 20 ms.
+// Guards against requesting the tokens of one waiter at a time, which limits a node to 50 requests a
+// second of one tenant at a round trip of 20 ms.
 func TestPoolRequestsOfAllWaitersAreSentTogether(t *testing.T) {
 	holder := pooledHolder("p", "q")
 	first, second := reserveInPool(holder, time.Second, 10), reserveInPool(holder, time.Second, 20)
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -23,7 +23,7 @@
 	// Respond and Recall pass messages to the transport.
 	Respond func(to string, message ResponseMessage)
 	Recall  func(to string, message RecallMessage)
-	// SummaryOf returns the summary of a budget, and SendSummaries passes summaries to the
+	// SummaryOf returns the summary of a whole budget, and SendSummaries passes summaries to the
 	// transport. If SendSummaries is nil, holders receive summaries only with the responses to
 	// their reports.
 	SummaryOf     func(budget string) BudgetSummary
@@ -32,7 +32,7 @@
 	// recalled again. With many holders and that few tokens, each refusal would otherwise cost a
 	// message to and from all of them.
 	RecallInterval time.Duration
-	// Contact reads the leader's clocks, for holders that respect allowances; nil if there are none.
+	// Contact reads the leader's clocks, for holders that respect allowances; nil if none does.
 	Contact func() accounts.Contact
 	// WithoutRecall is a deliberate defect for the simulation: refusals are sent without a recall.
 	WithoutRecall bool
@@ -68,8 +68,8 @@
 	number         uint64
 	deadline       time.Duration
 	pendingHolders map[accounts.HolderID]struct{}
-	// shortReports holds the newest report of each holder that fell short, in the order in which the
-	// holders first did.
+	// shortReports holds the reports that fell short: those whose request the budget could not grant.
+	// It has the newest one of each holder, in the order of the holders' first ones.
 	shortReports []pendingReport
 }
 
--- a/internal/coordination/escrow/summary.go
+++ b/internal/coordination/escrow/summary.go
@@ -22,8 +22,8 @@
 	// desiredDropShare is the share of the last reported desired amount below which a lower one is
 	// reported even without use to report.
 	desiredDropShare = 0.5
-	// summaryStep is the share of the unspent tokens in the last summary sent to the holders at or
-	// below which a new one is sent.
+	// summaryStep sets when a new summary is sent to the holders: once the unspent tokens have fallen
+	// to this share of those in the last one.
 	summaryStep = 0.88
 	// summaryInterval is the minimum time between two summaries of one budget.
 	summaryInterval = 200 * time.Millisecond
@@ -52,8 +52,8 @@
 }
 
 // maximumHeld returns the maximum tokens that the holders together should hold ahead of demand. What a
-// node holds is lost with it, and a short budget can serve after a partition what it can't serve during
-// it, so the nodes hold little of a short budget.
+// node holds is lost with it, while a short budget can serve after a partition what it can't serve
+// during it. So the nodes hold little of a short budget.
 func (s BudgetSummary) maximumHeld(hasAllowances bool) float64 {
 	if s.Limit == 0 {
 		return 0
@@ -110,8 +110,8 @@
 }
 
 // sendSummaries sends summaries to the holders of budgets that became shorter since the last one. A
-// holder without requests reports nothing and would otherwise keep its share of what was left long
-// ago.
+// holder without requests reports nothing and would otherwise keep its share of what was unspent
+// at its last report.
 func (r *Root) sendSummaries(now time.Duration) {
 	due := map[accounts.HolderID][]BudgetSummary{}
 	for _, budget := range r.changed {
--- a/internal/coordination/escrow/summary_test.go
+++ b/internal/coordination/escrow/summary_test.go
@@ -78,9 +78,8 @@
 	assert.Assert(t, served)
 }
 
-// Found in run trouble-1 of site drukwacht and on the enlarged sites: holders without requests reported
-// nothing, and kept for good what was their share when most of the budget was unspent. A final fault
-// then lost half of what was left.
+// Guards against holders without requests that report nothing and keep for good what was their share when
+// most of the budget was unspent: a crash of the nodes then loses half of what is left.
 func TestIdleHoldersReturnTokensWhenTheBudgetBecomesShort(t *testing.T) {
 	g := newGroup(1_000_000, 8)
 	now := time.Second
