--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -276,16 +276,16 @@
 // smoothedRate is a rate in tokens a second, smoothed with an exponential decay. The sum is decayed up
 // to the time decayedAt.
 type smoothedRate struct {
-	sum     float64
-	summed  time.Duration
-	began   time.Duration
-	started bool
+	sum       float64
+	decayedAt time.Duration
+	startedAt time.Duration
+	started   bool
 }
 
 func (r *smoothedRate) add(now time.Duration, amount uint64) {
 	r.decay(now)
 	if !r.started {
-		r.started, r.began = true, now
+		r.started, r.startedAt = true, now
 	}
 	r.sum += float64(amount) / demandHalfLife.Seconds() * ln2
 }
@@ -293,8 +293,8 @@
 const ln2 = 0.6931471805599453
 
 func (r *smoothedRate) decay(now time.Duration) {
-	elapsed := now - r.summed
-	r.summed = now
+	elapsed := now - r.decayedAt
+	r.decayedAt = now
 	if elapsed > 0 {
 		r.sum *= halfPower(float64(elapsed) / float64(demandHalfLife))
 	}
@@ -304,7 +304,7 @@
 // half-lives have passed; the division corrects for the time that is still missing.
 func (r *smoothedRate) at(now time.Duration) float64 {
 	r.decay(now)
-	elapsed := max(now-r.began, minimumDemandTime)
+	elapsed := max(now-r.startedAt, minimumDemandTime)
 	return r.sum / (1 - halfPower(float64(elapsed)/float64(demandHalfLife)))
 }
 
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -127,12 +127,12 @@
 	// names holds the names of the accounts, sorted.
 	names []string
 	// recalled holds the recalls that the next report responds to.
-	recalled []RecallMessage
-	loans    []OutgoingLoan
-	pools    []OutgoingPool
-	contact  rootContact
-	closed   bool
-	stopping bool
+	recalled      []RecallMessage
+	outgoingLoans []OutgoingLoan
+	outgoingPools []OutgoingPool
+	contact       rootContact
+	closed        bool
+	stopping      bool
 }
 
 // OutgoingLoan is a loan message and its receiver.
@@ -397,7 +397,7 @@
 	last := min(len(budgetAccount.lenders), max(firstLoanRoundSize, 3*budgetAccount.requestedLenders))
 	for _, lender := range budgetAccount.lenders[min(budgetAccount.requestedLenders, last):last] {
 		request := &LoanRequest{Borrower: h.options.ID, Budget: budgetAccount.name, Required: budgetAccount.shortfall()}
-		h.loans = append(h.loans, OutgoingLoan{To: lender, Message: LoanMessage{Request: request}})
+		h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: lender, Message: LoanMessage{Request: request}})
 	}
 	budgetAccount.requestedLenders = last
 }
@@ -552,7 +552,7 @@
 
 // TakeOutgoingLoans removes and returns the loan messages that wait to be sent.
 func (h *Holder) TakeOutgoingLoans() []OutgoingLoan {
-	loans := h.loans
-	h.loans = nil
+	loans := h.outgoingLoans
+	h.outgoingLoans = nil
 	return loans
 }
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -62,7 +62,7 @@
 	if len(offer.Budgets) == 0 {
 		return false
 	}
-	h.loans = append(h.loans, OutgoingLoan{To: to, Message: LoanMessage{Offer: offer}})
+	h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: to, Message: LoanMessage{Offer: offer}})
 	return true
 }
 
@@ -73,7 +73,7 @@
 	}
 	for _, offered := range offer.Budgets {
 		request := &LoanRequest{Borrower: h.options.ID, Budget: offered.Budget, Required: offered.Free}
-		h.loans = append(h.loans, OutgoingLoan{To: offer.Lender.Node, Message: LoanMessage{Request: request}})
+		h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: offer.Lender.Node, Message: LoanMessage{Request: request}})
 	}
 }
 
@@ -103,7 +103,7 @@
 func (h *Holder) sendLoan(now time.Duration, budgetAccount *account, borrower accounts.HolderID, state *loanState) {
 	state.sentAt = now
 	loan := accounts.Loan{Lender: h.options.ID, Borrower: borrower, Budget: budgetAccount.name, Total: state.agreed}
-	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LoanMessage{Loan: &loan}})
+	h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: borrower.Node, Message: LoanMessage{Loan: &loan}})
 }
 
 // resendLoans resends the loans that a borrower has not confirmed.
@@ -135,7 +135,7 @@
 	h.contact.now = now
 	budgetAccount := h.account(loan.Budget)
 	budgetAccount.borrowed[loan.Lender] = max(budgetAccount.borrowed[loan.Lender], loan.Total)
-	h.loans = append(h.loans, OutgoingLoan{To: loan.Lender.Node, Message: LoanMessage{Confirmed: &loan}})
+	h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: loan.Lender.Node, Message: LoanMessage{Confirmed: &loan}})
 	h.serve(now, budgetAccount)
 }
 
--- a/internal/coordination/escrow/pool.go
+++ b/internal/coordination/escrow/pool.go
@@ -77,8 +77,8 @@
 
 // TakeOutgoingPools removes and returns the pool messages that wait to be sent.
 func (h *Holder) TakeOutgoingPools() []OutgoingPool {
-	pools := h.pools
-	h.pools = nil
+	pools := h.outgoingPools
+	h.outgoingPools = nil
 	return pools
 }
 
@@ -115,7 +115,7 @@
 			Borrower: h.options.ID, Budget: budgetAccount.name, Required: required, Number: waiting.number,
 			MaximumWaitMS: uint64(max(0, waiting.deadline-now).Milliseconds()),
 		}
-		h.pools = append(h.pools, OutgoingPool{To: holders[waiting.search.round], Message: PoolMessage{Request: request}})
+		h.outgoingPools = append(h.outgoingPools, OutgoingPool{To: holders[waiting.search.round], Message: PoolMessage{Request: request}})
 		waiting.search = poolSearch{round: waiting.search.round + 1, requestedAt: now}
 	}
 	return !noHolderLeft
@@ -160,7 +160,7 @@
 
 func (h *Holder) refusePool(request PoolRequest, refusal PoolRefusal) {
 	refusal.Borrower, refusal.Budget, refusal.Number = request.Borrower, request.Budget, request.Number
-	h.pools = append(h.pools, OutgoingPool{To: request.Borrower.Node, Message: PoolMessage{Refusal: &refusal}})
+	h.outgoingPools = append(h.outgoingPools, OutgoingPool{To: request.Borrower.Node, Message: PoolMessage{Refusal: &refusal}})
 }
 
 // takePoolRefusal ends the wait for a pool holder: it refuses the waiter, or tries the next pool holder
