--- a/internal/coordination/claims/acceptor.go
+++ b/internal/coordination/claims/acceptor.go
@@ -44,7 +44,8 @@
 	records      map[Register]*storedRecord
 	// fenced is, for each node, the newest incarnation that may not change any register.
 	fenced Vector
-	marks  map[markKey]uint64
+	// marks holds the highest Sequence of the Watermarks received, by owner and budget.
+	marks map[markKey]uint64
 	// recovered holds the nodes that have sent this restarted acceptor their records.
 	recovered   map[string]bool
 	nextRecover time.Duration
--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// delayedPromise has router q claim a key while a promise to router p, which acceptor h1 sent in its
-// earlier incarnation, is still in transit. It returns the routers whose change succeeded.
+// delayedPromise has node a (proposer q) claim a key while a promise to node p, which acceptor h1 sent in
+// its earlier incarnation, is still in transit. It returns the nodes whose change succeeded.
 func delayedPromise(withoutVectors bool) []string {
 	t := newAcceptorGroup(withoutVectors)
 	key := NewKey("tenant", "key")
@@ -125,8 +125,8 @@
 	assert.DeepEqual(t, delayedPromise(true), []string{"a", "p"})
 }
 
-// A second change of the same node after the first settled once began with a ballot that was already
-// used, so that one ballot stood for two values.
+// Guards against a later change of the same node that begins with a ballot that it has already used, so
+// that one ballot stands for two values.
 func TestBallotsAreNeverUsedTwice(t *testing.T) {
 	group := newAcceptorGroup(false)
 	p := group.proposer("p")
@@ -178,8 +178,8 @@
 }
 
 // A node that was fenced while it ran owns claims under a later incarnation than that of its acceptor.
-// Its proposals once made other nodes treat its acceptor's responses as stale, so that no claim that
-// it stores could be read any more.
+// Guards against proposals with the later one: other nodes would treat the acceptor's responses as stale,
+// and no claim that it stores could be read any more.
 func TestLaterOwnerIncarnationDoesNotMakeTheAcceptorStale(t *testing.T) {
 	group := newAcceptorGroup(false)
 	later := NewProposer(ProposerOptions{
--- a/internal/coordination/claims/doc.go
+++ b/internal/coordination/claims/doc.go
@@ -1,7 +1,7 @@
 // Package claims keeps a small replicated register for each billed or non-repeatable request. Its
 // value, the claim, records which node owns the request, which back end runs it, and what it used.
-// It ensures that a request runs and is billed once although routers crash or are suspended and
-// resumed, and clients retry through other routers.
+// It ensures that a request runs and is billed once although nodes crash or are suspended and
+// resumed, and callers retry through other nodes.
 //
 // Each key has three acceptors, which store the register and vote on ballots. A proposer changes a
 // register in two rounds, as in CASPaxos: it collects promises for a ballot from a majority, computes
--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -25,7 +25,7 @@
 	// ErrUnreachable reports that no majority of the acceptors responded in time. If the change was a
 	// first dispatch, it may or may not have been written.
 	ErrUnreachable = errors.New("claims: no majority of the holders answers")
-	// ErrFenced reports that this incarnation of the node is fenced: the node must take a new one.
+	// ErrFenced reports that this incarnation of the node is fenced: the node must start a new one.
 	ErrFenced = errors.New("claims: this life of the node is fenced")
 	// ErrForgotten reports that the claim was settled, accounted for and dropped.
 	ErrForgotten = errors.New("claims: the claim is settled and forgotten")
@@ -51,9 +51,11 @@
 	// Incarnation is the incarnation of the node's acceptor, which the messages carry. It is lower than
 	// ID's if the node was fenced while it ran: the acceptor's promises are then older than the node's
 	// newest incarnation as an owner. 0 means ID's.
-	Incarnation    uint64
-	Pool           *membership.Pool
-	Random         *rand.Rand
+	Incarnation uint64
+	Pool        *membership.Pool
+	// Random draws the delays before retries with a higher ballot.
+	Random *rand.Rand
+	// WithoutVectors is a deliberate defect for the simulation: the proposer ignores crash vectors.
 	WithoutVectors bool
 }
 
@@ -101,7 +103,8 @@
 	// restartAt is when the operation restarts with a higher ballot; 0 if it does not wait to.
 	restartAt time.Duration
 	restarts  int
-	highest   Ballot
+	// highest is the highest ballot that the operation used or was refused for.
+	highest Ballot
 }
 
 func (o *operation) register() Register { return Register{Scope: o.scope, Key: o.key} }
--- a/internal/coordination/claims/types.go
+++ b/internal/coordination/claims/types.go
@@ -22,7 +22,8 @@
 // String returns the key in hex.
 func (k Key) String() string { return hex.EncodeToString(k[:]) }
 
-// Register identifies one register. The same key may be claimed in more than one scope while zones are
+// Register identifies one register. Its scope determines its acceptors: it is the name of a zone or
+// membership.ScopeGlobal. The same key may be claimed in more than one scope while zones are
 // partitioned from each other.
 type Register struct {
 	Scope string
@@ -127,8 +128,8 @@
 	MessageRecover
 	// MessageRecovered is the response to MessageRecover.
 	MessageRecovered
-	// MessageWatermark carries up to which reservation an owner's settlements are in the root
-	// account, so that their claims may be forgotten. It has no response.
+	// MessageWatermark carries watermarks: the reservations up to which an owner's settlements are
+	// in the root account of a budget, so that their claims may be forgotten. It has no response.
 	MessageWatermark
 )
 
@@ -188,8 +189,8 @@
 	Claim    *Claim `msgpack:"c,omitempty"`
 }
 
-// Watermark reports that an owner's reservations in a budget up to Sequence are settled in the root
-// account.
+// Watermark reports that an owner's reservations in a budget up to Sequence are settled in the
+// budget's root account.
 type Watermark struct {
 	Owner    accounts.HolderID `msgpack:"o"`
 	Budget   string            `msgpack:"b"`
