--- a/internal/coordination/claims/acceptor.go
+++ b/internal/coordination/claims/acceptor.go
@@ -44,8 +44,8 @@
 	records      map[Register]*storedRecord
 	// fenced is, for each node, the newest incarnation that may not change any register.
 	fenced Vector
-	// marks holds the highest Sequence of the Watermarks received, by owner and budget.
-	marks map[markKey]uint64
+	// watermarks holds the highest Sequence of the Watermarks received, by owner and budget.
+	watermarks map[watermarkKey]uint64
 	// recovered holds the nodes that have sent this restarted acceptor their records.
 	recovered   map[string]bool
 	nextRecover time.Duration
@@ -57,7 +57,7 @@
 	promisedAt time.Duration
 }
 
-type markKey struct {
+type watermarkKey struct {
 	owner  accounts.HolderID
 	budget string
 }
@@ -69,7 +69,7 @@
 	}
 	acceptor := &Acceptor{
 		options: options, incarnations: Vector{options.Self: options.Incarnation},
-		records: map[Register]*storedRecord{}, fenced: Vector{}, marks: map[markKey]uint64{}, recovered: map[string]bool{},
+		records: map[Register]*storedRecord{}, fenced: Vector{}, watermarks: map[watermarkKey]uint64{}, recovered: map[string]bool{},
 	}
 	if options.Fresh {
 		for _, node := range options.Pool.Nodes() {
@@ -124,7 +124,7 @@
 	case MessageRecovered:
 		a.mergeRecords(now, message)
 	case MessageWatermark:
-		a.raiseMarks(message.Watermarks)
+		a.raiseWatermarks(message.Watermarks)
 	}
 	return nil
 }
@@ -265,7 +265,7 @@
 			response.Records = append(response.Records, record.Record)
 		}
 	}
-	for mark, sequence := range a.marks {
+	for mark, sequence := range a.watermarks {
 		response.Watermarks = append(response.Watermarks, Watermark{Owner: mark.owner, Budget: mark.budget, Sequence: sequence})
 	}
 	return response
@@ -287,7 +287,7 @@
 	for node, incarnation := range message.Fences {
 		a.fenced[node] = max(a.fenced[node], incarnation)
 	}
-	a.raiseMarks(message.Watermarks)
+	a.raiseWatermarks(message.Watermarks)
 	for _, received := range message.Records {
 		record := a.record(received.Scope, received.Key)
 		if record.Promised.Less(received.Promised) {
@@ -318,10 +318,10 @@
 	return owner.Incarnation <= a.fenced[owner.Node]
 }
 
-func (a *Acceptor) raiseMarks(marks []Watermark) {
-	for _, mark := range marks {
-		key := markKey{owner: mark.Owner, budget: mark.Budget}
-		a.marks[key] = max(a.marks[key], mark.Sequence)
+func (a *Acceptor) raiseWatermarks(watermarks []Watermark) {
+	for _, mark := range watermarks {
+		key := watermarkKey{owner: mark.Owner, budget: mark.Budget}
+		a.watermarks[key] = max(a.watermarks[key], mark.Sequence)
 	}
 }
 
@@ -331,7 +331,7 @@
 	if claim.CallerKey || claim.Sequence == 0 {
 		return false
 	}
-	return claim.Sequence <= a.marks[markKey{owner: claim.Owner, budget: claim.Budget}]
+	return claim.Sequence <= a.watermarks[watermarkKey{owner: claim.Owner, budget: claim.Budget}]
 }
 
 // forget drops settled claims that the root has accounted for: those with generated keys immediately,
@@ -345,7 +345,7 @@
 		if claim == nil || claim.State != Settled {
 			continue
 		}
-		accounted := claim.Sequence == 0 || claim.Sequence <= a.marks[markKey{owner: claim.Owner, budget: claim.Budget}]
+		accounted := claim.Sequence == 0 || claim.Sequence <= a.watermarks[watermarkKey{owner: claim.Owner, budget: claim.Budget}]
 		if accounted && (!claim.CallerKey || now-record.settledAt > a.options.Retention) {
 			delete(a.records, key)
 		}
--- a/internal/coordination/claims/proposer.go
+++ b/internal/coordination/claims/proposer.go
@@ -120,22 +120,22 @@
 
 // Change starts a change and calls done once with its outcome. Outgoing returns the messages to send.
 func (p *Proposer) Change(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
-	started := p.start(deadline, scope, key, change, done)
-	if p.changeOwned(now, started) {
+	op := p.start(deadline, scope, key, change, done)
+	if p.changeOwned(now, op) {
 		return
 	}
-	p.begin(now, started)
+	p.begin(now, op)
 }
 
 // ChangeNewKey is the first change of a key that this node has newly generated. No other node can have
 // proposed for it with the lowest ballot, so the first round is skipped. An acceptor that has promised
 // a higher ballot refuses.
 func (p *Proposer) ChangeNewKey(now, deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) {
-	started := p.start(deadline, scope, key, change, done)
-	started.ballot = Ballot{Round: generatedRound, Proposer: p.options.ID}
-	started.value, started.changed = change(nil), true
-	started.responses = map[string]Message{}
-	p.beginAccept(now, started)
+	op := p.start(deadline, scope, key, change, done)
+	op.ballot = Ballot{Round: generatedRound, Proposer: p.options.ID}
+	op.value, op.changed = change(nil), true
+	op.responses = map[string]Message{}
+	p.beginAccept(now, op)
 }
 
 // generatedRound is the round of ChangeNewKey, and the lowest one; other proposals begin above it.
@@ -143,12 +143,12 @@
 
 func (p *Proposer) start(deadline time.Duration, scope string, key Key, change Change, done func(Outcome)) *operation {
 	p.lastOperation++
-	started := &operation{
+	op := &operation{
 		id: p.lastOperation, key: key, scope: scope, change: change, done: done, deadline: deadline,
 		acceptors: p.options.Pool.Acceptors(scope, string(key[:])),
 	}
-	p.operations[started.id] = started
-	return started
+	p.operations[op.id] = op
+	return op
 }
 
 // Outgoing removes and returns the messages that wait to be sent.
@@ -167,60 +167,60 @@
 // changeOwned changes a claim that this node already owns with the second round alone. It returns false
 // if there is no such claim or no change. Another node can have changed the claim only under a higher
 // ballot, because of which the acceptors would refuse this one.
-func (p *Proposer) changeOwned(now time.Duration, started *operation) bool {
-	owned, found := p.owned[started.register()]
+func (p *Proposer) changeOwned(now time.Duration, op *operation) bool {
+	owned, found := p.owned[op.register()]
 	if !found {
 		return false
 	}
 	current := owned.claim
-	next := started.change(&current)
+	next := op.change(&current)
 	if next == nil {
 		return false
 	}
-	started.ballot = owned.ballot
-	started.ballot.Step++
-	started.value, started.changed = next, true
-	started.responses = map[string]Message{}
+	op.ballot = owned.ballot
+	op.ballot.Step++
+	op.value, op.changed = next, true
+	op.responses = map[string]Message{}
 	for acceptor, incarnation := range owned.vector {
-		started.responses[acceptor] = Message{Incarnation: incarnation}
+		op.responses[acceptor] = Message{Incarnation: incarnation}
 	}
-	p.beginAccept(now, started)
+	p.beginAccept(now, op)
 	return true
 }
 
 // begin starts the first round with a ballot above all that were seen.
-func (p *Proposer) begin(now time.Duration, started *operation) {
-	delete(p.owned, started.register())
+func (p *Proposer) begin(now time.Duration, op *operation) {
+	delete(p.owned, op.register())
 	// A ballot belongs to one operation only, so rounds are never reused.
-	p.lastRound = max(p.lastRound, started.highest.Round, generatedRound) + 1
-	started.ballot = Ballot{Round: p.lastRound, Proposer: p.options.ID}
-	started.accepting = false
-	started.restartAt = 0
-	started.responses = map[string]Message{}
-	started.refused = map[string]bool{}
-	p.requestMajority(now, started)
+	p.lastRound = max(p.lastRound, op.highest.Round, generatedRound) + 1
+	op.ballot = Ballot{Round: p.lastRound, Proposer: p.options.ID}
+	op.accepting = false
+	op.restartAt = 0
+	op.responses = map[string]Message{}
+	op.refused = map[string]bool{}
+	p.requestMajority(now, op)
 }
 
-func (p *Proposer) beginAccept(now time.Duration, started *operation) {
-	started.accepting = true
+func (p *Proposer) beginAccept(now time.Duration, op *operation) {
+	op.accepting = true
 	promised := Vector{}
-	for acceptor, response := range started.responses {
+	for acceptor, response := range op.responses {
 		promised[acceptor] = response.Incarnation
 	}
-	p.owned[started.register()] = ownedBallot{ballot: started.ballot, vector: promised, claim: *started.value}
-	started.responses = map[string]Message{}
-	started.refused = map[string]bool{}
-	p.requestMajority(now, started)
+	p.owned[op.register()] = ownedBallot{ballot: op.ballot, vector: promised, claim: *op.value}
+	op.responses = map[string]Message{}
+	op.refused = map[string]bool{}
+	p.requestMajority(now, op)
 }
 
 // requestMajority sends the round's request to a majority only: to this node's own acceptor, then to
 // those that recently missed the fewest requests. The others receive it after resendInterval.
-func (p *Proposer) requestMajority(now time.Duration, started *operation) {
-	started.resendAt = now + resendInterval
-	order := slices.Clone(started.acceptors)
+func (p *Proposer) requestMajority(now time.Duration, op *operation) {
+	op.resendAt = now + resendInterval
+	order := slices.Clone(op.acceptors)
 	slices.SortStableFunc(order, func(a, b string) int { return cmp.Compare(p.contactRank(a), p.contactRank(b)) })
 	for _, acceptor := range order[:len(order)/2+1] {
-		p.sendRequest(started, acceptor)
+		p.sendRequest(op, acceptor)
 	}
 }
 
@@ -232,26 +232,26 @@
 }
 
 // requestMissing sends the round's request to all acceptors that have not responded to it.
-func (p *Proposer) requestMissing(now time.Duration, started *operation) {
-	started.resendAt = now + resendInterval
-	for _, acceptor := range started.acceptors {
-		if _, responded := started.responses[acceptor]; responded || started.refused[acceptor] {
+func (p *Proposer) requestMissing(now time.Duration, op *operation) {
+	op.resendAt = now + resendInterval
+	for _, acceptor := range op.acceptors {
+		if _, responded := op.responses[acceptor]; responded || op.refused[acceptor] {
 			continue
 		}
 		p.missedRequests[acceptor]++
-		p.sendRequest(started, acceptor)
+		p.sendRequest(op, acceptor)
 	}
 }
 
-func (p *Proposer) sendRequest(started *operation, acceptor string) {
+func (p *Proposer) sendRequest(op *operation, acceptor string) {
 	message := Message{
 		Kind: MessagePrepare, From: p.options.ID.Node, Incarnation: p.options.Incarnation,
-		Operation: started.id, Key: started.key, Scope: started.scope, Ballot: started.ballot,
+		Operation: op.id, Key: op.key, Scope: op.scope, Ballot: op.ballot,
 	}
-	if started.accepting {
+	if op.accepting {
 		message.Kind = MessageAccept
-		message.Claim = started.value
-		message.Vector = p.acceptVector(started, acceptor)
+		message.Claim = op.value
+		message.Vector = p.acceptVector(op, acceptor)
 	}
 	p.outgoing = append(p.outgoing, Outgoing{To: acceptor, Message: message})
 }
@@ -259,8 +259,8 @@
 // acceptVector returns the incarnation under which an acceptor promised. An acceptor that did not
 // promise may accept too, under its newest known incarnation: it made no promise that a restart could
 // have lost.
-func (p *Proposer) acceptVector(started *operation, acceptor string) Vector {
-	if incarnation, promised := p.owned[started.register()].vector[acceptor]; promised {
+func (p *Proposer) acceptVector(op *operation, acceptor string) Vector {
+	if incarnation, promised := p.owned[op.register()].vector[acceptor]; promised {
 		return Vector{acceptor: incarnation}
 	}
 	return Vector{acceptor: p.incarnations[acceptor]}
@@ -269,15 +269,15 @@
 // Step handles an acceptor's response.
 func (p *Proposer) Step(now time.Duration, message Message) {
 	p.learnIncarnations(message)
-	started := p.operations[message.Operation]
-	if started == nil || !slices.Contains(started.acceptors, message.From) {
+	op := p.operations[message.Operation]
+	if op == nil || !slices.Contains(op.acceptors, message.From) {
 		return
 	}
 	expected := MessagePromise
-	if started.accepting {
+	if op.accepting {
 		expected = MessageAccepted
 	}
-	if message.Kind != expected || started.restartAt != 0 {
+	if message.Kind != expected || op.restartAt != 0 {
 		return
 	}
 	if message.Proposer != p.options.ID.Incarnation {
@@ -286,14 +286,14 @@
 	}
 	p.missedRequests[message.From] = 0
 	if message.Refusal != 0 {
-		p.handleRefusal(now, started, message)
+		p.handleRefusal(now, op, message)
 		return
 	}
-	if message.Ballot != started.ballot {
+	if message.Ballot != op.ballot {
 		return
 	}
-	started.responses[message.From] = message
-	p.decide(now, started)
+	op.responses[message.From] = message
+	p.decide(now, op)
 }
 
 func (p *Proposer) learnIncarnations(message Message) {
@@ -306,17 +306,17 @@
 }
 
 // validResponses returns the responses of acceptors whose incarnation is not known to have ended.
-func (p *Proposer) validResponses(started *operation) []Message {
+func (p *Proposer) validResponses(op *operation) []Message {
 	var valid []Message
-	for _, acceptor := range started.acceptors {
-		response, found := started.responses[acceptor]
+	for _, acceptor := range op.acceptors {
+		response, found := op.responses[acceptor]
 		if !found {
 			continue
 		}
 		if !p.options.WithoutVectors && response.Incarnation < p.incarnations[acceptor] {
 			// The promise or acceptance was lost with that incarnation. The new one receives the
 			// request again.
-			delete(started.responses, acceptor)
+			delete(op.responses, acceptor)
 			continue
 		}
 		valid = append(valid, response)
@@ -324,26 +324,26 @@
 	return valid
 }
 
-func (p *Proposer) decide(now time.Duration, started *operation) {
-	valid := p.validResponses(started)
-	if len(valid) < len(started.acceptors)/2+1 {
+func (p *Proposer) decide(now time.Duration, op *operation) {
+	valid := p.validResponses(op)
+	if len(valid) < len(op.acceptors)/2+1 {
 		return
 	}
-	if started.accepting {
-		p.finish(started, Outcome{Claim: started.value, Changed: started.changed})
+	if op.accepting {
+		p.finish(op, Outcome{Claim: op.value, Changed: op.changed})
 		return
 	}
 	newest := newestAccepted(valid)
-	started.value, started.changed = started.change(copyClaim(newest.Claim)), true
-	if started.value == nil {
-		started.value, started.changed = newest.Claim, false
+	op.value, op.changed = op.change(copyClaim(newest.Claim)), true
+	if op.value == nil {
+		op.value, op.changed = newest.Claim, false
 	}
-	if started.value == nil {
-		p.finish(started, Outcome{})
+	if op.value == nil {
+		p.finish(op, Outcome{})
 		return
 	}
 	// An unchanged value is written back, because it may be stored at a minority only.
-	p.beginAccept(now, started)
+	p.beginAccept(now, op)
 }
 
 func newestAccepted(responses []Message) Message {
@@ -364,25 +364,25 @@
 	return &copied
 }
 
-func (p *Proposer) handleRefusal(now time.Duration, started *operation, message Message) {
+func (p *Proposer) handleRefusal(now time.Duration, op *operation, message Message) {
 	switch message.Refusal {
 	case RefusedFenced:
-		p.finish(started, Outcome{Err: ErrFenced})
+		p.finish(op, Outcome{Err: ErrFenced})
 	case RefusedForgotten:
-		p.finish(started, Outcome{Err: ErrForgotten})
+		p.finish(op, Outcome{Err: ErrForgotten})
 	case RefusedBallot:
-		if started.highest.Less(message.Ballot) {
-			started.highest = message.Ballot
+		if op.highest.Less(message.Ballot) {
+			op.highest = message.Ballot
 		}
-		p.restart(now, started)
+		p.restart(now, op)
 	case RefusedStale:
 		// Only a promise that was lost with an incarnation requires a new round. An acceptor that
 		// had not promised receives the request again under its new incarnation.
-		if _, promised := p.owned[started.register()].vector[message.From]; promised {
-			p.restart(now, started)
+		if _, promised := p.owned[op.register()].vector[message.From]; promised {
+			p.restart(now, op)
 			return
 		}
-		p.sendRequest(started, message.From)
+		p.sendRequest(op, message.From)
 	case RefusedRecovering:
 		// The request is sent again at the next resend.
 	}
@@ -390,40 +390,40 @@
 
 // restart schedules another attempt with a higher ballot after a random delay, so that two proposers do
 // not keep overtaking each other.
-func (p *Proposer) restart(now time.Duration, started *operation) {
-	if started.highest.Less(started.ballot) {
-		started.highest = started.ballot
-	}
-	delete(p.owned, started.register())
-	backoff := firstBackoff << min(started.restarts, maximumBackoffDoublings)
-	started.restarts++
-	started.restartAt = now + 1 + time.Duration(p.options.Random.Int64N(int64(backoff)))
+func (p *Proposer) restart(now time.Duration, op *operation) {
+	if op.highest.Less(op.ballot) {
+		op.highest = op.ballot
+	}
+	delete(p.owned, op.register())
+	backoff := firstBackoff << min(op.restarts, maximumBackoffDoublings)
+	op.restarts++
+	op.restartAt = now + 1 + time.Duration(p.options.Random.Int64N(int64(backoff)))
 }
 
-func (p *Proposer) finish(started *operation, outcome Outcome) {
-	delete(p.operations, started.id)
+func (p *Proposer) finish(op *operation, outcome Outcome) {
+	delete(p.operations, op.id)
 	settled := outcome.Claim != nil && outcome.Claim.State == Settled
 	if outcome.Err != nil || settled || (outcome.Claim != nil && outcome.Claim.Owner != p.options.ID) {
-		delete(p.owned, started.register())
+		delete(p.owned, op.register())
 	}
-	started.done(outcome)
+	op.done(outcome)
 }
 
 // Tick resends requests without a response, restarts operations that are due, and fails those whose
 // deadline has passed.
 func (p *Proposer) Tick(now time.Duration) {
 	for _, id := range p.sortedOperations() {
-		started := p.operations[id]
+		op := p.operations[id]
 		switch {
-		case started == nil:
-		case now >= started.deadline:
-			p.finish(started, Outcome{Err: ErrUnreachable})
-		case started.restartAt != 0:
-			if now >= started.restartAt {
-				p.begin(now, started)
+		case op == nil:
+		case now >= op.deadline:
+			p.finish(op, Outcome{Err: ErrUnreachable})
+		case op.restartAt != 0:
+			if now >= op.restartAt {
+				p.begin(now, op)
 			}
-		case now >= started.resendAt:
-			p.requestMissing(now, started)
+		case now >= op.resendAt:
+			p.requestMissing(now, op)
 		}
 	}
 }
