--- a/internal/coordination/consensus/core.go
+++ b/internal/coordination/consensus/core.go
@@ -16,7 +16,7 @@
 	// DefaultHeartbeatTicks is the time between heartbeats, in ticks.
 	DefaultHeartbeatTicks = 2
 	// maximumStartElections is the number of elections after a start for which a replica uses
-	// StartTicks. The first may fail because the other replicas are starting too.
+	// Options.StartTicks. The first may fail because the other replicas are starting too.
 	maximumStartElections = 4
 	// maximumAppendBytes is the maximum data of one append message, in bytes.
 	maximumAppendBytes = 1 << 20
--- a/internal/coordination/consensus/election_test.go
+++ b/internal/coordination/consensus/election_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// After a power loss of all machines there is no leader, and until there is one all requests that
-// require new tokens are refused.
+// After a power loss of all machines there is no leader. Until there is one, all requests that require
+// new tokens are refused, so the first elections must begin early.
 func TestReplicaRequestsVotesSoonAfterAStart(t *testing.T) {
 	for seed := range uint64(50) {
 		core := restartedReplica(t, seed)
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -63,7 +63,7 @@
 }
 
 // replyToOldTerm sends the current term to the sender of a message with an old one, so that a replica
-// that was partitioned does not stay behind.
+// that was partitioned does not stay in an old term.
 func (c *Core) replyToOldTerm(message Message) {
 	switch message.Kind {
 	case MessageAppend, MessageHeartbeat, MessageSnapshot:
@@ -275,11 +275,11 @@
 	}
 }
 
-// expireFlights treats appends and snapshots as lost if their replies are overdue.
+// expireFlights treats appends and snapshots in flight as lost if their replies are overdue.
 func (c *Core) expireFlights(follower *progress) {
 	follower.snapshotAge++
 	follower.flightAge++
-	// The flight counter alone is not reliable: a duplicated reply lowers it twice.
+	// The count inFlight alone is not reliable: a duplicated reply lowers it twice.
 	unacknowledged := follower.inFlight > 0 || follower.next > follower.match+1
 	if unacknowledged && follower.flightAge > follower.maximumWait {
 		follower.maximumWait = min(2*follower.maximumWait, 2*c.options.ElectionTicks)
--- a/internal/coordination/consensus/replication_test.go
+++ b/internal/coordination/consensus/replication_test.go
@@ -50,9 +50,8 @@
 	}
 }
 
-// Found in run quiet-1 of the enlarged site drukwacht: the leader sent 98 MB in 2 s when seven
-// followers were behind by 2 MB. It resent everything that a slow follower had not acknowledged
-// within 150 ms, each time.
+// Guards against a leader that again and again resends everything that a slow follower has not
+// acknowledged within 150 ms: it sent 98 MB in 2 s when seven followers were behind by 2 MB.
 func TestSlowFollowerIsNotFloodedWithResends(t *testing.T) {
 	const entryBytes, entries = 20 << 10, 200
 	core := leaderOfThree(t)
@@ -79,12 +78,11 @@
 	}
 	assert.Assert(t, core.Commit() >= entries, "%d", core.Commit())
 	// Replica 3 replies to heartbeats, but to no append after the first ones.
-	assert.Assert(t, bytes[3] <= entries*entryBytes/2, "%d bytes were sent to a follower that takes nothing", bytes[3])
+	assert.Assert(t, bytes[3] <= entries*entryBytes/2, "%d bytes were sent to a follower that acknowledges nothing", bytes[3])
 }
 
-// Found in run scale-1 of the enlarged site drukwacht: 120 MB of consensus messages in 2 s. After a
-// lost message the follower refuses each append of the series, and the leader resent the entries
-// for each refusal.
+// After a lost message the follower refuses each append of the series that follows it. Guards against a
+// leader that resends the entries for each refusal, which caused 120 MB of consensus messages in 2 s.
 func TestRefusalsOfASeriesOfAppendsCauseOneResend(t *testing.T) {
 	const entryBytes, series = 100 << 10, 30
 	core := leaderOfThree(t)
--- a/internal/coordination/consensus/types.go
+++ b/internal/coordination/consensus/types.go
@@ -44,8 +44,8 @@
 	Learner bool `msgpack:"l"`
 }
 
-// Configuration is the group's membership. It takes effect when it is
-// appended, not when it is committed.
+// Configuration is the group's membership. It takes effect when it is appended to the log, not when it
+// is committed.
 type Configuration struct {
 	Members []Member `msgpack:"m"`
 }
@@ -147,7 +147,7 @@
 	Commit  uint64          `msgpack:"c,omitempty"`
 	Entries []journal.Entry `msgpack:"e,omitempty"`
 	// Reject reports that a vote or an append is refused. For an append, Hint is then the last
-	// index that may match; the leader tries again behind it.
+	// index that may match; the leader tries again with the entry after it.
 	Reject bool   `msgpack:"r,omitempty"`
 	Hint   uint64 `msgpack:"h,omitempty"`
 	// ReadSequence is the leader's newest read round, echoed by followers.
