--- a/internal/coordination/consensus/core.go
+++ b/internal/coordination/consensus/core.go
@@ -67,10 +67,10 @@
 	next uint64
 	// probing is set while match is not known; then only one append is in flight at a time.
 	probing bool
-	// inFlight counts appends without a reply. flightAge counts the ticks since match last advanced, or
+	// inFlight counts appends without a reply. inFlightAge counts the ticks since match last advanced, or
 	// since the first append in flight was sent.
-	inFlight  int
-	flightAge int
+	inFlight    int
+	inFlightAge int
 	// maximumWait is the maximum wait in ticks for an acknowledgement before the appends in flight
 	// count as lost. It doubles each time; otherwise a slow follower would receive the same entries
 	// faster than it can handle them.
--- a/internal/coordination/consensus/replication.go
+++ b/internal/coordination/consensus/replication.go
@@ -161,7 +161,7 @@
 func (c *Core) tickLeader() {
 	for _, follower := range c.progress {
 		follower.ticksSinceContact++
-		c.expireFlights(follower)
+		c.expireInFlight(follower)
 	}
 	if c.electionElapsed >= c.options.ElectionTicks {
 		c.electionElapsed = 0
@@ -245,7 +245,7 @@
 	c.send(Message{Kind: MessageAppend, To: to, Index: previous, LogTerm: term, Entries: entries, Commit: c.log.committed})
 	follower.inFlight++
 	if follower.inFlight == 1 {
-		follower.flightAge = 0
+		follower.inFlightAge = 0
 	}
 	if !follower.probing {
 		follower.next += uint64(len(entries))
@@ -275,15 +275,15 @@
 	}
 }
 
-// expireFlights treats appends and snapshots in flight as lost if their replies are overdue.
-func (c *Core) expireFlights(follower *progress) {
+// expireInFlight treats appends and snapshots in flight as lost if their replies are overdue.
+func (c *Core) expireInFlight(follower *progress) {
 	follower.snapshotAge++
-	follower.flightAge++
+	follower.inFlightAge++
 	// The count inFlight alone is not reliable: a duplicated reply lowers it twice.
 	unacknowledged := follower.inFlight > 0 || follower.next > follower.match+1
-	if unacknowledged && follower.flightAge > follower.maximumWait {
+	if unacknowledged && follower.inFlightAge > follower.maximumWait {
 		follower.maximumWait = min(2*follower.maximumWait, 2*c.options.ElectionTicks)
-		follower.flightAge = 0
+		follower.inFlightAge = 0
 		follower.inFlight = 0
 		follower.probing = true
 		follower.next = follower.match + 1
@@ -327,7 +327,7 @@
 	}
 	if message.Index > follower.match {
 		follower.match = message.Index
-		follower.flightAge = 0
+		follower.inFlightAge = 0
 		follower.maximumWait = c.options.HeartbeatTicks
 	}
 	if follower.snapshotIndex != 0 && message.Index >= follower.snapshotIndex {
