--- a/internal/coordination/replicaset/replicaset_test.go
+++ b/internal/coordination/replicaset/replicaset_test.go
@@ -85,9 +85,9 @@
 	}
 }
 
-// Found in run trouble-2 of the enlarged site zhf, seed 971280330593: when a zone with two of five
-// voters was partitioned, both were removed in exchange for one learner, which left three. A final
-// fault then destroyed two disks of the three, and the quorum was lost for good.
+// Guards against a group that shrinks: when a zone with two of five voters is partitioned, both are
+// removed in exchange for one learner, which leaves three. If two disks of the three are destroyed
+// then, the quorum is lost for good.
 func TestLargeGroupStaysLargeWhenAZoneIsPartitioned(t *testing.T) {
 	lost := map[consensus.ReplicaID]bool{4: true, 5: true}
 	state := State{
