--- a/internal/coordination/overload/gate.go
+++ b/internal/coordination/overload/gate.go
@@ -177,7 +177,7 @@
 }
 
 // Admits records a caller's request with a body of bodyBytes and reports whether it is admitted.
-// A request with mustServe is always admitted.
+// mustServe is set for a request without time for a retry at another node: it is always admitted.
 func (g *Gate) Admits(now time.Duration, caller string, bodyBytes int64, mustServe bool) bool {
 	known := g.callers[caller]
 	if known == nil {
--- a/internal/coordination/overload/gate_test.go
+++ b/internal/coordination/overload/gate_test.go
@@ -83,7 +83,7 @@
 	assert.Equal(t, node.gate.Bound(), 0.0)
 }
 
-// The bodies fill the link before anything is late.
+// Bodies can fill the link before timers or frames are late.
 func TestBoundIsSetBeforeTheLinkIsFull(t *testing.T) {
 	node := &busyNode{gate: NewGate()}
 	punctual := func(float64) time.Duration { return time.Millisecond }
--- a/internal/coordination/overload/overload.go
+++ b/internal/coordination/overload/overload.go
@@ -15,8 +15,7 @@
 const (
 	// fullDelay is the delay of other nodes' frames from which the link counts as full, and
 	// clearDelay the delay up to which it counts as free. Usual delays are under 20 ms, and
-	// under 70 ms on the busiest node that still has free capacity
-	// (docs/incidents/zhf-grown-config.md).
+	// under 70 ms on the busiest node that still has free capacity.
 	fullDelay  = 250 * time.Millisecond
 	clearDelay = 80 * time.Millisecond
 	// minimumFullShare is the minimum share of the link that callers' bodies must fill before the
@@ -26,9 +25,9 @@
 	// minimumFullTime is how long the link must be full before the node sheds load: a burst passes
 	// without any action.
 	minimumFullTime = 900 * time.Millisecond
-	// busyShare is the share of the link that callers' bodies may fill before the node requests
-	// no new connections: the engines' responses take as much again, and at 0.4 other nodes'
-	// frames are 300 ms late. The node requests new connections again below notBusyShare.
+	// busyShare is the share of the link that callers' bodies may fill before the node asks for
+	// new connections to go to other nodes: the engines' responses take as much again, and at 0.4
+	// other nodes' frames are 300 ms late. It accepts new connections again below notBusyShare.
 	// Existing connections stay open, so that a heavy caller's requests are spread over several
 	// nodes.
 	busyShare    = 0.18
@@ -57,7 +56,8 @@
 	Others int
 }
 
-// Shedder decides whether a node sheds load, which means that it requests no more callers.
+// Shedder decides whether a node sheds load, which means that it reports itself as not ready, so that new
+// connections go to other nodes.
 type Shedder struct {
 	shedding  bool
 	fullSince time.Duration
@@ -77,7 +77,8 @@
 // Shedding reports whether the node sheds load.
 func (s *Shedder) Shedding() bool { return s.shedding }
 
-// Busy reports whether the node requests no new connections. Existing connections stay open.
+// Busy reports whether the node asks for new connections to go to other nodes. Existing connections stay
+// open.
 func (s *Shedder) Busy() bool { return s.busy }
 
 func (s *Shedder) updateBusy(share float64, reading Reading) {
