--- a/internal/coordination/delay/delay_test.go
+++ b/internal/coordination/delay/delay_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a delay that the interval between messages hides. In incident CONFIG on
-// zhf-valuation-grown messages arrived at regular intervals, but each more than a second late.
+// Guards against a delay that the interval between messages hides: messages may arrive at regular
+// intervals, but each more than a second late.
 func TestDelayIsMeasuredAgainstTheFastestMessage(t *testing.T) {
 	var meter Meter
 	delayOf := func(at, age time.Duration) time.Duration {
