--- a/internal/coordination/follow/follow_test.go
+++ b/internal/coordination/follow/follow_test.go
@@ -36,8 +36,7 @@
 	assert.Equal(t, wait, time.Duration(0))
 }
 
-// Guards against one unresponsive node delaying a version that two others have, which is
-// hypothesis 1 of incident CONFIG on zhf-valuation-grown.
+// Guards against one unresponsive node delaying a version that two others have.
 func TestRequestsWithoutResponseGoToOneNodeAfterTheOther(t *testing.T) {
 	f := follower()
 	var requests []string
@@ -91,19 +90,19 @@
 func TestVersionIsSentAgainOnlyWhenOverdue(t *testing.T) {
 	p := NewPublisher()
 	due := func(now time.Duration) bool { return p.TakeDue(now, "e", 2, 1000) }
-	p.RecordVersion("e", "life", 1)
+	p.RecordVersion("e", "one", 1)
 	assert.Assert(t, due(0))
 	assert.Assert(t, !due(initialResendInterval-time.Millisecond))
 	assert.Assert(t, due(initialResendInterval))
 	assert.Assert(t, !due(2*initialResendInterval))
 	assert.Assert(t, due(3*initialResendInterval))
-	p.RecordVersion("e", "life", 2)
+	p.RecordVersion("e", "one", 2)
 	assert.Assert(t, !due(time.Hour))
 }
 
 func TestSuccessiveSmallVersionsAreSentUpToTheUnconfirmedBound(t *testing.T) {
 	p := NewPublisher()
-	p.RecordVersion("e", "life", 1)
+	p.RecordVersion("e", "one", 1)
 	sent := 0
 	for version := uint64(2); version < 50; version++ {
 		if p.TakeDue(0, "e", version, maximumUnconfirmed/4) {
@@ -112,18 +111,18 @@
 	}
 	assert.Equal(t, sent, 4)
 	// The newest version is sent as soon as the bound on unconfirmed bytes allows it.
-	p.RecordVersion("e", "life", 5)
+	p.RecordVersion("e", "one", 5)
 	assert.Assert(t, p.TakeDue(0, "e", 49, maximumUnconfirmed/4))
-	p.RecordVersion("e", "life", 49)
+	p.RecordVersion("e", "one", 49)
 	assert.Assert(t, !p.TakeDue(time.Hour, "e", 49, maximumUnconfirmed/4))
 }
 
 func TestLargeDocumentIsInFlightOnceAtATime(t *testing.T) {
 	p := NewPublisher()
-	p.RecordVersion("e", "life", 1)
+	p.RecordVersion("e", "one", 1)
 	assert.Assert(t, p.TakeDue(0, "e", 2, 10*maximumUnconfirmed))
 	assert.Assert(t, !p.TakeDue(100*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
-	p.RecordVersion("e", "life", 2)
+	p.RecordVersion("e", "one", 2)
 	assert.Assert(t, p.TakeDue(200*time.Millisecond, "e", 3, 10*maximumUnconfirmed))
 }
 
--- a/internal/coordination/follow/follower.go
+++ b/internal/coordination/follow/follower.go
@@ -10,7 +10,7 @@
 	// deliveryWait is how long an announced version may take to arrive before it is requested: its
 	// sender sends it at about the same time as the announcement arrives.
 	deliveryWait = 300 * time.Millisecond
-	// initialRequestInterval is the time between the first request and the second. It doubles
+	// initialRequestInterval is the time between the first and the second request for a version. It doubles
 	// with each request, up to maximumRequestInterval. Each request goes to another node if there
 	// is one.
 	initialRequestInterval = 300 * time.Millisecond
