--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -76,14 +76,14 @@
 }
 
 // ReachableEntries returns the other entry nodes with which this control node is in contact itself.
-// namesSelf sets whether the node counts itself as live.
-func (r *Roster) ReachableEntries(now time.Duration, namesSelf bool) LiveEntries {
+// includesSelf sets whether the node counts itself as live.
+func (r *Roster) ReachableEntries(now time.Duration, includesSelf bool) LiveEntries {
 	var nodes []peer.NodeEntry
 	for _, known := range r.alive(now, func(known *Peer) bool { return known.Entry && !known.Stopping }) {
 		nodes = append(nodes, peer.NodeEntry{Address: known.Address, Zone: known.Zone, Entry: true, Control: known.Control})
 	}
 	r.setLive(nodes)
-	r.live.IncludesSelf = namesSelf
+	r.live.IncludesSelf = includesSelf
 	return r.live.LiveEntries
 }
 
