--- a/internal/coordination/claims/claims_test.go
+++ b/internal/coordination/claims/claims_test.go
@@ -21,24 +21,24 @@
 }
 
 func newAcceptorGroup(withoutVectors bool) *acceptorGroup {
-	t := &acceptorGroup{acceptors: map[string]*Acceptor{}, withoutVectors: withoutVectors}
-	t.pool = membership.NewPool([]membership.Node{{Name: "h1", Zone: "z"}, {Name: "h2", Zone: "z"}, {Name: "h3", Zone: "z"}})
-	for _, node := range t.pool.Nodes() {
-		t.start(node.Name, 1, true)
+	g := &acceptorGroup{acceptors: map[string]*Acceptor{}, withoutVectors: withoutVectors}
+	g.pool = membership.NewPool([]membership.Node{{Name: "h1", Zone: "z"}, {Name: "h2", Zone: "z"}, {Name: "h3", Zone: "z"}})
+	for _, node := range g.pool.Nodes() {
+		g.start(node.Name, 1, true)
 	}
-	return t
+	return g
 }
 
-func (t *acceptorGroup) start(name string, incarnation uint64, fresh bool) {
-	t.acceptors[name] = NewAcceptor(AcceptorOptions{
-		Self: name, Incarnation: incarnation, Pool: t.pool, Fresh: fresh, WithoutVectors: t.withoutVectors,
+func (g *acceptorGroup) start(name string, incarnation uint64, fresh bool) {
+	g.acceptors[name] = NewAcceptor(AcceptorOptions{
+		Self: name, Incarnation: incarnation, Pool: g.pool, Fresh: fresh, WithoutVectors: g.withoutVectors,
 	})
 }
 
-func (t *acceptorGroup) proposer(name string) *Proposer {
+func (g *acceptorGroup) proposer(name string) *Proposer {
 	return NewProposer(ProposerOptions{
-		ID: accounts.HolderID{Node: name, Incarnation: 1}, Pool: t.pool,
-		Random: rand.New(rand.NewPCG(1, 1)), WithoutVectors: t.withoutVectors,
+		ID: accounts.HolderID{Node: name, Incarnation: 1}, Pool: g.pool,
+		Random: rand.New(rand.NewPCG(1, 1)), WithoutVectors: g.withoutVectors,
 	})
 }
 
@@ -52,19 +52,19 @@
 
 // respond delivers a proposer's waiting request to one acceptor and returns the response without
 // delivering it.
-func (t *acceptorGroup) respond(requests []Outgoing, acceptor string) Message {
+func (g *acceptorGroup) respond(requests []Outgoing, acceptor string) Message {
 	for _, request := range requests {
 		if request.To == acceptor {
-			return t.acceptors[acceptor].Step(0, request.Message)[0].Message
+			return g.acceptors[acceptor].Step(0, request.Message)[0].Message
 		}
 	}
 	panic("no request for " + acceptor)
 }
 
-func (t *acceptorGroup) recover(name string) {
-	for _, request := range t.acceptors[name].Tick(time.Minute) {
-		responses := t.acceptors[request.To].Step(0, request.Message)
-		t.acceptors[name].Step(0, responses[0].Message)
+func (g *acceptorGroup) recover(name string) {
+	for _, request := range g.acceptors[name].Tick(time.Minute) {
+		responses := g.acceptors[request.To].Step(0, request.Message)
+		g.acceptors[name].Step(0, responses[0].Message)
 	}
 }
 
@@ -80,7 +80,7 @@
 // delayedPromise has node a (proposer q) claim a key while a promise to node p, which acceptor h1 sent in
 // its earlier incarnation, is still in transit. It returns the nodes whose change succeeded.
 func delayedPromise(withoutVectors bool) []string {
-	t := newAcceptorGroup(withoutVectors)
+	g := newAcceptorGroup(withoutVectors)
 	key := NewKey("tenant", "key")
 	var winners []string
 	recordWinner := func(name string) func(Outcome) {
@@ -90,28 +90,28 @@
 			}
 		}
 	}
-	p, q := t.proposer("p"), t.proposer("a")
+	p, q := g.proposer("p"), g.proposer("a")
 	p.Change(0, testDeadline, "z", key, claimFor("p"), recordWinner("p"))
 	prepareP := requests(p)
-	delayed := t.respond(prepareP, "h1")
+	delayed := g.respond(prepareP, "h1")
 
-	t.start("h1", 2, false)
-	t.recover("h1")
+	g.start("h1", 2, false)
+	g.recover("h1")
 
 	q.Change(0, testDeadline, "z", key, claimFor("a"), recordWinner("a"))
 	prepareQ := requests(q)
-	q.Step(0, t.respond(prepareQ, "h1"))
-	q.Step(0, t.respond(prepareQ, "h3"))
+	q.Step(0, g.respond(prepareQ, "h1"))
+	q.Step(0, g.respond(prepareQ, "h3"))
 	acceptQ := requests(q)
-	q.Step(0, t.respond(acceptQ, "h1"))
-	q.Step(0, t.respond(acceptQ, "h3"))
+	q.Step(0, g.respond(acceptQ, "h1"))
+	q.Step(0, g.respond(acceptQ, "h3"))
 
 	p.Step(0, delayed)
-	p.Step(0, t.respond(prepareP, "h2"))
+	p.Step(0, g.respond(prepareP, "h2"))
 	acceptP := requests(p)
 	if len(acceptP) > 0 && acceptP[0].Message.Kind == MessageAccept {
-		p.Step(0, t.respond(acceptP, "h1"))
-		p.Step(0, t.respond(acceptP, "h2"))
+		p.Step(0, g.respond(acceptP, "h1"))
+		p.Step(0, g.respond(acceptP, "h2"))
 	}
 	return winners
 }
