--- a/internal/coordination/follow/publisher.go
+++ b/internal/coordination/follow/publisher.go
@@ -19,8 +19,8 @@
 
 const (
 	// initialResendInterval is how long a sent version may be unconfirmed before it is sent again. The
-	// time doubles with each sending, up to maximumResendInterval. A full link takes over a second in
-	// each direction.
+	// time doubles each time that it is sent, up to maximumResendInterval. A full link takes over a
+	// second in each direction.
 	initialResendInterval = 1500 * time.Millisecond
 	maximumResendInterval = 4 * time.Second
 	// maximumUnconfirmed bounds the bytes in flight to one follower. A single document may be in
@@ -84,10 +84,10 @@
 	incarnation string
 	// confirmed is the version that the entry node confirmed, sent the highest version sent to it.
 	confirmed, sent uint64
-	// unconfirmed is the number of bytes sent and not confirmed, sends the number of sendings
-	// since the last confirmation, and sentAt the time of the last sending.
+	// unconfirmed is the number of bytes sent and not confirmed, sendCount how often a version
+	// was sent since the last confirmation, and sentAt when the last one was sent.
 	unconfirmed int
-	sends       int
+	sendCount   int
 	sentAt      time.Duration
 }
 
@@ -104,7 +104,7 @@
 	}
 	state.confirmed = max(state.confirmed, version)
 	if state.confirmed >= state.sent {
-		state.unconfirmed, state.sends = 0, 0
+		state.unconfirmed, state.sendCount = 0, 0
 	}
 }
 
@@ -116,13 +116,13 @@
 		return false
 	}
 	isNew := state.sent < version && (state.unconfirmed == 0 || state.unconfirmed+size <= maximumUnconfirmed)
-	isOverdue := state.sends > 0 && now-state.sentAt >= backoff(initialResendInterval, maximumResendInterval, state.sends)
+	isOverdue := state.sendCount > 0 && now-state.sentAt >= backoff(initialResendInterval, maximumResendInterval, state.sendCount)
 	if !isNew && !isOverdue {
 		return false
 	}
 	state.sent, state.sentAt = version, now
 	state.unconfirmed += size
-	state.sends++
+	state.sendCount++
 	return true
 }
 
