--- a/internal/coordination/membership/pool.go
+++ b/internal/coordination/membership/pool.go
@@ -58,7 +58,8 @@
 // InZone returns the names of a zone's members.
 func (p *Pool) InZone(zone string) []string { return p.byZone[zone] }
 
-// ZonesFor returns all zones in a key's order of preference. The first is the key's home zone.
+// ZonesFor returns all zones in a key's order of preference. The first is the key's home zone, whose
+// acceptors store the claim of a caller's key while that zone is reachable.
 func (p *Pool) ZonesFor(key string) []string {
 	return Rank(key, p.zones)
 }
