--- a/internal/coordination/overload/gate_test.go
+++ b/internal/coordination/overload/gate_test.go
@@ -9,9 +9,9 @@
 
 // busyNode feeds a gate with requests and measurements.
 type busyNode struct {
-	gate *Gate
-	now  time.Duration
-	read int64
+	gate          *Gate
+	now           time.Duration
+	bodyBytesRead int64
 }
 
 const lagInterval = 50 * time.Millisecond
@@ -28,13 +28,13 @@
 				requested[caller]++
 				if n.gate.Admits(n.now, caller, body, false) {
 					admitted[caller]++
-					n.read += body
+					n.bodyBytesRead += body
 					admittedCount++
 				}
 			}
 		}
 		if n.now%lagInterval == 0 {
-			n.gate.Step(n.now, Pressure{Lag: lag(float64(admittedCount) / lagInterval.Seconds()), BodyBytes: n.read, LinkBytes: link})
+			n.gate.Step(n.now, Pressure{Lag: lag(float64(admittedCount) / lagInterval.Seconds()), BodyBytes: n.bodyBytesRead, LinkBytes: linkBytesPerSecond})
 			admittedCount = 0
 		}
 	}
--- a/internal/coordination/overload/overload_test.go
+++ b/internal/coordination/overload/overload_test.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	tick = 300 * time.Millisecond
-	link = 1_000_000
+	tick               = 300 * time.Millisecond
+	linkBytesPerSecond = 1_000_000
 )
 
 // sheddingNode feeds a shedder with one reading per tick.
@@ -24,8 +24,8 @@
 func (n *sheddingNode) run(length, delay time.Duration, share float64, change ...func(*Reading)) (shed time.Duration) {
 	for end := n.now + length; n.now < end; {
 		n.now += tick
-		n.bytes += int64(share * link * tick.Seconds())
-		reading := Reading{Delay: delay, DelayKnown: true, CallerBytes: n.bytes, LinkBytes: link, Others: 3}
+		n.bytes += int64(share * linkBytesPerSecond * tick.Seconds())
+		reading := Reading{Delay: delay, DelayKnown: true, CallerBytes: n.bytes, LinkBytes: linkBytesPerSecond, Others: 3}
 		for _, one := range change {
 			one(&reading)
 		}
