--- a/internal/coordination/roster/live.go
+++ b/internal/coordination/roster/live.go
@@ -12,7 +12,7 @@
 // Roster.Entries keeps a node for a while after it was last listed, a node leaves LiveEntries as
 // soon as it is no longer listed.
 type LiveEntries struct {
-	// Nodes are the entry nodes, in order.
+	// Nodes are the entry nodes, sorted by address.
 	Nodes []peer.NodeEntry
 	// IncludesSelf reports whether this node is among the live entry nodes.
 	IncludesSelf bool
@@ -87,7 +87,7 @@
 	return r.live.LiveEntries
 }
 
-// setLive replaces the live entry nodes, given in order, if they have changed.
+// setLive replaces the live entry nodes if they have changed. The nodes given are sorted by address.
 func (r *Roster) setLive(nodes []peer.NodeEntry) {
 	if r.live.Generation == 0 || !slices.Equal(nodes, r.live.Nodes) {
 		r.live.Nodes = nodes
--- a/internal/coordination/roster/roster.go
+++ b/internal/coordination/roster/roster.go
@@ -169,7 +169,7 @@
 	return known != nil && now-known.ReceivedAt <= AliveFor
 }
 
-// HelloTargets returns the addresses of the control nodes to which this node sends hellos, in order.
+// HelloTargets returns the addresses of the control nodes to which this node sends hellos, sorted.
 func (r *Roster) HelloTargets(now time.Duration) []string {
 	targets := map[string]bool{}
 	for _, seed := range r.seeds {
@@ -194,12 +194,12 @@
 	return addresses
 }
 
-// AliveNodes returns the nodes that are alive, in order.
+// AliveNodes returns the nodes that are alive, sorted by address.
 func (r *Roster) AliveNodes(now time.Duration) []*Peer {
 	return r.alive(now, func(*Peer) bool { return true })
 }
 
-// alive returns the wanted ones of the nodes that are alive, in order.
+// alive returns the nodes that are alive and for which isWanted is true, sorted by address.
 func (r *Roster) alive(now time.Duration, isWanted func(*Peer) bool) []*Peer {
 	var alive []*Peer
 	for _, address := range r.addresses {
@@ -210,13 +210,13 @@
 	return alive
 }
 
-// Controls returns the control nodes that are alive, in order.
+// Controls returns the control nodes that are alive, sorted by address.
 func (r *Roster) Controls(now time.Duration) []*Peer {
 	return r.alive(now, func(known *Peer) bool { return known.Control })
 }
 
-// Entries returns the other entry nodes that control nodes listed within listedTime, in order,
-// and a generation that differs whenever they have changed. The caller must not modify them.
+// Entries returns the other entry nodes that control nodes listed within listedTime, sorted by
+// address, and a generation that differs whenever they have changed. The caller must not modify them.
 func (r *Roster) Entries(now time.Duration) (entries []peer.NodeEntry, generation uint64) {
 	if r.listing.generation == 0 || r.listing.isOutdated || now > r.listing.expiresAt {
 		r.listEntries(now)
@@ -267,7 +267,7 @@
 	return best.Leader
 }
 
-// Forget drops the nodes without contact for forgetTime and returns their addresses in order.
+// Forget drops the nodes without contact for forgetTime and returns their addresses, sorted.
 func (r *Roster) Forget(now time.Duration) []string {
 	var gone []string
 	for address, known := range r.peers {
