--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -264,8 +264,8 @@
 		a.resendAfter = min(2*a.resendAfter, lastResend)
 		report.Request = a.requestNumber
 		report.Required = a.grantShortfall()
-		wanted := max(a.target(now), a.totalWaiting())
-		report.Expected = max(report.Required, accounts.SaturatingSubtract(wanted, a.unreserved()))
+		expected := max(a.target(now), a.totalWaiting())
+		report.Expected = max(report.Required, accounts.SaturatingSubtract(expected, a.unreserved()))
 	}
 	if a.contact != nil {
 		report.Allowance = a.nextAllowance()
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -89,7 +89,8 @@
 	return true
 }
 
-// LoanAgreed records that a loan is in its claim register, and sends it to the borrower.
+// LoanAgreed records that a loan is in its claim register, and sends it to the borrower. A node without
+// claim registers calls it immediately.
 func (h *Holder) LoanAgreed(now time.Duration, loan accounts.Loan) {
 	budgetAccount := h.accounts[loan.Budget]
 	if loan.Lender != h.options.ID || budgetAccount == nil || budgetAccount.lent[loan.Borrower] == nil {
--- a/internal/coordination/escrow/messages.go
+++ b/internal/coordination/escrow/messages.go
@@ -59,9 +59,10 @@
 }
 
 // LoanMessage is one step of a loan: one field is set. The borrower sends a Request. The lender
-// subtracts the loan, has it agreed in a claim register (package claims), and only then sends it as
-// Loan, repeatedly until the borrower has confirmed it with Confirmed. So a loan is still known
-// when both sides are lost together.
+// subtracts the loan, has it agreed in a claim register of the zone (package claims), and only then
+// sends it as Loan, repeatedly until the borrower has confirmed it with Confirmed. So a loan is still
+// known when both sides are lost together. Nodes without claim registers skip the agreement: there a
+// loan stays charged to the lender's grant.
 //
 // A holder that stops while it can't reach the root sends an Offer of what it holds; the receiver
 // requests loans of it.
--- a/internal/coordination/escrow/root.go
+++ b/internal/coordination/escrow/root.go
@@ -68,7 +68,7 @@
 	number         uint64
 	deadline       time.Duration
 	pendingHolders map[accounts.HolderID]struct{}
-	// shortReports holds the reports that fell short: those whose request the budget could not grant.
+	// shortReports holds the reports that fell short: those whose request could not be granted in full.
 	// It has the newest one of each holder, in the order of the holders' first ones.
 	shortReports []pendingReport
 }
