--- a/internal/coordination/escrow/account.go
+++ b/internal/coordination/escrow/account.go
@@ -63,7 +63,8 @@
 	// pooled reports whether the node leaves this budget to the zone's pool holders.
 	pooled bool
 
-	// demand is the rate of tokens that requests require, reserving the rate that they receive.
+	// demand is the rate at which requests require tokens, reserving the rate at which they receive
+	// them.
 	demand, reserving smoothedRate
 	// requestSize is the smoothed size of a request in tokens, and requestedLast is the time of the
 	// last one.
@@ -151,7 +152,7 @@
 // desired returns the desired amount: the tokens that the node would hold if the budget were not short.
 // It is the demand of one horizon, and while there is any demand at least enough for a request of
 // average size, so that a partitioned node can go on serving a tenant that sends little. Nodes lend
-// each other what larger requests require. A budget that is left to pool holders is not held ahead.
+// each other what larger requests require. A budget that is left to pool holders is not held ahead of demand.
 func (a *account) desired(now time.Duration) uint64 {
 	if a.pooled {
 		return 0
@@ -263,8 +264,8 @@
 		a.resendAfter = min(2*a.resendAfter, lastResend)
 		report.Request = a.requestNumber
 		report.Required = a.grantShortfall()
-		wanted := max(a.target(now), a.totalWaiting())
-		report.Expected = max(report.Required, accounts.SaturatingSubtract(wanted, a.unreserved()))
+		expected := max(a.target(now), a.totalWaiting())
+		report.Expected = max(report.Required, accounts.SaturatingSubtract(expected, a.unreserved()))
 	}
 	if a.contact != nil {
 		report.Allowance = a.nextAllowance()
@@ -272,18 +273,19 @@
 	return report
 }
 
-// smoothedRate is a rate in tokens a second, smoothed with an exponential decay.
+// smoothedRate is a rate in tokens a second, smoothed with an exponential decay. The sum is decayed up
+// to the time decayedAt.
 type smoothedRate struct {
-	sum     float64
-	summed  time.Duration
-	began   time.Duration
-	started bool
+	sum       float64
+	decayedAt time.Duration
+	startedAt time.Duration
+	started   bool
 }
 
 func (r *smoothedRate) add(now time.Duration, amount uint64) {
 	r.decay(now)
 	if !r.started {
-		r.started, r.began = true, now
+		r.started, r.startedAt = true, now
 	}
 	r.sum += float64(amount) / demandHalfLife.Seconds() * ln2
 }
@@ -291,8 +293,8 @@
 const ln2 = 0.6931471805599453
 
 func (r *smoothedRate) decay(now time.Duration) {
-	elapsed := now - r.summed
-	r.summed = now
+	elapsed := now - r.decayedAt
+	r.decayedAt = now
 	if elapsed > 0 {
 		r.sum *= halfPower(float64(elapsed) / float64(demandHalfLife))
 	}
@@ -302,7 +304,7 @@
 // half-lives have passed; the division corrects for the time that is still missing.
 func (r *smoothedRate) at(now time.Duration) float64 {
 	r.decay(now)
-	elapsed := max(now-r.began, minimumDemandTime)
+	elapsed := max(now-r.startedAt, minimumDemandTime)
 	return r.sum / (1 - halfPower(float64(elapsed)/float64(demandHalfLife)))
 }
 
--- a/internal/coordination/escrow/holder.go
+++ b/internal/coordination/escrow/holder.go
@@ -30,7 +30,7 @@
 	lastResend  = 1200 * time.Millisecond
 	// A node requests more when it holds less than topUpShare of its target, and returns the
 	// surplus when it holds more than surplusShare of it. Between the two it keeps what it holds:
-	// the tokens that a node requires in a partition are the same ones that are lost with the node.
+	// with less it would lack tokens in a partition, and with more a crash would lose more.
 	topUpShare   = 0.85
 	surplusShare = 1.3
 	// demandHalfLife is the half-life of the smoothed demand.
@@ -125,13 +125,14 @@
 	options  HolderOptions
 	accounts map[string]*account
 	// names holds the names of the accounts, sorted.
-	names    []string
-	recalled []RecallMessage
-	loans    []OutgoingLoan
-	pools    []OutgoingPool
-	contact  rootContact
-	closed   bool
-	stopping bool
+	names []string
+	// recalled holds the recalls that the next report responds to.
+	recalled      []RecallMessage
+	outgoingLoans []OutgoingLoan
+	outgoingPools []OutgoingPool
+	contact       rootContact
+	closed        bool
+	stopping      bool
 }
 
 // OutgoingLoan is a loan message and its receiver.
@@ -396,7 +397,7 @@
 	last := min(len(budgetAccount.lenders), max(firstLoanRoundSize, 3*budgetAccount.requestedLenders))
 	for _, lender := range budgetAccount.lenders[min(budgetAccount.requestedLenders, last):last] {
 		request := &LoanRequest{Borrower: h.options.ID, Budget: budgetAccount.name, Required: budgetAccount.shortfall()}
-		h.loans = append(h.loans, OutgoingLoan{To: lender, Message: LoanMessage{Request: request}})
+		h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: lender, Message: LoanMessage{Request: request}})
 	}
 	budgetAccount.requestedLenders = last
 }
@@ -438,8 +439,8 @@
 	return slices.ContainsFunc(h.recalled, func(recall RecallMessage) bool { return recall.Budget == budget })
 }
 
-// TakeResponse applies the root's responses. It returns those whose watermarks have become durable,
-// so that the caller can forget the claims up to them.
+// TakeResponse applies the root's responses. It returns those whose watermarks have advanced, and so are
+// in the root's log, so that the caller can forget the claims up to them.
 func (h *Holder) TakeResponse(now time.Duration, message ResponseMessage) []accounts.Response {
 	if message.Holder != h.options.ID {
 		return nil
@@ -551,7 +552,7 @@
 
 // TakeOutgoingLoans removes and returns the loan messages that wait to be sent.
 func (h *Holder) TakeOutgoingLoans() []OutgoingLoan {
-	loans := h.loans
-	h.loans = nil
+	loans := h.outgoingLoans
+	h.outgoingLoans = nil
 	return loans
 }
--- a/internal/coordination/escrow/loans.go
+++ b/internal/coordination/escrow/loans.go
@@ -32,7 +32,7 @@
 
 // Lend subtracts a loan for another holder: what it requires if that much is free, else half of what
 // is free. It reports whether there is a loan to agree; the caller has it agreed in the claim register
-// and then calls Agreed.
+// and then calls LoanAgreed.
 func (h *Holder) Lend(request LoanRequest, fenced func(accounts.HolderID) bool) (accounts.Loan, bool) {
 	budgetAccount := h.accounts[request.Budget]
 	if budgetAccount == nil || h.closed || request.Borrower.Node == h.options.ID.Node || fenced(request.Borrower) {
@@ -62,7 +62,7 @@
 	if len(offer.Budgets) == 0 {
 		return false
 	}
-	h.loans = append(h.loans, OutgoingLoan{To: to, Message: LoanMessage{Offer: offer}})
+	h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: to, Message: LoanMessage{Offer: offer}})
 	return true
 }
 
@@ -73,7 +73,7 @@
 	}
 	for _, offered := range offer.Budgets {
 		request := &LoanRequest{Borrower: h.options.ID, Budget: offered.Budget, Required: offered.Free}
-		h.loans = append(h.loans, OutgoingLoan{To: offer.Lender.Node, Message: LoanMessage{Request: request}})
+		h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: offer.Lender.Node, Message: LoanMessage{Request: request}})
 	}
 }
 
@@ -89,7 +89,8 @@
 	return true
 }
 
-// LoanAgreed records that a loan is in its claim register, and sends it to the borrower.
+// LoanAgreed records that a loan is in its claim register, and sends it to the borrower. A node without
+// claim registers calls it immediately.
 func (h *Holder) LoanAgreed(now time.Duration, loan accounts.Loan) {
 	budgetAccount := h.accounts[loan.Budget]
 	if loan.Lender != h.options.ID || budgetAccount == nil || budgetAccount.lent[loan.Borrower] == nil {
@@ -103,7 +104,7 @@
 func (h *Holder) sendLoan(now time.Duration, budgetAccount *account, borrower accounts.HolderID, state *loanState) {
 	state.sentAt = now
 	loan := accounts.Loan{Lender: h.options.ID, Borrower: borrower, Budget: budgetAccount.name, Total: state.agreed}
-	h.loans = append(h.loans, OutgoingLoan{To: borrower.Node, Message: LoanMessage{Loan: &loan}})
+	h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: borrower.Node, Message: LoanMessage{Loan: &loan}})
 }
 
 // resendLoans resends the loans that a borrower has not confirmed.
@@ -135,7 +136,7 @@
 	h.contact.now = now
 	budgetAccount := h.account(loan.Budget)
 	budgetAccount.borrowed[loan.Lender] = max(budgetAccount.borrowed[loan.Lender], loan.Total)
-	h.loans = append(h.loans, OutgoingLoan{To: loan.Lender.Node, Message: LoanMessage{Confirmed: &loan}})
+	h.outgoingLoans = append(h.outgoingLoans, OutgoingLoan{To: loan.Lender.Node, Message: LoanMessage{Confirmed: &loan}})
 	h.serve(now, budgetAccount)
 }
 
@@ -162,8 +163,8 @@
 
 // MergeLoans combines what is known of a fenced incarnation's loans: the other side's own report if
 // it is alive, else what was agreed in the claim register. A loan that was agreed but never accepted
-// stays in the result with a total of 0, so that the register does not count when the other side is
-// closed later.
+// stays in the result with a total of 0, so that the register's total is not used when the other side
+// is closed later.
 func MergeLoans(registered, own []accounts.Loan) []accounts.Loan {
 	merged := map[loanKey]accounts.Loan{}
 	for _, loan := range registered {
--- a/internal/coordination/overload/gate_test.go
+++ b/internal/coordination/overload/gate_test.go
@@ -9,9 +9,9 @@
 
 // busyNode feeds a gate with requests and measurements.
 type busyNode struct {
-	gate *Gate
-	now  time.Duration
-	read int64
+	gate          *Gate
+	now           time.Duration
+	bodyBytesRead int64
 }
 
 const lagInterval = 50 * time.Millisecond
@@ -28,13 +28,13 @@
 				requested[caller]++
 				if n.gate.Admits(n.now, caller, body, false) {
 					admitted[caller]++
-					n.read += body
+					n.bodyBytesRead += body
 					admittedCount++
 				}
 			}
 		}
 		if n.now%lagInterval == 0 {
-			n.gate.Step(n.now, Pressure{Lag: lag(float64(admittedCount) / lagInterval.Seconds()), BodyBytes: n.read, LinkBytes: link})
+			n.gate.Step(n.now, Pressure{Lag: lag(float64(admittedCount) / lagInterval.Seconds()), BodyBytes: n.bodyBytesRead, LinkBytes: linkBytesPerSecond})
 			admittedCount = 0
 		}
 	}
@@ -83,7 +83,7 @@
 	assert.Equal(t, node.gate.Bound(), 0.0)
 }
 
-// The bodies fill the link before anything is late.
+// Bodies can fill the link before timers or frames are late.
 func TestBoundIsSetBeforeTheLinkIsFull(t *testing.T) {
 	node := &busyNode{gate: NewGate()}
 	punctual := func(float64) time.Duration { return time.Millisecond }
