--- a/internal/coordination/balance/balance_test.go
+++ b/internal/coordination/balance/balance_test.go
@@ -93,8 +93,8 @@
 	assert.Equal(t, chosen, 0)
 }
 
-// Guards against the fault of the drukwacht incident inc-1cdb, seconds 34 to 40: after a zone was
-// partitioned, every node tried each of its engines, and each attempt took a full connect timeout.
+// Guards against a delay of all requests after a zone is partitioned: every node tried each of its
+// engines, and each attempt took a full connect timeout.
 func TestPartitionedZoneIsDetectedFromTwoUnreachableInstances(t *testing.T) {
 	table := tableOf("a", instances(12))
 	now, lost := time.Duration(0), 0
@@ -139,8 +139,8 @@
 	assert.Assert(t, budget.Take(12*time.Second, "llm", policy))
 }
 
-// Guards against the fault of zhf scale-1: five engines crashed and restarted, and every node kept
-// trying their old incarnations until the registry removed them.
+// Guards against attempts at an incarnation that is gone: after five engines had crashed and
+// restarted, every node kept trying their old incarnations until the registry removed them.
 func TestReplacedInstanceIsNeverTriedAgain(t *testing.T) {
 	table := tableOf("a", instances(2))
 	choice, _ := table.Choose(0, Request{Service: "llm"})
--- a/internal/coordination/balance/choose.go
+++ b/internal/coordination/balance/choose.go
@@ -20,8 +20,8 @@
 	tokensPerExcessRequest = 4000
 	// tokensPerCrossZoneByte is the cost of each body byte that is sent to another zone, in tokens.
 	tokensPerCrossZoneByte = 0.15
-	// scatterTokens is the maximum random cost, in tokens, that is added to an instance that holds
-	// no part of the request. Without it, nodes with the same data would all choose the same
+	// scatterTokens is the maximum random cost, in tokens, that is added to an instance that does not
+	// hold the request's prompt part. Without it, nodes with the same data would all choose the same
 	// instance.
 	scatterTokens = 600
 	// rereadWeight is the extra cost, beyond reading it, of a shared token that would be read again
@@ -36,7 +36,8 @@
 // Request describes the request that an instance is chosen for.
 type Request struct {
 	Service string
-	// Part identifies the shared prompt part; "" if there is none.
+	// Part identifies the shared prompt part; "" if there is none. Its home is the instance that
+	// homeOf selects.
 	Part string
 	// Cost is the work in units of a medium-sized request.
 	Cost float64
@@ -164,8 +165,9 @@
 
 // candidates returns those instances among isAmong that may be chosen: the healthy ones, or if
 // there is none, all that were not tried. Instances are always excluded if they are in an evacuated
-// zone or in a region that is not allowed for the request, are paused or leaving, or are cold and
-// accept no request from this node now, even if no candidate remains.
+// zone or in a region that is not allowed for the request, have the maximum number of this node's
+// requests in flight, are paused or leaving, or are cold and accept no request from this node now,
+// even if no candidate remains.
 func (t *Table) candidates(now time.Duration, request Request, isAmong func(*member) bool) candidateSet {
 	healthy, others := t.classifyCandidates(now, request, isAmong)
 	if len(healthy.open) > 0 {
@@ -194,8 +196,8 @@
 	return healthy, others
 }
 
-// mayServe reports whether the request was not yet tried at an instance and whether the instance's
-// zone and region are allowed.
+// mayServe reports whether a request may go to an instance: it was not yet tried there, and the
+// instance's zone and region are allowed.
 func (t *Table) mayServe(one *member, request Request) bool {
 	return !slices.Contains(request.Exclude, one.ID) && t.isPlacementAllowed(one, request)
 }
@@ -205,9 +207,10 @@
 	return !t.evacuated.Contains(one.Zone) && request.Regions.Contains(t.regionOfZone[one.Zone])
 }
 
-// expectedCost holds the expected cost of a request at one instance, in tokens; requests is the
-// number of requests in flight there.
+// expectedCost holds the expected cost of a request at one instance, in tokens. Its fields
+// correspond to those of Choice; scatter is the random cost, see scatterTokens.
 type expectedCost struct {
+	// requests is the number of requests in flight there, which total does not include.
 	ahead, unread, requests            int
 	reread, crossZone, scatter, stalls float64
 	// permit is the cost of the permit that the instance's rate limit requires.
--- a/internal/coordination/balance/cold.go
+++ b/internal/coordination/balance/cold.go
@@ -34,7 +34,8 @@
 	// nodes are the addresses of all live entry nodes, including this one; empty until they are
 	// known.
 	nodes []string
-	// ranks caches this node's rank among the senders of each instance, from 0.
+	// ranks caches, by instance ID, this node's rank, from 0, in the order in which rendezvous hashing
+	// selects the instance's senders from the nodes.
 	ranks map[string]int
 }
 
--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -35,7 +35,8 @@
 
 type coldResult struct {
 	// maximumPerSecond is the maximum number of requests that one cold engine received within a
-	// second. refused is the number of requests for which no engine was found.
+	// second. onCold and onWarm are the numbers of requests that cold and warm engines received after
+	// the zone was restored. refused is the number of requests for which no engine was found.
 	maximumPerSecond, onCold, onWarm, refused int
 }
 
--- a/internal/coordination/balance/health.go
+++ b/internal/coordination/balance/health.go
@@ -48,7 +48,9 @@
 type zoneState struct {
 	// unreachable holds, by instance ID, the time of the last failure to connect since an instance
 	// of the zone last responded.
-	unreachable  map[string]time.Duration
+	unreachable map[string]time.Duration
+	// avoidedUntil is the end of the time for which the zone is avoided, and probedAt is when it was
+	// last sent a probe request.
 	avoidedUntil time.Duration
 	probedAt     time.Duration
 }
--- a/internal/coordination/balance/initial_exchange_test.go
+++ b/internal/coordination/balance/initial_exchange_test.go
@@ -46,9 +46,9 @@
 func TestRestartedNodeReceivesTheActiveLimits(t *testing.T) {
 	engine := registry.Incarnation{ID: "i-1", StartedAt: 5}
 	for name, all := range map[string][]EntryNode{
-		"three zones": {{"a-0", "a"}, {"a-1", "a"}, {"a-2", "a"}, {"b-0", "b"}, {"b-1", "b"}, {"c-0", "c"}},
-		"one a zone":  {{"a-0", "a"}, {"b-0", "b"}, {"c-0", "c"}},
-		"one zone":    {{"a-0", "a"}, {"a-1", "a"}},
+		"three zones":  {{"a-0", "a"}, {"a-1", "a"}, {"a-2", "a"}, {"b-0", "b"}, {"b-1", "b"}, {"c-0", "c"}},
+		"one per zone": {{"a-0", "a"}, {"b-0", "b"}, {"c-0", "c"}},
+		"one zone":     {{"a-0", "a"}, {"a-1", "a"}},
 	} {
 		for _, restarted := range all {
 			fleet := limitsFleet{exchanges: map[string]*LoadExchange{}, limits: map[string]*ratelimit.Limits{}}
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -29,7 +29,7 @@
 	return InstanceKey(xxhash.Sum64String(incarnation.String()))
 }
 
-// Loads holds the loads by instance. Absent ones are 0.
+// Loads holds the loads by instance. An instance without an entry has no load.
 type Loads map[InstanceKey]Load
 
 func (l Loads) add(other Loads) {
@@ -50,7 +50,7 @@
 )
 
 // Encode packs the loads in order of their keys, each as 4 bytes of key, 2 of tokens in units of
-// tokenUnit, and 1 of requests.
+// tokenUnit, and 1 of requests, capped at maximumRequests.
 func (l Loads) Encode() []byte { return l.encodeWithout(l.keys(), nil) }
 
 // keys returns the keys in ascending order.
@@ -63,8 +63,8 @@
 	return keys
 }
 
-// encodeWithout packs the loads after subtracting part, which may be nil. keys are the keys of the
-// loads in ascending order.
+// encodeWithout packs the loads after subtracting those in subtracted, which may be nil. keys are
+// the keys of the loads in ascending order.
 func (l Loads) encodeWithout(keys []InstanceKey, part Loads) []byte {
 	encoded := make([]byte, 0, len(l)*encodedLoadBytes)
 	for _, key := range keys {
@@ -167,8 +167,9 @@
 //
 // It has no clock and does no I/O, and it is not safe for concurrent use.
 type LoadExchange struct {
-	self      EntryNode
-	interval  time.Duration
+	self     EntryNode
+	interval time.Duration
+	// zonePeers holds the other nodes of this node's zone.
 	zonePeers []EntryNode
 	// relays holds the address of each zone's relay.
 	relays map[string]string
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -116,8 +116,8 @@
 	assert.Equal(t, len(DecodeLoads(loads.Encode()[:9])), 1)
 }
 
-// Guards against the fault of drukwacht quiet-1: a quarter of the long requests was late because
-// they waited behind prompts that other nodes had sent to the same engine.
+// Guards against requests that wait behind prompts that other nodes have sent to the same engine. A
+// quarter of the long requests was late for this reason.
 func TestInstanceThatOthersKeepBusyIsAvoided(t *testing.T) {
 	table := tableOf("a", instances(12))
 	request := Request{Service: "llm", Part: "part", Tokens: 17_000, SharedTokens: 13_000}
@@ -148,8 +148,8 @@
 	assert.Equal(t, len(table.OwnLoads()), 0)
 }
 
-// Guards against the fault of lumiere-rx: shared parts were the largest cost, and were read again
-// at further instances because only the node that had sent a part to an instance knew of it.
+// Guards against shared parts that are read again at further instances because only the node that
+// has sent a part to an instance knows of it. Reading shared parts was the largest cost.
 func TestSpilledPartsAreReportedToAllNodes(t *testing.T) {
 	exchanges, all := exchangeOf(3)
 	spilled := HeldPart{Part: keyOfPart("part"), Instance: KeyOf(registry.Incarnation{ID: "i-2"})}
--- a/internal/coordination/balance/stalls.go
+++ b/internal/coordination/balance/stalls.go
@@ -25,8 +25,8 @@
 	// 4,000 and 12,000 are in docs/design/engine-choice.md.
 	stalledStreamTokens = 5000
 	// Whether streams stall at all depends on the size of the chunks and of the events. The cost is
-	// therefore scaled by the observed share of stalled streams: it is 0 up to lowStalledShare, and
-	// counts fully from highStalledShare on.
+	// therefore scaled by the observed share of stalled streams, which starts at
+	// initialStalledShare: it is 0 up to lowStalledShare, and counts fully from highStalledShare on.
 	lowStalledShare     = 0.005
 	highStalledShare    = 0.03
 	initialStalledShare = 0.01
@@ -71,8 +71,8 @@
 	return min(1, max(0, (reading-stallFrom)/(stallTo-stallFrom)))
 }
 
-// stallCost returns the cost, in tokens, of the streams that a prompt of unread tokens stalls in
-// addition to those that the tokens ahead of it stall.
+// stallCost returns the cost, in tokens, of the streams that stall only because unread tokens are
+// read after those that are ahead of them.
 func (s *readSpeed) stallCost(streams, ahead, unread int, gap time.Duration) float64 {
 	more := s.stalledShare(ahead+unread, gap) - s.stalledShare(ahead, gap)
 	return float64(streams) * stalledStreamTokens * s.stallWeight() * more
--- a/internal/coordination/balance/stalls_test.go
+++ b/internal/coordination/balance/stalls_test.go
@@ -9,8 +9,8 @@
 
 const testGap = 500 * time.Millisecond
 
-// Guards against the fault of lumiere-rx quiet-1 seed 2: 237 of 293 late requests were streams that
-// stalled while their engine read a long prompt of another request.
+// Guards against streams that stall while their engine reads a long prompt of another request. They
+// were 237 of 293 late requests.
 func TestLongPromptGoesWhereItStallsFewStreams(t *testing.T) {
 	table := tableOf("a", instances(3))
 	table.speedOf("llm").stalled = highStalledShare
--- a/internal/coordination/balance/table.go
+++ b/internal/coordination/balance/table.go
@@ -1,12 +1,12 @@
 // Package balance chooses the instance that a request goes to.
 //
 // A request with a prompt goes to the instance at which its first token is expected earliest. The
-// expected time is measured in prompt tokens: those that the instance has yet to read before, as
-// far as this node knows them, and those of the request itself that the instance does not hold. All
-// nodes agree without communicating on which instance holds a shared prompt part: rendezvous
-// hashing of the part over the instances selects its home. Bytes sent to another zone are converted
-// to tokens. Requests without a prompt part go to the least loaded instance, with a preference for
-// the node's own zone. Health is judged from the node's own attempts only.
+// expected time is measured in prompt tokens: those of other requests that the instance has yet to
+// read first, as far as this node knows them, and those of the request itself that the instance
+// does not hold. All nodes agree without communicating on which instance holds a shared prompt part:
+// rendezvous hashing of the part over the instances selects its home. Bytes sent to another zone are
+// converted to tokens. Requests without a prompt part go to the least loaded instance, with a
+// preference for the node's own zone. Health is judged from the node's own attempts only.
 package balance
 
 import (
@@ -38,7 +38,8 @@
 	// connectBackoff is the current backoff after failures to connect, and avoidedUntil its end.
 	connectBackoff time.Duration
 	avoidedUntil   time.Duration
-	probedAt       time.Duration
+	// probedAt is when it last counted as healthy for a probe although its failure rate was too high.
+	probedAt time.Duration
 	// isReplaced reports whether the instance is permanently gone, though the registry may not know
 	// yet.
 	isReplaced bool
@@ -67,7 +68,9 @@
 	members map[string]*member
 	// byService holds the members that accept new work, ordered by ID.
 	byService map[string][]*member
-	zones     map[string]*zoneState
+	// zones holds the state of each zone in which no instance responded since the last failure to
+	// connect.
+	zones map[string]*zoneState
 	// regionOfZone holds the region of each zone whose region is known.
 	regionOfZone map[string]string
 	// speeds holds the observed read speed of each service.
