--- a/internal/coordination/balance/cold_test.go
+++ b/internal/coordination/balance/cold_test.go
@@ -27,10 +27,10 @@
 }
 
 const (
-	coldNodes, coldEngines, warmEngines = 85, 38, 102
-	coldFor                             = 3 * time.Second
-	coldLoadsInterval                   = 200 * time.Millisecond
-	coldRequestTime                     = 900 * time.Millisecond
+	entryNodeCount, coldEngines, warmEngines = 85, 38, 102
+	coldDuration                             = 3 * time.Second
+	coldLoadsInterval                        = 200 * time.Millisecond
+	coldRequestTime                          = 900 * time.Millisecond
 )
 
 type coldResult struct {
@@ -51,7 +51,7 @@
 		all = append(all, registry.Instance{ID: fmt.Sprint("engine-", number), Service: "llm", Zone: zone, Slots: 64, State: registry.Ready})
 	}
 	var entries []EntryNode
-	for number := range coldNodes {
+	for number := range entryNodeCount {
 		entries = append(entries, EntryNode{Address: fmt.Sprint("entry-", number), Zone: "warm"})
 	}
 	var tables []*Table
@@ -59,7 +59,7 @@
 		table := tableOf("warm", all)
 		others := slices.Delete(slices.Clone(entries), number, number+1)
 		if number < c.unaware {
-			others = others[:coldNodes/3]
+			others = others[:entryNodeCount/3]
 		}
 		table.SetEntryNodes(entry.Address, others)
 		table.SetEvacuated(0, evacuation.Zones{Revision: 1, Names: []string{"cold"}})
@@ -78,7 +78,7 @@
 	isRestored := false
 	nextLoads := time.Duration(0)
 	interval := time.Second / time.Duration(c.perSecond)
-	for now := time.Duration(0); now < restoredAt+coldFor; now += interval {
+	for now := time.Duration(0); now < restoredAt+coldDuration; now += interval {
 		if !isRestored && now >= restoredAt {
 			isRestored = true
 			for _, table := range tables {
@@ -92,7 +92,7 @@
 			nextLoads += coldLoadsInterval
 			exchangeLoads(tables)
 		}
-		node := random.IntN(coldNodes)
+		node := random.IntN(entryNodeCount)
 		choice, found := tables[node].Choose(now, Request{
 			Service: "llm", Part: fmt.Sprint("part-", random.IntN(800)), Cost: 2, Tokens: 17000, SharedTokens: 13300,
 			MaximumEventGap: 600 * time.Millisecond, Bytes: 17000, Cold: c.policy,
@@ -151,7 +151,7 @@
 )
 
 func TestColdEnginesAreNotOverloadedWhenAZoneIsRestored(t *testing.T) {
-	policy := ColdPolicy{Rate: coldRate, Time: coldFor}
+	policy := ColdPolicy{Rate: coldRate, Time: coldDuration}
 	for _, load := range []coldRestore{
 		{perSecond: 400, policy: policy, warm: warmEngines},
 		{perSecond: 3000, policy: policy, warm: warmEngines},
--- a/internal/coordination/balance/limited.go
+++ b/internal/coordination/balance/limited.go
@@ -6,10 +6,10 @@
 	"github.com/ravenway/ravenway/internal/coordination/ratelimit"
 )
 
-// permitTokens is the cost of a permit, in tokens, at an instance whose permits are scarce.
+// scarcePermitTokens is the cost of a permit, in tokens, at an instance whose permits are scarce.
 // Requests that gain nothing from the instance's cache then go elsewhere before the rate limit is
 // reached, and requests whose prompt it holds in large part still go there.
-const permitTokens = 6000
+const scarcePermitTokens = 6000
 
 // NoPermits is the maximum permit wait of a request that only goes to instances without a rate
 // limit.
@@ -30,7 +30,7 @@
 	if !hasLimit {
 		return false
 	}
-	wait := float64(headroom.Wait) / float64(time.Millisecond) * t.speedOf(one.Service).readRate
-	one.permitTokens = wait + headroom.Pressure*permitTokens
+	waitTokens := float64(headroom.Wait) / float64(time.Millisecond) * t.speedOf(one.Service).readRate
+	one.permitTokens = waitTokens + headroom.Pressure*scarcePermitTokens
 	return headroom.Wait > maximumWait
 }
--- a/internal/coordination/balance/loads.go
+++ b/internal/coordination/balance/loads.go
@@ -65,11 +65,11 @@
 
 // encodeWithout packs the loads after subtracting those in subtracted, which may be nil. keys are
 // the keys of the loads in ascending order.
-func (l Loads) encodeWithout(keys []InstanceKey, part Loads) []byte {
+func (l Loads) encodeWithout(keys []InstanceKey, subtracted Loads) []byte {
 	encoded := make([]byte, 0, len(l)*encodedLoadBytes)
 	for _, key := range keys {
 		load := l[key]
-		if less, found := part[key]; found {
+		if less, found := subtracted[key]; found {
 			load.Tokens -= less.Tokens
 			load.Requests -= less.Requests
 			if load == (Load{}) {
--- a/internal/coordination/balance/loads_test.go
+++ b/internal/coordination/balance/loads_test.go
@@ -46,21 +46,21 @@
 func runRound(now time.Duration, exchanges map[string]*LoadExchange, own map[string]Loads) (map[string]Loads, int) {
 	known, sent := map[string]Loads{}, 0
 	type delivery struct {
-		from string
-		one  OutgoingReport
+		from     string
+		outgoing OutgoingReport
 	}
 	var deliveries []delivery
 	for address, exchange := range exchanges {
 		reports, others := exchange.Step(now, own[address], Updates{}, noLimits)
 		known[address] = others.Loads
 		for _, one := range reports {
-			deliveries = append(deliveries, delivery{from: address, one: one})
+			deliveries = append(deliveries, delivery{from: address, outgoing: one})
 		}
 	}
 	for _, one := range deliveries {
 		sent++
-		if receiver := exchanges[one.one.To]; receiver != nil {
-			receiver.Receive(now, one.from, one.one.Report)
+		if receiver := exchanges[one.outgoing.To]; receiver != nil {
+			receiver.Receive(now, one.from, one.outgoing.Report)
 		}
 	}
 	return known, sent
--- a/internal/coordination/balance/parts.go
+++ b/internal/coordination/balance/parts.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maximumHeldParts is the number of parts recorded for an instance above which expired ones are
-	// removed.
-	maximumHeldParts = 256
+	// heldPartsPruneThreshold is the number of parts recorded for an instance above which expired
+	// ones are removed.
+	heldPartsPruneThreshold = 256
 	// heldPartLifetime is how long an instance counts as holding a part after the part was last
 	// sent to it.
 	heldPartLifetime = 15 * time.Second
@@ -92,7 +92,7 @@
 // noteHeld records that a part was sent to the instance, and removes expired parts if there are
 // many.
 func (m *member) noteHeld(now time.Duration, part PartKey) {
-	if len(m.heldParts) > maximumHeldParts {
+	if len(m.heldParts) > heldPartsPruneThreshold {
 		for known, at := range m.heldParts {
 			if now-at > heldPartLifetime {
 				delete(m.heldParts, known)
--- a/internal/coordination/balance/stalls_test.go
+++ b/internal/coordination/balance/stalls_test.go
@@ -20,13 +20,13 @@
 		table.PromptRead(&choice, 10*time.Millisecond)
 		homes[choice.ID]++
 	}
-	busiest, most := "", 0
+	busiest, highestCount := "", 0
 	for id, count := range homes {
-		if count > most {
-			busiest, most = id, count
+		if count > highestCount {
+			busiest, highestCount = id, count
 		}
 	}
-	assert.Assert(t, most >= 6, "%v", homes)
+	assert.Assert(t, highestCount >= 6, "%v", homes)
 	long, _ := table.Choose(0, Request{Service: "llm", Part: "small", Cost: 5, Tokens: 40_000, SharedTokens: 100, MaximumEventGap: testGap})
 	assert.Assert(t, long.ID != busiest, "%v", homes)
 }
