--- a/internal/coordination/registry/incarnations.go
+++ b/internal/coordination/registry/incarnations.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// maximumHeartbeatDelay is how long after the end of an unknown instance was reported its
-	// heartbeats count as older than that report. Heartbeats are sometimes delayed by seconds, and
-	// an instance takes longer than that to restart.
+	// maximumHeartbeatDelay is the time after the report that an unknown instance has ended during
+	// which a heartbeat of the instance counts as older than the report. Heartbeats are sometimes
+	// delayed by seconds, and an instance takes longer than that to restart.
 	maximumHeartbeatDelay = 5 * time.Second
 	// maximumPastIncarnations bounds the number of past incarnations that are recorded for each
 	// instance.
@@ -48,7 +48,8 @@
 }
 
 // endsAnyIncarnation reports whether a message ends the instance regardless of its incarnation. A
-// node that did not know the instance creates such a message when the instance leaves.
+// node that does not know the instance creates such a message when the instance leaves without
+// naming its start time.
 func (i Instance) endsAnyIncarnation() bool {
 	return i.State == Gone && i.StartedAt == 0 && i.Sequence == 0
 }
--- a/internal/coordination/registry/incarnations_test.go
+++ b/internal/coordination/registry/incarnations_test.go
@@ -52,7 +52,7 @@
 	for name, messages := range map[string][]message{
 		"crash":        {heartbeat(100, 7, Ready), heartbeat(100, 8, Ready), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Draining)},
 		"planned":      {heartbeat(100, 7, Draining), leaving(100), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Gone)},
-		"other nodes'": {merged(100, 7, Ready), merged(100, 30, Expired), merged(200, 1, Ready), heartbeat(200, 2, Ready), heartbeat(100, 31, Ready)},
+		"updates":      {merged(100, 7, Ready), merged(100, 30, Expired), merged(200, 1, Ready), heartbeat(200, 2, Ready), heartbeat(100, 31, Ready)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			orders := 0
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -93,8 +93,8 @@
 // ErrIncomplete is returned for a heartbeat without an ID, a service or an address.
 var ErrIncomplete = errors.New("registry: a heartbeat needs an id, a service and an address")
 
-// coldTolerance is the minimum difference between two ends of the cold time that is sent to other
-// nodes.
+// coldTolerance is the difference up to which two ends of the cold time count as equal, so that the
+// change is not sent to other nodes.
 const coldTolerance = 300 * time.Millisecond
 
 // setColdUntil sets ColdUntil from the ColdLeft of a message that was received now.
@@ -131,8 +131,8 @@
 type Registry struct {
 	lease     time.Duration
 	instances map[string]*entry
-	// contactedHere holds the IDs of the instances that sent heartbeats to this node since the last
-	// call of TakeContacts.
+	// contactedHere holds the IDs of the instances that have sent heartbeats to this node since the
+	// last call of TakeContacts.
 	contactedHere map[string]struct{}
 	// digest is the sum of the live instances' hashes, and live is their number. Both are updated
 	// incrementally: computing the digest from all of 10,000 instances at each of 40 hellos per
--- a/internal/coordination/registry/registry_test.go
+++ b/internal/coordination/registry/registry_test.go
@@ -70,10 +70,10 @@
 		messages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Instance {
 			instance := ready(rapid.SampledFrom([]string{"i", "j"}).Draw(t, "id"), rapid.Uint64Range(1, 4).Draw(t, "sequence"))
 			instance.State = State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state"))
-			instance.StartedAt = rapid.Int64Range(1, 3).Draw(t, "born")
+			instance.StartedAt = rapid.Int64Range(1, 3).Draw(t, "startedAt")
 			instance.Epoch = rapid.Uint32Range(0, 1).Draw(t, "epoch")
 			return instance
-		}), 1, 8).Draw(t, "words")
+		}), 1, 8).Draw(t, "messages")
 		seed := rapid.Uint64().Draw(t, "seed")
 		one, other := New(0), New(0)
 		for _, message := range messages {
