--- a/internal/coordination/registry/incarnations_test.go
+++ b/internal/coordination/registry/incarnations_test.go
@@ -50,26 +50,26 @@
 // takes effect regardless of the order and the path of the messages.
 func TestNewerIncarnationWinsInEachOrderOfMessages(t *testing.T) {
 	for name, messages := range map[string][]message{
-		"crash":        {heartbeat(100, 7, Ready), heartbeat(100, 8, Ready), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Draining)},
-		"planned":      {heartbeat(100, 7, Draining), leaving(100), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Gone)},
-		"updates":      {merged(100, 7, Ready), merged(100, 30, Expired), merged(200, 1, Ready), heartbeat(200, 2, Ready), heartbeat(100, 31, Ready)},
+		"crash":   {heartbeat(100, 7, Ready), heartbeat(100, 8, Ready), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Draining)},
+		"planned": {heartbeat(100, 7, Draining), leaving(100), heartbeat(200, 1, Ready), heartbeat(200, 2, Ready), merged(100, 9, Gone)},
+		"updates": {merged(100, 7, Ready), merged(100, 30, Expired), merged(200, 1, Ready), heartbeat(200, 2, Ready), heartbeat(100, 31, Ready)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			orders := 0
 			permutations(messages, func(order []message) {
 				orders++
 				registry := New(0)
-				text := ""
+				description := ""
 				for position, one := range order {
-					text += "; " + one.name
+					description += "; " + one.name
 					// The messages are further apart than heartbeats can be delayed after the end
 					// of an unknown incarnation.
 					one.send(registry, time.Duration(position)*2*maximumHeartbeatDelay)
 				}
 				live := registry.Live()
-				assert.Equal(t, len(live), 1, text)
-				assert.Equal(t, live[0].StartedAt, int64(200), text)
-				assert.Equal(t, live[0].State, Ready, text)
+				assert.Equal(t, len(live), 1, description)
+				assert.Equal(t, live[0].StartedAt, int64(200), description)
+				assert.Equal(t, live[0].State, Ready, description)
 			})
 			assert.Equal(t, orders, 120)
 		})
--- a/internal/coordination/registry/registry.go
+++ b/internal/coordination/registry/registry.go
@@ -193,9 +193,9 @@
 }
 
 // noteStarted records a new incarnation whose first heartbeat was received by this node.
-func (r *Registry) noteStarted(begun *entry) {
-	r.contactedHere[begun.ID] = struct{}{}
-	r.updateDigest(begun)
+func (r *Registry) noteStarted(started *entry) {
+	r.contactedHere[started.ID] = struct{}{}
+	r.updateDigest(started)
 }
 
 // updateDigest updates the digests, and the number of live instances, after a change of an entry.
--- a/internal/coordination/registry/registry_test.go
+++ b/internal/coordination/registry/registry_test.go
@@ -58,11 +58,11 @@
 }
 
 func TestNodeThatLostItsStateRemovesNothingElsewhere(t *testing.T) {
-	front, restarted := New(0), New(0)
-	_, _ = front.Heartbeat(0, ready("i", 1))
-	assert.Equal(t, len(front.Merge(1, restarted.Instances(1))), 0)
-	assert.Equal(t, len(restarted.Merge(1, front.Instances(1))), 1)
-	assert.Equal(t, front.Digest(), restarted.Digest())
+	intact, restarted := New(0), New(0)
+	_, _ = intact.Heartbeat(0, ready("i", 1))
+	assert.Equal(t, len(intact.Merge(1, restarted.Instances(1))), 0)
+	assert.Equal(t, len(restarted.Merge(1, intact.Instances(1))), 1)
+	assert.Equal(t, intact.Digest(), restarted.Digest())
 }
 
 func TestMergesInAnyOrderConverge(t *testing.T) {
