--- a/internal/coordination/rollout/analyzer.go
+++ b/internal/coordination/rollout/analyzer.go
@@ -10,14 +10,16 @@
 )
 
 const (
-	// minimumHarm is the share of bad responses, in excess of the old version's, that the test
-	// assumes of a bad version.
+	// minimumHarm is the additional share of bad responses that the test assumes of a bad version: it
+	// is the share of the old version's good responses that are bad with the new one.
 	minimumHarm = 0.08
-	// rollbackThreshold is the log likelihood ratio from which a version counts as bad. A good
-	// version reaches it by chance with a probability of at most e^-rollbackThreshold per response.
+	// rollbackThreshold is the cumulative log likelihood ratio from which a version counts as bad. A
+	// good version reaches it by chance with a probability of at most e^-rollbackThreshold per
+	// response.
 	rollbackThreshold = 14.0
-	// doubtThreshold is the log likelihood ratio from which a version is not moved to when the time
-	// to move has come. By chance, about one in a hundred good versions reaches it.
+	// doubtThreshold is the cumulative log likelihood ratio from which a version is in doubt: it is
+	// rolled back instead of moved to when the time to move has come. By chance, about one in a
+	// hundred good versions reaches it.
 	doubtThreshold = 6.0
 	// The old version's share of bad responses is the higher one of two exponentially decayed
 	// averages, with time constants longMemory and shortMemory. Each includes a constant prior of
@@ -27,9 +29,9 @@
 	priorResponses          = 20.0
 	priorBadShare           = 0.01
 	minimumBadShare         = 0.004
-	// A rollback also requires a log likelihood ratio of remainingThreshold from the new instances
-	// without the worst third of them. An instance that crashes or is unhealthy indicates little
-	// about its version, regardless of how many responses fail with it.
+	// A rollback also requires that the log likelihood ratios of the new instances without the worst
+	// third of them add up to remainingThreshold. An instance that crashes or is unhealthy indicates
+	// little about its version, regardless of how many responses fail with it.
 	worstInstanceShare = 1.0 / 3
 	remainingThreshold = 4.0
 	// doubtRemainingThreshold is the lower requirement for a version in doubt at the time to move:
@@ -63,29 +65,37 @@
 	// incarnations of a node, because each starts its counts from 0.
 	samples map[string]Samples
 	routes  map[string]*routeTest
-	total   cusum
-	// oldRates holds the old version's shares of bad responses on all routes together.
-	oldRates             rates
-	countedOld           Counts
-	instances            map[string]*instanceTest
-	newCounts            Counts
+	// total is the test of all routes together.
+	total cusum
+	// oldRates holds the old version's shares of bad responses on all routes together, and countedOld
+	// the counts that they include.
+	oldRates   rates
+	countedOld Counts
+	instances  map[string]*instanceTest
+	// newCounts holds the counts of the new version on all routes together.
+	newCounts Counts
+	// lastStepAt is the time of the last step, and movingAt that of the first one in the moving stage,
+	// both since the rollout was ordered.
 	lastStepAt, movingAt time.Duration
 	isMoving             bool
-	// firstStepAt is the time of its first step, counted from the order.
+	// firstStepAt is the time of the first step since the rollout was ordered.
 	firstStepAt time.Duration
 	hasStepped  bool
 }
 
 // routeTest compares the versions on one route.
 type routeTest struct {
+	// counted holds the counts that the test includes.
 	counted RouteCounts
-	old     rates
-	new     Counts
-	ratios  cusum
+	// old holds the old version's shares of bad responses, and new the new version's counts.
+	old    rates
+	new    Counts
+	ratios cusum
 }
 
 // instanceTest compares one instance of the new version with the old version.
 type instanceTest struct {
+	// counted holds the counts that the test includes.
 	counted Counts
 	ratios  cusum
 }
@@ -125,7 +135,7 @@
 }
 
 // Step analyses the samples received so far and returns the decision. elapsed is the time since the
-// order, and live holds the names of the nodes that send requests now.
+// rollout was ordered, and live holds the names of the nodes that send requests now.
 func (a *Analyzer) Step(elapsed time.Duration, stage state.Stage, live []string) Decision {
 	bad := a.analyze(elapsed)
 	if bad != "" {
@@ -241,8 +251,8 @@
 	}
 }
 
-// remainingSum returns the sum of the instances' log likelihood ratios without those of the worst
-// instances.
+// remainingSum returns the sum of the instances' cumulative log likelihood ratios without those of
+// the worst instances.
 func (a *Analyzer) remainingSum() float64 {
 	sums := make([]float64, 0, len(a.instances))
 	for _, test := range a.instances {
--- a/internal/coordination/rollout/recorder.go
+++ b/internal/coordination/rollout/recorder.go
@@ -20,7 +20,7 @@
 	// baselineWeight is the minimum weight of one response in a node's baseline of a route. The
 	// baseline covers about 30 responses.
 	baselineWeight = 1.0 / 30
-	// minimumBaselineResponses is the number of responses in a baseline that is required before a
+	// minimumBaselineResponses is the number of responses that a baseline must include before a
 	// response can count as slow.
 	minimumBaselineResponses = 10
 	// A response is slow if it took more than slowRatio times the baseline, and more than
@@ -119,9 +119,11 @@
 	instances map[string]*InstanceCounts
 }
 
-// routeBaseline is the baseline of a route, computed on the logarithms of the times.
+// routeBaseline is what a node expects of a response on a route, learned from the old version's
+// responses: first of the time to the first event, and pace of the time between events.
 type routeBaseline struct{ first, pace timeBaseline }
 
+// timeBaseline holds the moving mean and variance of the logarithms of times.
 type timeBaseline struct {
 	count          int
 	mean, variance float64
