--- a/internal/coordination/rollout/analyzer.go
+++ b/internal/coordination/rollout/analyzer.go
@@ -246,7 +246,7 @@
 			test = &instanceTest{}
 			a.instances[id] = test
 		}
-		test.ratios.add(a.oldRates.likelihoodRatio(counts.since(test.counted)))
+		test.ratios.add(a.oldRates.logLikelihoodRatio(counts.since(test.counted)))
 		test.counted = counts
 	}
 }
@@ -259,12 +259,12 @@
 		sums = append(sums, test.ratios.sum)
 	}
 	slices.Sort(sums)
-	without := int(math.Ceil(worstInstanceShare * float64(len(sums))))
+	excluded := int(math.Ceil(worstInstanceShare * float64(len(sums))))
 	if len(sums) == 1 {
-		without = 0
+		excluded = 0
 	}
 	remaining := 0.0
-	for _, sum := range sums[:len(sums)-without] {
+	for _, sum := range sums[:len(sums)-excluded] {
 		remaining += sum
 	}
 	return remaining
@@ -319,12 +319,13 @@
 	added = counts.New.since(t.counted.New)
 	t.new.add(added)
 	t.counted = counts
-	return t.old.likelihoodRatio(added), added
+	return t.old.logLikelihoodRatio(added), added
 }
 
-// likelihoodRatio returns the log likelihood ratio of responses: how much more likely they are for
-// a version that is worse by minimumHarm than for one that is as good as the old version.
-func (r *rates) likelihoodRatio(added Counts) float64 {
+// logLikelihoodRatio returns the log likelihood ratio of responses: the logarithm of how much more
+// likely they are for a version that is worse by minimumHarm than for one that is as good as the old
+// version.
+func (r *rates) logLikelihoodRatio(added Counts) float64 {
 	if added.Responses == 0 {
 		return 0
 	}
--- a/internal/coordination/rollout/recorder.go
+++ b/internal/coordination/rollout/recorder.go
@@ -120,8 +120,8 @@
 }
 
 // routeBaseline is what a node expects of a response on a route, learned from the old version's
-// responses: first of the time to the first event, and pace of the time between events.
-type routeBaseline struct{ first, pace timeBaseline }
+// responses: of the time to the first event, and of the interval between events.
+type routeBaseline struct{ firstEvent, eventInterval timeBaseline }
 
 // timeBaseline holds the moving mean and variance of the logarithms of times.
 type timeBaseline struct {
@@ -227,15 +227,15 @@
 }
 
 func (b *routeBaseline) isSlow(response Response) bool {
-	return response.FirstEvent > 0 && b.first.isSlow(firstEventLog(response)) || response.EventInterval > 0 && b.pace.isSlow(math.Log(float64(response.EventInterval)))
+	return response.FirstEvent > 0 && b.firstEvent.isSlow(firstEventLog(response)) || response.EventInterval > 0 && b.eventInterval.isSlow(math.Log(float64(response.EventInterval)))
 }
 
 func (b *routeBaseline) learn(response Response) {
 	if response.FirstEvent > 0 {
-		b.first.learn(firstEventLog(response))
+		b.firstEvent.learn(firstEventLog(response))
 	}
 	if response.EventInterval > 0 {
-		b.pace.learn(math.Log(float64(response.EventInterval)))
+		b.eventInterval.learn(math.Log(float64(response.EventInterval)))
 	}
 }
 
