--- a/internal/coordination/routing/limit.go
+++ b/internal/coordination/routing/limit.go
@@ -56,10 +56,14 @@
 // breaker is a circuit breaker: it keeps requests away from a back end that fails, and allows one
 // trial request at a time to find out whether the back end has recovered.
 type breaker struct {
+	// failures is the number of consecutive failures.
 	failures int
 	isOpen   bool
-	openFor  time.Duration
-	retryAt  time.Duration
+	// openFor is how long the breaker is open before the next trial, and retryAt is when that time
+	// ends.
+	openFor time.Duration
+	retryAt time.Duration
+	// hasTrial reports whether a trial request is in flight.
 	hasTrial bool
 }
 
--- a/internal/coordination/routing/prefix.go
+++ b/internal/coordination/routing/prefix.go
@@ -19,6 +19,7 @@
 // prefixIndex records which back ends are expected to have which prompt blocks cached, according to
 // this node's own dispatches and to cache events.
 type prefixIndex struct {
+	// holders holds, for each block, the names of the back ends that have it cached.
 	holders map[uint64]map[string]struct{}
 	// byBackend holds each back end's blocks, for the removal of all of them.
 	byBackend map[string]map[uint64]struct{}
@@ -124,7 +125,8 @@
 	}
 }
 
-// NextCacheEvent returns the sequence from which a back end's cache events are required.
+// NextCacheEvent returns the sequence number of the first cache event that this node has not yet
+// received from a back end.
 func (t *Table) NextCacheEvent(name string) uint64 {
 	if state := t.backends[name]; state != nil {
 		return max(1, state.cache.next)
--- a/internal/coordination/routing/table.go
+++ b/internal/coordination/routing/table.go
@@ -32,8 +32,8 @@
 	defaultCapacity = 16
 	// ownWeight and reportWeight blend two estimates of a back end's load. One is this node's own
 	// requests there times the number of nodes that share it, which is current but covers only one
-	// node. The other is the last report, which covers all nodes but is old. A higher weight of the
-	// reports makes all nodes choose the same back end (docs/MEASUREMENTS.md).
+	// node. The other is the last report, which covers all nodes but is old. With a higher weight of
+	// the reports, all nodes would choose the same back end (docs/MEASUREMENTS.md).
 	ownWeight    = 0.9
 	reportWeight = 0.1
 	// queueAllowance is the share of its capacity by which a back end may be filled beyond it, so
