--- a/internal/coordination/queueing/queue.go
+++ b/internal/coordination/queueing/queue.go
@@ -61,8 +61,8 @@
 type tenantQueue[T any] struct {
 	name    string
 	classes [Batch + 1][]*Item[T]
-	// virtualTime is the tenant's virtual time: the tokens that it has received, divided by its
-	// weight.
+	// virtualTime is the number of tokens that the tenant has received, divided by its weight. It
+	// starts at latestVirtualTime.
 	virtualTime float64
 	length      int
 }
@@ -160,8 +160,8 @@
 	return true
 }
 
-// Expire removes and returns the requests whose deadline has passed. It also removes tenants
-// without waiting requests whose virtual time is no longer ahead of the queue's.
+// Expire removes and returns the requests whose deadline has passed. It also removes the tenants
+// that have no waiting requests and whose virtual time is at most latestVirtualTime.
 func (q *Queue[T]) Expire(now time.Duration) []*Item[T] {
 	var expired []*Item[T]
 	for name, tenant := range q.tenants {
