--- a/internal/coordination/backoff/signal.go
+++ b/internal/coordination/backoff/signal.go
@@ -20,8 +20,8 @@
 	"time"
 )
 
-// MaximumPause bounds the pause of one response. An instance that needs longer requests
-// another one.
+// MaximumPause bounds the pause that one response can request. An instance that needs a longer
+// one has to request it again.
 const MaximumPause = 24 * time.Hour
 
 // errInvalidPause reports a pause that is not a number of seconds.
--- a/internal/coordination/backoff/tracker.go
+++ b/internal/coordination/backoff/tracker.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// unlistedRetention is how long the state of an instance is kept that no listing contains any
-	// more: a delayed update may list it again.
+	// unlistedRetention is how long the state of an instance is kept after the registry last listed
+	// the instance. A delayed update may list it again.
 	unlistedRetention = 10 * time.Minute
 	// maximumUnreadable bounds the number of incarnations that are remembered for having sent
 	// unreadable fields.
@@ -107,7 +107,7 @@
 	// pause had expired; allowedTrials is its bound.
 	trials, allowedTrials int
 	isLeaving             bool
-	// listedAt is when the instance was last listed, or when the entry was made.
+	// listedAt is when Prune last found the instance listed, or when the entry was created.
 	listedAt time.Duration
 }
 
@@ -337,8 +337,8 @@
 	}
 }
 
-// TakeEnded returns the pauses that have expired since the last call and drops the instances that
-// count as recovered by the time since then.
+// TakeEnded returns the pauses that have expired since the last call. It drops the instances that
+// count as recovered because MaximumTrialTime has passed since their pauses expired.
 func (t *Tracker) TakeEnded(now time.Duration) []Change {
 	if !t.Any() {
 		return nil
@@ -361,8 +361,9 @@
 	return changes
 }
 
-// Prune drops the instances that have not been listed for unlistedRetention. It calls isListed
-// without holding the lock, so isListed may call the tracker.
+// Prune drops the instances that have not been listed for unlistedRetention. isListed reports
+// whether the registry lists an incarnation. It is called without holding the lock, so it may call
+// the tracker.
 func (t *Tracker) Prune(now time.Duration, isListed func(incarnation registry.Incarnation) bool) {
 	if !t.Any() {
 		return
