--- a/internal/coordination/ratelimit/issuers.go
+++ b/internal/coordination/ratelimit/issuers.go
@@ -147,8 +147,8 @@
 }
 
 // share returns the fraction of an instance's rate that this node grants. It is 0 if the node is
-// not the issuer, or has not been for long enough; in the latter case wait is the time until
-// it may grant permits.
+// not the issuer, or has not been the issuer for TakeoverTime; in the latter case wait is the time
+// until it may grant permits.
 func (i *issuers) share(now time.Duration, instance, zone string) (share float64, wait time.Duration) {
 	domain, hasAny := i.domain(now, zone)
 	if !hasAny {
--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -13,13 +13,13 @@
 	// unusedPermitTime is how long an unused permit stays available. Small variations in the arrival
 	// of requests therefore cost none of the rate, and an idle time allows no burst.
 	unusedPermitTime = 250 * time.Millisecond
-	// reservedShare is the fraction of unusedPermitTime for which a slot is reserved against the least
-	// urgent requests.
+	// reservedShare is the fraction of unusedPermitTime for which a free slot, the moment at which one
+	// permit may be used, is withheld from the least urgent requests.
 	reservedShare = 0.8
 	// unreachableIssuerDelay is how long no request is sent to an instance whose issuer did not
 	// respond, or that has no issuer.
 	unreachableIssuerDelay = 300 * time.Millisecond
-	// maximumPermitWait bounds the wait for the next permit in a response of an issuer.
+	// maximumPermitWait bounds the time until the next permit that an issuer's response can give.
 	maximumPermitWait = time.Minute
 )
 
@@ -67,7 +67,8 @@
 
 // take grants the next slot if it lies within a request's maximum wait. A less urgent request
 // is granted only a slot that has been free for a while. Scarce slots thus go to urgent
-// requests first and the remaining ones to the others.
+// requests first and the remaining ones to the others. wait is the time until the slot may be used,
+// or until it could be granted to the request.
 func (s *slots) take(now, between time.Duration, needs PermitNeeds) (wait time.Duration, isTaken bool) {
 	unused := min(unusedPermitTime, between)
 	slot := max(s.next, now-unused)
--- a/internal/coordination/ratelimit/ratelimit.go
+++ b/internal/coordination/ratelimit/ratelimit.go
@@ -36,7 +36,7 @@
 	// MinimumRate is the rate, in requests per second, that applies to an instance which names
 	// a lower one: only a response can show that its limit has ended.
 	MinimumRate = 0.1
-	// entryRetention is how long a limit applies that no response and no update confirms.
+	// entryRetention is how long a limit applies after the last response or update that confirms it.
 	entryRetention = 10 * time.Minute
 	// endedRetention is how long an ended limit is remembered, so that a delayed older update
 	// doesn't restore it.
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -278,8 +278,8 @@
 	assert.Equal(t, retries.Next(start, "portal", 0, 2), minimumRetryTime)
 }
 
-// A slot that has just become free is reserved for the most urgent requests. Less urgent ones
-// are granted it once it has been free for a fraction of unusedPermitTime.
+// A slot that has just become free is granted only to the most urgent requests. It is granted to
+// less urgent ones once it has been free for a fraction of unusedPermitTime.
 func TestSlotIsReservedAgainstLessUrgentRequests(t *testing.T) {
 	take := func(priority uint8, freeFor time.Duration) bool {
 		schedule := slots{next: start - freeFor}
--- a/internal/coordination/ratelimit/signal.go
+++ b/internal/coordination/ratelimit/signal.go
@@ -14,7 +14,7 @@
 // errInvalidRate reports a limit that is not a number of requests per second.
 var errInvalidRate = errors.New("ratelimit: not a number of requests a second")
 
-// Signal is what one response of an instance asks for by its rate limit.
+// Signal is what one response of an instance indicates about its rate limit.
 type Signal struct {
 	// IsNamed reports whether the response names a limit, of PerSecond requests per second.
 	IsNamed   bool
