--- a/internal/coordination/quarantine/decide.go
+++ b/internal/coordination/quarantine/decide.go
@@ -10,8 +10,8 @@
 // Verdict reports that a request has entered or left quarantine.
 type Verdict struct {
 	Record
-	// IsQuarantined reports which of both; Counted is the number of crashes that count against
-	// the request.
+	// IsQuarantined reports whether it has entered; Counted is the number of crashes that count
+	// against the request.
 	IsQuarantined bool
 	Counted       int
 	// OtherRequests is the number of other requests that were in flight at its crashes.
@@ -76,7 +76,7 @@
 	}
 	t.settlesAt = 0
 	// candidates are the requests that may be quarantined. Most recorded requests were in flight
-	// at one crash only. They need no count: a rival of a candidate has more.
+	// at only one crash. They need no count, because a rival of a candidate has more crashes.
 	var candidates []*suspect
 	for _, one := range t.suspects {
 		one.isQuarantined, one.counted = false, 0
@@ -122,11 +122,11 @@
 }
 
 // mostCertain returns the index of the request that is to be quarantined next, or -1 if there
-// is none. Requests with at least certainCrashes crashes come first, the one with the most
-// crashes leading; then the one that most crashes count against. From certainCrashes crashes on,
-// another request no longer explains the crashes of one that was the most suspicious each
-// time. Otherwise two poison requests at the same engines would alternately explain each
-// other's crashes.
+// is none. Requests with at least certainCrashes crashes come first, those with more crashes
+// before others; then the proven ones, those that more crashes count against before others. The
+// crashes of a request that was the most suspicious at each of at least certainCrashes crashes are
+// not explained by other requests. Otherwise two poison requests at the same engines would
+// alternately explain each other's crashes.
 func (d *derivation) mostCertain(candidates []*suspect) int {
 	best, bestCrashes, bestCounted := -1, 0, 0
 	for position, one := range candidates {
@@ -164,7 +164,7 @@
 }
 
 // countUnexplained returns the number of a request's crashes that no quarantined request explains.
-// Those at which it was Excused count only if the number reaches maximumCrashes.
+// Those at which it was Excused count only if the number with them reaches maximumCrashes.
 func (d *derivation) countUnexplained(one *suspect) int {
 	crashes := d.count(one, func(incarnation registry.Incarnation, _ crash) bool { return !d.explained[incarnation] })
 	if crashes >= maximumCrashes {
@@ -193,8 +193,9 @@
 	return count
 }
 
-// hasRival reports whether another request that counts at a crash has at least as many crashes
-// against it. Only a further crash can then distinguish the two.
+// hasRival reports whether another request, not in quarantine, that was among the most suspicious at
+// a crash has at least as many crashes counted against it. Only a further crash can then distinguish
+// the two.
 func (d *derivation) hasRival(one *suspect, incarnation registry.Incarnation) bool {
 	return slices.ContainsFunc(d.present[incarnation], func(other *suspect) bool {
 		return other != one && !other.isQuarantined && other.counted >= one.counted && other.crashes[incarnation].suspicion == d.highestSuspicion[incarnation]
--- a/internal/coordination/quarantine/doc.go
+++ b/internal/coordination/quarantine/doc.go
@@ -14,7 +14,8 @@
 //
 //   - Of the runs at one crash only the most suspicious count: those whose response had just
 //     begun, otherwise those without any response yet.
-//   - A crash that a quarantined request explains counts against no other request.
+//   - A crash at which a quarantined request was in flight is explained by that request and
+//     counts against no other one.
 //   - A request that ran to completion at any engine is cleared.
 //
 // The package reads no clock and sends nothing. Guard is the interface to the request paths.
--- a/internal/coordination/quarantine/guard.go
+++ b/internal/coordination/quarantine/guard.go
@@ -93,9 +93,9 @@
 	RequestCompleted(fingerprint Fingerprint)
 }
 
-// minimumCompleted is the minimum number of completed requests that a Guard remembers once so many
-// have completed, at some 60 bytes each. At 24 requests per second these are the requests of
-// the last minute.
+// minimumCompleted is the minimum number of the latest completed requests that a Guard remembers, at
+// some 60 bytes each; it remembers fewer than twice as many. At 24 requests per second these are the
+// requests of the last minute.
 const minimumCompleted = 1500
 
 // Guard connects the request paths with a Tracker. It is safe for concurrent use.
@@ -104,8 +104,8 @@
 	sink Sink
 
 	mutex sync.Mutex
-	// completed and completedBefore are the requests that recently ran to completion here, in
-	// two generations.
+	// completed and completedBefore are the requests that recently ran to completion here.
+	// completed replaces completedBefore when it holds minimumCompleted requests.
 	completed, completedBefore map[Fingerprint]struct{}
 }
 
--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -13,17 +13,17 @@
 
 const (
 	// provenCrashes is the number of crashes without another explanation that put a request into
-	// quarantine: the users' rule counts crashes from the fourth engine on. With this number none
-	// of 1,840 other requests in 40 s is quarantined by mistake, whether or not engines also
-	// crash for other reasons (simulate.RunPoison, 40 seeds).
+	// quarantine: the requirement counts the engines that a request crashes only from the fourth
+	// on. With this number none of 1,840 other requests in 40 s is quarantined by mistake, whether
+	// or not engines also crash for other reasons (simulate.RunPoison, 40 seeds).
 	provenCrashes = 3
-	// certainCrashes is the number of crashes that do so regardless of other requests in flight
-	// there. An innocent request stays below it: one that is sent to two engines each time and
-	// is retried once is in flight at four crashes at most.
+	// certainCrashes is the number of crashes that put a request into quarantine regardless of other
+	// requests in flight there. An innocent request stays below it: one that is sent to two engines
+	// each time and is retried once is in flight at four crashes at most.
 	certainCrashes = 5
 	// suspectCrashes is the number of crashes from which a request's record is sent to the other
-	// nodes, so that any node notices when it runs to completion. A request that so many
-	// crashes count against is Suspected.
+	// nodes, so that any node notices when it runs to completion. A request with that many counted
+	// crashes is Suspected.
 	suspectCrashes = 2
 	// maximumCrashes bounds the crashes recorded of one request.
 	maximumCrashes = 8
@@ -189,8 +189,8 @@
 }
 
 // findOrAdd returns a request's suspect and creates it if there is none. It returns nil if the
-// tracker is full and every recorded suspect ranks higher than one with so many crashes at
-// that time. Nodes that exchange records therefore converge to the same ones.
+// tracker is full and every recorded suspect ranks higher than a new one with the given number of
+// crashes and time of change. Nodes that exchange records therefore converge to the same ones.
 func (t *Tracker) findOrAdd(fingerprint Fingerprint, changed time.Duration, crashes int) *suspect {
 	one := t.suspects[fingerprint]
 	if one != nil {
@@ -208,7 +208,7 @@
 	return created
 }
 
-// lowestRanking returns the lowestRanking-ranking suspect, which is the first to be forgotten.
+// lowestRanking returns the lowest-ranking suspect, which is the first to be forgotten.
 func (t *Tracker) lowestRanking() *suspect {
 	var lowestRanking *suspect
 	for _, one := range t.suspects {
@@ -219,9 +219,9 @@
 	return lowestRanking
 }
 
-// compareRank compares the ranks by which suspects are kept, of a suspect with so many crashes
-// and another one: quarantined ones rank highest, then those with more crashes, then the later
-// ones.
+// compareRank compares the ranks of a suspect, as if it had the given number of crashes, and another
+// one. Quarantined suspects rank highest, then those with more crashes, then those that changed
+// later.
 func (s *suspect) compareRank(crashes int, other *suspect) int {
 	rank := func(one *suspect, crashes int) int {
 		if one.isQuarantined {
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Guards against quarantining requests that merely ran at the crashing engines. In the incident
-// behind this test each crash broke 1 to 46 streams of other callers, some of them three times.
+// Guards against quarantining requests that merely ran at the crashing engines. In one incident each
+// crash broke 1 to 46 streams of other callers, and some of these requests were broken three times.
 func TestRequestsInFlightBesideAPoisonRequestAreNotQuarantined(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -122,8 +122,8 @@
 	}
 }
 
-// Guards against quarantine after the loss of a third of the engines at the same time, twice, or
-// a planned release: each request loses one engine each time.
+// Guards against quarantining requests after the loss of a third of the engines at the same time,
+// twice, or after a planned release: each request loses one engine each time.
 func TestLossOfManyEnginesAtTheSameTimeQuarantinesNoRequest(t *testing.T) {
 	tracker := NewTracker(Options{})
 	for loss := range 2 {
