--- a/internal/coordination/routing/table_test.go
+++ b/internal/coordination/routing/table_test.go
@@ -110,9 +110,9 @@
 	choose(t, table, breakerFirstOpen, Request{})
 }
 
-// allocationsPerChoice bounds the allocations of one choice. Sampling keeps them independent of the
-// number of engines.
-const allocationsPerChoice = 16
+// maximumAllocationsPerChoice bounds the allocations of one choice. Sampling keeps them independent
+// of the number of engines.
+const maximumAllocationsPerChoice = 16
 
 func TestAllocationsOfAChoiceDoNotGrowWithTheNumberOfEngines(t *testing.T) {
 	request := Request{Service: "s", Blocks: []uint64{1, 2, 3}, PromptTokens: 500}
@@ -121,7 +121,7 @@
 		allocations := testing.AllocsPerRun(200, func() { table.Choose(0, request) })
 		choice, _ := table.Choose(0, request)
 		t.Logf("engines=%d allocations=%.0f scored=%d", count, allocations, len(choice.Candidates))
-		assert.Assert(t, allocations <= allocationsPerChoice, "%.0f allocations at %d engines", allocations, count)
+		assert.Assert(t, allocations <= maximumAllocationsPerChoice, "%.0f allocations at %d engines", allocations, count)
 		assert.Assert(t, len(choice.Candidates) <= sampleAbove)
 	}
 }
