--- a/internal/coordination/backoff/tracker_test.go
+++ b/internal/coordination/backoff/tracker_test.go
@@ -134,7 +134,7 @@
 }
 
 // Guards against pauses costing requests time while no instance requests any.
-func BenchmarkStandingWithoutPauses(b *testing.B) {
+func BenchmarkStatusWithoutPauses(b *testing.B) {
 	tracker := NewTracker(exactEnd)
 	for b.Loop() {
 		tracker.Status(time.Second, incarnation)
@@ -142,7 +142,7 @@
 }
 
 // 10,000 instances of which a third requested a pause.
-func BenchmarkStandingOfAThirdPaused(b *testing.B) {
+func BenchmarkStatusOfAThirdPaused(b *testing.B) {
 	tracker := NewTracker(exactEnd)
 	incarnations := make([]registry.Incarnation, 10_000)
 	for number := range incarnations {
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestInstanceWithoutRequestsCountsAsRecoveredAfterTheLongestTrialTime(t *testing.T) {
+func TestInstanceWithoutRequestsCountsAsRecoveredAfterTheMaximumTrialTime(t *testing.T) {
 	tracker := NewTracker(exactEnd)
 	learn(tracker, 0, incarnation, "r1", pauseOf(3))
 	assert.Equal(t, tracker.Status(3*time.Second+exactEnd.MaximumTrialTime-1, incarnation).Phase, Recovering)
