--- a/internal/coordination/ratelimit/permits.go
+++ b/internal/coordination/ratelimit/permits.go
@@ -13,14 +13,14 @@
 	// unusedPermitTime is how long an unused permit stays available. Small variations in the arrival
 	// of requests therefore cost none of the rate, and an idle time allows no burst.
 	unusedPermitTime = 250 * time.Millisecond
-	// reservedShare is the fraction of unusedPermitTime for which a free slot, the moment at which one
-	// permit may be used, is withheld from the least urgent requests.
-	reservedShare = 0.8
+	// withheldShare is the fraction of unusedPermitTime for which a free slot, the moment at which
+	// one permit may be used, is withheld from the least urgent requests.
+	withheldShare = 0.8
 	// unreachableIssuerDelay is how long no request is sent to an instance whose issuer did not
 	// respond, or that has no issuer.
 	unreachableIssuerDelay = 300 * time.Millisecond
-	// maximumPermitWait bounds the time until the next permit that an issuer's response can give.
-	maximumPermitWait = time.Minute
+	// maximumNextPermitWait bounds the time until the next permit that an issuer's response can give.
+	maximumNextPermitWait = time.Minute
 )
 
 // PermitRequest is a request to the issuer for a permit.
@@ -72,9 +72,9 @@
 func (s *slots) take(now, between time.Duration, needs PermitNeeds) (wait time.Duration, isTaken bool) {
 	unused := min(unusedPermitTime, between)
 	slot := max(s.next, now-unused)
-	reserved := time.Duration(reservedShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
-	if slot+reserved-now > needs.MaximumWait() {
-		return slot + reserved - now, false
+	withheld := time.Duration(withheldShare * float64(unused) * float64(needs.Priority) / float64(1+int(needs.Priority)))
+	if slot+withheld-now > needs.MaximumWait() {
+		return slot + withheld - now, false
 	}
 	s.next = slot + between
 	return max(0, slot-now), true
@@ -126,7 +126,7 @@
 	if isTaken {
 		response.DelayMS = uint64(delay.Milliseconds())
 	}
-	response.FreeMS = uint64(max(0, min(maximumPermitWait, known.slots.next-now)).Milliseconds())
+	response.FreeMS = uint64(max(0, min(maximumNextPermitWait, known.slots.next-now)).Milliseconds())
 	return response
 }
 
@@ -151,7 +151,7 @@
 	}
 	pressure := known.pressureNow(now)
 	known.pressure, known.pressureAt = pressure+(scarce-pressure)*pressureWeight, now
-	known.freeAt = now + min(maximumPermitWait, time.Duration(response.FreeMS)*time.Millisecond)
+	known.freeAt = now + min(maximumNextPermitWait, time.Duration(response.FreeMS)*time.Millisecond)
 	return changes
 }
 
--- a/internal/coordination/ratelimit/ratelimit_bench_test.go
+++ b/internal/coordination/ratelimit/ratelimit_bench_test.go
@@ -36,7 +36,7 @@
 func withLimits(nodes []Node) *Limits {
 	limits := limitsAt(nodes[0].Address, nodes)
 	for number := range limitedEngines {
-		limits.Learn(start, incarnationOf(number), two, start)
+		limits.Learn(start, incarnationOf(number), limitOfTwo, start)
 	}
 	return limits
 }
@@ -49,7 +49,7 @@
 		if _, _, isLimited := limits.RequestPermit(start, engine, "a", PermitNeeds{}); isLimited {
 			b.Fatal("a limit is in effect")
 		}
-		limits.Learn(start, engine, none, start)
+		limits.Learn(start, engine, noLimit, start)
 	}
 }
 
@@ -114,7 +114,7 @@
 	allocated := testing.AllocsPerRun(100, func() {
 		limits.RequestPermit(start, engine, "a", PermitNeeds{})
 		limits.Headroom(start, engine)
-		limits.Learn(start, engine, none, start)
+		limits.Learn(start, engine, noLimit, start)
 	})
 	assert.Equal(t, allocated, 0.0)
 }
--- a/internal/coordination/ratelimit/ratelimit_test.go
+++ b/internal/coordination/ratelimit/ratelimit_test.go
@@ -12,9 +12,9 @@
 )
 
 var (
-	engine = registry.Incarnation{ID: "i-1", StartedAt: 7}
-	two    = Signal{IsNamed: true, PerSecond: 2}
-	none   = Signal{}
+	engine     = registry.Incarnation{ID: "i-1", StartedAt: 7}
+	limitOfTwo = Signal{IsNamed: true, PerSecond: 2}
+	noLimit    = Signal{}
 )
 
 // start is a time long after the nodes have started.
@@ -47,9 +47,9 @@
 
 // granted requests permits of the engine every 10 ms for a time, and returns when the granted
 // ones may be used.
-func granted(limits *Limits, from, lasting time.Duration, zone string) []time.Duration {
+func granted(limits *Limits, from, duration time.Duration, zone string) []time.Duration {
 	var moments []time.Duration
-	for now := from; now < from+lasting; now += 10 * time.Millisecond {
+	for now := from; now < from+duration; now += 10 * time.Millisecond {
 		request, _, isLimited := limits.RequestPermit(now, engine, zone, PermitNeeds{})
 		if !isLimited {
 			return moments
@@ -63,24 +63,24 @@
 
 func TestResponseWithoutALimitEndsItOnlyForARequestWrittenAfterTheLimitWasKnown(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	assert.Equal(t, limits.Learn(start, engine, two, start).Kind, Began)
-	assert.Equal(t, limits.Learn(start+time.Second, engine, none, start-time.Millisecond).Kind, Unchanged)
-	assert.Equal(t, limits.Learn(start+time.Second, engine, none, start+time.Millisecond).Kind, Ended)
+	assert.Equal(t, limits.Learn(start, engine, limitOfTwo, start).Kind, Began)
+	assert.Equal(t, limits.Learn(start+time.Second, engine, noLimit, start-time.Millisecond).Kind, Unchanged)
+	assert.Equal(t, limits.Learn(start+time.Second, engine, noLimit, start+time.Millisecond).Kind, Ended)
 	_, isLimited := limits.Headroom(start+time.Second, engine)
 	assert.Assert(t, !isLimited)
 }
 
 func TestFailureThatNamesNoLimitDoesNotEndIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, two, start)
+	limits.Learn(start, engine, limitOfTwo, start)
 	assert.Equal(t, limits.Learn(start+2, engine, Signal{IsFailure: true}, start+1).Kind, Unchanged)
 	assert.Equal(t, limits.Learn(start+3, engine, Signal{IsFailure: true, IsNamed: true, PerSecond: 1}, start+2).Kind, Changed)
-	assert.Equal(t, limits.Learn(start+5, engine, none, start+4).Kind, Ended)
+	assert.Equal(t, limits.Learn(start+5, engine, noLimit, start+4).Kind, Ended)
 }
 
 func TestOutdatedResponseLowersALimitAndDoesNotRaiseIt(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, two, start)
+	limits.Learn(start, engine, limitOfTwo, start)
 	assert.Equal(t, limits.Learn(start+1, engine, Signal{IsNamed: true, PerSecond: 9}, start-1).Kind, Unchanged)
 	assert.Equal(t, limits.Learn(start+2, engine, Signal{IsNamed: true, PerSecond: 1}, start-1).Kind, Changed)
 	assert.Equal(t, limits.Learn(start+4, engine, Signal{IsNamed: true, PerSecond: 9}, start+3).Kind, Changed)
@@ -88,21 +88,21 @@
 
 func TestUnreadableLimitNeitherSetsNorEndsALimitAndIsReportedOnce(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	spoiled := Read([]string{"many"})
-	change := limits.Learn(start, engine, spoiled, start)
+	unreadable := Read([]string{"many"})
+	change := limits.Learn(start, engine, unreadable, start)
 	assert.Equal(t, change.Kind, Unreadable)
 	assert.ErrorIs(t, change.Fault, errInvalidRate)
-	assert.Equal(t, limits.Learn(start, engine, spoiled, start).Kind, Unchanged)
+	assert.Equal(t, limits.Learn(start, engine, unreadable, start).Kind, Unchanged)
 	assert.Assert(t, !limits.Any())
-	limits.Learn(start, engine, two, start)
-	limits.Learn(start+1, engine, spoiled, start+1)
+	limits.Learn(start, engine, limitOfTwo, start)
+	limits.Learn(start+1, engine, unreadable, start+1)
 	_, isLimited := limits.Headroom(start+2, engine)
 	assert.Assert(t, isLimited)
 }
 
 func TestNewIncarnationOfAnInstanceHasNoLimit(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, two, start)
+	limits.Learn(start, engine, limitOfTwo, start)
 	_, _, isLimited := limits.RequestPermit(start, registry.Incarnation{ID: engine.ID, StartedAt: 8}, "a", PermitNeeds{})
 	assert.Assert(t, !isLimited)
 	limits.Forget(engine)
@@ -169,7 +169,7 @@
 	issuers := 0
 	for _, node := range nodes {
 		limits := limitsAt(node.Address, nodes)
-		limits.Learn(start, engine, two, start)
+		limits.Learn(start, engine, limitOfTwo, start)
 		_, issuer, _ := limits.RequestPermit(start, engine, "b", PermitNeeds{})
 		assert.Equal(t, issuer, expected)
 		if len(granted(limits, start, 5*time.Second, "b")) > 0 {
@@ -226,7 +226,7 @@
 func TestZoneWithUnreachableNodesHasNoIssuerElsewhereUntilTheyAreForgotten(t *testing.T) {
 	nodes := append(nodesOf("a", 2), nodesOf("b", 2)...)
 	limits := limitsAt("a-0", nodes)
-	limits.Learn(start, engine, two, start)
+	limits.Learn(start, engine, limitOfTwo, start)
 	limits.SetNodes(start, nodesOf("a", 2))
 	_, issuer, isLimited := limits.RequestPermit(start+time.Minute, engine, "b", PermitNeeds{})
 	assert.Assert(t, isLimited)
@@ -237,10 +237,10 @@
 
 func TestIssuerSendsARequestingNodeTheEndOfALimit(t *testing.T) {
 	limits, requesting := limitsAt("a-0", nodesOf("a", 2)), limitsAt("a-1", nodesOf("a", 2))
-	requesting.Learn(start, engine, two, start)
+	requesting.Learn(start, engine, limitOfTwo, start)
 	request, _, _ := requesting.RequestPermit(start, engine, "a", PermitNeeds{})
 	limits.Grant(start, "a-1", request)
-	limits.Learn(start+time.Second, engine, none, start+time.Millisecond)
+	limits.Learn(start+time.Second, engine, noLimit, start+time.Millisecond)
 	request, _, _ = requesting.RequestPermit(start+2*time.Second, engine, "a", PermitNeeds{})
 	response := limits.Grant(start+2*time.Second, "a-1", request)
 	changes := requesting.RecordResponse(start+2*time.Second, engine, response)
@@ -249,7 +249,7 @@
 
 func TestPressureDecaysWithoutPermitRequests(t *testing.T) {
 	limits := limitsAt("a-0", nodesOf("a", 1))
-	limits.Learn(start, engine, two, start)
+	limits.Learn(start, engine, limitOfTwo, start)
 	for range 20 {
 		limits.RecordResponse(start, engine, PermitResponse{FreeMS: 400})
 	}
@@ -280,7 +280,7 @@
 
 // A slot that has just become free is granted only to the most urgent requests. It is granted to
 // less urgent ones once it has been free for a fraction of unusedPermitTime.
-func TestSlotIsReservedAgainstLessUrgentRequests(t *testing.T) {
+func TestFreeSlotIsWithheldFromLessUrgentRequests(t *testing.T) {
 	take := func(priority uint8, freeFor time.Duration) bool {
 		schedule := slots{next: start - freeFor}
 		_, isTaken := schedule.take(start, time.Second, PermitNeeds{Priority: priority})
