--- a/internal/coordination/quarantine/tracker.go
+++ b/internal/coordination/quarantine/tracker.go
@@ -198,11 +198,11 @@
 	}
 	created := &suspect{Fingerprint: fingerprint, crashes: map[registry.Incarnation]crash{}, changedAt: changed}
 	if len(t.suspects) >= t.options.MaximumRequests {
-		lowestRanking := t.lowestRanking()
-		if created.compareRank(crashes, lowestRanking) < 0 {
+		lowest := t.lowestRanking()
+		if created.compareRank(crashes, lowest) < 0 {
 			return nil
 		}
-		t.forget(lowestRanking.Fingerprint)
+		t.forget(lowest.Fingerprint)
 	}
 	t.suspects[fingerprint] = created
 	return created
@@ -210,13 +210,13 @@
 
 // lowestRanking returns the lowest-ranking suspect, which is the first to be forgotten.
 func (t *Tracker) lowestRanking() *suspect {
-	var lowestRanking *suspect
+	var lowest *suspect
 	for _, one := range t.suspects {
-		if lowestRanking == nil || one.compareRank(len(one.crashes), lowestRanking) < 0 {
-			lowestRanking = one
+		if lowest == nil || one.compareRank(len(one.crashes), lowest) < 0 {
+			lowest = one
 		}
 	}
-	return lowestRanking
+	return lowest
 }
 
 // compareRank compares the ranks of a suspect, as if it had the given number of crashes, and another
--- a/internal/coordination/quarantine/tracker_test.go
+++ b/internal/coordination/quarantine/tracker_test.go
@@ -11,8 +11,10 @@
 	"github.com/ravenway/ravenway/internal/coordination/registry"
 )
 
-// named returns the fingerprint of a numbered request.
-func named(number int) Fingerprint { return Fingerprint{Scope: uint64(number) + 1, Length: 1} }
+// testFingerprint returns the fingerprint of a numbered request.
+func testFingerprint(number int) Fingerprint {
+	return Fingerprint{Scope: uint64(number) + 1, Length: 1}
+}
 
 func incarnation(number int) registry.Incarnation {
 	return registry.Incarnation{ID: fmt.Sprintf("engine-%d", number), StartedAt: 1}
@@ -36,7 +38,7 @@
 
 func TestRequestIsQuarantinedAtItsThirdCrashAndNotBefore(t *testing.T) {
 	tracker := NewTracker(Options{})
-	poison := named(0)
+	poison := testFingerprint(0)
 	for number, wanted := range []Status{Known, Suspected, Quarantined} {
 		report(tracker, 0, incarnation(number), Likely, poison)
 		// Further copies of the request at the same crash don't add crashes.
@@ -55,7 +57,7 @@
 	}{{"running for long", Unlikely, 4}, {"waiting", Possible, 4}, {"just begun", Likely, 3}} {
 		t.Run(c.name, func(t *testing.T) {
 			tracker := NewTracker(Options{})
-			poison, beside := named(0), named(1)
+			poison, beside := testFingerprint(0), testFingerprint(1)
 			for number := range 4 {
 				report(tracker, 0, incarnation(number), Likely, poison)
 				if number < c.crashes {
@@ -72,7 +74,7 @@
 // fifth crash at the latest puts both into quarantine.
 func TestIndistinguishableRequestsWaitForTheNextCrash(t *testing.T) {
 	tracker := NewTracker(Options{})
-	one, other := named(0), named(1)
+	one, other := testFingerprint(0), testFingerprint(1)
 	for number := range 3 {
 		report(tracker, 0, incarnation(number), Likely, one, other)
 	}
@@ -92,7 +94,7 @@
 // time, each left quarantine whenever the other one explained its crashes.
 func TestTwoPoisonRequestsExplainEachOthersCrashesAtMostUntilTheFifth(t *testing.T) {
 	tracker := NewTracker(Options{})
-	one, other := named(0), named(1)
+	one, other := testFingerprint(0), testFingerprint(1)
 	for number := range 12 {
 		report(tracker, 0, incarnation(number), Likely, one, other)
 		if number%2 == 0 {
@@ -111,14 +113,14 @@
 // begun. Guards against it escaping quarantine because of other requests that had.
 func TestRequestAtFiveCrashesIsQuarantinedDespiteMoreSuspiciousOnes(t *testing.T) {
 	tracker := NewTracker(Options{})
-	poison := named(0)
+	poison := testFingerprint(0)
 	for number := range certainCrashes {
 		report(tracker, 0, incarnation(number), Possible, poison)
-		report(tracker, 0, incarnation(number), Likely, named(1+number%2), named(3+number))
+		report(tracker, 0, incarnation(number), Likely, testFingerprint(1+number%2), testFingerprint(3+number))
 	}
 	assert.Equal(t, statusAfterDecide(tracker, 0, poison), Quarantined)
 	for number := 1; number < 3+certainCrashes; number++ {
-		assert.Assert(t, statusAfterDecide(tracker, 0, named(number)) != Quarantined)
+		assert.Assert(t, statusAfterDecide(tracker, 0, testFingerprint(number)) != Quarantined)
 	}
 }
 
@@ -128,17 +130,17 @@
 	tracker := NewTracker(Options{})
 	for loss := range 2 {
 		for number := range 40 {
-			report(tracker, time.Duration(loss)*time.Second, incarnation(loss*4+number%4), Likely, named(number))
+			report(tracker, time.Duration(loss)*time.Second, incarnation(loss*4+number%4), Likely, testFingerprint(number))
 		}
 	}
 	for number := range 40 {
-		assert.Assert(t, statusAfterDecide(tracker, time.Second, named(number)) != Quarantined)
+		assert.Assert(t, statusAfterDecide(tracker, time.Second, testFingerprint(number)) != Quarantined)
 	}
 }
 
 func TestCompletedRequestIsClearedAndDelayedOlderRecordsChangeNothing(t *testing.T) {
 	tracker, other := NewTracker(Options{}), NewTracker(Options{})
-	request := named(0)
+	request := testFingerprint(0)
 	for number := range 3 {
 		report(tracker, 0, incarnation(number), Likely, request)
 	}
@@ -157,8 +159,8 @@
 // Records of other nodes may arrive in any order and more than once.
 func TestRecordsMergeToTheSameResultInAnyOrder(t *testing.T) {
 	cleared := NewTracker(Options{})
-	report(cleared, 0, incarnation(0), Likely, named(1))
-	cleared.Clear(0, named(1))
+	report(cleared, 0, incarnation(0), Likely, testFingerprint(1))
+	cleared.Clear(0, testFingerprint(1))
 	records := cleared.Records(0)
 	for _, reported := range []struct {
 		incarnation int
@@ -166,7 +168,7 @@
 		request     int
 	}{{0, Likely, 0}, {1, Possible, 0}, {1, Likely, 0}, {2, Likely, 1}} {
 		one := NewTracker(Options{})
-		report(one, 0, incarnation(reported.incarnation), reported.suspicion, named(reported.request))
+		report(one, 0, incarnation(reported.incarnation), reported.suspicion, testFingerprint(reported.request))
 		records = append(records, one.Records(0)...)
 	}
 	var digests []uint64
@@ -176,7 +178,7 @@
 			tracker.Merge(0, []Record{record})
 			tracker.Merge(0, []Record{record})
 		}
-		assert.Equal(t, statusAfterDecide(tracker, 0, named(0)), Suspected)
+		assert.Equal(t, statusAfterDecide(tracker, 0, testFingerprint(0)), Suspected)
 		digests = append(digests, tracker.Digest())
 	})
 	assert.Equal(t, len(digests), 120)
@@ -203,20 +205,20 @@
 // Ten thousand different requests are in flight at engines that crash for other reasons.
 func TestFloodOfSuspectsIsBoundedAndEvictsNoQuarantinedRequest(t *testing.T) {
 	tracker := NewTracker(Options{MaximumRequests: 100})
-	poison := named(0)
+	poison := testFingerprint(0)
 	for number := range 3 {
 		report(tracker, 0, incarnation(number), Likely, poison)
 	}
 	assert.Equal(t, statusAfterDecide(tracker, 0, poison), Quarantined)
 	for number := range 10_000 {
-		report(tracker, time.Duration(number)*time.Millisecond, incarnation(10+number/40), Likely, named(1+number))
+		report(tracker, time.Duration(number)*time.Millisecond, incarnation(10+number/40), Likely, testFingerprint(1+number))
 	}
 	assert.Equal(t, len(tracker.suspects), 100)
 	assert.Equal(t, statusAfterDecide(tracker, 10*time.Second, poison), Quarantined)
 	// Neither do the records of another node evict it.
 	flooded := NewTracker(Options{MaximumRequests: 100})
 	for number := range 10_000 {
-		report(flooded, time.Hour, incarnation(10+number), Likely, named(1+number))
+		report(flooded, time.Hour, incarnation(10+number), Likely, testFingerprint(1+number))
 	}
 	tracker.Merge(10*time.Second, flooded.Records(time.Hour))
 	assert.Equal(t, statusAfterDecide(tracker, 10*time.Second, poison), Quarantined)
@@ -225,7 +227,7 @@
 
 func TestQuarantineExpiresAndOneFurtherCrashRestoresIt(t *testing.T) {
 	tracker := NewTracker(Options{Retention: time.Minute})
-	poison, once := named(0), named(1)
+	poison, once := testFingerprint(0), testFingerprint(1)
 	for number := range 3 {
 		report(tracker, 0, incarnation(number), Likely, poison)
 	}
@@ -296,8 +298,8 @@
 func BenchmarkDecide(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultMaximumRequests {
-		report(tracker, 0, incarnation(number/8), Likely, named(number))
-		report(tracker, 0, incarnation(number/8+1), Possible, named(number))
+		report(tracker, 0, incarnation(number/8), Likely, testFingerprint(number))
+		report(tracker, 0, incarnation(number/8+1), Possible, testFingerprint(number))
 	}
 	for b.Loop() {
 		tracker.isOutdated = true
@@ -309,7 +311,7 @@
 func BenchmarkView(b *testing.B) {
 	tracker := NewTracker(Options{})
 	for number := range DefaultMaximumRequests {
-		report(tracker, 0, incarnation(number/8), Likely, named(number))
+		report(tracker, 0, incarnation(number/8), Likely, testFingerprint(number))
 	}
 	for b.Loop() {
 		tracker.View()
@@ -323,7 +325,7 @@
 	now := time.Duration(0)
 	for step := range 5000 {
 		now += time.Duration(random.Int64N(int64(200 * time.Millisecond)))
-		request := named(random.IntN(16))
+		request := testFingerprint(random.IntN(16))
 		switch random.IntN(6) {
 		case 0, 1:
 			one.Report(now, CrashReport{Fingerprint: request, Incarnation: incarnation(random.IntN(40)), Suspicion: Excused + Suspicion(random.IntN(4))})
@@ -345,15 +347,15 @@
 	tracker := NewTracker(Options{})
 	for number := range DefaultMaximumRequests {
 		for crash := range suspectCrashes {
-			report(tracker, 0, incarnation(number*suspectCrashes+crash), Likely, named(number))
+			report(tracker, 0, incarnation(number*suspectCrashes+crash), Likely, testFingerprint(number))
 		}
 	}
-	b.Run("kept", func(b *testing.B) {
+	b.Run("cached", func(b *testing.B) {
 		for b.Loop() {
 			tracker.Digest()
 		}
 	})
-	b.Run("anew", func(b *testing.B) {
+	b.Run("recomputed", func(b *testing.B) {
 		for b.Loop() {
 			tracker.computeDigest()
 		}
