--- a/internal/coordination/registry/registry_test.go
+++ b/internal/coordination/registry/registry_test.go
@@ -58,11 +58,11 @@
 }
 
 func TestNodeThatLostItsStateRemovesNothingElsewhere(t *testing.T) {
-	front, restarted := New(0), New(0)
-	_, _ = front.Heartbeat(0, ready("i", 1))
-	assert.Equal(t, len(front.Merge(1, restarted.Instances(1))), 0)
-	assert.Equal(t, len(restarted.Merge(1, front.Instances(1))), 1)
-	assert.Equal(t, front.Digest(), restarted.Digest())
+	intact, restarted := New(0), New(0)
+	_, _ = intact.Heartbeat(0, ready("i", 1))
+	assert.Equal(t, len(intact.Merge(1, restarted.Instances(1))), 0)
+	assert.Equal(t, len(restarted.Merge(1, intact.Instances(1))), 1)
+	assert.Equal(t, intact.Digest(), restarted.Digest())
 }
 
 func TestMergesInAnyOrderConverge(t *testing.T) {
@@ -70,10 +70,10 @@
 		messages := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Instance {
 			instance := ready(rapid.SampledFrom([]string{"i", "j"}).Draw(t, "id"), rapid.Uint64Range(1, 4).Draw(t, "sequence"))
 			instance.State = State(rapid.IntRange(int(Ready), int(Gone)).Draw(t, "state"))
-			instance.StartedAt = rapid.Int64Range(1, 3).Draw(t, "born")
+			instance.StartedAt = rapid.Int64Range(1, 3).Draw(t, "startedAt")
 			instance.Epoch = rapid.Uint32Range(0, 1).Draw(t, "epoch")
 			return instance
-		}), 1, 8).Draw(t, "words")
+		}), 1, 8).Draw(t, "messages")
 		seed := rapid.Uint64().Draw(t, "seed")
 		one, other := New(0), New(0)
 		for _, message := range messages {
