--- a/internal/state/accounts/accounts.go
+++ b/internal/state/accounts/accounts.go
@@ -1,9 +1,15 @@
-// Package accounts holds the root accounts of the prepaid budgets.
+// Package accounts holds the root accounts of the prepaid budgets. The root is the leader's
+// side of a budget: it decides how many tokens each holder may spend.
 //
 // Holders (entry nodes) receive parts of a budget's limit as grants. A holder
 // spends only what it was granted, so no partition can overspend. Everything a
 // holder reports is cumulative: lost, late or duplicate reports do no harm.
 //
+// A holder reserves tokens for a request before it sends the request, and settles the
+// reservation with the request's usage afterwards. Holders also lend each other tokens. A
+// claim is the replicated record of one request with its usage, which outlives the holder.
+// A fence stops an incarnation of a holder from spending, so that its accounts can be closed.
+//
 // Every change keeps the invariant granted - returned <= limit. Settled tokens
 // are part of the granted ones, so settled + outstanding <= limit follows.
 package accounts
@@ -15,8 +21,8 @@
 )
 
 const (
-	// DefaultGrantSharePercent bounds the part of a grant that exceeds the immediately
-	// required amount, in percent of the tokens that can still be granted.
+	// DefaultGrantSharePercent bounds a grant that exceeds the immediately required amount,
+	// in percent of the tokens that can still be granted.
 	DefaultGrantSharePercent = 25
 )
 
@@ -45,9 +51,8 @@
 	Returned uint64 `msgpack:"r"`
 	// Settled is the usage reported so far.
 	Settled uint64 `msgpack:"s"`
-	// Watermark is the number of the reservation up to which all reservations are
-	// settled, and WatermarkSettled their usage. Closing a fenced account adds the
-	// claims after the watermark.
+	// All reservations up to number Watermark are settled; WatermarkSettled is their
+	// usage. Closing a fenced account adds the usage of the claims after the watermark.
 	Watermark        uint64 `msgpack:"w"`
 	WatermarkSettled uint64 `msgpack:"ws"`
 	// LastRequest is the number of the newest grant request that was decided.
@@ -99,8 +104,8 @@
 	// Paced are the tokens that its pace allowed while it may have been without contact to
 	// the root.
 	Paced int64 `msgpack:"p"`
-	// WholeGrants are the remainders of grants of incarnations whose time without contact to the
-	// root is unknown.
+	// WholeGrants are the remainders of grants of incarnations that had no allowance, or whose
+	// time without contact to the root is unknown.
 	WholeGrants int64 `msgpack:"w"`
 }
 
--- a/internal/state/accounts/accounts_test.go
+++ b/internal/state/accounts/accounts_test.go
@@ -8,8 +8,8 @@
 
 // Guards against counting lent tokens twice when both sides are closed: the borrower
 // reported more usage than it was granted, and its lender's account forfeited the same
-// tokens. In a test of the enlarged zhf site (trouble-1), a tenant with a limit of 10
-// million tokens had 8.9 million forfeited and 5.5 million spent.
+// tokens. A tenant with a limit of 10 million tokens had 8.9 million forfeited and 5.5
+// million spent.
 func TestBorrowedTokensAreNotForfeitedTwice(t *testing.T) {
 	lender, borrower := HolderID{Node: "l", Incarnation: 1}, HolderID{Node: "b", Incarnation: 1}
 	for _, order := range [][]HolderID{{lender, borrower}, {borrower, lender}} {
--- a/internal/state/accounts/allowance.go
+++ b/internal/state/accounts/allowance.go
@@ -5,8 +5,7 @@
 // ContactTimeout is the time since the last contact with the root after which a holder may
 // use its grant beyond its allowance. A shorter time charges more unspent tokens when all
 // machines fail together; a longer time prolongs the refusals at the start of a partition.
-// Holders and the root must agree on it. 0.3 and 0.5 s were measured, see
-// docs/design/budgets.md.
+// Holders and the root must agree on it. docs/design/budgets.md compares 0.3 with 0.5 s.
 const ContactTimeout = 300 * time.Millisecond
 
 // UnknownTimeSinceContact stands for an unknown time since the last contact with the root.
@@ -48,8 +47,8 @@
 type Contact struct {
 	// Index is the log entry with the decision; 0 means no contact.
 	Index uint64 `msgpack:"i"`
-	// Clock identifies the process whose monotonic clock MonotonicMS is read from, in
-	// milliseconds.
+	// MonotonicMS is the time on the monotonic clock of the process that Clock identifies,
+	// in milliseconds.
 	Clock       uint64 `msgpack:"c"`
 	MonotonicMS uint64 `msgpack:"s"`
 	// WallMS is the wall clock time in milliseconds since 1970; 0 where the control
@@ -57,9 +56,9 @@
 	WallMS int64 `msgpack:"w"`
 }
 
-// RecordContact records the newest contact that a holder has received. If none is recorded for the
-// holder, now is recorded: the holder has received no contact from before the entry with
-// its first report.
+// RecordContact records the newest contact that a holder has received. If it has received none
+// and none is recorded, this is its first report: now, the contact of the log entry with
+// that report, is recorded, since the holder can't have received an earlier one.
 func (a *Accounts) RecordContact(id HolderID, received, now Contact) {
 	if a.Fenced(id) {
 		return
--- a/internal/state/accounts/outstanding_test.go
+++ b/internal/state/accounts/outstanding_test.go
@@ -6,9 +6,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against reporting lent tokens that the borrower has used as outstanding. In a test
-// (trouble-3 of the shifted site), an exhausted budget seemed to have 76,000 tokens
-// outstanding for ten seconds, and its callers were told to retry.
+// Guards against counting lent tokens as outstanding after the borrower has used them: an
+// exhausted budget seemed to have 76,000 tokens outstanding for ten seconds, and its callers
+// were told to retry.
 func TestLentTokensThatTheBorrowerUsedAreNotOutstanding(t *testing.T) {
 	root := New()
 	root.SetLimit("b", 100)
--- a/internal/state/catalog/catalog.go
+++ b/internal/state/catalog/catalog.go
@@ -53,7 +53,8 @@
 	Changes []Change `msgpack:"c"`
 }
 
-// Conflict describes the earlier change that a refused proposal conflicts with.
+// Conflict describes the earlier change that a refused proposal conflicts with. Key and
+// OperationID are empty if the proposal's base revision is above the catalog's revision.
 type Conflict struct {
 	Key         Key
 	Revision    uint64
@@ -103,11 +104,15 @@
 
 // Proposal is a change that an operator requests.
 type Proposal struct {
-	OperationID  string
+	// OperationID identifies the operator's request, so that a conflict can name it.
+	OperationID string
+	// BaseRevision is the revision that the change is based on. AnyRevision applies the
+	// change regardless of it.
 	BaseRevision uint64
 	AnyRevision  bool
-	Put          *ravenwayv1.CatalogDocument
-	Delete       []Key
+	// Put holds the objects to create or replace, Delete the keys of those to delete.
+	Put    *ravenwayv1.CatalogDocument
+	Delete []Key
 }
 
 // Outcome is the result of a Proposal: exactly one of a conflict, findings or a
@@ -118,7 +123,7 @@
 	Findings []*ravenwayv1.Finding
 }
 
-// Apply applies a whole proposal, or nothing of it and returns the reasons.
+// Apply applies a proposal as a whole, or changes nothing and returns the reasons.
 func (c *Catalog) Apply(proposal Proposal) Outcome {
 	objects, findings := Objects(proposal.Put)
 	findings = append(findings, c.checkDeletes(proposal.Delete)...)
--- a/internal/state/catalog/objects.go
+++ b/internal/state/catalog/objects.go
@@ -34,7 +34,8 @@
 	Object *ravenwayv1.CatalogObject
 }
 
-// Objects returns a document's objects and the findings about each object by itself.
+// Objects returns a document's objects and the findings about each object by itself. References
+// between objects are not checked.
 func Objects(document *ravenwayv1.CatalogDocument) ([]NamedObject, []*ravenwayv1.Finding) {
 	collector := objectCollector{seen: map[Key]string{}}
 	for position, tenant := range document.GetTenants() {
@@ -69,11 +70,12 @@
 	return collector.objects, collector.findings
 }
 
-// objectCollector collects objects and findings.
+// objectCollector collects the objects of a document and the findings about them.
 type objectCollector struct {
 	objects  []NamedObject
 	findings []*ravenwayv1.Finding
-	seen     map[Key]string
+	// seen holds the place of each key's object.
+	seen map[Key]string
 }
 
 func (o *objectCollector) addFinding(place, format string, arguments ...any) {
@@ -131,7 +133,7 @@
 	}
 }
 
-// checkDeletes returns a finding for each key of which no object exists.
+// checkDeletes returns a finding for each key without an object.
 func (c *Catalog) checkDeletes(keys []Key) []*ravenwayv1.Finding {
 	var findings []*ravenwayv1.Finding
 	for position, key := range keys {
--- a/internal/state/document/document.go
+++ b/internal/state/document/document.go
@@ -57,7 +57,8 @@
 	MaximumAttempts int `msgpack:"m"`
 	// Public routes need no key.
 	Public bool `msgpack:"b"`
-	// Sticky routes have requests that name the parts of the prompt that they share with others.
+	// Sticky indicates that the route's requests name the parts of their prompts that they
+	// share with other requests.
 	Sticky bool `msgpack:"y"`
 	// Resumable streams may be continued by another engine.
 	Resumable bool `msgpack:"e"`
@@ -85,13 +86,13 @@
 	// EventTokens is the number of tokens in an event of a stream; 0 means one.
 	EventTokens int `msgpack:"e"`
 	// Slots is the number of requests that a model engine processes concurrently; 0
-	// for a plain service.
+	// for a plain service, whose instances are not model engines.
 	Slots int `msgpack:"l"`
 	// CacheTokens is the size of a model engine's cache, in tokens.
 	CacheTokens uint64 `msgpack:"k"`
-	// ColdRate is the number of requests a second that a cold instance can handle from all
-	// nodes together, 0 if cold instances need no limit. ColdTime is how long an instance
-	// is cold after its start.
+	// An instance counts as cold for ColdTime after its start. ColdRate is the number of
+	// requests a second that a cold instance can handle from all nodes together, 0 if cold
+	// instances need no limit.
 	ColdRate float64       `msgpack:"cr"`
 	ColdTime time.Duration `msgpack:"ct"`
 }
@@ -171,9 +172,13 @@
 	return checker.findings
 }
 
+// checker collects the findings of one document.
 type checker struct {
+	// services are the names of the document's services.
 	services map[string]bool
-	places   map[string]string
+	// places holds the place of the route with each host and prefix.
+	places map[string]string
+	// keys holds the tenant of each API key.
 	keys     map[string]string
 	findings Findings
 }
@@ -245,7 +250,7 @@
 	return Compress(data)
 }
 
-// Decode returns the document of the bytes that Encode returned.
+// Decode decodes a document that Encode encoded.
 func Decode(data []byte) (*Document, error) {
 	decoded := &Document{}
 	data, err := Decompress(data)
--- a/internal/state/document/index.go
+++ b/internal/state/document/index.go
@@ -8,7 +8,9 @@
 // Index finds the routes, services and tenants of a document that a request needs.
 type Index struct {
 	Document *Document
-	routes   map[string][]*Route
+	// routes are the routes of each host in lower case, longest prefix first.
+	routes map[string][]*Route
+	// services and tenants are indexed by name, keys by API key.
 	services map[string]*Service
 	keys     map[string]*Tenant
 	tenants  map[string]*Tenant
--- a/internal/state/journal/journal.go
+++ b/internal/state/journal/journal.go
@@ -59,6 +59,7 @@
 	// RecordsRead is the number of decoded records, for checking the cost of a start.
 	RecordsRead int
 
+	// replacedSequence is the ReplacedSequence of the newest snapshot, 0 without a snapshot.
 	replacedSequence uint64
 }
 
@@ -72,15 +73,17 @@
 	ReplacedSequence uint64 `msgpack:"r"`
 }
 
-// Journal is a journal that is open for appending. It is not safe for concurrent use:
+// Journal is a replica's journal, open for appending. It is not safe for concurrent use:
 // the replica's duty, one goroutine with a mailbox, owns it.
 type Journal struct {
 	fileSystem   disk.FileSystem
 	segmentBytes int
-	current      disk.File
-	currentName  string
-	currentSize  int
-	buffer       []byte
+	// current is the newest segment's file, currentSize its size in bytes.
+	current     disk.File
+	currentName string
+	currentSize int
+	// buffer holds the appended records that Sync has not written yet.
+	buffer []byte
 	// segments are all segments, oldest first.
 	segments  []segment
 	hardState HardState
@@ -342,8 +345,8 @@
 	}
 	entry := *value.Entry
 	if r.Snapshot != nil && entry.Index <= r.Snapshot.Index {
-		// The snapshot covers this entry. An entry replaces all later ones: a leader has
-		// overwritten the log from here on.
+		// The snapshot covers this entry. An entry also replaces all later ones, as when a
+		// leader overwrote the log, so the entries read so far are dropped.
 		r.Entries = nil
 		return nil
 	}
--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -112,7 +112,7 @@
 	assert.DeepEqual(t, recovered.Entries, entriesFrom(41, 2, 2))
 }
 
-// The cost of a start must depend on the entries since the newest snapshot, not on all changes.
+// The cost of a start must depend on the entries since the newest snapshot, not on the whole log.
 func TestStartUpCostIsBoundedByTheTailNotTheHistory(t *testing.T) {
 	const snapshotEvery = 500
 	for _, changes := range []uint64{1000, 10000} {
--- a/internal/state/machine/document.go
+++ b/internal/state/machine/document.go
@@ -26,8 +26,8 @@
 	Applied bool `msgpack:"t"`
 }
 
-// ActiveDocument is the active configuration document. Its content must not be
-// changed.
+// ActiveDocument is the active configuration document, with the fields of the command that
+// activated it. Its content must not be changed.
 type ActiveDocument struct {
 	Version uint64 `msgpack:"v"`
 	Raw     []byte `msgpack:"r"`
--- a/internal/state/machine/document_test.go
+++ b/internal/state/machine/document_test.go
@@ -79,9 +79,8 @@
 	assert.Equal(t, budget.Remaining(), uint64(400))
 }
 
-// Guards the size of encoded reports: each command is sent to each replica. In a test of
-// the enlarged drukwacht site, the reports of 76 nodes were a quarter of all bytes between
-// zones.
+// Guards the size of encoded reports: each command is sent to each replica, and the reports of
+// 76 nodes were a quarter of all bytes between zones.
 func TestReportsTakeFewBytesInTheLog(t *testing.T) {
 	report := accounts.Report{
 		Budget: "tenant1", Settled: 123_456, Returned: 23_456, Watermark: 120, WatermarkSettled: 120_456, Request: 17, Desired: 30_000,
--- a/internal/state/machine/machine.go
+++ b/internal/state/machine/machine.go
@@ -33,7 +33,8 @@
 	maximumOrders = 1000
 )
 
-// Command is one entry of the log: exactly one of the pointers is set.
+// Command is one entry of the log: exactly one of its kinds is set, that is one of the pointers
+// or Reports.
 type Command struct {
 	// OperationID makes the command safe to repeat; empty for commands that are
 	// idempotent by themselves.
@@ -230,7 +231,7 @@
 	return buffer.Bytes(), nil
 }
 
-// decode returns the command of the bytes that Encode returned.
+// decode decodes a command that Encode encoded.
 func decode(data []byte) (Command, error) {
 	if named, found := decodeNamed(data); found {
 		return named, nil
--- a/internal/state/rollout/rollout.go
+++ b/internal/state/rollout/rollout.go
@@ -49,7 +49,7 @@
 // Rollout is an order and its progress.
 type Rollout struct {
 	Order
-	// Revision is the log entry of the order.
+	// Revision is the index of the log entry with the order.
 	Revision uint64 `msgpack:"r"`
 	Stage    Stage  `msgpack:"g"`
 	// Reason is the reason for the last step.
