--- a/internal/state/journal/journal_test.go
+++ b/internal/state/journal/journal_test.go
@@ -31,7 +31,7 @@
 	return opened, recovered
 }
 
-func TestSyncedEntriesSurviveCrashAndUnsyncedTailIsCut(t *testing.T) {
+func TestSyncedEntriesSurviveCrashAndTornTailIsTruncated(t *testing.T) {
 	fileSystem := newDisk()
 	opened, _ := mustOpen(t, fileSystem)
 	assert.NilError(t, opened.Append(&HardState{Term: 3, Vote: 7}, entriesFrom(1, 5, 3)))
@@ -96,7 +96,7 @@
 
 // Guards against old entries reappearing: a snapshot from a new leader replaces a
 // conflicting log, and the process crashes right after the snapshot file was renamed.
-func TestReceivedSnapshotReplacesContradictingLog(t *testing.T) {
+func TestReceivedSnapshotReplacesConflictingLog(t *testing.T) {
 	fileSystem := newDisk()
 	opened, _ := mustOpen(t, fileSystem)
 	assert.NilError(t, opened.Append(&HardState{Term: 1}, entriesFrom(1, 80, 1)))
@@ -113,7 +113,7 @@
 }
 
 // The cost of a start must depend on the entries since the newest snapshot, not on the whole log.
-func TestStartUpCostIsBoundedByTheTailNotTheHistory(t *testing.T) {
+func TestStartUpCostDependsOnlyOnEntriesSinceTheSnapshot(t *testing.T) {
 	const snapshotEvery = 500
 	for _, changes := range []uint64{1000, 10000} {
 		fileSystem := newDisk()
--- a/internal/state/machine/document_test.go
+++ b/internal/state/machine/document_test.go
@@ -46,7 +46,7 @@
 	assert.DeepEqual(t, restored.Document(), machine.Document())
 }
 
-func TestLoweredPrepaidTakesEffectAsGrantsReturn(t *testing.T) {
+func TestLoweredPrepaidTakesEffectAsGrantsAreReturned(t *testing.T) {
 	machine := New()
 	apply(t, machine, 1, documentCommand(t, 1, 1000, ""))
 	holder := accounts.HolderID{Node: "front", Incarnation: 1}
