--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -11,7 +11,7 @@
 // may be lost in a partition, and are then sent again only after seconds; over a
 // saturated link they may take over a second. The first connection that is opened is
 // returned, the others are closed. The context bounds all attempts. The delay before the
-// next attempt starts at pause and doubles each time.
+// next attempt doubles each time.
 func dialStaggered(ctx context.Context, pause time.Duration, dial func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/transport/dial_test.go
+++ b/internal/transport/dial_test.go
@@ -56,8 +56,7 @@
 }
 
 // Guards against abandoning slow attempts: over a saturated link, each response arrived after
-// its attempt had been given up, so no connection was ever opened (incident CONFIG on
-// zhf-valuation-grown).
+// its attempt had been given up, so no connection was ever opened.
 func TestSlowAttemptContinuesWhileTheNextOneRuns(t *testing.T) {
 	script := &scriptedDials{durations: []time.Duration{1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond, 1400 * time.Millisecond}}
 	runDials(t, script, func(t *testing.T, connection net.Conn, err error, took time.Duration) {
@@ -77,8 +76,7 @@
 }
 
 // Guards against slow reconnects after a power loss of all machines: each had dialled while
-// the others were still off, so nodes had no connections for 0.9 s after their start
-// (trouble-1 of the shifted site).
+// the others were still off, so nodes had no connections for 0.9 s after their start.
 func TestMachineThatStartsSlightlyLaterIsConnectedSlightlyLater(t *testing.T) {
 	script := &scriptedDials{durations: []time.Duration{time.Hour, time.Hour, 10 * time.Millisecond}}
 	runDials(t, script, func(t *testing.T, _ net.Conn, err error, took time.Duration) {
--- a/internal/transport/frame.go
+++ b/internal/transport/frame.go
@@ -62,7 +62,8 @@
 // frameAuthenticator authenticates the frames of one direction of one connection. A frame's
 // number is part of its authentication code, so replayed or reordered frames are refused.
 type frameAuthenticator struct {
-	mac    hash.Hash
+	mac hash.Hash
+	// number is the number of the next frame, from 0.
 	number uint64
 }
 
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -46,10 +46,13 @@
 	Proof []byte `msgpack:"p"`
 }
 
-// transcript holds the values of a handshake that both sides' proofs cover.
+// transcript holds the values of a handshake that both sides' proofs cover. The key of the frames
+// of a connection is derived from it, too.
 type transcript struct {
+	// key is the shared peer key.
 	key    []byte
 	client clientHello
+	// server is the server's nonce.
 	server []byte
 }
 
@@ -69,7 +72,7 @@
 	return nonce
 }
 
-// dialHandshake authenticates an outgoing connection.
+// dialHandshake authenticates an outgoing connection and returns the authenticator of its frames.
 func dialHandshake(connection net.Conn, key []byte, self, other string) (*frameAuthenticator, error) {
 	hello := clientHello{Version: peer.HandshakeVersion, From: self, To: other, Nonce: newNonce()}
 	if err := writeMessage(connection, &hello); err != nil {
@@ -89,8 +92,8 @@
 	return newFrameAuthenticator(seen.code("session")), nil
 }
 
-// acceptHandshake authenticates an incoming connection and returns the name of
-// the other side.
+// acceptHandshake authenticates an incoming connection and returns the name of the other side and
+// the authenticator of its frames.
 func acceptHandshake(connection net.Conn, key []byte, self string, known func(string) bool) (string, *frameAuthenticator, error) {
 	var hello clientHello
 	if err := readMessage(connection, &hello); err != nil {
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -35,8 +35,8 @@
 	dialTimeout      = 2500 * time.Millisecond
 	// initialAttemptDelay is the delay before the second concurrent attempt to connect; it doubles
 	// with each attempt. While a machine is off or partitioned, the packet that opens a
-	// connection is lost, and is sent again only after a second. With 700 ms, nodes were
-	// connected only 0.9 s after they had started, after a power loss of all machines.
+	// connection is lost, and is sent again only after a second. After a power loss of all
+	// machines, a delay of 700 ms left nodes without connections for 0.9 s after their start.
 	initialAttemptDelay = 150 * time.Millisecond
 	writeTimeout        = 2 * time.Second
 	userTimeout         = 1500 * time.Millisecond
@@ -65,7 +65,8 @@
 	// Key is the shared peer key.
 	Key []byte
 	// TLS is the configuration of mutual TLS; nil means plain TCP.
-	TLS      *tls.Config
+	TLS *tls.Config
+	// Listener accepts the connections of peers. Run closes it.
 	Listener net.Listener
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -84,9 +85,11 @@
 	refusedConnections *metrics.Counter
 	receivedFrames     *metrics.Counter
 
-	mutex          sync.Mutex
-	links          map[string]*outgoingLink
-	connections    map[net.Conn]struct{}
+	mutex sync.Mutex
+	// links are the links to peers by name, connections the open connections in both directions.
+	links       map[string]*outgoingLink
+	connections map[net.Conn]struct{}
+	// handshakeSlots holds one element for each incoming connection in its handshake.
 	handshakeSlots chan struct{}
 	// runContext is the context of Run, nil before Run.
 	runContext context.Context
