--- a/internal/transport/dial.go
+++ b/internal/transport/dial.go
@@ -10,9 +10,9 @@
 // a response continues while the next one starts. The packets that open a connection
 // may be lost in a partition, and are then sent again only after seconds; over a
 // saturated link they may take over a second. The first connection that is opened is
-// returned, the others are closed. The context bounds all attempts. The delay before the
-// next attempt doubles each time.
-func dialStaggered(ctx context.Context, pause time.Duration, dial func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
+// returned, the others are closed. The context bounds all attempts. The second attempt
+// starts after the delay, which doubles with each further one.
+func dialStaggered(ctx context.Context, delay time.Duration, dial func(ctx context.Context) (net.Conn, error)) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	type result struct {
@@ -35,7 +35,7 @@
 		}()
 	}
 	attempt()
-	next := time.NewTimer(pause)
+	next := time.NewTimer(delay)
 	defer next.Stop()
 	for {
 		select {
@@ -44,8 +44,8 @@
 			// be reached at all, so the caller backs off before it tries again.
 			return completed.connection, completed.err
 		case <-next.C:
-			pause *= 2
-			next.Reset(pause)
+			delay *= 2
+			next.Reset(delay)
 			attempt()
 		case <-ctx.Done():
 			return nil, ctx.Err()
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -50,15 +50,14 @@
 // of a connection is derived from it, too.
 type transcript struct {
 	// key is the shared peer key.
-	key    []byte
-	client clientHello
-	// server is the server's nonce.
-	server []byte
+	key         []byte
+	client      clientHello
+	serverNonce []byte
 }
 
 func (t transcript) code(purpose string) []byte {
 	mac := hmac.New(sha256.New, t.key)
-	for _, part := range [][]byte{[]byte(purpose), []byte(t.client.From), []byte(t.client.To), t.client.Nonce, t.server} {
+	for _, part := range [][]byte{[]byte(purpose), []byte(t.client.From), []byte(t.client.To), t.client.Nonce, t.serverNonce} {
 		fmt.Fprintf(mac, "%d:", len(part))
 		mac.Write(part)
 	}
@@ -82,7 +81,7 @@
 	if err := readMessage(connection, &response); err != nil {
 		return nil, err
 	}
-	seen := transcript{key: key, client: hello, server: response.Nonce}
+	seen := transcript{key: key, client: hello, serverNonce: response.Nonce}
 	if !hmac.Equal(response.Proof, seen.code("server")) {
 		return nil, ErrUnauthenticated
 	}
@@ -108,8 +107,8 @@
 	if err := checkCertificate(connection, hello.From); err != nil {
 		return "", nil, err
 	}
-	seen := transcript{key: key, client: hello, server: newNonce()}
-	if err := writeMessage(connection, &serverHello{Nonce: seen.server, Proof: seen.code("server")}); err != nil {
+	seen := transcript{key: key, client: hello, serverNonce: newNonce()}
+	if err := writeMessage(connection, &serverHello{Nonce: seen.serverNonce, Proof: seen.code("server")}); err != nil {
 		return "", nil, err
 	}
 	var proof clientProof
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -280,7 +280,7 @@
 			backoff = minimumBackoff
 			continue
 		}
-		if errors.Is(err, errConnected) {
+		if errors.Is(err, errConnectionLost) {
 			backoff = minimumBackoff
 		}
 		m.options.Logger.Debug().Str("event", "peer_link_down").Str("peer", link.name).Err(err).Send()
@@ -312,8 +312,8 @@
 	}
 }
 
-// errConnected marks errors that occurred after a successful handshake.
-var errConnected = errors.New("transport: connection lost")
+// errConnectionLost marks errors that occurred after a successful handshake.
+var errConnectionLost = errors.New("transport: connection lost")
 
 // sendFrames opens a connection and writes frames until the connection fails or the link ends.
 func (m *Mesh) sendFrames(ctx context.Context, link *outgoingLink, frame outgoingFrame) error {
@@ -342,7 +342,7 @@
 	for found := true; ; frame, found = link.frames.Take() {
 		if found {
 			if err := m.writeBatch(connection, writer, authenticator, link, frame); err != nil {
-				return fmt.Errorf("%w: %w", errConnected, err)
+				return fmt.Errorf("%w: %w", errConnectionLost, err)
 			}
 		}
 		select {
@@ -351,7 +351,7 @@
 		case <-link.ended:
 			return nil
 		case <-closed:
-			return errConnected
+			return errConnectionLost
 		case <-link.frames.Ready():
 		}
 	}
