--- a/internal/protocol/peer/calls.go
+++ b/internal/protocol/peer/calls.go
@@ -8,16 +8,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Calls sends calls to other nodes and matches the replies to them.
+// Calls sends calls to other nodes and matches their replies to the pending calls.
 type Calls struct {
 	// send passes a message to the transport; the message may be lost.
-	send    func(to string, kind Kind, body any)
-	mutex   sync.Mutex
-	lastID  uint64
+	send   func(to string, kind Kind, body any)
+	mutex  sync.Mutex
+	lastID uint64
+	// pending holds the channel for the reply of each pending call by the call's ID.
 	pending map[uint64]chan Reply
 }
 
-// NewCalls returns a table without pending calls.
+// NewCalls returns Calls that passes its messages to send and has no pending calls.
 func NewCalls(send func(to string, kind Kind, body any)) *Calls {
 	return &Calls{send: send, pending: map[uint64]chan Reply{}}
 }
@@ -37,7 +38,7 @@
 	delete(c.pending, id)
 }
 
-// Deliver passes a reply to its pending call. A reply without one is dropped.
+// Deliver passes a reply to its pending call. A reply without a pending call is dropped.
 func (c *Calls) Deliver(reply Reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/protocol/peer/fleet.go
+++ b/internal/protocol/peer/fleet.go
@@ -21,19 +21,22 @@
 	// Incarnation identifies one run of the sender's process. It is newly generated at each
 	// start.
 	Incarnation string `msgpack:"l"`
-	Entry       bool   `msgpack:"e,omitempty"`
-	Control     bool   `msgpack:"c,omitempty"`
-	Stopping    bool   `msgpack:"s,omitempty"`
+	// Entry reports whether the sender is an entry node, Control whether it is a control
+	// node; it may be both. Stopping reports whether it is shutting down.
+	Entry    bool `msgpack:"e,omitempty"`
+	Control  bool `msgpack:"c,omitempty"`
+	Stopping bool `msgpack:"s,omitempty"`
 	// Version is the version of the active configuration document at the sender.
 	Version uint64 `msgpack:"v,omitempty"`
-	// InstancesDigest is a digest of the live instances that the node knows.
+	// InstancesDigest is a digest of the live instances that the sender knows. It is sent
+	// only to builds before ProtocolSums.
 	InstancesDigest uint64 `msgpack:"d,omitempty"`
 	// Replica is the identity from a control node's data folder, 0 while it can't
 	// be read.
 	Replica uint64 `msgpack:"r,omitempty"`
-	// HasGroup reports whether the replica belongs to a group.
+	// HasGroup reports whether the replica belongs to a group of replicas of one log.
 	HasGroup bool `msgpack:"g,omitempty"`
-	// Leader is the address of the leader of Term that the sender knows.
+	// Leader is the address of the leader that the sender knows, Term the leader's term.
 	Leader string `msgpack:"w,omitempty"`
 	Term   uint64 `msgpack:"t,omitempty"`
 	// TimeSinceQuorumMS is the time since a control node's last contact with a quorum, in
@@ -52,8 +55,7 @@
 	// QuarantineDigest is a digest of the records that a control node sends about requests
 	// that crash their engines; 0 if it has none.
 	QuarantineDigest uint64 `msgpack:"k,omitempty"`
-	// InstancesSum is a digest of the live instances too. InstancesDigest is sent only to
-	// builds before ProtocolSums.
+	// InstancesSum is a digest of the same instances for builds from ProtocolSums on.
 	InstancesSum uint64 `msgpack:"h,omitempty"`
 	// Rollouts are the active rollouts at a control node; nil if it has none to send.
 	Rollouts *rollout.Set `msgpack:"f,omitempty"`
@@ -65,7 +67,8 @@
 	Left        []string    `msgpack:"ll,omitempty"`
 	// ProtocolVersion is the version of the message format that the sender reads.
 	ProtocolVersion ProtocolVersion `msgpack:"b,omitempty"`
-	// OlderNodeProtocols are the versions of those in Nodes whose version differs from the sender's.
+	// OlderNodeProtocols holds, by address, the versions of those in Nodes whose version
+	// differs from the sender's.
 	OlderNodeProtocols map[string]ProtocolVersion `msgpack:"o,omitempty"`
 	// LogVersion is the newest version of the replicated log that a control node supports;
 	// 0 from builds that don't send it.
--- a/internal/protocol/peer/peer.go
+++ b/internal/protocol/peer/peer.go
@@ -29,7 +29,8 @@
 	KindReply
 	// KindStatus carries a node's heartbeat.
 	KindStatus
-	// KindClaims carries a batch of claim messages.
+	// KindClaims carries a batch of messages about claims: the replicated records of which
+	// node owns a request and what the request used.
 	KindClaims
 	// KindCatalog carries a catalog delta.
 	KindCatalog
@@ -39,7 +40,8 @@
 	KindAccounts
 	// KindLend carries loans between holders.
 	KindLend
-	// KindFence carries fence requests and responses.
+	// KindFence carries requests to fence an incarnation of a holder, which stop its
+	// spending, and the responses to them.
 	KindFence
 	// KindReports carries back ends' load reports to the nodes of a zone.
 	KindReports
@@ -57,11 +59,13 @@
 	KindInstanceContacts
 	// KindLoads carries the entry nodes' requests in flight at the instances.
 	KindLoads
-	// KindPool carries requests to the holders of a zone's pool and their refusals.
+	// KindPool carries requests to a zone's pool holders, which hold budgets for the whole
+	// zone, and their refusals.
 	KindPool
 	// KindQuarantine carries the nodes' records of requests that crash their engines.
 	KindQuarantine
-	// KindRollouts carries reports on the responses of old and new versions to the leader.
+	// KindRollouts carries to the leader the nodes' reports on the responses of the old and
+	// the new version of a service.
 	KindRollouts
 	// kindEnd is one above the last kind.
 	kindEnd
@@ -217,9 +221,9 @@
 	Stopping bool   `msgpack:"s,omitempty"`
 	// Replica is the node's replica identity, 0 if it holds none.
 	Replica uint64 `msgpack:"p,omitempty"`
-	// HasGroup reports whether the replica belongs to a group.
+	// HasGroup reports whether the replica belongs to a group of replicas of one log.
 	HasGroup bool `msgpack:"g,omitempty"`
-	// Leader is the control node that the sender considers the leader of Term.
+	// Leader is the control node that the sender considers the leader, Term its term.
 	Leader string `msgpack:"l,omitempty"`
 	Term   uint64 `msgpack:"t,omitempty"`
 }
@@ -238,7 +242,7 @@
 	Reports []BackendReport `msgpack:"r"`
 }
 
-// CatalogFollow requests the catalog changes after Revision, the current ones and future ones.
+// CatalogFollow requests all catalog changes after Revision, including future ones.
 type CatalogFollow struct {
 	Revision uint64 `msgpack:"r"`
 }
--- a/internal/protocol/peer/protocol.go
+++ b/internal/protocol/peer/protocol.go
@@ -16,7 +16,8 @@
 	// missing fields are zero, additional ones are ignored. So a field that is appended to
 	// a struct needs no new version.
 	ProtocolTolerant
-	// ProtocolSums nodes compare InstancesSum of hellos, and support rollouts.
+	// ProtocolSums nodes compare InstancesSum of hellos in place of InstancesDigest, and
+	// support rollouts.
 	ProtocolSums
 	// ProtocolPermits nodes issue permits for the rate limits that instances name.
 	ProtocolPermits
@@ -31,8 +32,9 @@
 // most once in each form. It is not safe for concurrent use, and its body must not be
 // changed.
 type Message struct {
-	kind  Kind
-	body  any
+	kind Kind
+	body any
+	// array is the frame with structs as arrays, named the one with field names; nil until used.
 	array []byte
 	named []byte
 }
--- a/internal/protocol/peer/tolerant.go
+++ b/internal/protocol/peer/tolerant.go
@@ -191,8 +191,8 @@
 	return ordered
 }
 
-// fieldsOf returns the fields of a struct in the library's order, with the fields of embedded
-// structs in place of these.
+// fieldsOf returns the fields of a struct in the order in which the library encodes them. An
+// embedded struct is replaced by its fields.
 func fieldsOf(of reflect.Type) []field {
 	var fields []field
 	for one := range of.Fields() {
