--- a/internal/protocol/peer/calls.go
+++ b/internal/protocol/peer/calls.go
@@ -27,9 +27,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lastID++
-	response := make(chan Reply, 1)
-	c.pending[c.lastID] = response
-	return c.lastID, response
+	replies := make(chan Reply, 1)
+	c.pending[c.lastID] = replies
+	return c.lastID, replies
 }
 
 func (c *Calls) removePending(id uint64) {
@@ -42,9 +42,9 @@
 func (c *Calls) Deliver(reply Reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if response := c.pending[reply.ID]; response != nil {
+	if replies := c.pending[reply.ID]; replies != nil {
 		delete(c.pending, reply.ID)
-		response <- reply
+		replies <- reply
 	}
 }
 
--- a/internal/protocol/peer/tolerant.go
+++ b/internal/protocol/peer/tolerant.go
@@ -124,7 +124,7 @@
 		if err := n.encoder.EncodeString(known[position].name); err != nil {
 			return err
 		}
-		if err := n.copyValue(known[position].of); err != nil {
+		if err := n.copyValue(known[position].fieldType); err != nil {
 			return err
 		}
 	}
@@ -141,7 +141,7 @@
 	}
 	types := map[string]reflect.Type{}
 	for _, known := range fieldsOf(of) {
-		types[known.name] = known.of
+		types[known.name] = known.fieldType
 	}
 	for range count {
 		name, err := n.decoder.DecodeString()
@@ -164,16 +164,16 @@
 
 // field is one encoded field of a struct.
 type field struct {
-	name string
-	of   reflect.Type
+	name      string
+	fieldType reflect.Type
 }
 
 // fieldsOfArray returns the fields of an array with count fields: those of this build, unless
 // earlier builds encode arrays of that length with other fields.
 func fieldsOfArray(of reflect.Type, count int) []field {
 	fields := fieldsOf(of)
-	older, grew := reflect.Zero(of).Interface().(OlderFields)
-	if !grew {
+	older, hasOlder := reflect.Zero(of).Interface().(OlderFields)
+	if !hasOlder {
 		return fields
 	}
 	names := older.OlderFields(count)
@@ -195,16 +195,16 @@
 // embedded struct is replaced by its fields.
 func fieldsOf(of reflect.Type) []field {
 	var fields []field
-	for one := range of.Fields() {
-		name, _, _ := strings.Cut(one.Tag.Get("msgpack"), ",")
+	for structField := range of.Fields() {
+		name, _, _ := strings.Cut(structField.Tag.Get("msgpack"), ",")
 		switch {
-		case name == "-" || !one.IsExported() && !one.Anonymous:
-		case one.Anonymous && name == "" && one.Type.Kind() == reflect.Struct:
-			fields = append(fields, fieldsOf(one.Type)...)
+		case name == "-" || !structField.IsExported() && !structField.Anonymous:
+		case structField.Anonymous && name == "" && structField.Type.Kind() == reflect.Struct:
+			fields = append(fields, fieldsOf(structField.Type)...)
 		case name == "":
-			fields = append(fields, field{name: one.Name, of: one.Type})
+			fields = append(fields, field{name: structField.Name, fieldType: structField.Type})
 		default:
-			fields = append(fields, field{name: name, of: one.Type})
+			fields = append(fields, field{name: name, fieldType: structField.Type})
 		}
 	}
 	return fields
@@ -217,17 +217,17 @@
 	var lines []string
 	seen := map[reflect.Type]bool{}
 	var visit func(reflect.Type)
-	visit = func(one reflect.Type) {
-		for one.Kind() == reflect.Pointer || one.Kind() == reflect.Slice {
-			one = one.Elem()
+	visit = func(visited reflect.Type) {
+		for visited.Kind() == reflect.Pointer || visited.Kind() == reflect.Slice {
+			visited = visited.Elem()
 		}
-		if one.Kind() != reflect.Struct || seen[one] {
+		if visited.Kind() != reflect.Struct || seen[visited] {
 			return
 		}
-		seen[one] = true
-		for _, known := range fieldsOf(one) {
-			lines = append(lines, fmt.Sprintf("%s.%s %s", one, known.name, wireKind(known.of)))
-			visit(known.of)
+		seen[visited] = true
+		for _, known := range fieldsOf(visited) {
+			lines = append(lines, fmt.Sprintf("%s.%s %s", visited, known.name, wireKind(known.fieldType)))
+			visit(known.fieldType)
 		}
 	}
 	visit(of)
