--- a/internal/protocol/engine/client.go
+++ b/internal/protocol/engine/client.go
@@ -42,10 +42,11 @@
 // Stream reads the events of a response as they arrive.
 type Stream struct {
 	requestID string
-	offset    uint64
-	body      io.ReadCloser
-	lines     *bufio.Scanner
-	onClose   func()
+	// offset is the offset of the next event, in output tokens.
+	offset  uint64
+	body    io.ReadCloser
+	lines   *bufio.Scanner
+	onClose func()
 }
 
 // Generate starts a request and returns its stream. An error is a *RefusedError or a
@@ -59,7 +60,7 @@
 }
 
 // Resume resumes a request's stream at an offset in output tokens, or fails with
-// ErrUnknownRequest.
+// ErrUnknownRequest if the engine does not know the request.
 func (c *Client) Resume(ctx context.Context, address, requestID string, offset uint64) (*Stream, error) {
 	path := fmt.Sprintf("%s%s/stream?offset=%d", PathRequests, requestID, offset)
 	response, err := c.do(ctx, http.MethodGet, address, path, nil)
@@ -130,8 +131,8 @@
 	return c.call(ctx, http.MethodPost, address, PathKVImport, blocks, nil)
 }
 
-// Next returns the next event. After the event that is marked as done it returns io.EOF; if the
-// stream ends without that event it returns ErrCutShort.
+// Next returns the next event. The event that is marked as done is the last one; after it, Next fails
+// as if the stream had ended without that event: with a *TransportError that wraps ErrTruncated.
 func (s *Stream) Next() (Event, error) {
 	for s.lines.Scan() {
 		payload, found := strings.CutPrefix(s.lines.Text(), eventPrefix)
@@ -157,7 +158,7 @@
 	return Event{}, &TransportError{Offered: true, Err: err}
 }
 
-// Offset returns the number of output tokens received so far.
+// Offset returns the offset of the next event: the number of output tokens before it.
 func (s *Stream) Offset() uint64 { return s.offset }
 
 // Close stops reading the stream; it does not cancel the request.
--- a/internal/protocol/engine/messages.go
+++ b/internal/protocol/engine/messages.go
@@ -1,5 +1,5 @@
 // Package engine is the adapter to the language model engines: their messages and a client.
-// Support for another interface is another package with the same methods.
+// Engines with another interface need another package with the same methods.
 //
 // The interface is HTTP with JSON. Generated text arrives as server-sent events, each with the
 // request's id and its offset in output tokens, so that a stream can be checked and resumed.
@@ -80,12 +80,16 @@
 
 // Load is an engine's own report of its load. It lags behind the actual load.
 type Load struct {
-	Running   int    `json:"running"`
-	Queued    int    `json:"queued"`
-	Capacity  int    `json:"capacity"`
-	Leaving   bool   `json:"leaving"`
-	AtMillis  int64  `json:"at_ms"`
-	Model     string `json:"model"`
+	// Running and Queued are numbers of requests, Capacity the maximum of Running.
+	Running  int `json:"running"`
+	Queued   int `json:"queued"`
+	Capacity int `json:"capacity"`
+	// Leaving indicates that the engine accepts no new requests because it will stop.
+	Leaving bool `json:"leaving"`
+	// AtMillis is the wall clock time of the report, in milliseconds since 1970.
+	AtMillis int64  `json:"at_ms"`
+	Model    string `json:"model"`
+	// CacheUsed is the number of tokens in the engine's prompt cache.
 	CacheUsed uint64 `json:"cache_used_tokens"`
 }
 
@@ -105,17 +109,18 @@
 	Next uint64 `json:"next"`
 }
 
-// Order makes an engine load something or change its role.
+// Order makes an engine load a model or an adapter, or change its role.
 type Order struct {
 	// Fence is a fencing token: it grows with each order, and an engine that checks it refuses
 	// lower ones.
-	Fence   uint64 `json:"fence"`
-	Kind    string `json:"kind"`
+	Fence uint64 `json:"fence"`
+	Kind  string `json:"kind"`
+	// Target is the model, adapter or role.
 	Target  string `json:"target"`
 	Version string `json:"version"`
 }
 
-// OrderState is an engine's state of its newest order.
+// OrderState is an engine's report on its newest order.
 type OrderState struct {
 	Fence   uint64 `json:"fence"`
 	Kind    string `json:"kind"`
@@ -135,7 +140,8 @@
 	Tokens uint64 `json:"tokens"`
 }
 
-// KVBlocks is exported cache content.
+// KVBlocks is exported content of an engine's cache of attention keys and values, named by the
+// chained hashes of its prefix blocks.
 type KVBlocks struct {
 	Blocks []uint64 `json:"blocks"`
 }
