--- a/internal/protocol/peer/calls.go
+++ b/internal/protocol/peer/calls.go
@@ -8,16 +8,17 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Calls sends calls to other nodes and matches the replies to them.
+// Calls sends calls to other nodes and matches their replies to the pending calls.
 type Calls struct {
 	// send passes a message to the transport; the message may be lost.
-	send    func(to string, kind Kind, body any)
-	mutex   sync.Mutex
-	lastID  uint64
+	send   func(to string, kind Kind, body any)
+	mutex  sync.Mutex
+	lastID uint64
+	// pending holds the channel for the reply of each pending call by the call's ID.
 	pending map[uint64]chan Reply
 }
 
-// NewCalls returns a table without pending calls.
+// NewCalls returns Calls that passes its messages to send and has no pending calls.
 func NewCalls(send func(to string, kind Kind, body any)) *Calls {
 	return &Calls{send: send, pending: map[uint64]chan Reply{}}
 }
@@ -26,9 +27,9 @@
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.lastID++
-	response := make(chan Reply, 1)
-	c.pending[c.lastID] = response
-	return c.lastID, response
+	replies := make(chan Reply, 1)
+	c.pending[c.lastID] = replies
+	return c.lastID, replies
 }
 
 func (c *Calls) removePending(id uint64) {
@@ -37,13 +38,13 @@
 	delete(c.pending, id)
 }
 
-// Deliver passes a reply to its pending call. A reply without one is dropped.
+// Deliver passes a reply to its pending call. A reply without a pending call is dropped.
 func (c *Calls) Deliver(reply Reply) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if response := c.pending[reply.ID]; response != nil {
+	if replies := c.pending[reply.ID]; replies != nil {
 		delete(c.pending, reply.ID)
-		response <- reply
+		replies <- reply
 	}
 }
 
--- a/internal/transport/handshake.go
+++ b/internal/transport/handshake.go
@@ -46,16 +46,18 @@
 	Proof []byte `msgpack:"p"`
 }
 
-// transcript holds the values of a handshake that both sides' proofs cover.
+// transcript holds the values of a handshake that both sides' proofs cover. The key of the frames
+// of a connection is derived from it, too.
 type transcript struct {
-	key    []byte
-	client clientHello
-	server []byte
+	// key is the shared peer key.
+	key         []byte
+	client      clientHello
+	serverNonce []byte
 }
 
 func (t transcript) code(purpose string) []byte {
 	mac := hmac.New(sha256.New, t.key)
-	for _, part := range [][]byte{[]byte(purpose), []byte(t.client.From), []byte(t.client.To), t.client.Nonce, t.server} {
+	for _, part := range [][]byte{[]byte(purpose), []byte(t.client.From), []byte(t.client.To), t.client.Nonce, t.serverNonce} {
 		fmt.Fprintf(mac, "%d:", len(part))
 		mac.Write(part)
 	}
@@ -69,7 +71,7 @@
 	return nonce
 }
 
-// dialHandshake authenticates an outgoing connection.
+// dialHandshake authenticates an outgoing connection and returns the authenticator of its frames.
 func dialHandshake(connection net.Conn, key []byte, self, other string) (*frameAuthenticator, error) {
 	hello := clientHello{Version: peer.HandshakeVersion, From: self, To: other, Nonce: newNonce()}
 	if err := writeMessage(connection, &hello); err != nil {
@@ -79,7 +81,7 @@
 	if err := readMessage(connection, &response); err != nil {
 		return nil, err
 	}
-	seen := transcript{key: key, client: hello, server: response.Nonce}
+	seen := transcript{key: key, client: hello, serverNonce: response.Nonce}
 	if !hmac.Equal(response.Proof, seen.code("server")) {
 		return nil, ErrUnauthenticated
 	}
@@ -89,8 +91,8 @@
 	return newFrameAuthenticator(seen.code("session")), nil
 }
 
-// acceptHandshake authenticates an incoming connection and returns the name of
-// the other side.
+// acceptHandshake authenticates an incoming connection and returns the name of the other side and
+// the authenticator of its frames.
 func acceptHandshake(connection net.Conn, key []byte, self string, known func(string) bool) (string, *frameAuthenticator, error) {
 	var hello clientHello
 	if err := readMessage(connection, &hello); err != nil {
@@ -105,8 +107,8 @@
 	if err := checkCertificate(connection, hello.From); err != nil {
 		return "", nil, err
 	}
-	seen := transcript{key: key, client: hello, server: newNonce()}
-	if err := writeMessage(connection, &serverHello{Nonce: seen.server, Proof: seen.code("server")}); err != nil {
+	seen := transcript{key: key, client: hello, serverNonce: newNonce()}
+	if err := writeMessage(connection, &serverHello{Nonce: seen.serverNonce, Proof: seen.code("server")}); err != nil {
 		return "", nil, err
 	}
 	var proof clientProof
--- a/internal/transport/mesh.go
+++ b/internal/transport/mesh.go
@@ -35,8 +35,8 @@
 	dialTimeout      = 2500 * time.Millisecond
 	// initialAttemptDelay is the delay before the second concurrent attempt to connect; it doubles
 	// with each attempt. While a machine is off or partitioned, the packet that opens a
-	// connection is lost, and is sent again only after a second. With 700 ms, nodes were
-	// connected only 0.9 s after they had started, after a power loss of all machines.
+	// connection is lost, and is sent again only after a second. After a power loss of all
+	// machines, a delay of 700 ms left nodes without connections for 0.9 s after their start.
 	initialAttemptDelay = 150 * time.Millisecond
 	writeTimeout        = 2 * time.Second
 	userTimeout         = 1500 * time.Millisecond
@@ -65,7 +65,8 @@
 	// Key is the shared peer key.
 	Key []byte
 	// TLS is the configuration of mutual TLS; nil means plain TCP.
-	TLS      *tls.Config
+	TLS *tls.Config
+	// Listener accepts the connections of peers. Run closes it.
 	Listener net.Listener
 	// Dial opens a connection; nil means TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
@@ -84,9 +85,11 @@
 	refusedConnections *metrics.Counter
 	receivedFrames     *metrics.Counter
 
-	mutex          sync.Mutex
-	links          map[string]*outgoingLink
-	connections    map[net.Conn]struct{}
+	mutex sync.Mutex
+	// links are the links to peers by name, connections the open connections in both directions.
+	links       map[string]*outgoingLink
+	connections map[net.Conn]struct{}
+	// handshakeSlots holds one element for each incoming connection in its handshake.
 	handshakeSlots chan struct{}
 	// runContext is the context of Run, nil before Run.
 	runContext context.Context
@@ -277,7 +280,7 @@
 			backoff = minimumBackoff
 			continue
 		}
-		if errors.Is(err, errConnected) {
+		if errors.Is(err, errConnectionLost) {
 			backoff = minimumBackoff
 		}
 		m.options.Logger.Debug().Str("event", "peer_link_down").Str("peer", link.name).Err(err).Send()
@@ -309,8 +312,8 @@
 	}
 }
 
-// errConnected marks errors that occurred after a successful handshake.
-var errConnected = errors.New("transport: connection lost")
+// errConnectionLost marks errors that occurred after a successful handshake.
+var errConnectionLost = errors.New("transport: connection lost")
 
 // sendFrames opens a connection and writes frames until the connection fails or the link ends.
 func (m *Mesh) sendFrames(ctx context.Context, link *outgoingLink, frame outgoingFrame) error {
@@ -339,7 +342,7 @@
 	for found := true; ; frame, found = link.frames.Take() {
 		if found {
 			if err := m.writeBatch(connection, writer, authenticator, link, frame); err != nil {
-				return fmt.Errorf("%w: %w", errConnected, err)
+				return fmt.Errorf("%w: %w", errConnectionLost, err)
 			}
 		}
 		select {
@@ -348,7 +351,7 @@
 		case <-link.ended:
 			return nil
 		case <-closed:
-			return errConnected
+			return errConnectionLost
 		case <-link.frames.Ready():
 		}
 	}
