--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -51,10 +51,12 @@
 type placementRequest struct {
 	requestID string
 	tenant    string
-	weight    uint32
-	class     queueing.Class
-	cost      uint64
-	route     routing.Request
+	// weight is the tenant's relative share of the back ends.
+	weight uint32
+	class  queueing.Class
+	// cost is the maximum number of tokens that the request can use; 1 for a plain service.
+	cost  uint64
+	route routing.Request
 	// done is called once, with the chosen back end or an error.
 	done func(placementResult)
 }
@@ -69,7 +71,7 @@
 }
 
 // backendsDuty owns the routing table of the back ends and one queue of waiting requests per
-// service.
+// service. maximumQueues holds the maximum length of each service's queue.
 type backendsDuty struct {
 	node          *Node
 	duty          *duty.Duty
--- a/internal/node/background_test.go
+++ b/internal/node/background_test.go
@@ -9,9 +9,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against a panic at a stop: requests that end while the node waits for its background work
-// still start settlements, and a sync.WaitGroup panics on that ("reused before previous Wait has
-// returned").
+// Guards against a panic while a node stops: requests that end while it waits for its background
+// work still start settlements, and a sync.WaitGroup panics on that ("reused before previous Wait
+// has returned").
 func TestWorkMayStartWhileTheNodeWaitsForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		work := newBackground()
--- a/internal/node/billed.go
+++ b/internal/node/billed.go
@@ -27,7 +27,8 @@
 	// stallTimeout is the time without an event after which the connection of a stream is closed and
 	// the stream resumed. It is needed because a network partition does not close connections.
 	stallTimeout = 15 * time.Second
-	// joinDelay is the delay before the claim of a request that another node runs is read again.
+	// joinDelay is the delay between two reads of the claim of a request that is in progress through
+	// another node.
 	joinDelay = 200 * time.Millisecond
 )
 
@@ -36,19 +37,21 @@
 	node       *Node
 	completion *completionRequest
 	// held is the reservation that pays for the request.
-	held  heldReservation
+	held heldReservation
+	// scope determines where the acceptors of the claim are (see claimScope).
 	scope string
 	// writer writes the events to the caller; callerGone is canceled when the caller disconnects.
 	writer     *completionWriter
 	callerGone context.Context
-	tried      []string
-	attempts   int
+	// tried holds the back ends that did not run the request, attempts their number.
+	tried    []string
+	attempts int
 	// delivered is the number of tokens delivered to the caller.
 	delivered uint64
 }
 
 // runCompletion serves a completion: it reserves tokens, claims the request, dispatches it, streams
-// the response and settles the use. ctx ends at the deadline for the first byte.
+// the response and settles the tokens used. ctx ends at the deadline for the first byte.
 func (n *Node) runCompletion(ctx, callerGone context.Context, completion *completionRequest, responseWriter *completionWriter) *refusal {
 	amount, refused := n.maximumTokens(ctx, completion)
 	if refused != nil {
@@ -275,7 +278,7 @@
 }
 
 // relayAndSettle relays the stream to the caller until it ends, resumes it where it breaks, and
-// settles the use. A nil stream is resumed from its start.
+// settles the tokens used. A nil stream is resumed from its start.
 func (r *billedRun) relayAndSettle(ctx context.Context, placement placementResult, ownClaim *claims.Claim, stream *engine.Stream) *refusal {
 	r.writer.setBackendRequestID(ownClaim.RequestID)
 	final, err := r.relayEvents(ctx, placement.backend.Address, ownClaim.RequestID, stream)
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -21,7 +21,8 @@
 	relaysPerZone = 2
 )
 
-// catalogView is one revision of the catalog, indexed for requests. It is immutable.
+// catalogView is one revision of the catalog (the operators' configuration of tenants, budgets,
+// services, routes and back ends), indexed for requests. It is immutable.
 type catalogView struct {
 	revision uint64
 	// tenants holds the tenants by API key hash in lower-case hexadecimal.
@@ -146,8 +147,8 @@
 	}
 }
 
-// follow requests catalog changes from one source. Control nodes do so as well as reading their own
-// replica, since that may be partitioned or far behind.
+// follow requests catalog changes from one source. Control nodes do so in addition to reading their
+// own replica, since that may be partitioned or far behind.
 func (c *catalogDuty) follow() {
 	if time.Now().Before(c.nextFollow) {
 		return
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -27,7 +27,9 @@
 )
 
 // claimsDuty owns the node's acceptor, which stores claims and votes on them, and its proposer,
-// which changes them. A claim records which run of a request may be billed.
+// which changes them. A claim records which run of a request may be billed. Its scope determines
+// which nodes are its acceptors: those of the zone that the scope names, or with ScopeGlobal one
+// node in each of several zones.
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
@@ -170,8 +172,8 @@
 	delete(c.unreachable, scope)
 }
 
-// isReachable reports whether a scope should be tried: no change there has failed within
-// skipUnreachable for want of reachable acceptors.
+// isReachable reports whether a scope should be tried: within the last skipUnreachable, no change
+// there has failed because too few of its acceptors were reachable.
 func (c *claimsDuty) isReachable(scope string) bool {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
@@ -179,8 +181,8 @@
 	return !failed || c.node.now()-at > skipUnreachable
 }
 
-// recordWatermarks records up to which settlement the root has this node's settlements, to be
-// announced to the acceptors.
+// recordWatermarks records new watermarks, up to which the root has this node's settlements. They
+// are announced to the acceptors later.
 func (c *claimsDuty) recordWatermarks(watermarks []claims.Watermark) {
 	c.duty.Offer(func() {
 		for _, watermark := range watermarks {
--- a/internal/node/completion.go
+++ b/internal/node/completion.go
@@ -80,7 +80,9 @@
 	flusher    *http.ResponseController
 	completion *completionRequest
 	created    int64
-	text       strings.Builder
+	// text collects a response that is sent as one document.
+	text strings.Builder
+	// hasStarted indicates that the status code has been sent.
 	hasStarted bool
 }
 
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -23,6 +23,7 @@
 	RequestID string
 	Tenant    string
 	Service   string
+	// Kind is what was decided, such as "dispatch", "join" or "give up".
 	Kind      string
 	Backend   string
 	Candidate []routing.Score
@@ -34,6 +35,7 @@
 type decisionLog struct {
 	log   zerolog.Logger
 	mutex sync.Mutex
+	// lines holds the decisions by request id, order the request ids from oldest to newest.
 	lines map[string][]string
 	order []string
 }
@@ -99,7 +101,8 @@
 }
 
 // responseStore keeps the newest responses of plain services to requests with an idempotency key,
-// for retries. maximum and size are in bytes of response bodies.
+// for retries. maximum and size are in bytes of response bodies; order holds the request ids from
+// oldest to newest.
 type responseStore struct {
 	mutex     sync.Mutex
 	maximum   int64
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -37,7 +37,8 @@
 	// defaultMaximumOutput is the largest output limit, in tokens, of a service that sets none.
 	defaultMaximumOutput = 4096
 	bearerPrefix         = "Bearer "
-	// retrySoon and retryLong are the Retry-After values of refusals; each is whole seconds.
+	// retrySoon and retryLong are the Retry-After values of refusals, in whole seconds as the header
+	// requires. retryLong is for causes that last longer, such as unreachable nodes.
 	retrySoon = 1 * time.Second
 	retryLong = 5 * time.Second
 )
@@ -63,20 +64,24 @@
 	return &refusal{status: status, code: code, notRun: true, retryAfter: retryAfter, detail: fmt.Sprintf(format, arguments...)}
 }
 
-// callerRequest is one caller's request: its attributes, the service and budget it uses, and its
-// claim key.
+// callerRequest is one caller's request: its attributes, the service and budget it uses, and the
+// key of its claim, the record of which run of the request may be billed.
 type callerRequest struct {
 	id       string
 	tenant   *ravenwayv1.Tenant
 	service  *ravenwayv1.Service
 	class    queueing.Class
 	deadline time.Duration
-	// key is the key of the claim: derived from the caller's idempotency key, or generated.
-	key           claims.Key
-	callerKey     bool
+	// key is the key of the claim: derived from the caller's idempotency key if callerKey is set,
+	// generated otherwise.
+	key       claims.Key
+	callerKey bool
+	// notRepeatable indicates that the request must not be run twice.
 	notRepeatable bool
-	fingerprint   uint64
-	budget        *ravenwayv1.Budget
+	// fingerprint is a hash of the request's content. It shows that a key is reused for another
+	// request.
+	fingerprint uint64
+	budget      *ravenwayv1.Budget
 }
 
 // callerHandler returns the HTTP handler for callers.
@@ -186,8 +191,8 @@
 // maximumKeyAttempts is the maximum number of keys generated for one request.
 const maximumKeyAttempts = 64
 
-// generateKey generates a key, if possible one that has this node among its acceptors: its claim
-// then needs only one other node.
+// generateKey generates a key, if possible one that has this node among its acceptors (the nodes
+// that store a claim and vote on its changes): its claim then needs only one other node.
 func (n *Node) generateKey(request *callerRequest) claims.Key {
 	var key claims.Key
 	for attempt := range maximumKeyAttempts {
@@ -199,10 +204,11 @@
 	return key
 }
 
-// claimScope returns where the acceptors of a request's claim are. For a repeatable request with a
-// caller's key, they are in the home zone of the key, so that retries through any zone find the
-// claim. For a generated key, or while the home zone is unreachable, they are in this zone. For a
-// non-repeatable request with a caller's key, each is in a different zone.
+// claimScope returns the scope of a request's claim, which determines where its acceptors are: the
+// name of a zone, or ScopeGlobal. For a repeatable request with a caller's key, they are in the
+// home zone of the key, so that retries through any zone find the claim. For a generated key, or
+// while the home zone is unreachable, they are in this zone. For a non-repeatable request with a
+// caller's key, each is in a different zone.
 func (n *Node) claimScope(request *callerRequest) string {
 	switch {
 	case request.notRepeatable && request.callerKey:
@@ -281,7 +287,8 @@
 	policy := escrow.Policy{Horizon: time.Duration(request.budget.GetGrantHorizonSeconds()) * time.Second}
 	held, err := n.escrow.reserve(ctx, request.budget.GetName(), amount, policy)
 	if errors.Is(err, escrow.ErrClosed) {
-		// The node has just started a new incarnation: reserve again under that one.
+		// The holder's incarnation was fenced and has just been replaced: reserve again under the new
+		// one.
 		held, err = n.escrow.reserve(ctx, request.budget.GetName(), amount, policy)
 	}
 	switch {
--- a/internal/node/escrow.go
+++ b/internal/node/escrow.go
@@ -17,7 +17,8 @@
 const escrowTick = 50 * time.Millisecond
 
 // escrowDuty owns the node's part of the budgets: the holder, which keeps the tokens granted to
-// this node by the root (the leader's side of the escrow).
+// this node by the root (the leader's side of the escrow). The nodes of a zone lend each other
+// granted tokens.
 type escrowDuty struct {
 	node   *Node
 	duty   *duty.Duty
@@ -176,7 +177,7 @@
 }
 
 // returnAll returns the node's unused grant to the root and waits until the root has every
-// settlement, for a planned stop.
+// settlement, for a graceful stop.
 func (e *escrowDuty) returnAll(ctx context.Context) error {
 	if err := e.duty.Do(ctx, func() { e.holder.ReturnAll() }); err != nil {
 		return err
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -22,6 +22,7 @@
 	nodes map[string]receivedStatus
 }
 
+// receivedStatus is a heartbeat and the time at which it arrived.
 type receivedStatus struct {
 	peer.Status
 	receivedAt time.Time
@@ -80,7 +81,7 @@
 	return leader
 }
 
-// status returns this node's own heartbeat.
+// status returns the current content of this node's own heartbeat.
 func (n *Node) status() peer.Status {
 	status := peer.Status{
 		Node: n.name, Zone: n.zone, Incarnation: n.incarnation,
--- a/internal/node/merge.go
+++ b/internal/node/merge.go
@@ -14,15 +14,16 @@
 var errHomeClaimOpen = errors.New("the key's claim in its home zone is not settled yet")
 
 // needsMerge reports whether a settled claim with a caller's key was made outside the home zone of
-// the key. That happens while the home zone is unreachable, so the key may have been run there as
-// well.
+// the key. That happens while the home zone is unreachable, so the request may have been run there
+// as well.
 func (n *Node) needsMerge(scope string, key claims.Key, claim *claims.Claim) bool {
 	return claim.CallerKey && claim.Used > 0 && scope != membership.ScopeGlobal && scope != n.homeZone(key)
 }
 
 // mergeWithHome settles, in the home zone of a key, a claim that was made outside it, and reports
-// whether its use is charged. Only the first settlement that reaches the register in the home zone
-// is charged. The call may be repeated: it recognizes its own settlement by the reservation.
+// whether the tokens that it used are charged. Only the first settlement that reaches the register
+// (the stored claim of the key) in the home zone is charged. The call may be repeated: it
+// recognizes its own settlement by the reservation.
 func (n *Node) mergeWithHome(ctx context.Context, key claims.Key, own *claims.Claim) (charged bool, err error) {
 	home := n.homeZone(key)
 	outcome, err := n.claims.change(ctx, home, key, func(current *claims.Claim) *claims.Claim {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,9 +1,15 @@
 // Package node assembles a daemon of a fleet whose nodes are all listed in the settings: its
 // duties, its listeners and its links to the other daemons.
 //
-// A duty is a goroutine that owns one part of the state (the replica, the distribution of the
-// catalog, the escrow, the claims, the back ends) and processes functions from one bounded ring.
-// Each caller's request runs in its own goroutine and calls the duties.
+// A duty is a goroutine that owns one part of the state and executes the functions that arrive in
+// its bounded mailbox. Each caller's request runs in its own goroutine and calls the duties. They
+// own:
+//   - the replica, on control nodes: a copy of the replicated log, the fleet's durable state;
+//   - the catalog: a copy of the operators' configuration of tenants, budgets, services, routes and
+//     back ends, and its distribution to other nodes;
+//   - the escrow: the part of the prepaid token budgets that is granted to this node;
+//   - the claims: this node's share of the records of which run of a request may be billed;
+//   - the back ends: the choice of a back end for each request, and the queues of waiting requests.
 package node
 
 import (
@@ -59,13 +65,16 @@
 
 // Node is one daemon of the fleet: an entry node, a control node, or both.
 type Node struct {
-	options     Options
-	settings    *settings.Settings
-	name        string
-	zone        string
-	started     time.Time
+	options  Options
+	settings *settings.Settings
+	name     string
+	zone     string
+	started  time.Time
+	// incarnation identifies this run of the process: its start time in nanoseconds since 1970.
 	incarnation uint64
-	pool        *membership.Pool
+	// pool selects the acceptors of claims, the nodes that store a claim and vote on its changes.
+	pool *membership.Pool
+	// peers holds the nodes of the settings by name, this one included.
 	peers       map[string]settings.Peer
 	log         zerolog.Logger
 	engines     *engine.Client
@@ -93,7 +102,8 @@
 	cancelRun  context.CancelCauseFunc
 	// background counts the settlements that run after their request has ended.
 	background *background
-	failure    chan error
+	// failure receives the error that makes Run end.
+	failure chan error
 }
 
 // New returns a node. Run serves its listeners.
@@ -168,7 +178,7 @@
 	return mathrand.New(mathrand.NewPCG(binary.BigEndian.Uint64(seed[:8]), binary.BigEndian.Uint64(seed[8:])))
 }
 
-// Run serves until the context is canceled or the node fails. For a planned stop, call Stop first.
+// Run serves until the context is canceled or the node fails. For a graceful stop, call Stop first.
 func (n *Node) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/node/operators.go
+++ b/internal/node/operators.go
@@ -26,7 +26,7 @@
 // lowerRecallDelay is the time for nodes to return unused grants before a limit is lowered.
 const lowerRecallDelay = time.Second
 
-// operatorServer implements the operator service of the schema.
+// operatorServer implements the operator service of the schema in api/ravenway/v1.
 type operatorServer struct{ node *Node }
 
 // operatorHandler returns the HTTP handler for operators. It requires a token if the settings have
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -13,8 +13,8 @@
 
 const (
 	orderInterval = time.Second
-	// maximumConcurrentLoads is the number of orders in progress at back ends from which on no further
-	// order is sent.
+	// maximumConcurrentLoads is the maximum number of orders in progress at back ends. Further orders
+	// wait.
 	maximumConcurrentLoads = 2
 	// orderTimeout is the timeout of one exchange with a back end, and so the longest time that a sent
 	// order can take to arrive.
@@ -24,10 +24,11 @@
 	orderLease = 2 * electionTicks * replicaTick
 )
 
-// runOrders sends committed orders to their back ends while this node leads. An order carries a
-// fence, the index of its entry in the replicated log: back ends that check it refuse the late
-// order of an earlier leader. For back ends that don't check it, a new leader first waits until an
-// earlier one has stopped and its last order has arrived.
+// runOrders sends committed orders to their back ends while this node leads. An order is an
+// operator's command to one back end: to load a model or an adapter, or to change its role. It
+// carries a fence, the index of its entry in the replicated log: back ends that check it refuse the
+// late order of an earlier leader. For back ends that don't check it, a new leader first waits
+// until an earlier one has stopped and its last order has arrived.
 func (n *Node) runOrders(ctx context.Context) {
 	var leadingSince time.Duration
 	leading := false
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -112,7 +112,8 @@
 	return peer.Invoke[T](ctx, n.calls, to, method, request)
 }
 
-// callTimeout is the maximum time spent on a call from another node.
+// callTimeout is the maximum time spent on a call from another node. The reclaim of one incarnation
+// and the cancellation of a request at an engine have the same limit.
 const callTimeout = 10 * time.Second
 
 // serveCall executes a call from another node and sends the response.
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -37,8 +37,10 @@
 	request     *callerRequest
 	httpRequest *http.Request
 	body        []byte
-	scope       string
-	owner       accounts.HolderID
+	// scope determines where the acceptors of the claim are (see claimScope).
+	scope string
+	// owner is the incarnation of this node that claims the request.
+	owner accounts.HolderID
 }
 
 // servePlain routes a request by the prefix of its path.
--- a/internal/node/poll.go
+++ b/internal/node/poll.go
@@ -45,15 +45,15 @@
 	return share
 }
 
-// pollReports polls the engines for load and cache events at every reportInterval.
+// pollReports polls the engines for load and cache events every reportInterval.
 func (b *backendsDuty) pollReports(ctx context.Context) {
 	for pause.For(ctx, reportInterval) {
 		b.pollRound(ctx, b.enginesToPoll())
 	}
 }
 
-// pollRound polls the given engines, and sends their reports to the other nodes of the zone if
-// these divide the engines among them.
+// pollRound polls the given engines, and sends their reports to the other nodes of the zone if the
+// zone's nodes divide its engines among them.
 func (b *backendsDuty) pollRound(ctx context.Context, targets []routing.Backend) {
 	var polls sync.WaitGroup
 	slots := make(chan struct{}, maximumConcurrentPolls)
--- a/internal/node/reclaim.go
+++ b/internal/node/reclaim.go
@@ -38,7 +38,9 @@
 	return response, err
 }
 
-// runReclaim returns to the budgets what lost holders held. It works only while this node leads.
+// runReclaim returns to the budgets what lost holders held. A holder is an incarnation of a node
+// that holds part of the budgets as grants; isLost defines when it is lost. runReclaim works only
+// while this node leads.
 func (n *Node) runReclaim(ctx context.Context) {
 	for pause.For(ctx, reclaimInterval) {
 		if !n.replica.view.Load().leading {
@@ -160,8 +162,9 @@
 	sequence uint64
 }
 
-// resolveClaims settles each claim whose settlement the root does not have yet, that is, each
-// beyond the root's watermark, and returns the tokens used by each.
+// resolveClaims settles each claim whose settlement the root does not have yet, and returns the
+// tokens used by each. The root has all settlements of a budget up to its watermark, a sequence
+// number.
 func (n *Node) resolveClaims(ctx context.Context, holder accounts.HolderID, collected *collectedClaims) ([]accounts.FinalUse, error) {
 	watermarks, err := readCommitted(ctx, n, func(state *machine.Machine) map[string]uint64 {
 		watermarksByBudget := map[string]uint64{}
@@ -215,7 +218,7 @@
 	return uses, nil
 }
 
-// readLoan reads the registered state of a loan.
+// readLoan reads the state of a loan from its claim register and adds it to collected.registered.
 func (n *Node) readLoan(ctx context.Context, key claims.Key, record claims.Record, collected *collectedClaims) error {
 	outcome, err := n.claims.read(ctx, record.Scope, key)
 	if err != nil {
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -41,20 +41,23 @@
 	id      consensus.ReplicaID
 	// publishedRevision is the catalog revision last passed to the catalog duty.
 	publishedRevision uint64
-	wasLeader         bool
+	// wasLeader is the role at the last flush, by which a change of leadership is detected.
+	wasLeader bool
 	// view is the part of the state that other goroutines may read.
 	view atomic.Pointer[replicaView]
 }
 
 // replicaView is an immutable summary of the replica's state for other goroutines.
 type replicaView struct {
-	leader        string
-	leading       bool
-	term          uint64
-	commit        uint64
+	leader  string
+	leading bool
+	term    uint64
+	commit  uint64
+	// quorumAge is the time since the last contact with a quorum.
 	quorumAge     time.Duration
 	configuration consensus.Configuration
-	hasGroup      bool
+	// hasGroup indicates that the replica belongs to a control group.
+	hasGroup bool
 	// caughtUpVoters is the number of reachable voters that hold every committed entry on disk, as the
 	// leader knows it.
 	caughtUpVoters int
--- a/internal/node/settle.go
+++ b/internal/node/settle.go
@@ -12,8 +12,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/engine"
 )
 
-// settle writes the result and the use to this run's claim, then releases the reservation. It runs
-// in the background, so that the caller need not wait for it.
+// settle writes the result and the tokens used to this run's claim, then releases the reservation.
+// It runs in the background, so that the caller need not wait for it.
 func (r *billedRun) settle(result claims.Result, used uint64) {
 	n := r.node
 	n.background.start(func() {
@@ -32,8 +32,8 @@
 	})
 }
 
-// mergeUntilDone retries until the home zone of the key decides whether this use is charged. It
-// returns nil if it is not. Meanwhile, only the use itself stays reserved.
+// mergeUntilDone retries until the home zone of the key decides whether the tokens used by this run
+// are charged. It returns nil if they are not. Meanwhile, only these tokens stay reserved.
 func (r *billedRun) mergeUntilDone(claim *claims.Claim) (*claims.Claim, error) {
 	r.node.escrow.shrink(r.held, claim.Used)
 	for {
@@ -50,8 +50,8 @@
 	}
 }
 
-// settleNotRun settles the claim of a request that was not run. The claim may not have been
-// written.
+// settleNotRun settles the claim of a request that was not run. There is no claim yet if writing it
+// failed or was not attempted.
 func (r *billedRun) settleNotRun() { r.settle(claims.NotRun, 0) }
 
 // owns reports whether a claim is paid from this run's reservation.
@@ -71,7 +71,8 @@
 	}
 }
 
-// release settles the reservation with the use in the settled claim, which frees the remainder.
+// release settles the reservation with the tokens used as the settled claim has them, which frees
+// the remainder.
 // After ErrFenced it does nothing: the leader that fenced the incarnation settles its reservations.
 func (r *billedRun) release(claim *claims.Claim, err error) {
 	if errors.Is(err, claims.ErrFenced) || r.node.runContext.Err() != nil {
@@ -152,8 +153,8 @@
 	}
 }
 
-// join resumes the stream of the claimed request from its start. again indicates that the caller
-// should read the claim again and retry.
+// join resumes the stream of the claimed request from its start. retry indicates that joinExisting
+// should read the claim again and join again.
 func (r *billedRun) join(ctx context.Context, claim *claims.Claim) (refused *refusal, retry bool) {
 	n := r.node
 	target, found := n.backends.backend(claim.Backend)
@@ -247,8 +248,8 @@
 	return refused, false
 }
 
-// settleForOwner settles a claim whose owner may have crashed. An owner that is alive settles the
-// same use.
+// settleForOwner settles a claim whose owner may have crashed. An owner that is alive settles it
+// with the same number of tokens.
 func (r *billedRun) settleForOwner(claim *claims.Claim, final engine.Event) {
 	if claim.State == claims.Settled {
 		return
--- a/internal/node/stop.go
+++ b/internal/node/stop.go
@@ -15,10 +15,10 @@
 	stopPollInterval = 50 * time.Millisecond
 )
 
-// Stop prepares a planned stop. The readiness probe fails, leadership moves to another voter,
+// Stop prepares a graceful stop. The readiness probe fails, leadership moves to another voter,
 // requests that still arrive are served, all streams finish, their claims are settled, and the
-// unused grant is returned to the root. It returns the number of streams that were still open when
-// the context ended; 0 after a clean stop.
+// unused grants are returned to the root (the leader's side of the escrow). It returns the number
+// of streams that were still open when the context ended; 0 after a clean stop.
 func (n *Node) Stop(ctx context.Context) int64 {
 	n.stopping.Store(true)
 	n.log.Info().Str("event", "stopping").Int64("streams", n.streams.active.Load()).Send()
