--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -177,8 +177,8 @@
 
 func (b *backendsDuty) enqueue(item *queueing.Item[*placementRequest]) {
 	now := b.node.now()
-	if opensAt, areAllPaused := b.table.FirstPauseEnd(now, item.Value.route.Service); areAllPaused && opensAt >= item.Deadline {
-		item.Value.done(placementResult{err: &pausedError{wait: opensAt - now}})
+	if firstPauseEnd, areAllPaused := b.table.FirstPauseEnd(now, item.Value.route.Service); areAllPaused && firstPauseEnd >= item.Deadline {
+		item.Value.done(placementResult{err: &pausedError{wait: firstPauseEnd - now}})
 		return
 	}
 	if err := b.queue(item.Value.route.Service).Push(item); err != nil {
@@ -242,9 +242,9 @@
 		if !found {
 			return
 		}
-		if opensAt, areAllPaused := b.table.FirstPauseEnd(now, known.Service); areAllPaused {
-			for _, item := range b.queue(known.Service).Expire(opensAt) {
-				item.Value.done(placementResult{err: &pausedError{wait: opensAt - now}})
+		if firstPauseEnd, areAllPaused := b.table.FirstPauseEnd(now, known.Service); areAllPaused {
+			for _, item := range b.queue(known.Service).Expire(firstPauseEnd) {
+				item.Value.done(placementResult{err: &pausedError{wait: firstPauseEnd - now}})
 			}
 		}
 	})
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -18,8 +18,8 @@
 	claimsTick = 10 * time.Millisecond
 	// claimTimeout is the timeout of one change of a claim.
 	claimTimeout = 2 * time.Second
-	// skipUnreachable is the time for which a scope that could not be reached is skipped.
-	skipUnreachable = 5 * time.Second
+	// scopeRetryDelay is the time for which a scope that could not be reached is skipped.
+	scopeRetryDelay = 5 * time.Second
 	// zoneAnnounceInterval and fleetAnnounceInterval are the times between two announcements of
 	// watermarks: to the acceptors of this zone's keys, and to all nodes.
 	zoneAnnounceInterval  = 2 * time.Second
@@ -172,13 +172,13 @@
 	delete(c.unreachable, scope)
 }
 
-// isReachable reports whether a scope should be tried: within the last skipUnreachable, no change
+// isReachable reports whether a scope should be tried: within the last scopeRetryDelay, no change
 // there has failed because too few of its acceptors were reachable.
 func (c *claimsDuty) isReachable(scope string) bool {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
 	at, failed := c.unreachable[scope]
-	return !failed || c.node.now()-at > skipUnreachable
+	return !failed || c.node.now()-at > scopeRetryDelay
 }
 
 // recordWatermarks records new watermarks, up to which the root has this node's settlements. They
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maximumDecisions is the number of requests whose decisions "explain" can find.
-	maximumDecisions = 20000
+	// maximumExplainedRequests is the number of requests whose decisions "explain" can find.
+	maximumExplainedRequests = 20000
 	// maximumLoggedScores is the maximum number of candidates in the log line of a decision.
 	maximumLoggedScores = 6
 )
@@ -58,7 +58,7 @@
 		d.order = append(d.order, record.RequestID)
 	}
 	d.lines[record.RequestID] = append(d.lines[record.RequestID], line)
-	if len(d.order) > maximumDecisions {
+	if len(d.order) > maximumExplainedRequests {
 		delete(d.lines, d.order[0])
 		d.order = d.order[1:]
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -51,14 +51,14 @@
 func (n *Node) handleFrame(from string, frame []byte) {
 	envelope, err := peer.Decode(frame)
 	if err == nil {
-		err = n.dispatch(from, envelope)
+		err = n.handleEnvelope(from, envelope)
 	}
 	if err != nil {
 		n.log.Warn().Str("event", "peer_message_refused").Str("peer", from).Err(err).Send()
 	}
 }
 
-func (n *Node) dispatch(from string, envelope peer.Envelope) error {
+func (n *Node) handleEnvelope(from string, envelope peer.Envelope) error {
 	switch envelope.Kind {
 	case peer.KindConsensus:
 		return peer.Dispatch(envelope, func(message consensus.Message) { n.handleConsensus(message) })
--- a/internal/node/plain.go
+++ b/internal/node/plain.go
@@ -24,9 +24,9 @@
 // maximumStoredResponse is the size limit, in bytes, of a response that is kept for retries.
 const maximumStoredResponse = 1 << 20
 
-// plainHopHeaders lists headers that are not forwarded: hop-by-hop headers, and Authorization,
+// unforwardedHeaders lists headers that are not forwarded: hop-by-hop headers, and Authorization,
 // which is the caller's key for ravenway.
-var plainHopHeaders = []string{
+var unforwardedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization",
 }
@@ -171,7 +171,7 @@
 	}
 	outgoing.GetBody = nil
 	for name, values := range p.httpRequest.Header {
-		if !slices.Contains(plainHopHeaders, name) && !strings.HasPrefix(name, "Ravenway-") {
+		if !slices.Contains(unforwardedHeaders, name) && !strings.HasPrefix(name, "Ravenway-") {
 			outgoing.Header[name] = values
 		}
 	}
@@ -196,7 +196,7 @@
 		source = io.TeeReader(source, &limitedBuffer{buffer: &kept, remaining: maximumStoredResponse})
 	}
 	for name, values := range response.Header {
-		if !slices.Contains(plainHopHeaders, name) {
+		if !slices.Contains(unforwardedHeaders, name) {
 			writer.Header()[name] = values
 		}
 	}
--- a/internal/node/replica.go
+++ b/internal/node/replica.go
@@ -277,8 +277,8 @@
 		if ctx.Err() == nil {
 			lastErr = err
 		}
-		notDone := errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, errNoLeader) || hasCode(err, peer.CodeNotLeader)
-		if !notDone && command.OperationID == "" {
+		notCommitted := errors.Is(err, consensus.ErrNotLeader) || errors.Is(err, errNoLeader) || hasCode(err, peer.CodeNotLeader)
+		if !notCommitted && command.OperationID == "" {
 			return machine.Result{}, err
 		}
 		if !pause.For(ctx, retryDelay) {
