--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -11,7 +11,7 @@
 
 const maximumPort = 65535
 
-// minimumPeerKeyBytes is the minimum length of the shared peer key.
+// minimumPeerKeyBytes is the minimum length of the key that all daemons share.
 const minimumPeerKeyBytes = 32
 
 var (
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -72,8 +72,11 @@
 
 // parser decodes settings and collects findings.
 type parser struct {
-	file         string
-	lines        map[string]int
+	file string
+	// lines holds the line number of each key.
+	lines map[string]int
+	// isProduction indicates the production profile, in which secret files must not be readable by
+	// other users.
 	isProduction bool
 	findings     Findings
 }
@@ -200,7 +203,8 @@
 	return prefix + "." + name
 }
 
-// indexLines returns the line of each key. Entries of lists of tables are numbered from 0.
+// indexLines returns the line number of each key. The first line is 1; entries of lists of tables
+// are numbered from 0, as in "peers[0].name".
 func indexLines(content []byte) map[string]int {
 	lines := map[string]int{}
 	counts := map[string]int{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -36,7 +36,8 @@
 	DefaultStopTimeout        = 10 * time.Minute
 	DefaultStopGrace          = 8 * time.Second
 	DefaultRetryWindow        = 10 * time.Second
-	// DefaultUpgradeSettling is about the time that it takes to see that a fleet serves requests.
+	// DefaultUpgradeSettling is about the time that it takes to see that an upgraded fleet serves
+	// requests.
 	DefaultUpgradeSettling = 10 * time.Second
 	// DefaultExposureShare is what the users' deployments allow.
 	DefaultExposureShare = 0.1
@@ -128,8 +129,9 @@
 type Bounds struct {
 	// StopGrace is the time from the stop signal until the process is killed.
 	StopGrace time.Duration `toml:"stop_grace"`
-	// RetryWindow is the period of the retry budget: in each one the nodes together send at most
-	// RetryRatio of a service's requests, plus RetrySlack requests, to a second instance.
+	// RetryWindow is the period of the retry budget: in each period the nodes together send at most
+	// the fraction RetryRatio of a service's requests, plus RetrySlack requests, to a second
+	// instance.
 	RetryWindow time.Duration `toml:"retry_window"`
 	RetryRatio  float64       `toml:"retry_ratio"`
 	RetrySlack  float64       `toml:"retry_slack"`
@@ -156,7 +158,8 @@
 	// Bootstrap makes this node bootstrap the control group, once, when all control nodes are
 	// reachable and all of their folders are empty. Exactly one node has it set.
 	Bootstrap bool `toml:"bootstrap"`
-	// DeadAfter is the time since a node's last contact after which its unused grants are reclaimed.
+	// DeadAfter is the time since a node's last contact after which its unused grants, the parts
+	// of the budgets that it holds, are reclaimed.
 	DeadAfter time.Duration `toml:"dead_after"`
 }
 
