--- a/internal/daemon/build.go
+++ b/internal/daemon/build.go
@@ -8,8 +8,8 @@
 )
 
 // Build describes the running program: the commit that it was built from if the build recorded
-// it, the Go version, and the protocol version of its messages. During an upgrade the nodes of a
-// fleet recognize each other's builds by the protocol version.
+// it, the Go version, and the protocol version of its messages (Dialect). During an upgrade the
+// nodes of a fleet recognize each other's builds by the protocol version.
 type Build struct {
 	Commit, Go string
 	IsModified bool
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -20,7 +20,8 @@
 	"github.com/ravenway/ravenway/internal/state/disk"
 )
 
-// Run runs the daemon until a graceful stop is complete or the node fails.
+// Run runs the daemon until a graceful stop is complete or the node fails. path is that of the
+// settings file.
 func Run(ctx context.Context, path string, dialects Dialects) error {
 	loaded, err := settings.Load(path)
 	if err != nil {
--- a/internal/daemon/fleet.go
+++ b/internal/daemon/fleet.go
@@ -19,8 +19,8 @@
 	// settingsPollInterval is the interval at which the settings file is checked for changes: it can
 	// change without a signal.
 	settingsPollInterval = 2 * time.Second
-	// stopMargin is the part of the stop grace period that must be left when a graceful stop
-	// ends.
+	// stopMargin is the part of the stop grace period, after which the process is killed, that must
+	// be left when a graceful stop ends.
 	stopMargin = 500 * time.Millisecond
 )
 
@@ -85,7 +85,8 @@
 	bytesPerMB   = 1 << 20
 )
 
-// limitMemory sets the heap limit well below the process's memory in MiB; 0 sets no limit.
+// limitMemory sets the heap limit well below the memory that the process can use, given in MiB; 0
+// sets no limit.
 func limitMemory(megabytes int) {
 	if megabytes > 0 {
 		debug.SetMemoryLimit(int64(heapFraction * float64(megabytes) * bytesPerMB))
