--- a/internal/daemon/async_test.go
+++ b/internal/daemon/async_test.go
@@ -17,11 +17,11 @@
 	written  bytes.Buffer
 }
 
-func (s *blockedWriter) Write(line []byte) (int, error) {
-	<-s.released
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	return s.written.Write(line)
+func (b *blockedWriter) Write(line []byte) (int, error) {
+	<-b.released
+	b.mutex.Lock()
+	defer b.mutex.Unlock()
+	return b.written.Write(line)
 }
 
 func TestSlowLogReaderDoesNotBlockAndDroppedLinesAreReported(t *testing.T) {
