--- a/internal/operatorcli/commands.go
+++ b/internal/operatorcli/commands.go
@@ -346,6 +346,8 @@
 	return s.printMessage(response, func() {
 		s.printTable("BUDGET\tTENANT\tLIMIT\tSETTLED\tOF LOST NODES\tOUTSTANDING\tLEFT", func(row func(...any)) {
 			for _, budget := range response.GetBudgets() {
+				// The tokens that were settled without being known to be used: those of incarnations
+				// that crashed without a final report.
 				lost := budget.GetEndedAllowed() + budget.GetEndedPaced() + budget.GetEndedWhole()
 				row(budget.GetBudget(), budget.GetTenant(), budget.GetLimit(), budget.GetSettled(), lost, budget.GetOutstanding(),
 					budget.GetLimit()-budget.GetSettled()-budget.GetOutstanding())
--- a/internal/operatorcli/limits.go
+++ b/internal/operatorcli/limits.go
@@ -11,7 +11,8 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// getLimits lists the rate limits that overloaded instances name in their responses.
+// getLimits lists the rate limits that overloaded instances name in their responses. The issuer of
+// a limit is the node that issues the permits for requests to the instance.
 func getLimits(ctx context.Context, s *session, _ *cli.Command) error {
 	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetLimitsRequest]) (*connect.Response[ravenwayv1.GetLimitsResponse], error) {
 		return c.GetLimits
--- a/internal/operatorcli/logs.go
+++ b/internal/operatorcli/logs.go
@@ -24,8 +24,8 @@
 var errNotInLogs = errors.New("no log line names the request: it was served as planned, its line was left out " +
 	"(see lines_left_out in event=summary), or it never reached these nodes")
 
-// explainFromLogs writes a request's own lines and, marked with "~", the lines around them that may
-// explain them.
+// explainFromLogs writes the log lines that name a request and, marked with "~", the lines around
+// them that may explain them.
 func explainFromLogs(out io.Writer, lines []logs.Line, request string) error {
 	var requestLines []logs.Line
 	for _, line := range lines {
--- a/internal/operatorcli/quarantine.go
+++ b/internal/operatorcli/quarantine.go
@@ -12,7 +12,8 @@
 	ravenwayv1 "github.com/ravenway/ravenway/api/ravenway/v1"
 )
 
-// getQuarantine lists the requests that were in flight at engines when they crashed.
+// getQuarantine lists the requests against which crashes of engines are recorded, because they were
+// in flight there at the time.
 func getQuarantine(ctx context.Context, s *session, _ *cli.Command) error {
 	response, err := call(ctx, s, func(c client) func(context.Context, *connect.Request[ravenwayv1.GetQuarantineRequest]) (*connect.Response[ravenwayv1.GetQuarantineResponse], error) {
 		return c.GetQuarantine
