--- a/internal/operatorcli/limits.go
+++ b/internal/operatorcli/limits.go
@@ -26,14 +26,14 @@
 func (s *session) printLimits(response *ravenwayv1.GetLimitsResponse) {
 	s.printTable("INSTANCE\tSERVICE\tZONE\tREQUESTS/S\tNEXT PERMIT\tPRESSURE\tHOLDER\tHEARD", func(row func(...any)) {
 		for _, limit := range response.GetLimits() {
-			holder := limit.GetHolder()
-			if holder == "" {
-				holder = "none"
+			issuer := limit.GetHolder()
+			if issuer == "" {
+				issuer = "none"
 			}
 			next := time.Duration(limit.GetNextPermitMilliseconds()) * time.Millisecond
 			age := time.Duration(limit.GetAgeMilliseconds()) * time.Millisecond
 			row(limit.GetInstance(), limit.GetService(), limit.GetZone(), limit.GetRequestsPerSecond(), next,
-				fmt.Sprintf("%.2f", limit.GetPressure()), holder, fmt.Sprintf("%s ago", age.Round(time.Second)))
+				fmt.Sprintf("%.2f", limit.GetPressure()), issuer, fmt.Sprintf("%s ago", age.Round(time.Second)))
 		}
 	})
 }
