--- a/internal/duty/duty.go
+++ b/internal/duty/duty.go
@@ -17,9 +17,9 @@
 	maximumBatch = 512
 )
 
-// Duty is one goroutine with a mailbox and a tick that owns its state. When the mailbox is full, Do
-// blocks the sender of a request, and Offer drops a peer's message, since the protocols treat the
-// network as lossy.
+// Duty is one goroutine, with a mailbox and a tick, that owns its state. When the mailbox is full,
+// Do blocks the sender of a request, and Offer drops a peer's message, since the protocols treat
+// the network as lossy.
 type Duty struct {
 	mailbox *ring.Ring[func()]
 	// interval is the time between ticks.
@@ -73,7 +73,8 @@
 	}
 }
 
-// Call runs a function on the duty's goroutine and waits for its result.
+// Call runs a function on the duty's goroutine and waits for its result, which the function passes
+// to reply. The duty may call reply later, after the function has returned, but only once.
 func Call[T any](ctx context.Context, owner *Duty, work func(reply func(T))) (T, error) {
 	results := make(chan T, 1)
 	var zero T
