--- a/internal/pairhash/pairhash.go
+++ b/internal/pairhash/pairhash.go
@@ -1,5 +1,5 @@
-// Package pairhash hashes pairs of strings. Rendezvous hashing computes the weights of names with it,
-// and it identifies requests. Nodes of all builds must compute the same values.
+// Package pairhash hashes pairs of strings. Rendezvous hashing ranks names by the hashes, and
+// requests are identified by them. Nodes of all builds must compute the same values.
 package pairhash
 
 import "github.com/cespare/xxhash/v2"
--- a/internal/pairhash/pairhash_test.go
+++ b/internal/pairhash/pairhash_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Guards against values that differ from those of earlier builds, which select homes and identify
-// requests by them.
+// Guards against hashes that differ from those of earlier builds: nodes of different builds would
+// rank names and identify requests differently.
 func TestHashesMatchThoseOfEarlierBuilds(t *testing.T) {
 	assert.Equal(t, Of("part", "i-1"), xxhash.Sum64String("part\x00i-1"))
 	assert.Assert(t, Of("ab", "c") != Of("a", "bc"))
