--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -27,7 +27,7 @@
 	reportInterval   = 500 * time.Millisecond
 	platformInterval = 500 * time.Millisecond
 	pollTimeout      = time.Second
-	// maximumConcurrentPolls is the maximum number of concurrent polls.
+	// maximumConcurrentPolls is the maximum number of back ends that are polled at the same time.
 	maximumConcurrentPolls = 32
 	defaultMaximumQueue    = 1000
 )
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -81,9 +81,10 @@
 // that follow this one. A node accepts deltas from any node and never applies a lower revision, so
 // a source that is behind does no harm.
 type catalogDuty struct {
-	node      *Node
-	duty      *duty.Duty
-	catalog   *catalog.Catalog
+	node    *Node
+	duty    *duty.Duty
+	catalog *catalog.Catalog
+	// followers holds the time of the last request of each follower.
 	followers map[string]time.Time
 	// sent is the revision last sent to each follower.
 	sent       map[string]uint64
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -28,14 +28,16 @@
 
 // claimsDuty owns the node's acceptor, which stores claims and votes on them, and its proposer,
 // which changes them. A claim records which run of a request may be billed. Its scope determines
-// which nodes are its acceptors: those of the zone that the scope names, or with ScopeGlobal one
-// node in each of several zones.
+// which nodes are its acceptors: nodes of the zone that the scope names, or with ScopeGlobal one
+// node in each of three zones.
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
 	acceptor *claims.Acceptor
 	proposer *claims.Proposer
+	// outgoing holds the messages to each node until the next flush.
 	outgoing map[string][]claims.Message
+	// wasReady indicates that the acceptor had recovered its claims at an earlier flush.
 	wasReady bool
 
 	// watermarks are the watermarks of this node's own settlements: claims up to a watermark are
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -24,11 +24,14 @@
 	Tenant    string
 	Service   string
 	// Kind is what was decided, such as "dispatch", "join" or "give up".
-	Kind      string
-	Backend   string
+	Kind    string
+	Backend string
+	// Candidate holds the scores of the back ends that were considered.
 	Candidate []routing.Score
-	Wait      time.Duration
-	Detail    string
+	// Wait is the time that the request was queued.
+	Wait time.Duration
+	// Detail is the reason of a decision other than a dispatch.
+	Detail string
 }
 
 // decisionLog writes one log line per decision and keeps the newest decisions for "explain".
--- a/internal/node/settle.go
+++ b/internal/node/settle.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// release settles the reservation with the tokens used as the settled claim has them, which frees
+// release settles the reservation with the number of used tokens in the settled claim, which frees
 // the remainder.
 // After ErrFenced it does nothing: the leader that fenced the incarnation settles its reservations.
 func (r *billedRun) release(claim *claims.Claim, err error) {
