--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -19,9 +19,9 @@
 	// orderTimeout is the timeout of one exchange with a back end, and so the longest time that a sent
 	// order can take to arrive.
 	orderTimeout = 2 * time.Second
-	// orderLease is the longest time for which an earlier leader may still send orders after it has
-	// lost its quorum: the longest election timeout, after which it steps down.
-	orderLease = 2 * electionTicks * replicaTick
+	// staleLeaderTime is the longest time for which an earlier leader may still send orders after it
+	// has lost its quorum: the longest election timeout, after which it steps down.
+	staleLeaderTime = 2 * electionTicks * replicaTick
 )
 
 // runOrders sends committed orders to their back ends while this node leads. An order is an
@@ -56,7 +56,7 @@
 			continue
 		}
 		checksFence := n.checksFence(order.Order.Backend)
-		if !checksFence && leadingFor < orderLease+orderTimeout {
+		if !checksFence && leadingFor < staleLeaderTime+orderTimeout {
 			continue
 		}
 		// Back ends share the bandwidth of the weight store, so more concurrent loads would only slow
