--- a/internal/node/billed.go
+++ b/internal/node/billed.go
@@ -43,8 +43,10 @@
 	// writer writes the events to the caller; callerGone is canceled when the caller disconnects.
 	writer     *completionWriter
 	callerGone context.Context
-	// tried holds the back ends that did not run the request, attempts their number.
-	tried    []string
+	// tried holds the back ends that did not run the request.
+	tried []string
+	// attempts counts the failed attempts except that of a takeover. It is part of the engine's
+	// request id.
 	attempts int
 	// delivered is the number of tokens delivered to the caller.
 	delivered uint64
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -30,7 +30,7 @@
 	Candidate []routing.Score
 	// Wait is the time that the request was queued.
 	Wait time.Duration
-	// Detail is the reason of a decision other than a dispatch.
+	// Detail explains a decision other than a dispatch.
 	Detail string
 }
 
