--- a/internal/node/settle.go
+++ b/internal/node/settle.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// settleNotRun settles the claim of a request that was not run. There is no claim yet if writing it
-// failed or was not attempted.
+// settleNotRun settles the claim of a request that was not run. It is also called when the claim was
+// not written, or when it is unknown whether it was.
 func (r *billedRun) settleNotRun() { r.settle(claims.NotRun, 0) }
 
 // owns reports whether a claim is paid from this run's reservation.
