--- a/internal/node/backends.go
+++ b/internal/node/backends.go
@@ -27,7 +27,7 @@
 	reportInterval   = 500 * time.Millisecond
 	platformInterval = 500 * time.Millisecond
 	pollTimeout      = time.Second
-	// maximumConcurrentPolls is the maximum number of concurrent polls.
+	// maximumConcurrentPolls is the maximum number of back ends that are polled at the same time.
 	maximumConcurrentPolls = 32
 	defaultMaximumQueue    = 1000
 )
@@ -51,10 +51,12 @@
 type placementRequest struct {
 	requestID string
 	tenant    string
-	weight    uint32
-	class     queueing.Class
-	cost      uint64
-	route     routing.Request
+	// weight is the tenant's relative share of the back ends.
+	weight uint32
+	class  queueing.Class
+	// cost is the maximum number of tokens that the request can use; 1 for a plain service.
+	cost  uint64
+	route routing.Request
 	// done is called once, with the chosen back end or an error.
 	done func(placementResult)
 }
@@ -69,7 +71,7 @@
 }
 
 // backendsDuty owns the routing table of the back ends and one queue of waiting requests per
-// service.
+// service. maximumQueues holds the maximum length of each service's queue.
 type backendsDuty struct {
 	node          *Node
 	duty          *duty.Duty
@@ -175,8 +177,8 @@
 
 func (b *backendsDuty) enqueue(item *queueing.Item[*placementRequest]) {
 	now := b.node.now()
-	if opensAt, areAllPaused := b.table.FirstPauseEnd(now, item.Value.route.Service); areAllPaused && opensAt >= item.Deadline {
-		item.Value.done(placementResult{err: &pausedError{wait: opensAt - now}})
+	if firstPauseEnd, areAllPaused := b.table.FirstPauseEnd(now, item.Value.route.Service); areAllPaused && firstPauseEnd >= item.Deadline {
+		item.Value.done(placementResult{err: &pausedError{wait: firstPauseEnd - now}})
 		return
 	}
 	if err := b.queue(item.Value.route.Service).Push(item); err != nil {
@@ -240,9 +242,9 @@
 		if !found {
 			return
 		}
-		if opensAt, areAllPaused := b.table.FirstPauseEnd(now, known.Service); areAllPaused {
-			for _, item := range b.queue(known.Service).Expire(opensAt) {
-				item.Value.done(placementResult{err: &pausedError{wait: opensAt - now}})
+		if firstPauseEnd, areAllPaused := b.table.FirstPauseEnd(now, known.Service); areAllPaused {
+			for _, item := range b.queue(known.Service).Expire(firstPauseEnd) {
+				item.Value.done(placementResult{err: &pausedError{wait: firstPauseEnd - now}})
 			}
 		}
 	})
--- a/internal/node/catalog.go
+++ b/internal/node/catalog.go
@@ -21,7 +21,8 @@
 	relaysPerZone = 2
 )
 
-// catalogView is one revision of the catalog, indexed for requests. It is immutable.
+// catalogView is one revision of the catalog (the operators' configuration of tenants, budgets,
+// services, routes and back ends), indexed for requests. It is immutable.
 type catalogView struct {
 	revision uint64
 	// tenants holds the tenants by API key hash in lower-case hexadecimal.
@@ -80,9 +81,10 @@
 // that follow this one. A node accepts deltas from any node and never applies a lower revision, so
 // a source that is behind does no harm.
 type catalogDuty struct {
-	node      *Node
-	duty      *duty.Duty
-	catalog   *catalog.Catalog
+	node    *Node
+	duty    *duty.Duty
+	catalog *catalog.Catalog
+	// followers holds the time of the last request of each follower.
 	followers map[string]time.Time
 	// sent is the revision last sent to each follower.
 	sent       map[string]uint64
@@ -146,8 +148,8 @@
 	}
 }
 
-// follow requests catalog changes from one source. Control nodes do so as well as reading their own
-// replica, since that may be partitioned or far behind.
+// follow requests catalog changes from one source. Control nodes do so in addition to reading their
+// own replica, since that may be partitioned or far behind.
 func (c *catalogDuty) follow() {
 	if time.Now().Before(c.nextFollow) {
 		return
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -18,8 +18,8 @@
 	claimsTick = 10 * time.Millisecond
 	// claimTimeout is the timeout of one change of a claim.
 	claimTimeout = 2 * time.Second
-	// skipUnreachable is the time for which a scope that could not be reached is skipped.
-	skipUnreachable = 5 * time.Second
+	// scopeRetryDelay is the time for which a scope that could not be reached is skipped.
+	scopeRetryDelay = 5 * time.Second
 	// zoneAnnounceInterval and fleetAnnounceInterval are the times between two announcements of
 	// watermarks: to the acceptors of this zone's keys, and to all nodes.
 	zoneAnnounceInterval  = 2 * time.Second
@@ -27,13 +27,17 @@
 )
 
 // claimsDuty owns the node's acceptor, which stores claims and votes on them, and its proposer,
-// which changes them. A claim records which run of a request may be billed.
+// which changes them. A claim records which run of a request may be billed. Its scope determines
+// which nodes are its acceptors: nodes of the zone that the scope names, or with ScopeGlobal one
+// node in each of three zones.
 type claimsDuty struct {
 	node     *Node
 	duty     *duty.Duty
 	acceptor *claims.Acceptor
 	proposer *claims.Proposer
+	// outgoing holds the messages to each node until the next flush.
 	outgoing map[string][]claims.Message
+	// wasReady indicates that the acceptor had recovered its claims at an earlier flush.
 	wasReady bool
 
 	// watermarks are the watermarks of this node's own settlements: claims up to a watermark are
@@ -170,17 +174,17 @@
 	delete(c.unreachable, scope)
 }
 
-// isReachable reports whether a scope should be tried: no change there has failed within
-// skipUnreachable for want of reachable acceptors.
+// isReachable reports whether a scope should be tried: within the last scopeRetryDelay, no change
+// there has failed because too few of its acceptors were reachable.
 func (c *claimsDuty) isReachable(scope string) bool {
 	c.scopesMutex.Lock()
 	defer c.scopesMutex.Unlock()
 	at, failed := c.unreachable[scope]
-	return !failed || c.node.now()-at > skipUnreachable
+	return !failed || c.node.now()-at > scopeRetryDelay
 }
 
-// recordWatermarks records up to which settlement the root has this node's settlements, to be
-// announced to the acceptors.
+// recordWatermarks records new watermarks, up to which the root has this node's settlements. They
+// are announced to the acceptors later.
 func (c *claimsDuty) recordWatermarks(watermarks []claims.Watermark) {
 	c.duty.Offer(func() {
 		for _, watermark := range watermarks {
--- a/internal/node/decisions.go
+++ b/internal/node/decisions.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maximumDecisions is the number of requests whose decisions "explain" can find.
-	maximumDecisions = 20000
+	// maximumExplainedRequests is the number of requests whose decisions "explain" can find.
+	maximumExplainedRequests = 20000
 	// maximumLoggedScores is the maximum number of candidates in the log line of a decision.
 	maximumLoggedScores = 6
 )
@@ -23,17 +23,22 @@
 	RequestID string
 	Tenant    string
 	Service   string
-	Kind      string
-	Backend   string
+	// Kind is what was decided, such as "dispatch", "join" or "give up".
+	Kind    string
+	Backend string
+	// Candidate holds the scores of the back ends that were considered.
 	Candidate []routing.Score
-	Wait      time.Duration
-	Detail    string
+	// Wait is the time that the request was queued.
+	Wait time.Duration
+	// Detail explains a decision other than a dispatch.
+	Detail string
 }
 
 // decisionLog writes one log line per decision and keeps the newest decisions for "explain".
 type decisionLog struct {
 	log   zerolog.Logger
 	mutex sync.Mutex
+	// lines holds the decisions by request id, order the request ids from oldest to newest.
 	lines map[string][]string
 	order []string
 }
@@ -56,7 +61,7 @@
 		d.order = append(d.order, record.RequestID)
 	}
 	d.lines[record.RequestID] = append(d.lines[record.RequestID], line)
-	if len(d.order) > maximumDecisions {
+	if len(d.order) > maximumExplainedRequests {
 		delete(d.lines, d.order[0])
 		d.order = d.order[1:]
 	}
@@ -99,7 +104,8 @@
 }
 
 // responseStore keeps the newest responses of plain services to requests with an idempotency key,
-// for retries. maximum and size are in bytes of response bodies.
+// for retries. maximum and size are in bytes of response bodies; order holds the request ids from
+// oldest to newest.
 type responseStore struct {
 	mutex     sync.Mutex
 	maximum   int64
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -13,21 +13,22 @@
 
 const (
 	orderInterval = time.Second
-	// maximumConcurrentLoads is the number of orders in progress at back ends from which on no further
-	// order is sent.
+	// maximumConcurrentLoads is the maximum number of orders in progress at back ends. Further orders
+	// wait.
 	maximumConcurrentLoads = 2
 	// orderTimeout is the timeout of one exchange with a back end, and so the longest time that a sent
 	// order can take to arrive.
 	orderTimeout = 2 * time.Second
-	// orderLease is the longest time for which an earlier leader may still send orders after it has
-	// lost its quorum: the longest election timeout, after which it steps down.
-	orderLease = 2 * electionTicks * replicaTick
+	// staleLeaderTime is the longest time for which an earlier leader may still send orders after it
+	// has lost its quorum: the longest election timeout, after which it steps down.
+	staleLeaderTime = 2 * electionTicks * replicaTick
 )
 
-// runOrders sends committed orders to their back ends while this node leads. An order carries a
-// fence, the index of its entry in the replicated log: back ends that check it refuse the late
-// order of an earlier leader. For back ends that don't check it, a new leader first waits until an
-// earlier one has stopped and its last order has arrived.
+// runOrders sends committed orders to their back ends while this node leads. An order is an
+// operator's command to one back end: to load a model or an adapter, or to change its role. It
+// carries a fence, the index of its entry in the replicated log: back ends that check it refuse the
+// late order of an earlier leader. For back ends that don't check it, a new leader first waits
+// until an earlier one has stopped and its last order has arrived.
 func (n *Node) runOrders(ctx context.Context) {
 	var leadingSince time.Duration
 	leading := false
@@ -55,7 +56,7 @@
 			continue
 		}
 		checksFence := n.checksFence(order.Order.Backend)
-		if !checksFence && leadingFor < orderLease+orderTimeout {
+		if !checksFence && leadingFor < staleLeaderTime+orderTimeout {
 			continue
 		}
 		// Back ends share the bandwidth of the weight store, so more concurrent loads would only slow
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -51,14 +51,14 @@
 func (n *Node) handleFrame(from string, frame []byte) {
 	envelope, err := peer.Decode(frame)
 	if err == nil {
-		err = n.dispatch(from, envelope)
+		err = n.handleEnvelope(from, envelope)
 	}
 	if err != nil {
 		n.log.Warn().Str("event", "peer_message_refused").Str("peer", from).Err(err).Send()
 	}
 }
 
-func (n *Node) dispatch(from string, envelope peer.Envelope) error {
+func (n *Node) handleEnvelope(from string, envelope peer.Envelope) error {
 	switch envelope.Kind {
 	case peer.KindConsensus:
 		return peer.Dispatch(envelope, func(message consensus.Message) { n.handleConsensus(message) })
@@ -112,7 +112,8 @@
 	return peer.Invoke[T](ctx, n.calls, to, method, request)
 }
 
-// callTimeout is the maximum time spent on a call from another node.
+// callTimeout is the maximum time spent on a call from another node. The reclaim of one incarnation
+// and the cancellation of a request at an engine have the same limit.
 const callTimeout = 10 * time.Second
 
 // serveCall executes a call from another node and sends the response.
