--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -24,15 +24,17 @@
 	SpreadEnd BackoffPolicy = "spread_end"
 	// RankedEnd orders the nodes by rendezvous hashing, and they resume in that order.
 	RankedEnd BackoffPolicy = "ranked_end"
-	// Trials sends few requests at a time until some have run, as backoff.Tracker does.
+	// Trials sends few requests at a time after a pause until some have run, as backoff.Tracker
+	// does.
 	Trials BackoffPolicy = "trials"
 	// SpreadTrials combines SpreadEnd and Trials.
 	SpreadTrials BackoffPolicy = "spread_trials"
-	// SharedTrials is Trials, which also limits the nodes of which no pause was requested.
+	// SharedTrials is Trials, where a node also notifies the others of a pause: they limit their
+	// requests to the engine too.
 	SharedTrials BackoffPolicy = "shared_trials"
 )
 
-// BackoffScenario is which engines are overloaded and request pauses.
+// BackoffScenario determines which engines are overloaded and request pauses.
 type BackoffScenario string
 
 // Scenarios of RunBackoff.
@@ -56,9 +58,10 @@
 	// Pause is the length of the pauses that engines request.
 	Pause time.Duration
 	// Load is the offered load as a share of the capacity of all engines.
-	Load   float64
+	Load float64
+	// Faults restarts, freezes, suspends and partitions nodes.
 	Faults bool
-	// Return is how requests resume after a pause, where the policy does not determine it.
+	// Return is the recovery policy after a pause, of which Policy may disable parts.
 	Return backoff.RecoveryPolicy
 	// AsksWhenFull makes an engine with a full queue request a pause too, instead of only
 	// rejecting requests.
@@ -124,8 +127,9 @@
 	firstTryAt      time.Duration
 	tries           int
 	maximumAttempts int
-	part            string
-	tried           []string
+	// part identifies the part of the prompt that the call shares with others.
+	part  string
+	tried []string
 }
 
 // RunBackoff simulates entry nodes that send requests to engines which request pauses. It runs
@@ -221,7 +225,8 @@
 	}
 }
 
-// injectFault restarts, freezes, suspends or partitions a random node, again and again.
+// injectFault restarts, freezes, suspends or partitions a random node, and schedules the next
+// fault.
 func (w *backoffWorld) injectFault() {
 	node := w.nodes[w.Random.IntN(len(w.nodes))]
 	duration := w.Between(500*time.Millisecond, 3*time.Second)
--- a/internal/lab/simulate/backoffengine.go
+++ b/internal/lab/simulate/backoffengine.go
@@ -16,7 +16,8 @@
 	running, queued               int
 	waiting                       []func()
 	arrivals                      []time.Duration
-	records                       map[*backoffNode]*pausecheck.Record
+	// records holds for each node the pauses requested of it and the arrivals of its requests.
+	records map[*backoffNode]*pausecheck.Record
 }
 
 func (e *backoffEngine) isOverloaded(now time.Duration) bool {
--- a/internal/lab/simulate/backoffnode.go
+++ b/internal/lab/simulate/backoffnode.go
@@ -48,8 +48,8 @@
 // now returns the time of the node's monotonic clock.
 func (n *backoffNode) now() time.Duration { return time.Minute + n.clock.read(n.world.Now) }
 
-// after runs an action of the node's current process after a delay, and once the process has
-// resumed if it is paused then. The action is dropped if the process was restarted.
+// after runs an action of the node's current process after a delay, or, if the process is paused
+// then, once it has resumed. The action is dropped if the process was restarted.
 func (n *backoffNode) after(delay time.Duration, action func()) {
 	incarnation := n.incarnation
 	var attempt func()
@@ -156,7 +156,7 @@
 
 func (n *backoffNode) name() string { return fmt.Sprintf("entry-%d", n.number) }
 
-// resumePolicy returns the part of the options' return policy that the simulated policy uses.
+// resumePolicy returns the part of the options' recovery policy that the simulated policy uses.
 func (w *backoffWorld) resumePolicy() backoff.RecoveryPolicy {
 	policy, none := w.options.Return, backoff.RecoveryPolicy{}
 	switch w.options.Policy {
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -9,7 +9,7 @@
 	"github.com/ravenway/ravenway/internal/state/machine"
 )
 
-// BudgetPolicy is how many nodes spend one budget.
+// BudgetPolicy is the way in which several nodes share one budget.
 type BudgetPolicy int
 
 // Policies: that of the product, the baselines that it is compared with, and a deliberate defect.
@@ -18,7 +18,7 @@
 	PolicyEscrow BudgetPolicy = iota
 	// PolicyStaticSplit gives each node an equal, fixed part of the budget.
 	PolicyStaticSplit
-	// PolicyCentralCheck asks the root before each request.
+	// PolicyCentralCheck checks the budget at the root before each request.
 	PolicyCentralCheck
 	// PolicyNoRecall is the escrow without recalls of unused grants.
 	PolicyNoRecall
@@ -31,7 +31,7 @@
 type BudgetOptions struct {
 	Seed   uint64
 	Policy BudgetPolicy
-	// Limit is that of the one budget that all zones draw on, in tokens.
+	// Limit is the initial limit of the one budget that all zones draw on, in tokens.
 	Limit uint64
 	// TopUp is added in the middle of the run, in two concurrent parts, in tokens.
 	TopUp uint64
@@ -68,8 +68,9 @@
 
 // budgetNode is one simulated entry node.
 type budgetNode struct {
-	name        string
-	zone        string
+	name string
+	zone string
+	// holder holds the part of the budget that the root has granted to the node.
 	holder      *escrow.Holder
 	incarnation int
 	isDown      bool
@@ -94,11 +95,12 @@
 
 // BudgetSimulation lets 8 nodes in three zones draw on one budget.
 type BudgetSimulation struct {
-	options         BudgetOptions
-	result          BudgetResult
-	world           *World
-	network         *Network
-	accounts        *accounts.Accounts
+	options  BudgetOptions
+	result   BudgetResult
+	world    *World
+	network  *Network
+	accounts *accounts.Accounts
+	// root is the leader's side of the escrow: it grants parts of the budget to the holders.
 	root            *escrow.Root
 	nodes           map[string]*budgetNode
 	names           []string
@@ -405,7 +407,7 @@
 	s.flush(node)
 }
 
-// run executes a reserved request at an engine, where it uses at least half of its bound.
+// run executes a reserved request at an engine, where it uses at least half of the reserved tokens.
 func (s *BudgetSimulation) run(request *pendingRequest, onEnd func(used uint64)) {
 	amount := request.amount
 	delete(s.pending, request)
--- a/internal/lab/simulate/claims.go
+++ b/internal/lab/simulate/claims.go
@@ -24,7 +24,7 @@
 const (
 	// ClaimsNoDefect runs the real code.
 	ClaimsNoDefect ClaimsDefect = iota
-	// ClaimsWithoutVectors counts responses of earlier incarnations.
+	// ClaimsWithoutVectors also counts responses of earlier incarnations of the acceptors.
 	ClaimsWithoutVectors
 	// ClaimsWithoutRecovery lets a restarted acceptor respond before its recovery.
 	ClaimsWithoutRecovery
@@ -39,7 +39,7 @@
 	incarnation int
 }
 
-// ClaimsSimulation lets routers compete for a few keys while acceptors restart and lose their
+// ClaimsSimulation lets nodes compete for a few keys while acceptors restart and lose their
 // memory, and messages of earlier incarnations arrive late.
 type ClaimsSimulation struct {
 	World   *World
@@ -48,8 +48,8 @@
 	pool    *membership.Pool
 	nodes   map[string]*claimsNode
 	names   []string
-	// winners holds for each key the owner whose dispatch was agreed on, settled the use in
-	// tokens that was agreed on.
+	// winners holds for each key the owner whose dispatch was agreed on, settled the number of
+	// used tokens that was agreed on.
 	winners    map[claims.Key]accounts.HolderID
 	settled    map[claims.Key]uint64
 	restarting int
@@ -131,7 +131,7 @@
 	}
 }
 
-// request lets a random router claim or settle a random key, or claim a newly generated one.
+// request lets a random node claim or settle a random key, or claim a newly generated one.
 func (s *ClaimsSimulation) request() {
 	if s.healed {
 		return
@@ -231,8 +231,8 @@
 	s.sendAll(node, node.proposer.Outgoing())
 }
 
-// checkOwner checks that all outcomes after an agreed dispatch name the same owner, and all
-// outcomes after an agreed use the same use.
+// checkOwner checks that a claim names the owner whose dispatch was agreed on, and, once the used
+// tokens are agreed on, the same number of them.
 func (s *ClaimsSimulation) checkOwner(key claims.Key, claim *claims.Claim) {
 	known, found := s.winners[key]
 	if found && known != claim.Owner {
--- a/internal/lab/simulate/consensus.go
+++ b/internal/lab/simulate/consensus.go
@@ -33,7 +33,7 @@
 	NoDefect ConsensusDefect = iota
 	// EmptyDiskKeepsIdentity lets a replica with an erased disk vote under its old identity.
 	EmptyDiskKeepsIdentity
-	// ReadWithoutQuorum answers reads from the leader's memory without asking a quorum.
+	// ReadWithoutQuorum answers reads from the leader's memory without contacting a quorum.
 	ReadWithoutQuorum
 	// DiskWithoutSync acknowledges before data is synced.
 	DiskWithoutSync
@@ -56,7 +56,7 @@
 type registerMachine struct {
 	values  [consensusRegisters]uint64
 	version machine.LogVersion
-	// reads is the newest version of the log that the node's build reads. missed reports whether
+	// reads is the newest version of the log that the node's build reads. hasMissed reports whether
 	// the machine had to apply a command of a newer version, since when its state differs.
 	reads     machine.LogVersion
 	hasMissed bool
--- a/internal/lab/simulate/consensus_test.go
+++ b/internal/lab/simulate/consensus_test.go
@@ -10,7 +10,8 @@
 // seedsInCI is the number of seeds that CI runs for each mechanism.
 const seedsInCI = 200
 
-// runSeeds runs seeds in parallel and fails at the first violated invariant of each lane.
+// runSeeds runs seeds in eight parallel subtests, the lanes, each of which fails at its first
+// violated invariant.
 func runSeeds(t *testing.T, count int, run func(seed uint64) *World) {
 	t.Helper()
 	const lanes = 8
@@ -64,9 +65,8 @@
 	assert.Assert(t, broken != nil)
 }
 
-// Guards against a replica that stays behind forever, as seen with seed 9: a duplicated
-// acknowledgement decremented the leader's counter of messages in flight twice, so that a lost
-// append was never sent again.
+// Guards against a replica that stays behind forever: a duplicated acknowledgement decremented the
+// leader's counter of messages in flight twice, so that a lost append was never sent again.
 func TestLostAppendIsSentAgainAfterDuplicatedAcknowledgement(t *testing.T) {
 	for _, seed := range []uint64{9, 92} {
 		assert.NilError(t, RunConsensus(seed, NoDefect).Broken)
--- a/internal/lab/simulate/crashes.go
+++ b/internal/lab/simulate/crashes.go
@@ -20,7 +20,7 @@
 const (
 	// CrashNoDefect runs the real code.
 	CrashNoDefect CrashDefect = iota
-	// LastContactIgnored takes the time since an incarnation's last contact with the root for 0, so
+	// LastContactIgnored takes the time since an incarnation's last contact with the root to be 0, so
 	// that a crashed incarnation is charged only its allowance.
 	LastContactIgnored
 	// SingleClockTrusted trusts the wall clock of a single control node.
@@ -508,8 +508,8 @@
 	s.flush(node)
 }
 
-// run executes a reserved request, which uses at least half of its bound. It continues if its node
-// is killed.
+// run executes a reserved request, which uses at least half of the reserved tokens. It continues if
+// its node is killed.
 func (s *crashSimulation) run(reservation escrow.Reservation, onEnd func(used uint64)) {
 	s.used[reservation.Budget] += reservation.Amount
 	if used, limit := s.used[reservation.Budget], s.accounts.Budget(reservation.Budget).Limit; used > limit {
--- a/internal/lab/simulate/crashes_test.go
+++ b/internal/lab/simulate/crashes_test.go
@@ -17,16 +17,17 @@
 	runSeeds(t, seedsInCI, runCrashes(CrashNoDefect))
 }
 
-// The same with budgets that are left to pool holders, which crash and are partitioned as all nodes.
+// The same with budgets that are left to pool holders, which crash and are partitioned like all
+// other nodes.
 func TestCrashedIncarnationsWithPoolsAreChargedAllTheyUsed(t *testing.T) {
 	runSeeds(t, seedsInCI, func(seed uint64) *World { return RunCrashes(CrashOptions{Seed: seed, Pooled: true}).World })
 }
 
-// Guards against an incarnation that is charged fewer tokens than it used, 17,371 of 19,894 when it
-// was seen, so that a budget may be exceeded. A control node's machine was suspended after it had
+// Guards against an incarnation that is charged fewer tokens than it used, for instance 17,371
+// of 19,894, so that a budget may be exceeded. A control node's machine was suspended after it had
 // committed the incarnation's last report, led again later, and measured the time since that report
 // with its monotonic clock, which does not count a suspension. Of 3,000 seeds, only these two
-// reproduced it.
+// reproduce it.
 func TestIncarnationIsChargedForTimeOfLeaderSuspension(t *testing.T) {
 	t.Parallel()
 	for _, seed := range []uint64{1532, 1732} {
@@ -48,9 +49,9 @@
 	assert.Assert(t, brokenSeed(t, 300, runCrashes(SingleClockTrusted)) != nil)
 }
 
-// With allowances, a crash charges little, which is why they exist. Nodes may then hold much more
-// ahead of a partition. In this simulation that saves as many refusals as are caused by requests
-// that have to wait for the log.
+// With allowances, a crash charges little, which is why they exist, and nodes may hold much more
+// ahead of a partition. In this simulation, this avoids as many refusals as allowances cause because
+// requests have to wait for the log.
 func TestAllowancesWasteHalfOfWhatWholeGrantsWasteAndServeAsMuch(t *testing.T) {
 	t.Parallel()
 	var sums [2]CrashResult
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -46,15 +46,14 @@
 	MostWaiting int
 }
 
-// The size and load of a zone in the large deployments.
+// The size and load of a zone of a large deployment.
 const (
 	heavyNodes   = 62
 	heavyCallers = 103
 	// heavyRate is the number of requests a second in the zone.
 	heavyRate = 172.0
 	// stageWork is a node's processor time for one of the stages of a request. On a fifth of a
-	// core, all stages together take some 9 ms, as measured at a saturated node with 95 requests
-	// a second.
+	// core, all stages together take about 9 ms at a saturated node with 95 requests a second.
 	stageWork   = 1500 * time.Microsecond
 	stages      = 6
 	engineStage = 4
@@ -78,7 +77,8 @@
 	shedder                     overload.Shedder
 	// received counts the bytes of request bodies since the start.
 	received int64
-	waiting  int
+	// waiting is the number of requests at the node.
+	waiting int
 	// isListed reports whether the platform sends callers here.
 	isListed bool
 }
--- a/internal/lab/simulate/lending.go
+++ b/internal/lab/simulate/lending.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// LendingPolicy is how entry nodes that are partitioned from the core find tokens that other
-// nodes hold.
+// LendingPolicy is how entry nodes that are partitioned from the core, the control nodes, find
+// tokens that other nodes hold.
 type LendingPolicy int
 
 // Policies of RunLending.
@@ -25,7 +25,7 @@
 )
 
 // LendingOptions configures a run of RunLending: zones of entry nodes, callers that a hash
-// spreads over them, prepaid tokens for twice the run, and a partition of all nodes from the core.
+// spreads over them, budgets that don't run out, and a partition of all nodes from the core.
 type LendingOptions struct {
 	Seed   uint64
 	Policy LendingPolicy
@@ -33,7 +33,7 @@
 	NodesAZone int
 }
 
-// LendingResult counts the requests and messages during the partition.
+// LendingResult counts the requests during the partition, and the messages.
 type LendingResult struct {
 	World *World
 	// Requests and Refused count first tries, Returns the refused requests that were retried at
--- a/internal/lab/simulate/lending_test.go
+++ b/internal/lab/simulate/lending_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against refusals while 300 small entry nodes are partitioned from the core for 8 s. Each
-// occasionally needs the tokens of a request of each of 40 tenants. Split over all nodes, no single
+// occasionally needs tokens for a request of any of 40 tenants. Split over all nodes, no single
 // node has enough tokens, although the zone as a whole has.
 func TestPoolsReduceRefusalsDuringPartition(t *testing.T) {
 	t.Parallel()
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -63,7 +63,9 @@
 	Requests, Served, Refused, BesideThree int
 }
 
-// The size and rates of the fleet in the incident that the simulation reproduces.
+// The size and rates of the fleet in the incident that the simulation reproduces. maximumLateRuns
+// bounds PoisonResult.LateRuns without a partition. Under PoisonOptions.Popular, one in popularBody
+// requests has the popular body, whose scope has the same number.
 const (
 	poisonNodes    = 8
 	poisonEngines  = 12
@@ -91,9 +93,11 @@
 	controls      []*quarantine.Tracker
 	engines       []*poisonEngine
 	isPartitioned bool
-	presence      map[quarantine.Fingerprint]map[registry.Incarnation]bool
-	crashTimes    map[quarantine.Fingerprint][]time.Duration
-	lateRuns      map[quarantine.Fingerprint]int
+	// presence holds the engine incarnations that crashed while they ran a request, crashTimes the
+	// times of the crashes that a poison request caused.
+	presence   map[quarantine.Fingerprint]map[registry.Incarnation]bool
+	crashTimes map[quarantine.Fingerprint][]time.Duration
+	lateRuns   map[quarantine.Fingerprint]int
 }
 
 // poisonNode is an entry node: its tracker and its guard.
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -38,7 +38,8 @@
 	PerSecond float64
 	// IsOneSided sends four of five requests to an eighth of the nodes.
 	IsOneSided bool
-	Faults     bool
+	// Faults ends, freezes, suspends and partitions nodes.
+	Faults bool
 	// IsUnsettled lets engines change and end their limits, restart, and fail requests without
 	// naming a limit, and delays and loses messages between nodes.
 	IsUnsettled bool
--- a/internal/lab/simulate/ratelimitengine.go
+++ b/internal/lab/simulate/ratelimitengine.go
@@ -70,7 +70,8 @@
 	return w.options.IsUnsettled && w.Now-node.clock.runningSince() < limitcheck.ReactionTime
 }
 
-// changeEngine lets an engine change its limit, name none for a while, or restart, again and again.
+// changeEngine lets an engine change its limit, name none for a while, or restart, and schedules the
+// next change.
 func (w *limitWorld) changeEngine(engine *limitEngine) {
 	w.After(w.Between(minimumChangeInterval, maximumChangeInterval), func() { w.changeEngine(engine) })
 	kinds := []func(){
--- a/internal/lab/simulate/rollout.go
+++ b/internal/lab/simulate/rollout.go
@@ -17,7 +17,7 @@
 	// Failing is the share of responses that fail, Slow the share that takes SlowBy times as
 	// long.
 	Failing, Slow, SlowBy float64
-	// From is the time after the order from which on the harm occurs.
+	// From is the time from the operator's order for the rollout until the harm begins.
 	From time.Duration
 	// OneRoute limits the harm to the first of the routes, UnderLoad to loaded instances: those
 	// with more requests in flight than half of the mean of the old version's instances.
@@ -77,8 +77,9 @@
 	Fiftieth, LastToNew time.Duration
 }
 
-// The modelled deployment is the smallest of the users' grown deployments with rollouts: 74 entry
-// nodes and 70 instances of each version, of which 7 get the canary's requests.
+// The modelled deployment is the smallest of the users' large deployments with rollouts: 74 entry
+// nodes and 70 instances of each version, of which 7 get the canary's requests. Each node
+// reports its samples every sampleSteps steps of rolloutStep.
 const (
 	rolloutNodes     = 74
 	rolloutInstances = 70
@@ -113,6 +114,8 @@
 	options   RolloutOptions
 	random    *rand.Rand
 	recorders []*rollout.Recorder
+	// credits holds for each node the canary's share of its requests that has not yet been sent to
+	// the new version; a node sends a request there once this reaches 1.
 	credits   []float64
 	unhealthy map[string]bool
 	frozen    []bool
@@ -271,11 +274,11 @@
 		FirstEvent: time.Duration(float64(usualResponseTime) * math.Exp(usualDeviation*w.random.NormFloat64())), Tokens: 1000 * route,
 	}
 	response.FirstEvent = time.Duration(float64(response.FirstEvent) * float64(response.Tokens+1500) / 1500)
-	natural := usualFailures
+	failureShare := usualFailures
 	if route == failingRoute {
-		natural = failingRouteShare
+		failureShare = failingRouteShare
 	}
-	response.IsFailed = w.random.Float64() < natural
+	response.IsFailed = w.random.Float64() < failureShare
 	inFault := now >= w.faultAt && now < w.faultAt+faultDuration
 	switch {
 	case inFault && w.options.Fault == EnginesUnhealthy && w.unhealthy[response.Instance]:
--- a/internal/lab/simulate/routing.go
+++ b/internal/lab/simulate/routing.go
@@ -69,7 +69,8 @@
 	engine  *simulatedEngine
 }
 
-// simulatedEngine runs up to routingSlots jobs at a time.
+// simulatedEngine runs up to routingSlots jobs at a time. It takes routingPrefill for each prompt block
+// that is not cached, and routingStep for each output token.
 type simulatedEngine struct {
 	name    string
 	running int
--- a/internal/lab/simulate/upgrade.go
+++ b/internal/lab/simulate/upgrade.go
@@ -42,8 +42,8 @@
 	// helloInterval is the time between two hellos of a node.
 	helloInterval   = 600 * time.Millisecond
 	raiseSettleTime = 4 * time.Second
-	// downgradeShare is the share of the upgraded nodes, when chosen again, that are to be
-	// downgraded.
+	// downgradeShare is the probability that an upgraded node is to be downgraded when it is chosen
+	// again.
 	downgradeShare = 0.3
 	// downgradeWait is how long the operator leaves a node stopped before checking whether the log's
 	// version was raised. By then no node counts the stopped node as reachable, so that the version
--- a/internal/lab/simulate/upgrade_test.go
+++ b/internal/lab/simulate/upgrade_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// Guards against two ways to downgrade a node that seem safe; 10,000 seeds found their faults. The
-// operator stopped a machine, waited and read the version while a raise that was proposed earlier
-// was not committed yet: only an acknowledged write shows that no raise is in progress. Or the
+// Guards against two ways to downgrade a node that seem safe but are not. The faults are rare: these
+// seeds are from 10,000. The operator stopped a machine, waited and read the version while a raise
+// that was proposed earlier was not committed yet: only an acknowledged write shows that no raise is in progress. Or the
 // machine had lost its disk and was no member yet, so that the raise did not wait for it.
 func TestUnsafeDowngradesRaceWithVersionRaise(t *testing.T) {
 	t.Parallel()
