--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -282,11 +282,11 @@
 		s.network.Send(node.name, rootName, func() { s.root.TakeReport(report) })
 	}
 	for _, loan := range node.holder.TakeOutgoingLoans() {
-		s.sendLend(node.name, loan.To, loan.Message)
+		s.sendLoanMessage(node.name, loan.To, loan.Message)
 	}
 }
 
-func (s *BudgetSimulation) sendLend(from, to string, message escrow.LoanMessage) {
+func (s *BudgetSimulation) sendLoanMessage(from, to string, message escrow.LoanMessage) {
 	s.network.Send(from, to, func() {
 		s.withHolder(to, func(holder *escrow.Holder) {
 			switch {
--- a/internal/lab/simulate/budgets_test.go
+++ b/internal/lab/simulate/budgets_test.go
@@ -23,7 +23,7 @@
 }
 
 func TestSimulationDetectsGrantsThatExpireByTime(t *testing.T) {
-	broken := brokenSeed(t, 100, func(seed uint64) *World { return RunBudgets(faultyBudget(seed, PolicyGrantOnTimeout)).World })
+	broken := firstBrokenInvariant(t, 100, func(seed uint64) *World { return RunBudgets(faultyBudget(seed, PolicyGrantOnTimeout)).World })
 	assert.Assert(t, broken != nil)
 }
 
--- a/internal/lab/simulate/claims_test.go
+++ b/internal/lab/simulate/claims_test.go
@@ -11,6 +11,6 @@
 }
 
 func TestSimulationDetectsAcceptorThatRespondsWithoutRecovery(t *testing.T) {
-	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunClaims(seed, ClaimsWithoutRecovery) })
+	broken := firstBrokenInvariant(t, 200, func(seed uint64) *World { return RunClaims(seed, ClaimsWithoutRecovery) })
 	assert.Assert(t, broken != nil)
 }
--- a/internal/lab/simulate/consensus_test.go
+++ b/internal/lab/simulate/consensus_test.go
@@ -33,9 +33,9 @@
 	}
 }
 
-// brokenSeed returns the violated invariant of the first seed that detects a deliberate defect,
+// firstBrokenInvariant returns the violated invariant of the first seed that detects a deliberate defect,
 // or nil if no seed does.
-func brokenSeed(t *testing.T, count int, run func(seed uint64) *World) error {
+func firstBrokenInvariant(t *testing.T, count int, run func(seed uint64) *World) error {
 	t.Helper()
 	for seed := range count {
 		if world := run(uint64(seed)); world.Broken != nil {
@@ -51,17 +51,17 @@
 }
 
 func TestSimulationDetectsEmptyDiskVotingUnderItsOldIdentity(t *testing.T) {
-	broken := brokenSeed(t, 400, func(seed uint64) *World { return RunConsensus(seed, EmptyDiskKeepsIdentity) })
+	broken := firstBrokenInvariant(t, 400, func(seed uint64) *World { return RunConsensus(seed, EmptyDiskKeepsIdentity) })
 	assert.Assert(t, broken != nil)
 }
 
 func TestSimulationDetectsReadsWithoutQuorum(t *testing.T) {
-	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunConsensus(seed, ReadWithoutQuorum) })
+	broken := firstBrokenInvariant(t, 200, func(seed uint64) *World { return RunConsensus(seed, ReadWithoutQuorum) })
 	assert.Assert(t, broken != nil)
 }
 
 func TestSimulationDetectsAcknowledgementsBeforeSync(t *testing.T) {
-	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunConsensus(seed, DiskWithoutSync) })
+	broken := firstBrokenInvariant(t, 200, func(seed uint64) *World { return RunConsensus(seed, DiskWithoutSync) })
 	assert.Assert(t, broken != nil)
 }
 
--- a/internal/lab/simulate/crashes.go
+++ b/internal/lab/simulate/crashes.go
@@ -245,7 +245,7 @@
 	}
 	for _, loan := range node.holder.TakeOutgoingLoans() {
 		other := s.nodeNamed(loan.To)
-		s.send(node.name, loan.To, func() { s.atNode(other, func() { s.receiveLend(other, loan.Message) }) })
+		s.send(node.name, loan.To, func() { s.atNode(other, func() { s.receiveLoanMessage(other, loan.Message) }) })
 	}
 }
 
@@ -286,17 +286,17 @@
 	s.flush(node)
 }
 
-// receiveLend passes a loan message to a node's holder.
-func (s *crashSimulation) receiveLend(node *spendingNode, message escrow.LoanMessage) {
+// receiveLoanMessage passes a loan message to a node's holder.
+func (s *crashSimulation) receiveLoanMessage(node *spendingNode, message escrow.LoanMessage) {
 	if node.isDown {
 		return
 	}
-	applyLendMessage(node.holder, s.sinceBoot(node), message)
+	applyLoanMessage(node.holder, s.sinceBoot(node), message)
 	s.flush(node)
 }
 
-// applyLendMessage performs one step of a loan that needs no register to be agreed on.
-func applyLendMessage(holder *escrow.Holder, now time.Duration, message escrow.LoanMessage) {
+// applyLoanMessage performs one step of a loan that needs no register to be agreed on.
+func applyLoanMessage(holder *escrow.Holder, now time.Duration, message escrow.LoanMessage) {
 	neverFenced := func(accounts.HolderID) bool { return false }
 	switch {
 	case message.Request != nil:
--- a/internal/lab/simulate/crashes_test.go
+++ b/internal/lab/simulate/crashes_test.go
@@ -42,11 +42,11 @@
 }
 
 func TestSimulationDetectsIgnoredTimeSinceLastContact(t *testing.T) {
-	assert.Assert(t, brokenSeed(t, 100, runCrashes(LastContactIgnored)) != nil)
+	assert.Assert(t, firstBrokenInvariant(t, 100, runCrashes(LastContactIgnored)) != nil)
 }
 
 func TestSimulationDetectsTrustInJumpingClock(t *testing.T) {
-	assert.Assert(t, brokenSeed(t, 300, runCrashes(SingleClockTrusted)) != nil)
+	assert.Assert(t, firstBrokenInvariant(t, 300, runCrashes(SingleClockTrusted)) != nil)
 }
 
 // With allowances, a crash charges little, which is why they exist, and nodes may hold much more
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -65,7 +65,7 @@
 	heavyObjective     = 600 * time.Millisecond
 	// Bounds of the time after which a refused caller retries.
 	minimumRetryDelay, maximumRetryDelay = 50 * time.Millisecond, 150 * time.Millisecond
-	lagInterval                          = 50 * time.Millisecond
+	gateInterval                         = 50 * time.Millisecond
 	shedInterval                         = 300 * time.Millisecond
 	readinessInterval                    = time.Second
 )
@@ -107,8 +107,8 @@
 		s.machines = append(s.machines, &entryMachine{gate: overload.NewGate(), isListed: true})
 	}
 	s.world.After(0, s.generateRequest)
-	s.world.Every(lagInterval, s.readLag)
-	s.world.Every(shedInterval, s.readLinks)
+	s.world.Every(gateInterval, s.stepGates)
+	s.world.Every(shedInterval, s.stepShedders)
 	s.world.Every(readinessInterval, s.pollReadiness)
 	s.world.RunUntil(options.Length)
 	return s.result
@@ -232,7 +232,7 @@
 	}
 }
 
-func (s *heavyCallerSimulation) readLag() bool {
+func (s *heavyCallerSimulation) stepGates() bool {
 	for _, machine := range s.machines {
 		machine.gate.Step(s.world.Now, overload.Pressure{
 			Lag: max(0, machine.processorFreeAt-s.world.Now), FrameDelay: max(0, machine.linkFreeAt-s.world.Now),
@@ -242,7 +242,7 @@
 	return true
 }
 
-func (s *heavyCallerSimulation) readLinks() bool {
+func (s *heavyCallerSimulation) stepShedders() bool {
 	if s.options.Policy != ShedByReadiness && s.options.Policy != RefuseHeavyAndShed {
 		return false
 	}
--- a/internal/lab/simulate/lending.go
+++ b/internal/lab/simulate/lending.go
@@ -56,8 +56,8 @@
 	partitionDuration  = 8 * time.Second
 	lendingMaximumWait = 120 * time.Millisecond
 	lendingRetryDelay  = 3 * time.Second
-	nodeDelay          = 1500 * time.Microsecond
-	logDelay           = 10 * time.Millisecond
+	messageDelay       = 1500 * time.Microsecond
+	commitInterval     = 10 * time.Millisecond
 )
 
 // lendingNode is one entry node.
@@ -191,7 +191,7 @@
 			return accounts.Contact{Clock: 1, MonotonicMS: uint64(s.world.Now.Milliseconds())}
 		},
 	})
-	s.world.Every(logDelay, func() bool {
+	s.world.Every(commitInterval, func() bool {
 		s.root.Tick(s.world.Now)
 		s.commit()
 		return !s.isPartitioned()
@@ -200,7 +200,7 @@
 
 // sendToNode delivers a message of the root to a node, unless the nodes are partitioned by then.
 func (s *lendingSimulation) sendToNode(to string, act func(*lendingNode)) {
-	s.world.After(nodeDelay, func() {
+	s.world.After(messageDelay, func() {
 		if s.isPartitioned() {
 			return
 		}
@@ -230,7 +230,7 @@
 
 func (s *lendingSimulation) flush(node *lendingNode) {
 	if report, due := node.holder.Report(s.world.Now); due && !s.isPartitioned() {
-		s.world.After(nodeDelay, func() {
+		s.world.After(messageDelay, func() {
 			if !s.isPartitioned() {
 				s.root.TakeReport(report)
 			}
@@ -240,19 +240,19 @@
 		to := s.nodeNamed(pooled.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
-		s.world.After(nodeDelay, func() { s.receivePool(to, pooled.Message) })
+		s.world.After(messageDelay, func() { s.receivePool(to, pooled.Message) })
 	}
 	for _, loan := range node.holder.TakeOutgoingLoans() {
 		to := s.nodeNamed(loan.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
-		s.world.After(nodeDelay, func() { s.receiveLend(to, loan.Message) })
+		s.world.After(messageDelay, func() { s.receiveLoanMessage(to, loan.Message) })
 	}
 }
 
-func (s *lendingSimulation) receiveLend(node *lendingNode, message escrow.LoanMessage) {
+func (s *lendingSimulation) receiveLoanMessage(node *lendingNode, message escrow.LoanMessage) {
 	node.received++
-	applyLendMessage(node.holder, s.world.Now, message)
+	applyLoanMessage(node.holder, s.world.Now, message)
 	s.flush(node)
 }
 
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -55,7 +55,7 @@
 type PoisonResult struct {
 	*World
 	// Ended counts the crashes that poison requests caused. LateRuns counts the runs of a poison
-	// request that were sent later than poisonContact after its third crash, the maximum over the
+	// request that were sent later than poisonReactionTime after its third crash, the maximum over the
 	// poison requests.
 	Ended, LateRuns int
 	// Requests are those of other callers. Served ran to completion, Refused were taken for poison,
@@ -71,8 +71,8 @@
 	poisonEngines  = 12
 	poisonControls = 3
 	poisonLength   = 40 * time.Second
-	// poisonContact is the time within which all reachable nodes have to know of a third crash.
-	poisonContact = 3 * time.Second
+	// poisonReactionTime is the time within which all reachable nodes have to know of a third crash.
+	poisonReactionTime = 3 * time.Second
 	// ordinaryRate is the number of streams of other callers a second.
 	ordinaryRate = 46.0
 	// maximumAttempts is how many engines one try of a request may reach, maximumRetries how often
@@ -398,7 +398,7 @@
 func (w *poisonWorld) recordLateRun(request *poisonRequest) {
 	fingerprint := quarantine.FingerprintOfRequest(request.body)
 	w.Checks++
-	if crashes := w.crashTimes[fingerprint]; len(crashes) >= 3 && w.Now > crashes[2]+poisonContact {
+	if crashes := w.crashTimes[fingerprint]; len(crashes) >= 3 && w.Now > crashes[2]+poisonReactionTime {
 		w.lateRuns[fingerprint]++
 	}
 	if w.options.Policy.usesTracker() && !w.options.Cut && w.lateRuns[fingerprint] > maximumLateRuns {
--- a/internal/lab/simulate/upgrade_test.go
+++ b/internal/lab/simulate/upgrade_test.go
@@ -19,7 +19,7 @@
 		"raise for the leader alone": RaiseForTheLeaderAlone, "newer without raise": NewerWithoutRaise, "downgrade without check": DowngradeWithoutCheck,
 		"check before the stop": CheckBeforeStop,
 	} {
-		broken := brokenSeed(t, 200, func(seed uint64) *World { return RunUpgrade(seed, defect) })
+		broken := firstBrokenInvariant(t, 200, func(seed uint64) *World { return RunUpgrade(seed, defect) })
 		assert.ErrorContains(t, broken, "can't read", name)
 	}
 }
