--- a/internal/lab/labcli/simulations.go
+++ b/internal/lab/labcli/simulations.go
@@ -21,9 +21,9 @@
 	"budgets": func(seed uint64) *simulate.World {
 		return simulate.RunBudgets(simulate.BudgetOptions{Seed: seed, Limit: 400_000, TopUp: 200_000, Faults: true, Rate: 25}).World
 	},
-	"lost-lives":      simulateLostIncarnations(simulate.CrashOptions{}),
-	"suspended-lives": simulateLostIncarnations(simulate.CrashOptions{Suspended: true}),
-	"pooled-lives":    simulateLostIncarnations(simulate.CrashOptions{Pooled: true}),
+	"lost-lives":      simulateCrashedIncarnations(simulate.CrashOptions{}),
+	"suspended-lives": simulateCrashedIncarnations(simulate.CrashOptions{Suspended: true}),
+	"pooled-lives":    simulateCrashedIncarnations(simulate.CrashOptions{Pooled: true}),
 	"poison": func(seed uint64) *simulate.World {
 		return simulate.RunPoison(simulate.PoisonOptions{
 			Seed: seed, Policy: simulate.WeighCrashesWithoutRetries, Poison: 1 + int(seed%2), Failures: seed%3 == 0, Popular: seed%3 == 0, Hidden: seed%5 == 0,
@@ -37,8 +37,8 @@
 	},
 }
 
-// simulateLostIncarnations returns a simulation of incarnations that crash without a final report.
-func simulateLostIncarnations(options simulate.CrashOptions) func(seed uint64) *simulate.World {
+// simulateCrashedIncarnations returns a simulation of incarnations that crash without a final report.
+func simulateCrashedIncarnations(options simulate.CrashOptions) func(seed uint64) *simulate.World {
 	return func(seed uint64) *simulate.World {
 		one := options
 		one.Seed = seed
