--- a/internal/lab/limitcheck/record_test.go
+++ b/internal/lab/limitcheck/record_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// arrivals records each requests in every tenth of a second of a span.
-func arrivals(record *Record, from, until time.Duration, each int) {
+// addArrivals records each requests in every tenth of a second of a span.
+func addArrivals(record *Record, from, until time.Duration, each int) {
 	for at := from; at < until; at += 100 * time.Millisecond {
 		for range each {
 			record.AddArrival(at)
@@ -20,10 +20,10 @@
 	record := &Record{}
 	record.AddLimit(time.Second, 1)
 	record.AddLimit(2*time.Second, 1)
-	arrivals(record, time.Second, time.Second+ReactionTime, 5)
-	arrivals(record, time.Second+ReactionTime, 10*time.Second, 1)
+	addArrivals(record, time.Second, time.Second+ReactionTime, 5)
+	addArrivals(record, time.Second+ReactionTime, 10*time.Second, 1)
 	record.EndLimit(10 * time.Second)
-	arrivals(record, 10*time.Second+1, 20*time.Second, 5)
+	addArrivals(record, 10*time.Second+1, 20*time.Second, 5)
 	use := record.Usage(20 * time.Second)
 	// A window includes both of its ends.
 	assert.Equal(t, use.Received, 41)
@@ -59,7 +59,7 @@
 
 func TestEngineWithoutALimitIsNotChecked(t *testing.T) {
 	record := &Record{}
-	arrivals(record, 0, 10*time.Second, 9)
+	addArrivals(record, 0, 10*time.Second, 9)
 	record.EndLimit(10 * time.Second)
 	assert.Equal(t, record.Usage(20*time.Second), Usage{})
 }
