--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -15,8 +15,8 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// lastNamed is the number of slowest nodes that are named for each version.
-const lastNamed = 3
+// slowestNodesNamed is the number of slowest nodes that are named for each version.
+const slowestNodesNamed = 3
 
 // arrival is the moment when one version took effect at one node.
 type arrival struct {
@@ -80,7 +80,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "version\tfirst in effect\tnodes\tmedian delay\t90th percentile\tlast\tlast nodes (requests sent)")
 	for _, one := range r.versions {
-		last := one.arrivals[max(0, len(one.arrivals)-lastNamed):]
+		last := one.arrivals[max(0, len(one.arrivals)-slowestNodesNamed):]
 		var names []string
 		for _, slow := range last {
 			names = append(names, fmt.Sprintf("%s %v (%s)", slow.node, slow.delay.Round(time.Millisecond), cmp.Or(slow.requests, "-")))
