--- a/internal/lab/emulator/cache.go
+++ b/internal/lab/emulator/cache.go
@@ -11,7 +11,7 @@
 const maximumCacheEvents = 8192
 
 // prefixCache is a bounded LRU cache of prompt blocks. It publishes insertions and evictions as
-// events, with a lag and with gaps.
+// events, which readers receive late and some of which are lost.
 type prefixCache struct {
 	options      EngineOptions
 	order        *list.List
--- a/internal/lab/emulator/engine.go
+++ b/internal/lab/emulator/engine.go
@@ -42,7 +42,8 @@
 	// none.
 	EventLag time.Duration
 	EventGap uint64
-	// ChecksFence makes the engine refuse orders with a lower fence than the current order's.
+	// ChecksFence makes the engine refuse orders whose fence, a number that grows with each order, is
+	// lower than the current order's.
 	ChecksFence bool
 	// LoadTime is how long an order takes while no other engine loads from the weight store.
 	LoadTime time.Duration
@@ -64,8 +65,9 @@
 
 // sequence is one request in the engine.
 type sequence struct {
-	request         engine.GenerateRequest
-	state           engine.RequestState
+	request engine.GenerateRequest
+	state   engine.RequestState
+	// arrival is its number in the order of arrival.
 	arrival         uint64
 	promptTokens    uint64
 	cachedTokens    uint64
@@ -97,15 +99,18 @@
 	sequences map[string]*sequence
 	// waiting and running are in order of arrival. endedIDs holds the ids of ended requests; the
 	// oldest are dropped first.
-	waiting   []*sequence
-	running   []*sequence
-	endedIDs  []string
-	arrivals  uint64
-	wake      chan struct{}
-	cache     *prefixCache
-	loads     []timedLoad
-	order     engine.OrderState
-	loadedAt  time.Time
+	waiting  []*sequence
+	running  []*sequence
+	endedIDs []string
+	arrivals uint64
+	wake     chan struct{}
+	cache    *prefixCache
+	// loads are samples of the load, the oldest first.
+	loads []timedLoad
+	// order is the current order, whose weights are loaded at loadedAt.
+	order    engine.OrderState
+	loadedAt time.Time
+	// isLeaving makes the engine refuse new requests.
 	isLeaving bool
 	// slowdown multiplies step times; 1 is healthy.
 	slowdown int
@@ -256,7 +261,8 @@
 
 func (s *submitError) Error() string { return s.code }
 
-// submit queues a request. If a request with the same id is known, it returns that one's sequence.
+// submit queues a request. If a request with the same id is known, it returns the sequence of that
+// request.
 func (e *Engine) submit(request engine.GenerateRequest) (*sequence, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/internal/lab/emulator/world.go
+++ b/internal/lab/emulator/world.go
@@ -120,7 +120,7 @@
 	running.Wait()
 }
 
-// Serve listens on every back end's address and serves until the context ends.
+// Serve listens on the admin address and every back end's address, and serves until the context ends.
 func (w *World) Serve(ctx context.Context, admin string) error {
 	handlers := map[string]http.Handler{admin: w.AdminHandler()}
 	for address, handler := range w.handlers {
