--- a/internal/lab/load/client.go
+++ b/internal/lab/load/client.go
@@ -36,9 +36,10 @@
 
 // Request is one request to send.
 type Request struct {
-	Kind     Kind
-	Tenant   string
-	APIKey   string
+	Kind   Kind
+	Tenant string
+	APIKey string
+	// Key is the idempotency key.
 	Key      string
 	Priority string
 	Deadline time.Duration
@@ -62,8 +63,9 @@
 	// BackendRequestID is the engine's id of the request.
 	BackendRequestID string
 	Tokens           uint64
-	FirstToken       time.Duration
-	Total            time.Duration
+	// FirstToken is the time until the first part of the response, Total that until its end.
+	FirstToken time.Duration
+	Total      time.Duration
 	// Gaps are the times between consecutive parts of the stream.
 	Gaps   []time.Duration
 	Detail string
--- a/internal/lab/load/run.go
+++ b/internal/lab/load/run.go
@@ -46,7 +46,8 @@
 	Sent     int             `json:"sent"`
 	Outcomes map[Outcome]int `json:"outcomes"`
 	Codes    map[string]int  `json:"codes"`
-	// Retries counts further attempts after a failed one, CutTries the attempts that were cut.
+	// Retries counts further attempts after a failed one, CutAttempts the retried attempts that were
+	// cut.
 	Retries     int `json:"retries"`
 	CutAttempts int `json:"cut_tries"`
 	// Tokens is the usage reported to callers in complete responses, by tenant.
