--- a/internal/lab/labcli/labcli.go
+++ b/internal/lab/labcli/labcli.go
@@ -26,7 +26,8 @@
 	"github.com/ravenway/ravenway/internal/operatorcli"
 )
 
-// Command returns the whole command line. The soak's stand-ins use the wire interface.
+// Command returns the whole command line. In the soak, which runs real daemons under injected faults,
+// the stand-ins for callers, engines and operators use the wire interface.
 func Command(out io.Writer, wire standin.Wire) *cli.Command {
 	planFlag := &cli.StringFlag{Name: "deployment", Value: "zameen-haq", Usage: "zameen-haq or drukwacht"}
 	return &cli.Command{
--- a/internal/lab/labcli/rollouts.go
+++ b/internal/lab/labcli/rollouts.go
@@ -48,8 +48,8 @@
 	return table.Flush()
 }
 
-// rolloutSum aggregates the runs of one kind. exposed and late count the runs that broke the two
-// limits of a bad version.
+// rolloutSum aggregates the runs of one kind. overexposed and late count the runs that broke the
+// two limits of a bad version.
 type rolloutSum struct {
 	rolledBack, overexposed, late int
 	decisionTimes                 []time.Duration
--- a/internal/lab/labcli/simulations.go
+++ b/internal/lab/labcli/simulations.go
@@ -13,7 +13,7 @@
 	"github.com/ravenway/ravenway/internal/lab/simulate"
 )
 
-// simulations are the simulations of mechanisms, by the name that --only takes.
+// simulations are the simulations of mechanisms, by the name that --only accepts.
 var simulations = map[string]func(seed uint64) *simulate.World{
 	"consensus": func(seed uint64) *simulate.World { return simulate.RunConsensus(seed, simulate.NoDefect) },
 	"upgrades":  func(seed uint64) *simulate.World { return simulate.RunUpgrade(seed, simulate.UpgradeNoDefect) },
--- a/internal/lab/labcli/verify.go
+++ b/internal/lab/labcli/verify.go
@@ -42,8 +42,8 @@
 	return true
 }
 
-// verify compares the ledger with the ground truth, tenant by tenant, until they are equal or the
-// maximum wait ends.
+// verify compares the tokens that were billed with the ground truth, tenant by tenant, until they are
+// equal or the maximum wait ends.
 func verify(ctx context.Context, out io.Writer, command *cli.Command) error {
 	plan, err := selectedPlan(command)
 	if err != nil {
