--- a/internal/lab/losses/losses.go
+++ b/internal/lab/losses/losses.go
@@ -15,7 +15,8 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// reason is the reason why a request was not served in time.
+// reason is the reason why a request was not served in time: its first event was late, a pause between
+// two events was too long, its stream was broken off, or it was refused.
 type reason string
 
 const (
@@ -58,13 +59,16 @@
 	return total
 }
 
-// budgetStatus is the state of one tenant's budget at a time, in tokens.
+// budgetStatus is the state of one tenant's budget at a time, in tokens: its limit, the tokens spent,
+// held by nodes and left at the root, and those forfeited, that is, written off with crashed
+// incarnations of nodes.
 type budgetStatus struct {
 	limit, spent, held, left, forfeited int64
 }
 
 // timeStep aggregates the losses in one step of the time line.
 type timeStep struct {
+	// losses and tenants count the losses by reason and by tenant.
 	losses  map[reason]int
 	tenants map[string]int
 	// refusalTime is the total time from arrival to refusal of the refused requests.
@@ -78,9 +82,12 @@
 	startedAt  time.Time
 	stepLength time.Duration
 	totals     map[lossKey]*lossTotal
-	steps      map[int]*timeStep
-	tenants    map[string]map[reason]int
-	// served, late and droppedLines are totals over the nodes' summary lines.
+	// steps holds the steps of the time line by number.
+	steps map[int]*timeStep
+	// tenants counts the losses by tenant and reason.
+	tenants map[string]map[reason]int
+	// served, late and droppedLines are totals over the nodes' summary lines. droppedLines are those
+	// that nodes left out because of the bounds of their logs.
 	served, late, droppedLines int64
 }
 
@@ -153,11 +160,11 @@
 }
 
 func (r *Report) stepOf(line logs.Line) *timeStep {
-	place := int(line.At.Sub(r.startedAt) / r.stepLength)
-	found := r.steps[place]
+	number := int(line.At.Sub(r.startedAt) / r.stepLength)
+	found := r.steps[number]
 	if found == nil {
 		found = &timeStep{losses: map[reason]int{}, tenants: map[string]int{}, budgets: map[string]budgetStatus{}}
-		r.steps[place] = found
+		r.steps[number] = found
 	}
 	return found
 }
@@ -232,8 +239,8 @@
 
 func (r *Report) lastBudgets() map[string]budgetStatus {
 	budgets := map[string]budgetStatus{}
-	for _, place := range slices.Sorted(maps.Keys(r.steps)) {
-		maps.Copy(budgets, r.steps[place].budgets)
+	for _, number := range slices.Sorted(maps.Keys(r.steps)) {
+		maps.Copy(budgets, r.steps[number].budgets)
 	}
 	return budgets
 }
@@ -249,8 +256,8 @@
 
 func (r *Report) printSteps(out io.Writer) {
 	fmt.Fprintln(out, "from\tlosses\ttime until refusals\tmost affected tenant\tall limits\tspent\theld by nodes\tleft at the root\tforfeited")
-	for _, place := range slices.Sorted(maps.Keys(r.steps)) {
-		step := r.steps[place]
+	for _, number := range slices.Sorted(maps.Keys(r.steps)) {
+		step := r.steps[number]
 		var all budgetStatus
 		for _, one := range step.budgets {
 			all.limit += one.limit
@@ -267,6 +274,6 @@
 			continue
 		}
 		mostAffected := slices.MaxFunc(slices.Sorted(maps.Keys(step.tenants)), func(a, b string) int { return cmp.Compare(step.tenants[a], step.tenants[b]) })
-		fmt.Fprintf(out, "%v\t%s\t%v\t%s (%d)\t%s\n", time.Duration(place)*r.stepLength, reasons, step.refusalTime, cmp.Or(mostAffected, "-"), step.tenants[mostAffected], all)
+		fmt.Fprintf(out, "%v\t%s\t%v\t%s (%d)\t%s\n", time.Duration(number)*r.stepLength, reasons, step.refusalTime, cmp.Or(mostAffected, "-"), step.tenants[mostAffected], all)
 	}
 }
