--- a/internal/lab/limitcheck/limitcheck.go
+++ b/internal/lab/limitcheck/limitcheck.go
@@ -11,8 +11,8 @@
 	ReactionTime = 3 * time.Second
 	// Window is the span in which requests are counted.
 	Window = 4 * time.Second
-	// In any Window an engine may receive tolerance times the requests of its limit, plus slack
-	// requests.
+	// In any Window an engine may receive allowedFactor times the requests of its limit, plus
+	// allowedExtra requests.
 	allowedFactor = 1.5
 	allowedExtra  = 5
 )
@@ -26,7 +26,8 @@
 // MaximumInWindow returns the maximum number of arrivals, which are sorted, in any Window.
 func MaximumInWindow(arrivals []time.Duration) int { return MaximumWithin(arrivals, Window) }
 
-// MaximumWithin returns the maximum number of arrivals, which are sorted, in any span of a length.
+// MaximumWithin returns the maximum number of arrivals, which are sorted, in any span of the given
+// length.
 func MaximumWithin(arrivals []time.Duration, length time.Duration) int {
 	maximum, first := 0, 0
 	for last := range arrivals {
--- a/internal/lab/limitcheck/record.go
+++ b/internal/lab/limitcheck/record.go
@@ -12,8 +12,8 @@
 	arrivals []time.Duration
 }
 
-// limitChange is a change of the limit, from the first response that named it. Without hasLimit
-// there is no limit from then on.
+// limitChange is a change of the limit, at the first response that named the new one. If hasLimit is
+// not set, there is no limit from then on.
 type limitChange struct {
 	startedAt time.Duration
 	hasLimit  bool
@@ -38,8 +38,8 @@
 	}
 }
 
-// Usage summarizes the requests that an engine received under its limits. Got and Allowed describe
-// the Window that was fullest in relation to its limit.
+// Usage summarizes the requests that an engine received under its limits. Received and Allowed
+// describe the Window that was fullest in relation to its limit.
 type Usage struct {
 	// Received is the number of requests received in that window, Allowed the number allowed.
 	Received, Allowed int
@@ -49,11 +49,11 @@
 	Capacity float64
 }
 
-// AddWindow records a window with its requests received and allowed, if it is fuller than the last
-// one recorded.
-func (u *Usage) AddWindow(got, allowed int) {
-	if u.Allowed == 0 || got*u.Allowed > u.Received*allowed {
-		u.Received, u.Allowed = got, allowed
+// AddWindow records a window with its requests received and allowed, if it is fuller in relation to
+// its limit than the last one recorded.
+func (u *Usage) AddWindow(received, allowed int) {
+	if u.Allowed == 0 || received*u.Allowed > u.Received*allowed {
+		u.Received, u.Allowed = received, allowed
 	}
 }
 
--- a/internal/lab/limitcheck/record_test.go
+++ b/internal/lab/limitcheck/record_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// addArrivals records each requests in every tenth of a second of a span.
-func addArrivals(record *Record, from, until time.Duration, each int) {
+// addArrivals records count requests in every tenth of a second of a span.
+func addArrivals(record *Record, from, until time.Duration, count int) {
 	for at := from; at < until; at += 100 * time.Millisecond {
-		for range each {
+		for range count {
 			record.AddArrival(at)
 		}
 	}
@@ -49,7 +49,7 @@
 	record.arrivals = nil
 	add(8*time.Second, 18)
 	assert.Equal(t, record.Usage(time.Minute).Received, 18)
-	// Lowered from 20, which allows 125 requests until the nodes had time to receive the update.
+	// The limit is lowered from 20, which allows 125 requests until the nodes have had time to receive the update.
 	record.changes = []limitChange{{hasLimit: true, perSecond: 20}, {startedAt: 7 * time.Second, hasLimit: true, perSecond: 2}}
 	assert.Equal(t, record.Usage(time.Minute).Allowed, 125)
 	record.arrivals = nil
