--- a/internal/lab/pausecheck/pausecheck.go
+++ b/internal/lab/pausecheck/pausecheck.go
@@ -35,9 +35,9 @@
 // AddArrival records a request of the node.
 func (r *Record) AddArrival(at time.Duration) { r.arrivals = append(r.arrivals, at) }
 
-// AddPause records a response that requests a pause of the node.
-func (r *Record) AddPause(at, lasting time.Duration) {
-	r.pauses = append(r.pauses, pause{startedAt: at, length: lasting})
+// AddPause records a response that requests a pause of the node, for the given length.
+func (r *Record) AddPause(at, length time.Duration) {
+	r.pauses = append(r.pauses, pause{startedAt: at, length: length})
 }
 
 // PauseCount returns the number of pauses that were requested of the node.
