--- a/internal/lab/deployment/deployment.go
+++ b/internal/lab/deployment/deployment.go
@@ -27,7 +27,9 @@
 	Name  string
 	Zones []string
 	// NodesPerZone are the numbers of nodes, in the order of Zones.
-	NodesPerZone  []int
+	NodesPerZone []int
+	// EngineName and PlainName are the names of the two services: one of engines, and one of plain back
+	// ends, which serve no model.
 	EngineName    string
 	Engines       int
 	EngineSlots   uint32
@@ -43,7 +45,7 @@
 	BackendPort int
 }
 
-// ZameenHaq returns the plan of the first user's deployment at its present size.
+// ZameenHaq returns the plan of the first user's deployment at its current size.
 func ZameenHaq() Plan {
 	return Plan{
 		Name: "zameen-haq", Zones: []string{"lhr-a", "lhr-b", "lhr-c"}, NodesPerZone: []int{3, 3, 2},
@@ -52,7 +54,7 @@
 	}
 }
 
-// Drukwacht returns the plan of the second user's deployment at its present size.
+// Drukwacht returns the plan of the second user's deployment at its current size.
 func Drukwacht() Plan {
 	return Plan{
 		Name: "drukwacht", Zones: []string{"hall-a", "hall-b", "hall-c"}, NodesPerZone: []int{3, 2, 2},
@@ -76,7 +78,8 @@
 	Name      string
 	Zone      string
 	IsControl bool
-	Port      int
+	// Port is the base port, to which the offset of each listener is added.
+	Port int
 }
 
 // Address returns the address of the node's listener at an offset from its port.
