--- a/internal/lab/standin/standin.go
+++ b/internal/lab/standin/standin.go
@@ -52,11 +52,12 @@
 
 // Call is one request of a caller.
 type Call struct {
-	ID          string
+	ID string
+	// Key is the idempotency key.
 	Key         string
 	MaximumWait time.Duration
-	// TokensIn and TokensOut are the tokens of the prompt and the maximum number of generated
-	// tokens; 0 for a plain call. Part is the id of the shared part of the prompt.
+	// TokensIn and TokensOut are the number of tokens of the prompt and the maximum number of
+	// generated tokens; 0 for a plain call. PromptPart is the id of the shared part of the prompt.
 	TokensIn, TokensOut uint64
 	PromptPart          string
 }
