--- a/internal/lab/wire/wire.go
+++ b/internal/lab/wire/wire.go
@@ -17,7 +17,10 @@
 	"github.com/ravenway/ravenway/internal/gateway"
 )
 
-// Headers of the interface.
+// Headers of the interface. HeaderWait is a caller's maximum wait, or what is left of it in a request
+// to an engine, as a Go duration. HeaderTokens holds the number of tokens of the prompt and the maximum
+// number of generated tokens, separated by a comma. HeaderPart is the id of the shared part of the
+// prompt, HeaderAfter the last event received of a stream that is to be resumed.
 const (
 	HeaderRequest  = "Lab-Request"
 	HeaderWait     = "Lab-Wait"
