--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -27,8 +27,8 @@
 	requests string
 }
 
-// version is one version's number, the time when it first took effect at a node, and its arrivals in the
-// order of time.
+// version is one version's number, the time when it first took effect at a node, and its arrivals sorted
+// by time.
 type version struct {
 	number   int64
 	firstAt  time.Time
@@ -92,7 +92,7 @@
 }
 
 // delayQuantile returns the time, since the version first took effect, within which a fraction of the
-// nodes had it. It relies on the arrivals being in the order of time.
+// nodes had it. It relies on the arrivals being sorted by time.
 func (v version) delayQuantile(fraction float64) time.Duration {
 	index := int(fraction * float64(len(v.arrivals)-1))
 	return v.arrivals[index].delay.Round(time.Millisecond)
