--- a/internal/lab/simulate/backoff.go
+++ b/internal/lab/simulate/backoff.go
@@ -83,8 +83,8 @@
 	// within the objective, counted from the caller's first try, and Refused those that were
 	// refused for good.
 	Sent, InTime, Refused int
-	// FullUse is the time from the recovery of an engine until it gets its share of the load
-	// again, the maximum over the engines.
+	// FullUse is the time from the recovery of an engine until it gets four fifths of its share
+	// of the load again, the maximum over the engines.
 	FullUse time.Duration
 }
 
--- a/internal/lab/simulate/budgets.go
+++ b/internal/lab/simulate/budgets.go
@@ -107,7 +107,9 @@
 	crashed         []crashedIncarnation
 	partitionedZone string
 	// disturbedUntil is the time until which a refusal may be due to a recent fault.
-	disturbedUntil    time.Duration
+	disturbedUntil time.Duration
+	// reserved is the number of tokens that running requests have reserved, centrallyReserved that of
+	// the tokens reserved or used under PolicyCentralCheck.
 	reserved          uint64
 	centrallyReserved uint64
 	isSettling        bool
--- a/internal/lab/simulate/claims.go
+++ b/internal/lab/simulate/claims.go
@@ -24,7 +24,8 @@
 const (
 	// ClaimsNoDefect runs the real code.
 	ClaimsNoDefect ClaimsDefect = iota
-	// ClaimsWithoutVectors also counts responses of earlier incarnations of the acceptors.
+	// ClaimsWithoutVectors ignores crash vectors, the views of the acceptors' incarnations that messages
+	// carry: responses of earlier incarnations count too.
 	ClaimsWithoutVectors
 	// ClaimsWithoutRecovery lets a restarted acceptor respond before its recovery.
 	ClaimsWithoutRecovery
--- a/internal/lab/simulate/crashes.go
+++ b/internal/lab/simulate/crashes.go
@@ -31,8 +31,8 @@
 type CrashOptions struct {
 	Seed   uint64
 	Defect CrashDefect
-	// WholeGrants is the policy before allowances were introduced: a crashed incarnation is charged
-	// all that it held.
+	// WholeGrants disables allowances, which limit how much of its grant an incarnation can have used
+	// when it crashes: a crashed incarnation is charged all that it held.
 	WholeGrants bool
 	// Sudden injects only the most usual faults: crashes after which all nodes restart soon, and
 	// partitions, without clock jumps.
@@ -71,11 +71,12 @@
 // spendingNode is one entry node: it crashes without a final report, and restarts as another
 // incarnation.
 type spendingNode struct {
-	name, zone    string
-	holder        *escrow.Holder
-	incarnation   uint64
-	clock         machineClock
-	isDown        bool
+	name, zone  string
+	holder      *escrow.Holder
+	incarnation uint64
+	clock       machineClock
+	isDown      bool
+	// rootContactAt is when the node last received a message of the root.
 	rootContactAt time.Duration
 }
 
@@ -113,9 +114,10 @@
 	world    *World
 	network  *Network
 	accounts *accounts.Accounts
-	index    uint64
-	budgets  []string
-	nodes    []*spendingNode
+	// index is the log index of the last committed command.
+	index   uint64
+	budgets []string
+	nodes   []*spendingNode
 	// root is nil while no leader runs. process is the one that leads or led last, processCount
 	// the number of all processes so far.
 	root         *escrow.Root
@@ -124,7 +126,8 @@
 	wallClocks   []*wallClock
 	// crashed holds the holders of crashed incarnations whose accounts are not yet closed.
 	crashed map[accounts.HolderID]*escrow.Holder
-	used    map[string]uint64
+	// used holds for each budget the tokens that ran or are reserved by running requests.
+	used map[string]uint64
 }
 
 // RunCrashes simulates entry nodes and leaders that crash, and the accounts that are closed for
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -94,6 +94,7 @@
 
 // callerRequest is one request in flight.
 type callerRequest struct {
+	// caller is the number of the caller; 0 is the heavy caller.
 	caller     int
 	bytes      int64
 	firstTryAt time.Duration
--- a/internal/lab/simulate/lending.go
+++ b/internal/lab/simulate/lending.go
@@ -71,7 +71,8 @@
 
 func (n *lendingNode) name() string { return fmt.Sprintf("n%d", n.number) }
 
-// lendingCaller is one caller: the node that its hash chooses, and its weight among the callers.
+// lendingCaller is one caller: the node that its hash chooses, and its request rate relative to those
+// of the other callers.
 type lendingCaller struct {
 	node *lendingNode
 	rate float64
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -138,6 +138,7 @@
 	node     *poisonNode
 	engine   *poisonEngine
 	attempts int
+	// hasBegun reports whether the head of the response was received.
 	hasBegun bool
 	beganAt  time.Duration
 	ended    bool
--- a/internal/lab/simulate/ratelimit.go
+++ b/internal/lab/simulate/ratelimit.go
@@ -112,10 +112,12 @@
 	// isPartitioned reports whether it is partitioned from all nodes and control nodes. It still
 	// reaches the engines.
 	isPartitioned bool
-	lastListAt    time.Duration
-	knownNodes    []ratelimit.Node
-	nextSendAt    map[registry.Incarnation]time.Duration
-	isLimitKnown  map[registry.Incarnation]bool
+	// lastListAt is when the node last received a list of live nodes, knownNodes that list.
+	lastListAt time.Duration
+	knownNodes []ratelimit.Node
+	// nextSendAt is when the node may send an engine its next request under a policy without permits.
+	nextSendAt   map[registry.Incarnation]time.Duration
+	isLimitKnown map[registry.Incarnation]bool
 	// staleIncarnations are the incarnations that the node knows of engines that have restarted
 	// since.
 	staleIncarnations map[*limitEngine]registry.Incarnation
--- a/internal/lab/simulate/rollout.go
+++ b/internal/lab/simulate/rollout.go
@@ -116,7 +116,9 @@
 	recorders []*rollout.Recorder
 	// credits holds for each node the canary's share of its requests that has not yet been sent to
 	// the new version; a node sends a request there once this reaches 1.
-	credits   []float64
+	credits []float64
+	// unhealthy and frozen hold the instances and the nodes that the fault at faultAt affects, if it
+	// affects only some.
 	unhealthy map[string]bool
 	frozen    []bool
 	faultAt   time.Duration
--- a/internal/lab/simulate/upgrade.go
+++ b/internal/lab/simulate/upgrade.go
@@ -58,7 +58,8 @@
 	reads machine.LogVersion
 	// hellos holds the last hello of each node, by name.
 	hellos map[string]hello
-	raise  logversion.Raise
+	// raise decides when the log's version is to be raised.
+	raise logversion.Raise
 }
 
 type hello struct {
