--- a/internal/lab/limitcheck/record_test.go
+++ b/internal/lab/limitcheck/record_test.go
@@ -7,10 +7,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// arrivals records each requests in every tenth of a second of a span.
-func arrivals(record *Record, from, until time.Duration, each int) {
+// addArrivals records count requests in every tenth of a second of a span.
+func addArrivals(record *Record, from, until time.Duration, count int) {
 	for at := from; at < until; at += 100 * time.Millisecond {
-		for range each {
+		for range count {
 			record.AddArrival(at)
 		}
 	}
@@ -20,10 +20,10 @@
 	record := &Record{}
 	record.AddLimit(time.Second, 1)
 	record.AddLimit(2*time.Second, 1)
-	arrivals(record, time.Second, time.Second+ReactionTime, 5)
-	arrivals(record, time.Second+ReactionTime, 10*time.Second, 1)
+	addArrivals(record, time.Second, time.Second+ReactionTime, 5)
+	addArrivals(record, time.Second+ReactionTime, 10*time.Second, 1)
 	record.EndLimit(10 * time.Second)
-	arrivals(record, 10*time.Second+1, 20*time.Second, 5)
+	addArrivals(record, 10*time.Second+1, 20*time.Second, 5)
 	use := record.Usage(20 * time.Second)
 	// A window includes both of its ends.
 	assert.Equal(t, use.Received, 41)
@@ -49,7 +49,7 @@
 	record.arrivals = nil
 	add(8*time.Second, 18)
 	assert.Equal(t, record.Usage(time.Minute).Received, 18)
-	// Lowered from 20, which allows 125 requests until the nodes had time to receive the update.
+	// The limit is lowered from 20, which allows 125 requests until the nodes have had time to receive the update.
 	record.changes = []limitChange{{hasLimit: true, perSecond: 20}, {startedAt: 7 * time.Second, hasLimit: true, perSecond: 2}}
 	assert.Equal(t, record.Usage(time.Minute).Allowed, 125)
 	record.arrivals = nil
@@ -59,7 +59,7 @@
 
 func TestEngineWithoutALimitIsNotChecked(t *testing.T) {
 	record := &Record{}
-	arrivals(record, 0, 10*time.Second, 9)
+	addArrivals(record, 0, 10*time.Second, 9)
 	record.EndLimit(10 * time.Second)
 	assert.Equal(t, record.Usage(20*time.Second), Usage{})
 }
--- a/internal/lab/simulate/consensus_test.go
+++ b/internal/lab/simulate/consensus_test.go
@@ -10,7 +10,8 @@
 // seedsInCI is the number of seeds that CI runs for each mechanism.
 const seedsInCI = 200
 
-// runSeeds runs seeds in parallel and fails at the first violated invariant of each lane.
+// runSeeds runs seeds in eight parallel subtests, the lanes, each of which fails at its first
+// violated invariant.
 func runSeeds(t *testing.T, count int, run func(seed uint64) *World) {
 	t.Helper()
 	const lanes = 8
@@ -32,9 +33,9 @@
 	}
 }
 
-// brokenSeed returns the violated invariant of the first seed that detects a deliberate defect,
+// firstBrokenInvariant returns the violated invariant of the first seed that detects a deliberate defect,
 // or nil if no seed does.
-func brokenSeed(t *testing.T, count int, run func(seed uint64) *World) error {
+func firstBrokenInvariant(t *testing.T, count int, run func(seed uint64) *World) error {
 	t.Helper()
 	for seed := range count {
 		if world := run(uint64(seed)); world.Broken != nil {
@@ -50,23 +51,22 @@
 }
 
 func TestSimulationDetectsEmptyDiskVotingUnderItsOldIdentity(t *testing.T) {
-	broken := brokenSeed(t, 400, func(seed uint64) *World { return RunConsensus(seed, EmptyDiskKeepsIdentity) })
+	broken := firstBrokenInvariant(t, 400, func(seed uint64) *World { return RunConsensus(seed, EmptyDiskKeepsIdentity) })
 	assert.Assert(t, broken != nil)
 }
 
 func TestSimulationDetectsReadsWithoutQuorum(t *testing.T) {
-	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunConsensus(seed, ReadWithoutQuorum) })
+	broken := firstBrokenInvariant(t, 200, func(seed uint64) *World { return RunConsensus(seed, ReadWithoutQuorum) })
 	assert.Assert(t, broken != nil)
 }
 
 func TestSimulationDetectsAcknowledgementsBeforeSync(t *testing.T) {
-	broken := brokenSeed(t, 200, func(seed uint64) *World { return RunConsensus(seed, DiskWithoutSync) })
+	broken := firstBrokenInvariant(t, 200, func(seed uint64) *World { return RunConsensus(seed, DiskWithoutSync) })
 	assert.Assert(t, broken != nil)
 }
 
-// Guards against a replica that stays behind forever, as seen with seed 9: a duplicated
-// acknowledgement decremented the leader's counter of messages in flight twice, so that a lost
-// append was never sent again.
+// Guards against a replica that stays behind forever: a duplicated acknowledgement decremented the
+// leader's counter of messages in flight twice, so that a lost append was never sent again.
 func TestLostAppendIsSentAgainAfterDuplicatedAcknowledgement(t *testing.T) {
 	for _, seed := range []uint64{9, 92} {
 		assert.NilError(t, RunConsensus(seed, NoDefect).Broken)
--- a/internal/lab/simulate/crashes.go
+++ b/internal/lab/simulate/crashes.go
@@ -20,7 +20,7 @@
 const (
 	// CrashNoDefect runs the real code.
 	CrashNoDefect CrashDefect = iota
-	// LastContactIgnored takes the time since an incarnation's last contact with the root for 0, so
+	// LastContactIgnored takes the time since an incarnation's last contact with the root to be 0, so
 	// that a crashed incarnation is charged only its allowance.
 	LastContactIgnored
 	// SingleClockTrusted trusts the wall clock of a single control node.
@@ -31,8 +31,8 @@
 type CrashOptions struct {
 	Seed   uint64
 	Defect CrashDefect
-	// WholeGrants is the policy before allowances were introduced: a crashed incarnation is charged
-	// all that it held.
+	// WholeGrants disables allowances, which limit how much of its grant an incarnation can have used
+	// when it crashes: a crashed incarnation is charged all that it held.
 	WholeGrants bool
 	// Sudden injects only the most usual faults: crashes after which all nodes restart soon, and
 	// partitions, without clock jumps.
@@ -71,11 +71,12 @@
 // spendingNode is one entry node: it crashes without a final report, and restarts as another
 // incarnation.
 type spendingNode struct {
-	name, zone    string
-	holder        *escrow.Holder
-	incarnation   uint64
-	clock         machineClock
-	isDown        bool
+	name, zone  string
+	holder      *escrow.Holder
+	incarnation uint64
+	clock       machineClock
+	isDown      bool
+	// rootContactAt is when the node last received a message of the root.
 	rootContactAt time.Duration
 }
 
@@ -113,9 +114,10 @@
 	world    *World
 	network  *Network
 	accounts *accounts.Accounts
-	index    uint64
-	budgets  []string
-	nodes    []*spendingNode
+	// index is the log index of the last committed command.
+	index   uint64
+	budgets []string
+	nodes   []*spendingNode
 	// root is nil while no leader runs. process is the one that leads or led last, processCount
 	// the number of all processes so far.
 	root         *escrow.Root
@@ -124,7 +126,8 @@
 	wallClocks   []*wallClock
 	// crashed holds the holders of crashed incarnations whose accounts are not yet closed.
 	crashed map[accounts.HolderID]*escrow.Holder
-	used    map[string]uint64
+	// used holds for each budget the tokens that ran or are reserved by running requests.
+	used map[string]uint64
 }
 
 // RunCrashes simulates entry nodes and leaders that crash, and the accounts that are closed for
@@ -245,7 +248,7 @@
 	}
 	for _, loan := range node.holder.TakeOutgoingLoans() {
 		other := s.nodeNamed(loan.To)
-		s.send(node.name, loan.To, func() { s.atNode(other, func() { s.receiveLend(other, loan.Message) }) })
+		s.send(node.name, loan.To, func() { s.atNode(other, func() { s.receiveLoanMessage(other, loan.Message) }) })
 	}
 }
 
@@ -286,17 +289,17 @@
 	s.flush(node)
 }
 
-// receiveLend passes a loan message to a node's holder.
-func (s *crashSimulation) receiveLend(node *spendingNode, message escrow.LoanMessage) {
+// receiveLoanMessage passes a loan message to a node's holder.
+func (s *crashSimulation) receiveLoanMessage(node *spendingNode, message escrow.LoanMessage) {
 	if node.isDown {
 		return
 	}
-	applyLendMessage(node.holder, s.sinceBoot(node), message)
+	applyLoanMessage(node.holder, s.sinceBoot(node), message)
 	s.flush(node)
 }
 
-// applyLendMessage performs one step of a loan that needs no register to be agreed on.
-func applyLendMessage(holder *escrow.Holder, now time.Duration, message escrow.LoanMessage) {
+// applyLoanMessage performs one step of a loan that needs no register to be agreed on.
+func applyLoanMessage(holder *escrow.Holder, now time.Duration, message escrow.LoanMessage) {
 	neverFenced := func(accounts.HolderID) bool { return false }
 	switch {
 	case message.Request != nil:
@@ -508,8 +511,8 @@
 	s.flush(node)
 }
 
-// run executes a reserved request, which uses at least half of its bound. It continues if its node
-// is killed.
+// run executes a reserved request, which uses at least half of the reserved tokens. It continues if
+// its node is killed.
 func (s *crashSimulation) run(reservation escrow.Reservation, onEnd func(used uint64)) {
 	s.used[reservation.Budget] += reservation.Amount
 	if used, limit := s.used[reservation.Budget], s.accounts.Budget(reservation.Budget).Limit; used > limit {
--- a/internal/lab/simulate/heavycaller.go
+++ b/internal/lab/simulate/heavycaller.go
@@ -46,15 +46,14 @@
 	MostWaiting int
 }
 
-// The size and load of a zone in the large deployments.
+// The size and load of a zone of a large deployment.
 const (
 	heavyNodes   = 62
 	heavyCallers = 103
 	// heavyRate is the number of requests a second in the zone.
 	heavyRate = 172.0
 	// stageWork is a node's processor time for one of the stages of a request. On a fifth of a
-	// core, all stages together take some 9 ms, as measured at a saturated node with 95 requests
-	// a second.
+	// core, all stages together take about 9 ms at a saturated node with 95 requests a second.
 	stageWork   = 1500 * time.Microsecond
 	stages      = 6
 	engineStage = 4
@@ -66,7 +65,7 @@
 	heavyObjective     = 600 * time.Millisecond
 	// Bounds of the time after which a refused caller retries.
 	minimumRetryDelay, maximumRetryDelay = 50 * time.Millisecond, 150 * time.Millisecond
-	lagInterval                          = 50 * time.Millisecond
+	gateInterval                         = 50 * time.Millisecond
 	shedInterval                         = 300 * time.Millisecond
 	readinessInterval                    = time.Second
 )
@@ -78,7 +77,8 @@
 	shedder                     overload.Shedder
 	// received counts the bytes of request bodies since the start.
 	received int64
-	waiting  int
+	// waiting is the number of requests at the node.
+	waiting int
 	// isListed reports whether the platform sends callers here.
 	isListed bool
 }
@@ -94,6 +94,7 @@
 
 // callerRequest is one request in flight.
 type callerRequest struct {
+	// caller is the number of the caller; 0 is the heavy caller.
 	caller     int
 	bytes      int64
 	firstTryAt time.Duration
@@ -107,8 +108,8 @@
 		s.machines = append(s.machines, &entryMachine{gate: overload.NewGate(), isListed: true})
 	}
 	s.world.After(0, s.generateRequest)
-	s.world.Every(lagInterval, s.readLag)
-	s.world.Every(shedInterval, s.readLinks)
+	s.world.Every(gateInterval, s.stepGates)
+	s.world.Every(shedInterval, s.stepShedders)
 	s.world.Every(readinessInterval, s.pollReadiness)
 	s.world.RunUntil(options.Length)
 	return s.result
@@ -232,7 +233,7 @@
 	}
 }
 
-func (s *heavyCallerSimulation) readLag() bool {
+func (s *heavyCallerSimulation) stepGates() bool {
 	for _, machine := range s.machines {
 		machine.gate.Step(s.world.Now, overload.Pressure{
 			Lag: max(0, machine.processorFreeAt-s.world.Now), FrameDelay: max(0, machine.linkFreeAt-s.world.Now),
@@ -242,7 +243,7 @@
 	return true
 }
 
-func (s *heavyCallerSimulation) readLinks() bool {
+func (s *heavyCallerSimulation) stepShedders() bool {
 	if s.options.Policy != ShedByReadiness && s.options.Policy != RefuseHeavyAndShed {
 		return false
 	}
--- a/internal/lab/simulate/lending.go
+++ b/internal/lab/simulate/lending.go
@@ -10,8 +10,8 @@
 	"github.com/ravenway/ravenway/internal/state/accounts"
 )
 
-// LendingPolicy is how entry nodes that are partitioned from the core find tokens that other
-// nodes hold.
+// LendingPolicy is how entry nodes that are partitioned from the core, the control nodes, find
+// tokens that other nodes hold.
 type LendingPolicy int
 
 // Policies of RunLending.
@@ -25,7 +25,7 @@
 )
 
 // LendingOptions configures a run of RunLending: zones of entry nodes, callers that a hash
-// spreads over them, prepaid tokens for twice the run, and a partition of all nodes from the core.
+// spreads over them, budgets that don't run out, and a partition of all nodes from the core.
 type LendingOptions struct {
 	Seed   uint64
 	Policy LendingPolicy
@@ -33,7 +33,7 @@
 	NodesAZone int
 }
 
-// LendingResult counts the requests and messages during the partition.
+// LendingResult counts the requests during the partition, and the messages.
 type LendingResult struct {
 	World *World
 	// Requests and Refused count first tries, Returns the refused requests that were retried at
@@ -56,8 +56,8 @@
 	partitionDuration  = 8 * time.Second
 	lendingMaximumWait = 120 * time.Millisecond
 	lendingRetryDelay  = 3 * time.Second
-	nodeDelay          = 1500 * time.Microsecond
-	logDelay           = 10 * time.Millisecond
+	messageDelay       = 1500 * time.Microsecond
+	commitInterval     = 10 * time.Millisecond
 )
 
 // lendingNode is one entry node.
@@ -71,7 +71,8 @@
 
 func (n *lendingNode) name() string { return fmt.Sprintf("n%d", n.number) }
 
-// lendingCaller is one caller: the node that its hash chooses, and its weight among the callers.
+// lendingCaller is one caller: the node that its hash chooses, and its request rate relative to those
+// of the other callers.
 type lendingCaller struct {
 	node *lendingNode
 	rate float64
@@ -191,7 +192,7 @@
 			return accounts.Contact{Clock: 1, MonotonicMS: uint64(s.world.Now.Milliseconds())}
 		},
 	})
-	s.world.Every(logDelay, func() bool {
+	s.world.Every(commitInterval, func() bool {
 		s.root.Tick(s.world.Now)
 		s.commit()
 		return !s.isPartitioned()
@@ -200,7 +201,7 @@
 
 // sendToNode delivers a message of the root to a node, unless the nodes are partitioned by then.
 func (s *lendingSimulation) sendToNode(to string, act func(*lendingNode)) {
-	s.world.After(nodeDelay, func() {
+	s.world.After(messageDelay, func() {
 		if s.isPartitioned() {
 			return
 		}
@@ -230,7 +231,7 @@
 
 func (s *lendingSimulation) flush(node *lendingNode) {
 	if report, due := node.holder.Report(s.world.Now); due && !s.isPartitioned() {
-		s.world.After(nodeDelay, func() {
+		s.world.After(messageDelay, func() {
 			if !s.isPartitioned() {
 				s.root.TakeReport(report)
 			}
@@ -240,19 +241,19 @@
 		to := s.nodeNamed(pooled.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
-		s.world.After(nodeDelay, func() { s.receivePool(to, pooled.Message) })
+		s.world.After(messageDelay, func() { s.receivePool(to, pooled.Message) })
 	}
 	for _, loan := range node.holder.TakeOutgoingLoans() {
 		to := s.nodeNamed(loan.To)
 		s.result.Messages++
 		s.links[link{node.name(), to.name()}] = true
-		s.world.After(nodeDelay, func() { s.receiveLend(to, loan.Message) })
+		s.world.After(messageDelay, func() { s.receiveLoanMessage(to, loan.Message) })
 	}
 }
 
-func (s *lendingSimulation) receiveLend(node *lendingNode, message escrow.LoanMessage) {
+func (s *lendingSimulation) receiveLoanMessage(node *lendingNode, message escrow.LoanMessage) {
 	node.received++
-	applyLendMessage(node.holder, s.world.Now, message)
+	applyLoanMessage(node.holder, s.world.Now, message)
 	s.flush(node)
 }
 
--- a/internal/lab/simulate/poison.go
+++ b/internal/lab/simulate/poison.go
@@ -55,7 +55,7 @@
 type PoisonResult struct {
 	*World
 	// Ended counts the crashes that poison requests caused. LateRuns counts the runs of a poison
-	// request that were sent later than poisonContact after its third crash, the maximum over the
+	// request that were sent later than poisonReactionTime after its third crash, the maximum over the
 	// poison requests.
 	Ended, LateRuns int
 	// Requests are those of other callers. Served ran to completion, Refused were taken for poison,
@@ -63,14 +63,16 @@
 	Requests, Served, Refused, BesideThree int
 }
 
-// The size and rates of the fleet in the incident that the simulation reproduces.
+// The size and rates of the fleet in the incident that the simulation reproduces. maximumLateRuns
+// bounds PoisonResult.LateRuns without a partition. Under PoisonOptions.Popular, one in popularBody
+// requests has the popular body, whose scope has the same number.
 const (
 	poisonNodes    = 8
 	poisonEngines  = 12
 	poisonControls = 3
 	poisonLength   = 40 * time.Second
-	// poisonContact is the time within which all reachable nodes have to know of a third crash.
-	poisonContact = 3 * time.Second
+	// poisonReactionTime is the time within which all reachable nodes have to know of a third crash.
+	poisonReactionTime = 3 * time.Second
 	// ordinaryRate is the number of streams of other callers a second.
 	ordinaryRate = 46.0
 	// maximumAttempts is how many engines one try of a request may reach, maximumRetries how often
@@ -91,9 +93,11 @@
 	controls      []*quarantine.Tracker
 	engines       []*poisonEngine
 	isPartitioned bool
-	presence      map[quarantine.Fingerprint]map[registry.Incarnation]bool
-	crashTimes    map[quarantine.Fingerprint][]time.Duration
-	lateRuns      map[quarantine.Fingerprint]int
+	// presence holds the engine incarnations that crashed while they ran a request, crashTimes the
+	// times of the crashes that a poison request caused.
+	presence   map[quarantine.Fingerprint]map[registry.Incarnation]bool
+	crashTimes map[quarantine.Fingerprint][]time.Duration
+	lateRuns   map[quarantine.Fingerprint]int
 }
 
 // poisonNode is an entry node: its tracker and its guard.
@@ -134,6 +138,7 @@
 	node     *poisonNode
 	engine   *poisonEngine
 	attempts int
+	// hasBegun reports whether the head of the response was received.
 	hasBegun bool
 	beganAt  time.Duration
 	ended    bool
@@ -394,7 +399,7 @@
 func (w *poisonWorld) recordLateRun(request *poisonRequest) {
 	fingerprint := quarantine.FingerprintOfRequest(request.body)
 	w.Checks++
-	if crashes := w.crashTimes[fingerprint]; len(crashes) >= 3 && w.Now > crashes[2]+poisonContact {
+	if crashes := w.crashTimes[fingerprint]; len(crashes) >= 3 && w.Now > crashes[2]+poisonReactionTime {
 		w.lateRuns[fingerprint]++
 	}
 	if w.options.Policy.usesTracker() && !w.options.Cut && w.lateRuns[fingerprint] > maximumLateRuns {
--- a/internal/lab/versions/versions.go
+++ b/internal/lab/versions/versions.go
@@ -15,8 +15,8 @@
 	"github.com/ravenway/ravenway/internal/logs"
 )
 
-// lastNamed is the number of slowest nodes that are named for each version.
-const lastNamed = 3
+// slowestNodesNamed is the number of slowest nodes that are named for each version.
+const slowestNodesNamed = 3
 
 // arrival is the moment when one version took effect at one node.
 type arrival struct {
@@ -27,8 +27,8 @@
 	requests string
 }
 
-// version is one version's number, the time when it first took effect at a node, and its arrivals in the
-// order of time.
+// version is one version's number, the time when it first took effect at a node, and its arrivals sorted
+// by time.
 type version struct {
 	number   int64
 	firstAt  time.Time
@@ -80,7 +80,7 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "version\tfirst in effect\tnodes\tmedian delay\t90th percentile\tlast\tlast nodes (requests sent)")
 	for _, one := range r.versions {
-		last := one.arrivals[max(0, len(one.arrivals)-lastNamed):]
+		last := one.arrivals[max(0, len(one.arrivals)-slowestNodesNamed):]
 		var names []string
 		for _, slow := range last {
 			names = append(names, fmt.Sprintf("%s %v (%s)", slow.node, slow.delay.Round(time.Millisecond), cmp.Or(slow.requests, "-")))
@@ -92,7 +92,7 @@
 }
 
 // delayQuantile returns the time, since the version first took effect, within which a fraction of the
-// nodes had it. It relies on the arrivals being in the order of time.
+// nodes had it. It relies on the arrivals being sorted by time.
 func (v version) delayQuantile(fraction float64) time.Duration {
 	index := int(fraction * float64(len(v.arrivals)-1))
 	return v.arrivals[index].delay.Round(time.Millisecond)
