--- a/internal/lab/openfleet/chaos.go
+++ b/internal/lab/openfleet/chaos.go
@@ -56,7 +56,7 @@
 	c.violations = append(c.violations, fmt.Sprintf(format, arguments...))
 }
 
-// Run injects a fixed number of faults and returns the violations that were seen.
+// Run injects chaosRounds faults, one after the other, and returns the violations that were seen.
 func (c *Chaos) Run() []string {
 	ctx, cancel := context.WithCancel(c.fleet.ctx)
 	var running sync.WaitGroup
@@ -98,6 +98,7 @@
 		if response.BodyError == nil && !strings.Contains(response.Body, id) {
 			c.recordViolation("%s received the response of another request: %q", id, response.Body)
 		}
+		// Only a resumable stream must be complete whenever its body ends without an error.
 		if response.BodyError == nil && strings.HasSuffix(path, "able/x") && strings.Count(response.Body, "data:") != 5 {
 			c.recordViolation("%s received an incomplete stream without an error: %q", id, response.Body)
 		}
@@ -233,6 +234,7 @@
 	for id, count := range runs {
 		var number, turn int
 		_, _ = fmt.Sscanf(id, "c%d-%d", &number, &turn)
+		// runCaller sends /once/x and /stream/x, which may run at most once, in these turns.
 		isOnce := turn%4 == 1 || turn%4 == 2
 		if isOnce && count > 1 {
 			c.recordViolation("%s may run at most once and ran %d times", id, count)
--- a/internal/lab/openfleet/engine.go
+++ b/internal/lab/openfleet/engine.go
@@ -34,10 +34,11 @@
 	runs      []*Run
 	// arrivals are the times at which requests arrived at each instance, rejected ones included.
 	arrivals map[string][]time.Duration
-	// pauses are what instances requested from nodes: pauses, and no more requests once they leave.
+	// pauses records, for each instance and each node, the pauses that the instance requested from the
+	// node, its signals that it leaves, and the requests that it got from the node.
 	pauses map[instanceAndNode]*pausecheck.Record
-	// received are the tokens that the callers with each key received. A request of whose response
-	// anything arrived counts its prompt once, and each event.
+	// received is the number of tokens that the callers with each key received: for each response of
+	// which anything arrived, the prompt's tokens once and one token per event.
 	received map[string]uint64
 }
 
@@ -80,16 +81,17 @@
 	t.pauseRecord(instance, node).AddShutdown(time.Since(t.startedAt))
 }
 
-// RequestsAfterLeaving returns the number of requests that an instance got from a node after a response had
-// told the node that the instance leaves, and reports whether a response did.
+// RequestsAfterLeaving returns the number of requests that an instance got from a node later than
+// pausecheck.DrainTime after a response had signalled to the node that the instance leaves. wasSignalled
+// reports whether there was such a response.
 func (t *GroundTruth) RequestsAfterLeaving(instance, node string) (late int, wasSignalled bool) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return t.pauseRecord(instance, node).AfterShutdown()
 }
 
-// MaximumInPause returns the maximum number of requests that an instance got from a node in a pause that it
-// had requested from it, and the number of pauses that it requested.
+// MaximumInPause returns the maximum number of requests that a node sent to an instance during any single
+// pause, and the number of pauses that the instance requested from the node.
 func (t *GroundTruth) MaximumInPause(instance, node string) (maximum, pauses int) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -149,8 +151,8 @@
 	Status int
 	// RejectsAll makes the engine reject all requests.
 	RejectsAll bool
-	// CrashesOn is the body of requests that crash the engine, with all runs in progress, CrashesAfter
-	// they began to run; "" means that there are none.
+	// CrashesOn is the body of requests that crash the engine and so break all runs in progress; ""
+	// means that there are none. CrashesAfter is the time from the start of such a run to the crash.
 	CrashesOn    string
 	CrashesAfter time.Duration
 	// RateLimit is the rate limit in requests per second that the engine's responses name; "" means
--- a/internal/lab/openfleet/evacuation_test.go
+++ b/internal/lab/openfleet/evacuation_test.go
@@ -18,8 +18,8 @@
 // node.
 const orderInEffectWithin = time.Second
 
-// requestAll sends requests of each kind to each entry node, checks that all are served, and returns
-// the time since the fleet was made at which it began.
+// requestAll sends requests of each kind to each entry node and checks that all are served. It returns
+// when it began, as the time since the fleet was made. The ids of the requests begin with name.
 func requestAll(t *testing.T, f *Fleet, name string) time.Duration {
 	t.Helper()
 	since := time.Since(f.GroundTruth.startedAt)
@@ -33,7 +33,7 @@
 	return since
 }
 
-// runsInZone counts the runs that began in a zone since the given time.
+// runsInZone counts the runs that began in a zone since a given time, counted from when the fleet was made.
 func runsInZone(f *Fleet, zone string, since time.Duration) int {
 	count := 0
 	for _, run := range f.GroundTruth.Runs() {
@@ -120,8 +120,8 @@
 	})
 }
 
-// Guards against nodes that disagree about the order of two operators' contradicting orders: a control
-// node is partitioned while both arrive, and afterwards the same one is in effect at all nodes.
+// Guards against nodes that apply two operators' contradicting orders in different sequences. A control
+// node is partitioned while both orders arrive; afterwards the same one must be in effect at all nodes.
 func TestContradictingOrdersOfTwoOperatorsEndTheSameAtAllNodes(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for round := range 4 {
--- a/internal/lab/openfleet/instances_test.go
+++ b/internal/lab/openfleet/instances_test.go
@@ -23,7 +23,8 @@
 			response, err := f.Request("entry-0", CallerRequest{ID: "known", Path: "/safe/x", Key: "key-one"})
 			return err == nil && response.Status == http.StatusOK
 		}))
-		// Requests with tokens may be refused with a retry time until there is a leader with the root.
+		// Requests with tokens may be refused with a retry time until there is a leader, which
+		// holds the root accounts of the budgets and grants their tokens to entry nodes.
 		assert.NilError(t, f.WaitFor(3*time.Second, "tokens at each entry node", func() bool {
 			for _, entry := range f.MachineNames(false) {
 				if response, err := f.Request(entry, newRequest("tokens", "/safe/x")); err != nil || response.Status != http.StatusOK {
--- a/internal/lab/openfleet/ledger_test.go
+++ b/internal/lab/openfleet/ledger_test.go
@@ -12,8 +12,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// overchargedFraction returns the tokens that the root has settled beyond those that callers received, as a
-// fraction of the budget's limit. Below 0 the tenant received more than it is charged.
+// overchargedFraction returns the tokens that the root (the leader's side of the budgets) has settled, that
+// is charged finally, beyond those that callers received, as a fraction of the budget's limit. Below 0 the
+// tenant received more than it is charged.
 func overchargedFraction(t *testing.T, f *Fleet) float64 {
 	t.Helper()
 	settled := uint64(0)
@@ -26,8 +27,8 @@
 }
 
 // Guards against a long time without tokens after all machines lose power. No token can be granted
-// before the incarnations that have ended are closed, and for that the leader, which need not be a seed,
-// must know their successors.
+// before the accounts of the ended incarnations are closed, and for that the leader, which need not be a
+// seed, must know their successors.
 func TestTokensAreGrantedSoonAfterAPowerLossOfAllMachines(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -142,8 +143,9 @@
 }
 
 // Guards against charging too much when all machines lose power near the end of a budget of which 3 %
-// are used a second. Tokens that are charged to the ended incarnations but were not used can't be spent
-// any more. They must be no more than what is used at that rate in the 2 s until the successors run.
+// are used per second. Tokens that are charged for the ended incarnations but were not used can't be
+// spent any more. Their number must not exceed what is used at that rate in the 2 s until the successors
+// run.
 func TestLedgerIsOffByAtMostTwoSecondsOfUseAfterAPowerLossNearABudgetsEnd(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		spendWhile(t, f, func(*rand.Rand) {
--- a/internal/lab/openfleet/manycontrols_test.go
+++ b/internal/lab/openfleet/manycontrols_test.go
@@ -10,8 +10,8 @@
 )
 
 // usedWithin is the time within which each entry node uses an instance that registers while one of the
-// control nodes is down: the nodes must first notice that it has sent nothing, or that its digest does
-// not change.
+// control nodes is down: two control nodes must first notice that the failed one sends nothing, or that
+// its digest of the instances does not change.
 const usedWithin = 6 * time.Second
 
 // Guards against entry nodes that miss instances when a control node crashes or is partitioned. With
@@ -26,7 +26,7 @@
 			} else {
 				f.Network.PartitionBetween([]string{victim}, f.MachineNames(false))
 			}
-			// Its id sorts first, so all nodes of its zone prefer it.
+			// The new instance's id sorts first, so all nodes of its zone prefer it.
 			id, zone := fmt.Sprintf("app-%03d", round), zones[round%len(zones)]
 			f.AddEngine(id, "app", zone)
 			time.Sleep(usedWithin)
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -1,7 +1,7 @@
-// Package openfleet runs whole fleets of gateway nodes in one process: the daemon's own code over
-// an in-memory network and simulated disks, with simulated engines. The engines record the ground
-// truth that the fleet's guarantees are checked against. Inside a testing/synctest bubble the fleet
-// runs in virtual time.
+// Package openfleet runs whole fleets of gateway nodes in one process: the daemon's own code (package
+// gateway, whose members discover each other through seeds) over an in-memory network and simulated
+// disks, with simulated engines. The engines record the ground truth that the fleet's guarantees are
+// checked against. Inside a testing/synctest bubble the fleet runs in virtual time.
 package openfleet
 
 import (
@@ -47,9 +47,10 @@
 
 // Machine is one node's machine.
 type Machine struct {
-	Name    string
-	Host    string
-	Zone    string
+	Name string
+	Host string
+	Zone string
+	// Control marks the machine of a control node; the others are entry nodes.
 	Control bool
 	Disk    *disk.Simulated
 	// process is nil before the first start.
@@ -84,13 +85,14 @@
 	// machinesMutex guards machines, order and lost: machines are added while requests are in flight.
 	machinesMutex sync.RWMutex
 	machines      map[string]*Machine
-	order         []string
-	engines       map[string]*Engine
-	random        *rand.Rand
-	callers       *http.Transport
-	ctx           context.Context
-	cancel        context.CancelFunc
-	goroutines    sync.WaitGroup
+	// order lists the machines' names in the order in which they were added.
+	order      []string
+	engines    map[string]*Engine
+	random     *rand.Rand
+	callers    *http.Transport
+	ctx        context.Context
+	cancel     context.CancelFunc
+	goroutines sync.WaitGroup
 	// enginesMutex guards engines and the state that their heartbeats report.
 	enginesMutex sync.Mutex
 	// hasStarted is set once all machines have started for the first time; until then nodes are
@@ -483,7 +485,8 @@
 type CallerRequest struct {
 	ID, Path, Key string
 	// Tokens is the value of wire.HeaderTokens: prompt tokens, a comma and output tokens.
-	Tokens  string
+	Tokens string
+	// Wait is the maximum time that the caller waits, sent as wire.HeaderWait; 0 sends none.
 	Wait    time.Duration
 	Context context.Context
 	Body    string
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -17,6 +17,7 @@
 	"github.com/ravenway/ravenway/internal/state/document"
 )
 
+// prepaid is the tenant's prepaid budget in tokens.
 const prepaid = 10_000
 
 // configuration returns a version of the configuration with routes for requests that may and may not
@@ -135,8 +136,8 @@
 	})
 }
 
-// Guards against requests that are interrupted at the end of a graceful stop: one that arrived while the
-// stopping node returned its tokens was.
+// Guards against requests that are interrupted at the end of a graceful stop. This happened to a request
+// that arrived while the stopping node returned its tokens.
 func TestGracefulStopInterruptsNoRequest(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		f.engines["llm-a"].Set(func(e *Engine) { e.WorkTime = 60 * time.Millisecond })
@@ -169,8 +170,8 @@
 	})
 }
 
-// Guards against accepting work that a stopping node can't finish: a long stream that arrived more
-// than three seconds after the signal was accepted, and interrupted at the end of the stop.
+// Guards against accepting work that a stopping node can't finish. A stopping node accepted a long stream
+// more than three seconds after the signal, and interrupted it at the end of the stop.
 func TestLongStreamIsRefusedLateInAGracefulStop(t *testing.T) {
 	withFleet(t, 2, func(t *testing.T, f *Fleet) {
 		for _, zone := range zones {
@@ -351,8 +352,8 @@
 	})
 }
 
-// Guards against tokens that are lost with a node that stops gracefully while it can't reach the
-// control nodes: it must hand them over to other entry nodes.
+// Guards against tokens that are lost with a node that stops gracefully while it can't reach the root
+// (the leader's side of the budgets): it must hand its tokens over to other entry nodes.
 func TestNodeThatStopsWithoutTheRootHandsOverItsTokens(t *testing.T) {
 	withFleet(t, 3, func(t *testing.T, f *Fleet) {
 		for number := range 40 {
--- a/internal/lab/openfleet/pauses_test.go
+++ b/internal/lab/openfleet/pauses_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// assertPausesKept checks that in a pause that an engine had requested from a node it got no more
-// requests from that node than are allowed, and that some pause was requested.
+// assertPausesKept checks that no node sent an engine more requests than allowed during a pause that the
+// engine had requested from it, and that at least one pause was requested.
 func (l *rateLimitedFleet) assertPausesKept(t *testing.T, engines []*Engine) {
 	t.Helper()
 	requested, highest := 0, 0
@@ -34,7 +34,7 @@
 			assert.Check(t, maximum <= pausecheck.MaximumInPause, "%s got %d requests from %s in a pause", engine.ID, maximum, node)
 		}
 	}
-	t.Logf("%d pauses requested, at most %d requests of a node in one", requested, highest)
+	t.Logf("%d pauses requested, at most %d requests from a node in one pause", requested, highest)
 	assert.Check(t, requested > 0, "no engine requested a pause")
 }
 
--- a/internal/lab/openfleet/poison_test.go
+++ b/internal/lab/openfleet/poison_test.go
@@ -38,7 +38,8 @@
 // poisonedFleet is a fleet whose engines crash on the poison request and are replaced.
 type poisonedFleet struct {
 	*Fleet
-	mutex   sync.Mutex
+	mutex sync.Mutex
+	// crashes are the times of the engines' crashes since the fleet was made.
 	crashes []time.Duration
 }
 
@@ -191,8 +192,8 @@
 	})
 }
 
-// Guards against crashes that are not added up after a partition: during it each side counts its own,
-// afterwards all nodes must know of all.
+// Guards against crashes that are not added up after a partition. During the partition each side counts
+// its own crashes; afterwards all nodes must know of all crashes.
 func TestCrashesOnBothSidesOfAPartitionAddUpAfterItHeals(t *testing.T) {
 	withPoisonedFleet(t, 60*time.Millisecond, func(t *testing.T, p *poisonedFleet) {
 		// The nodes of zone c are partitioned from the other nodes; both sides reach all engines.
--- a/internal/lab/openfleet/ratelimit_test.go
+++ b/internal/lab/openfleet/ratelimit_test.go
@@ -77,7 +77,7 @@
 	l.sendRequests(random, "/stream/x", perSecond, duration)
 }
 
-// sendRequests is sendStreams with a path, of whose requests only streams share parts of prompts.
+// sendRequests is sendStreams for any path. Only requests to /stream/ share parts of their prompts.
 func (l *rateLimitedFleet) sendRequests(random *rand.Rand, path string, perSecond float64, duration time.Duration) {
 	for start := time.Now(); time.Since(start) < duration; time.Sleep(time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))) {
 		entries := l.MachineNames(false)
@@ -133,8 +133,8 @@
 	return slices.DeleteFunc(f.GroundTruth.Arrivals(engine.ID), func(at time.Duration) bool { return at < from })
 }
 
-// assertWithinLimit checks that an engine got no more requests than the rate limit allows that it has
-// named since a given time.
+// assertWithinLimit checks that an engine got no more requests than allowed by the rate limit that it has
+// named since namedAt.
 func (l *rateLimitedFleet) assertWithinLimit(t *testing.T, engine *Engine, perSecond float64, namedAt time.Duration) {
 	t.Helper()
 	maximum, allowed := limitcheck.MaximumInWindow(l.arrivalsSince(engine, namedAt+limitcheck.ReactionTime)), limitcheck.Allowed(perSecond)
@@ -170,8 +170,8 @@
 	for name, change := range map[string]func(*Engine){
 		"failing":   func(e *Engine) { e.Events, e.Status = 0, http.StatusInternalServerError },
 		"rejecting": func(e *Engine) { e.RejectsAll = true },
-		// A rejection that named no limit was read as the end of the limit, and all nodes were
-		// informed, until the next response that named it: 18 requests in 4 s, where 17 are allowed.
+		// A rejection that named no limit was read as the end of the limit and reported to all nodes as
+		// such, until the next response that named it: 18 requests in 4 s, where 17 are allowed.
 		"rejecting_half_without_naming_it": func(e *Engine) { e.BareRejections = 0.5 },
 		"aborting":                         func(e *Engine) { e.Events, e.BreakAfter = 5, 2 },
 	} {
@@ -314,7 +314,7 @@
 func TestScarceHeadroomGoesToUrgentRequestsWithoutStarvingOthers(t *testing.T) {
 	withRateLimitedFleet(t, 8, func(t *testing.T, l *rateLimitedFleet) {
 		setRateLimit(l.engines, "2")
-		// The engines' limits have room for 24 requests a second in total.
+		// The engines' limits allow 24 requests a second in total.
 		l.goroutines.Go(func() { l.sendRequests(rand.New(rand.NewPCG(45, 7)), "/resumable/x", 30, 12*time.Second) })
 		l.sendRequests(rand.New(rand.NewPCG(45, 8)), "/stream/x", 30, 12*time.Second)
 		time.Sleep(2 * time.Second)
@@ -362,6 +362,7 @@
 					got = append(got, limitcheck.MaximumInWindow(arrivals))
 					total += len(arrivals)
 				}
+				// The arrivals of 7 s are counted: 10 s without the first limitcheck.ReactionTime.
 				mean := float64(total) / float64(len(others)) * limitcheck.Window.Seconds() / 7
 				t.Logf("other engines: at most %v requests in 4 s, %.1f on average", got, mean)
 				assert.Check(t, float64(slices.Max(got)) <= 2*mean)
@@ -382,7 +383,7 @@
 		assert.Assert(t, strings.HasPrefix(limit.GetInstance(), l.engines[0].ID), limit.GetInstance())
 		assert.Equal(t, limit.GetRequestsPerSecond(), 0.5)
 		assert.Equal(t, limit.GetService(), "model")
-		// The only entry node of the engine's zone issues its permits.
+		// The only entry node of the engine's zone issues its permits, which nodes need to send it requests.
 		assert.Equal(t, limit.GetHolder(), l.Machine("entry-0").Peer())
 		_, err = l.OperatorClient("control-0").GetLimits(l.ctx, connect.NewRequest(&ravenwayv1.GetLimitsRequest{}))
 		assert.Equal(t, connect.CodeOf(err), connect.CodeFailedPrecondition)
--- a/internal/lab/openfleet/rollout_test.go
+++ b/internal/lab/openfleet/rollout_test.go
@@ -268,7 +268,8 @@
 	}
 }
 
-// leaderOf returns the name of the leader, as the first control node that responds knows it.
+// leaderOf returns the name of the leader as control nodes report it, or that of the first control node if
+// none reports one.
 func leaderOf(f *Fleet) string {
 	for _, name := range f.MachineNames(true) {
 		status, err := f.OperatorClient(name).GetStatus(f.ctx, connect.NewRequest(&ravenwayv1.GetStatusRequest{}))
