--- a/internal/lab/fleet/chaos.go
+++ b/internal/lab/fleet/chaos.go
@@ -21,7 +21,8 @@
 	Faults map[string]int
 	// down is the machine that is killed at present, "" if there is none.
 	down string
-	// topUps is the number of distinct top-up commands sent.
+	// topUps is the number of distinct top-up commands sent. Each adds 1000 tokens to the budget of
+	// tenant-10.
 	topUps uint64
 }
 
@@ -104,7 +105,8 @@
 func (c *Chaos) anyNode() string { return c.fleet.Order[c.random.IntN(len(c.fleet.Order))] }
 
 // killOrBoot boots the machine that is down, or kills one if none is. At most one is down at a time: the
-// fleet does not tolerate the loss of two of a key's three acceptors, which hold its claim in memory.
+// fleet does not tolerate the loss of two of a key's three acceptors, which hold its claim (the record of
+// who runs the key's request) in memory.
 func (c *Chaos) killOrBoot() error {
 	f := c.fleet
 	if c.down != "" {
@@ -137,7 +139,7 @@
 	return true
 }
 
-// topUpTwice sends the same command twice, as an operator does after a lost response.
+// topUpTwice sends the same top-up command twice, as an operator does after a lost response.
 func (c *Chaos) topUpTwice() {
 	c.countFault("resent command")
 	c.topUps++
@@ -162,7 +164,7 @@
 	return f.WaitFor(time.Minute, "the repair after the faults", f.HasAllVoters)
 }
 
-// checkTopUps sends each command a third time and checks that each was applied once.
+// checkTopUps sends each top-up command a third time and checks that each was applied once.
 func (c *Chaos) checkTopUps() error {
 	for number := range c.topUps {
 		if err := c.fleet.TopUp(c.fleet.Order[len(c.fleet.Order)-1], "tenant-10", 1000, fmt.Sprintf("chaos-%d", number+1)); err != nil {
--- a/internal/lab/fleet/check.go
+++ b/internal/lab/fleet/check.go
@@ -41,8 +41,8 @@
 	return counts
 }
 
-// CheckGuarantees compares the responses to callers and the bills with what the back ends ran. It waits for late
-// settlements.
+// CheckGuarantees compares the responses to callers and the bills with what the back ends ran. It waits at
+// most maximumWait for late settlements.
 func (f *Fleet) CheckGuarantees(responses *ResponseLog, maximumWait time.Duration) error {
 	if err := f.checkResponses(responses); err != nil {
 		return err
@@ -95,8 +95,8 @@
 	minimum, maximum uint64
 }
 
-// runsByKey returns what the engines ran by the claim's key, which is the part of the request's id
-// before its last dash.
+// runsByKey returns what the engines ran, by the key of the claim. This key is the part of the request's id
+// before its last dash; the number of the attempt follows it.
 func (f *Fleet) runsByKey() map[string]runRange {
 	runs := map[string]runRange{}
 	for _, event := range f.Emulator.Truth.Events() {
--- a/internal/lab/fleet/failure_test.go
+++ b/internal/lab/fleet/failure_test.go
@@ -15,7 +15,8 @@
 	"github.com/ravenway/ravenway/internal/protocol/caller"
 )
 
-// runUnderLoad sends the mix while faults are injected, and returns the report and the response log.
+// runUnderLoad sends the deployment's load while the function faults runs, and returns the report and the
+// response log.
 func runUnderLoad(t *testing.T, f *Fleet, options load.Options, faults func()) (load.Report, *ResponseLog) {
 	t.Helper()
 	responses := &ResponseLog{}
@@ -110,7 +111,7 @@
 
 // Guards against graceful stops that interrupt a stream or never end. A stream that began between the
 // last check for open streams and the close was still open at the end of the stop; under steady load the
-// stop did not end. scripts/prove-processes.sh showed it.
+// stop did not end.
 func TestGracefulStopUnderSteadyLoadEndsAndInterruptsNothing(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		stopped := f.Order[len(f.Order)-1]
--- a/internal/lab/fleet/fleet.go
+++ b/internal/lab/fleet/fleet.go
@@ -47,7 +47,7 @@
 	Emulator *emulator.World
 	Logger   zerolog.Logger
 	machines map[string]*Machine
-	// Order lists the machines' names.
+	// Order lists the machines' names in the order of the deployment's plan.
 	Order      []string
 	ctx        context.Context
 	cancel     context.CancelFunc
--- a/internal/lab/fleet/guarantees_test.go
+++ b/internal/lab/fleet/guarantees_test.go
@@ -54,8 +54,8 @@
 	return count
 }
 
-// maximumOutstanding limits the tokens that may stay outstanding: a node keeps some for the little recent demand
-// that it still estimates.
+// maximumOutstanding limits the tokens that may stay outstanding, that is granted to nodes and not settled: a
+// node keeps some for the little recent demand that it still estimates.
 const maximumOutstanding = 10
 
 func waitUntilSettled(t *testing.T, f *Fleet, tenant string, tokens uint64) {
@@ -239,7 +239,8 @@
 }
 
 // Guards against a zone that falls behind or reverts: after a long partition it must catch up with
-// hundreds of changes within seconds, and a node that restarts in it must take what its peers have.
+// hundreds of changes within seconds, and a node that restarts in it must get the catalog that its peers
+// have.
 func TestPartitionedZoneCatchesUpAndNeverReverts(t *testing.T) {
 	withFleet(t, deployment.ZameenHaq(), func(t *testing.T, f *Fleet) {
 		f.PartitionZone("lhr-c")
--- a/internal/lab/fleet/network.go
+++ b/internal/lab/fleet/network.go
@@ -1,6 +1,6 @@
-// Package fleet runs whole fleets of real nodes in one process: the daemon's own code with all its
-// duties, over an in-memory network that can be partitioned and in-memory disks that lose what was not
-// synced. Inside a testing/synctest bubble it runs in virtual time.
+// Package fleet runs whole fleets of real nodes in one process: the daemon's complete code (package node, whose
+// nodes are all listed in the settings), over an in-memory network that can be partitioned and in-memory
+// disks that lose what was not synced. Inside a testing/synctest bubble it runs in virtual time.
 package fleet
 
 import (
@@ -22,8 +22,10 @@
 
 // Network is an in-memory network of named machines.
 type Network struct {
-	mutex      sync.Mutex
-	listeners  map[string]*memoryListener
+	mutex sync.Mutex
+	// listeners are the open listeners by address.
+	listeners map[string]*memoryListener
+	// partitions are the directions without traffic, by sender and receiver.
 	partitions map[[2]string]bool
 	// healed is closed and replaced when all partitions end.
 	healed chan struct{}
@@ -53,7 +55,7 @@
 	return listener
 }
 
-// Dialer returns a dial function for a machine.
+// Dialer returns a function that dials from a machine.
 func (n *Network) Dialer(machine string) func(ctx context.Context, network, address string) (net.Conn, error) {
 	return func(ctx context.Context, _, address string) (net.Conn, error) {
 		return n.dial(ctx, machine, address)
@@ -249,8 +251,8 @@
 	from, to string
 	once     sync.Once
 	closed   chan struct{}
-	// inTransit holds the writes in transit once the other end's machine has had a delay; startDelivery
-	// starts their delivery.
+	// inTransit is nil until the other end's machine first has a delay. From then on it holds the writes
+	// in transit, whose delivery startDelivery starts.
 	inTransit     chan delayedWrite
 	startDelivery sync.Once
 }
--- a/internal/lab/fleet/orders_test.go
+++ b/internal/lab/fleet/orders_test.go
@@ -13,7 +13,8 @@
 	"github.com/ravenway/ravenway/internal/lab/emulator"
 )
 
-// requestOrder requests an order through a node and returns its fence number.
+// requestOrder requests an order for a back end, to load an adapter, through a node. It returns the order's
+// fence number, which grows with each order, so that a back end can refuse outdated ones.
 func requestOrder(t *testing.T, f *Fleet, through, id, backend, target string) uint64 {
 	t.Helper()
 	response, err := f.OperatorClient(through).Order(context.Background(), connect.NewRequest(&ravenwayv1.OrderRequest{
