--- a/internal/lab/soak/backoff.go
+++ b/internal/lab/soak/backoff.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	// backoffRandomStream numbers the random stream of pauses and of engines that announce a
-	// shutdown.
+	// backoffRandomStream is the second seed of the random numbers for pauses and for engines that
+	// announce a shutdown.
 	backoffRandomStream = 4100
-	// Engines reject all requests for a while, with a break of up to maximumRejectInterval between
-	// two such times.
+	// Some engines reject all requests for minimumRejectTime to maximumRejectTime. Then no engine
+	// does so for up to maximumRejectInterval.
 	minimumRejectTime, maximumRejectTime = 400 * time.Millisecond, 2500 * time.Millisecond
 	maximumRejectInterval                = 2 * time.Second
 	// minimumPause and maximumPause bound the pause that engines request while they reject.
 	minimumPause, maximumPause = 600 * time.Millisecond, 4 * time.Second
-	// One time in shutdownOneIn an engine announces a shutdown, continues to serve for a while, and
-	// is replaced.
+	// Each time before engines reject requests, an engine announces its shutdown with a probability
+	// of 1/shutdownOneIn. It continues to serve for minimumShutdownTime to maximumShutdownTime, and
+	// is then replaced.
 	shutdownOneIn                            = 4
 	minimumShutdownTime, maximumShutdownTime = 2500 * time.Millisecond, 5 * time.Second
-	// unknownHeaderOneIn is the rate of responses with an unknown header: one in so many.
+	// One in unknownHeaderOneIn responses, on average, carries a header that nodes don't know.
 	unknownHeaderOneIn = 50
 )
 
@@ -37,7 +38,8 @@
 	// pause is the requested pause while the engine rejects all requests; 0 if it accepts them.
 	pause          time.Duration
 	isShuttingDown bool
-	senders        map[string]*pausecheck.Record
+	// senders holds the pauses requested of each sender and the requests received from it.
+	senders map[string]*pausecheck.Record
 }
 
 func (b *backoffRecord) senderRecord(sender string) *pausecheck.Record {
@@ -50,8 +52,9 @@
 	return b.senders[sender]
 }
 
-// senders maps a request to the incarnation of the entry node that sends it. A process that was
-// suspended counts as another sender afterwards, because it can't know of pauses from before.
+// senders maps the id of a request to the machine of the entry node that sends it. The sender is
+// the node's incarnation there. A process that was suspended counts as another sender afterwards,
+// because it can't know of the pauses that were requested before.
 type senders struct {
 	mutex    sync.Mutex
 	machines map[string]*machine
@@ -117,7 +120,8 @@
 	e.backoff.isShuttingDown = true
 }
 
-// disturbEngines makes engines request pauses, several at the same time, while faults are injected.
+// disturbEngines makes engines request pauses, several at the same time, and announce shutdowns,
+// while faults are injected.
 func (r *run) disturbEngines(ctx, faulty context.Context, random *rand.Rand) {
 	var shuttingDown sync.WaitGroup
 	defer shuttingDown.Wait()
@@ -175,21 +179,21 @@
 			maximum := record.MaximumRequests()
 			pauses, worst = pauses+record.PauseCount(), max(worst, maximum)
 			if maximum > 0 {
-				r.reportf("engine %s got requests of %s in a pause, %v after it had requested it", one.ID, sender, record.Offsets())
+				r.reportf("engine %s got requests from %s in a pause, %v after it had requested it", one.ID, sender, record.Offsets())
 			}
 			if maximum > pausecheck.MaximumInPause {
-				r.violationf("engine %s got %d requests of %s in a pause, allowed %d", one.ID, maximum, sender, pausecheck.MaximumInPause)
+				r.violationf("engine %s got %d requests from %s in a pause, allowed %d", one.ID, maximum, sender, pausecheck.MaximumInPause)
 			}
 			after, wasAnnounced := record.AfterShutdown()
 			if wasAnnounced {
 				announced++
 			}
 			if late += after; after > 0 {
-				r.violationf("engine %s got %d requests of %s after it had announced its shutdown", one.ID, after, sender)
+				r.violationf("engine %s got %d requests from %s after it had announced its shutdown", one.ID, after, sender)
 			}
 		}
 		one.mutex.Unlock()
 	}
-	r.reportf("%d pauses requested, at most %d requests of a node in one, allowed %d; %d times a node received the announcement of a shutdown, %d requests came later than %s after it",
+	r.reportf("%d pauses requested, at most %d requests from a node in one, allowed %d; %d times a node received the announcement of a shutdown, %d requests came later than %s after it",
 		pauses, worst, pausecheck.MaximumInPause, announced, late, pausecheck.DrainTime)
 }
--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -57,7 +57,7 @@
 	isStopping bool
 }
 
-// keyPrefix and the tenant's name form the tenant's key.
+// keyPrefix and the tenant's name form the tenant's API key.
 const keyPrefix = "key-"
 
 func tenantOfKey(key string) string { return strings.TrimPrefix(key, keyPrefix) }
@@ -86,7 +86,7 @@
 	}
 }
 
-// run sends calls until the context ends, and waits for the last responses.
+// run sends a call every callInterval until the context ends, and waits for the last responses.
 func (c *callers) run(ctx context.Context, random *rand.Rand) {
 	kinds := []Kind{Safe, Once, Stream, Resumable}
 	var entries []*machine
--- a/internal/lab/soak/check_test.go
+++ b/internal/lab/soak/check_test.go
@@ -16,8 +16,7 @@
 	"github.com/ravenway/ravenway/platform"
 )
 
-// runWithResults returns a run without processes, with the results of calls that the checks are to
-// judge.
+// runWithResults returns a run without processes, with the results of calls that are to be checked.
 func runWithResults(results ...result) *run {
 	entry := &machine{name: "entry-0", host: "127.0.0.1"}
 	of := &fleet{truth: newTruth(), prepaid: map[string]uint64{}, desired: firstConfiguration()}
@@ -164,7 +163,7 @@
 }
 
 // A process that was restarted or suspended can't know of a pause that was requested before, so it
-// counts as another sender and its requests don't break the earlier pause.
+// counts as another sender and its requests don't violate the earlier pause.
 func TestSuspendedProcessCountsAsAnotherSender(t *testing.T) {
 	entry, of := &machine{name: "entry-0"}, &senders{machines: map[string]*machine{}}
 	of.record("x", entry)
--- a/internal/lab/soak/engine.go
+++ b/internal/lab/soak/engine.go
@@ -28,13 +28,16 @@
 // the system under test.
 type GroundTruth struct {
 	mutex sync.Mutex
-	runs  map[string]int
-	// plainRuns counts the runs of plain calls by the version of the engine.
+	// runs counts the runs of each request, by id.
+	runs map[string]int
+	// plainRuns counts the runs of plain calls, which are those without tokens, by the version of the
+	// engine.
 	plainRuns map[string]int
 	// tokens counts what the callers of each tenant received: for a stream of which at least one
 	// event arrived, the prompt once and each event.
 	tokens map[string]uint64
-	// poisonCrashes counts the engines that each poison request crashed.
+	// poisonCrashes counts the engines that each poison request crashed, by the kind that its body
+	// names. A poison request crashes each engine that starts it.
 	poisonCrashes map[string]int
 	// senders maps each request to the entry node that sends it.
 	senders senders
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -10,7 +10,7 @@
 	"github.com/ravenway/ravenway/internal/pause"
 )
 
-// fault is one kind of fault. play injects it and repairs it before it returns.
+// fault is one kind of fault. inject injects it and repairs it before it returns.
 type fault struct {
 	name   string
 	inject func(ctx context.Context, run *run, random *rand.Rand)
@@ -178,7 +178,8 @@
 	r.restart(one)
 }
 
-// replaceEngine ends an engine, with or without a drain, and starts another one at its address.
+// replaceEngine ends the engine at a place, and starts another one there after the time lasts. If
+// drains is set, the engine first drains for lasts and half of callTimeout.
 func (r *run) replaceEngine(ctx context.Context, place int, lasts time.Duration, drains bool) {
 	name := placeName(place)
 	r.fleet.mutex.Lock()
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -43,15 +43,18 @@
 // engines.
 type fleet struct {
 	// lane is added to firstLane for the second number of the run's loopback addresses.
-	lane    int
-	wire    standin.Wire
-	random  *rand.Rand
-	truth   *GroundTruth
-	client  *http.Client
-	seeds   []string
+	lane   int
+	wire   standin.Wire
+	random *rand.Rand
+	truth  *GroundTruth
+	client *http.Client
+	seeds  []string
+	// members are the machines of all nodes, those of the control nodes first.
 	members []*machine
 
-	mutex            sync.Mutex
+	mutex sync.Mutex
+	// engines are the running engines, by the name of their place. A place has a fixed address and
+	// zone, and at most one engine runs there at a time.
 	engines          map[string]*engine
 	incarnationCount int
 	// allIncarnations holds all incarnations of engines since the start of the run.
@@ -66,7 +69,8 @@
 	// start.
 	isClosed   bool
 	firstError error
-	desired    *document.Document
+	// desired is the newest configuration that the operator sends or is to send.
+	desired *document.Document
 	// acknowledged is the highest acknowledged version of the configuration.
 	acknowledged uint64
 	// prepaid is the highest prepaid budget, in tokens, that was ever sent for each tenant.
@@ -221,7 +225,8 @@
 	}
 }
 
-// callControl calls the control nodes in a random order deadline one responds with status 200.
+// callControl calls the control nodes in a random order until one responds with status 200. Each
+// of the calls may take controlWait.
 func (f *fleet) callControl(ctx context.Context, method, path string, body []byte) ([]byte, bool) {
 	for _, position := range rand.Perm(controlCount) {
 		received, status := f.callControlNode(ctx, f.members[position], method, path, body)
@@ -249,8 +254,8 @@
 	return received, response.StatusCode
 }
 
-// changeConfiguration makes a new version of the configuration with more prepaid tokens for one
-// tenant.
+// changeConfiguration makes a new version of the configuration with prepaidIncrement more prepaid
+// tokens for one tenant.
 func (f *fleet) changeConfiguration(number int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/lab/soak/ledger.go
+++ b/internal/lab/soak/ledger.go
@@ -25,7 +25,7 @@
 type ledgerEntry struct {
 	tenant string
 	limit  uint64
-	// settled is charged finally, outstanding is held by nodes, got was received by the callers.
+	// settled is charged finally, outstanding is held by nodes, received was received by the callers.
 	settled, outstanding, received uint64
 	// crashedUnreported is the part of settled that is charged for incarnations of entry nodes that
 	// crashed without a final report.
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -12,16 +12,17 @@
 )
 
 const (
-	// limitRandomStream numbers the random stream of rate limits.
+	// limitRandomStream is the second seed of the random numbers for rate limits.
 	limitRandomStream = 4000
-	// A limit is in effect for a while, may change halfway, and the next ones follow after up to
-	// limitPause.
+	// Rate limits are in effect for minimumLimitTime to maximumLimitTime and may change halfway. The
+	// next ones follow after up to maximumLimitInterval.
 	minimumLimitTime, maximumLimitTime = 5 * time.Second, 9 * time.Second
 	maximumLimitInterval               = 2 * time.Second
 )
 
-// engineLimit is the rate limit that an overloaded engine names.
+// engineLimit is the rate limit that an overloaded engine names in its responses.
 type engineLimit struct {
+	// value is the text of the limit, as responses carry it.
 	value string
 	// perSecond is the value in requests per second, if isValid is set.
 	perSecond float64
@@ -147,6 +148,6 @@
 			r.violationf("engine %s got %d requests in %s, its limit allowed %d", one.ID, use.Received, limitcheck.Window, use.Allowed)
 		}
 	}
-	r.reportf("%d engines with limits got %d requests where the limits allowed %.0f; the fullest %s: %d, allowed %d",
+	r.reportf("%d engines with limits got %d requests where the limits allowed %.0f; in the %s window with the highest share of its limit: %d, allowed %d",
 		limited, arrived, allowed, limitcheck.Window, worst.Received, worst.Allowed)
 }
--- a/internal/lab/soak/machine.go
+++ b/internal/lab/soak/machine.go
@@ -16,7 +16,8 @@
 	"github.com/ravenway/ravenway/internal/lab/standin"
 )
 
-// Ports of each node. Each node has its own loopback address.
+// Ports of each node and engine. Each of them has its own loopback address. Other nodes connect to
+// peerPort, where the node's relay listens; the daemon listens behind it on peerBindPort.
 const (
 	peerPort      = 17400
 	peerBindPort  = 17401
@@ -28,6 +29,7 @@
 	enginePort    = 17407
 )
 
+// stopGrace is the time that a process has to exit after SIGTERM.
 const stopGrace = 8 * time.Second
 
 // machine is the host of one node: its address, its disk if it has one, and the process that runs
@@ -39,7 +41,8 @@
 	isControl bool
 	folder    string
 	relay     *relay
-	// daemon is the program that starts here next. It is changed only while the machine is held.
+	// daemon is the program that starts here next. It is changed only while the machine is held, that
+	// is reserved for one fault or replacement.
 	daemon string
 
 	mutex   sync.Mutex
@@ -91,7 +94,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// start runs the daemon and appends its log to the machine's.
+// start runs the daemon and appends its log to the machine's log file.
 func (m *machine) start(wire standin.Wire, seeds []string, firstStart bool) error {
 	path, err := m.writeSettings(wire, seeds, firstStart)
 	if err != nil {
--- a/internal/lab/soak/poison.go
+++ b/internal/lab/soak/poison.go
@@ -18,7 +18,8 @@
 	poisonBodyPrefix = "poison "
 	// meanPoisonInterval is the mean time between two arrivals of the same request.
 	meanPoisonInterval = 250 * time.Millisecond
-	// An engine crashes this long after it started such a request, as it did in the incident.
+	// An engine crashes this long after it started such a request, as in the incident that these
+	// requests reproduce.
 	minimumPoisonRun, maximumPoisonRun = 34 * time.Millisecond, 113 * time.Millisecond
 	// The engine restarts after this time.
 	minimumRestartDelay, maximumRestartDelay = 500 * time.Millisecond, 2 * time.Second
--- a/internal/lab/soak/relay.go
+++ b/internal/lab/soak/relay.go
@@ -15,7 +15,7 @@
 const (
 	// Forwarding forwards everything.
 	Forwarding RelayMode = iota
-	// Delaying delays each piece by slowPause.
+	// Delaying delays each piece (the bytes of one read) by slowDelay.
 	Delaying
 	// Blocking forwards nothing in either direction and keeps the connections open.
 	Blocking
--- a/internal/lab/soak/rollout.go
+++ b/internal/lab/soak/rollout.go
@@ -14,7 +14,8 @@
 	// newVersion is the version that the plain service is rolled out to, oldVersion the initial
 	// version of all engines.
 	oldVersion, newVersion = "v1", "v2"
-	// The new version's engines run at newPlaces places from firstNewPlace, after the others'.
+	// The new version's engines run at newPlaceCount places from firstNewPlace on. The lower places
+	// are those of the other engines.
 	firstNewPlace, newPlaceCount = 6, 3
 	rolloutDuration              = 8 * time.Second
 	// maximumRolloutWait is the maximum wait for the end of the rollout: faults repeatedly stop or
@@ -22,11 +23,11 @@
 	maximumRolloutWait = 25 * time.Second
 	// A bad version may get a tenth of the service's requests plus 50.
 	exposureShare, exposureSlack = 0.1, 50
-	// rolloutRandomStream numbers the random stream of rollouts.
+	// rolloutRandomStream is the second seed of the random numbers for rollouts.
 	rolloutRandomStream = 3000
 )
 
-// rollout orders a rollout of the plain service to a version that is good or bad by the seed, while
+// rollout orders a rollout of the plain service to a version that the seed makes good or bad, while
 // faults are injected, and ends the engines of the version that the outcome leaves unused.
 func (r *run) rollout(ctx context.Context, seed uint64) {
 	random := rand.New(rand.NewPCG(seed, rolloutRandomStream))
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -34,8 +34,9 @@
 	ReturnsToEarlier bool
 	// Order is the order in which an upgrade replaces the machines.
 	Order Order
-	Wire  standin.Wire
-	Seed  uint64
+	// Wire encodes the messages of the stand-ins for callers, engines and the operator.
+	Wire standin.Wire
+	Seed uint64
 	// Entries is the number of entry nodes; there are always three control nodes.
 	Entries int
 	// FaultDuration is how long faults are injected.
@@ -79,12 +80,15 @@
 	mutex      sync.Mutex
 	report     io.Writer
 	violations []string
-	injected   int
-	held       map[*machine]bool
+	// injected is the number of injected faults.
+	injected int
+	// held are the machines that are reserved for a fault or a replacement.
+	held map[*machine]bool
+	// diskLostAt is the time at which the last machine that lost its disk was to start again.
 	diskLostAt time.Time
 	// disruptiveSpans are the spans in which a fault other than a planned stop was injected.
 	disruptiveSpans []span
-	// ledgerOvercharge is the maximum over the tenants.
+	// ledgerOvercharge is the maximum of ledgerEntry.overcharge over the tenants.
 	ledgerOvercharge float64
 }
 
@@ -98,7 +102,7 @@
 	minimumServedShare  = 0.25
 	finalDowntime       = time.Second
 	recoveryTime        = 4 * time.Second
-	// poisonRandomStream numbers the first of the random streams of poison requests.
+	// poisonRandomStream is the first of the second seeds of the random numbers for poison requests.
 	poisonRandomStream = 1000
 )
 
@@ -138,8 +142,8 @@
 	return r.summarize()
 }
 
-// runFaults sends calls while concurrent series inject faults, then kills all processes at the same
-// time and lets the fleet recover.
+// runFaults sends calls while seriesCount concurrent series inject faults, then kills all processes
+// at the same time for finalDowntime and lets the fleet recover.
 func (r *run) runFaults(ctx context.Context, options Options) {
 	calling, stopCalling := context.WithCancel(ctx)
 	var called sync.WaitGroup
@@ -193,7 +197,8 @@
 	}
 }
 
-// injectDisruptive injects a fault that may cut requests and records its span.
+// injectDisruptive injects a fault that may cut calls, and records its span. The span ends
+// disruptionMargin after the fault.
 func (r *run) injectDisruptive(inject func()) {
 	from := time.Since(r.startedAt)
 	inject()
@@ -202,7 +207,9 @@
 	r.disruptiveSpans = append(r.disruptiveSpans, span{from: from, until: time.Since(r.startedAt) + disruptionMargin})
 }
 
-// checkRecovery waits until entry nodes are ready again, and checks that calls are served.
+// checkRecovery waits up to maximumRecoveryWait until entry nodes are ready again. After another
+// recoveryTime it checks that at least minimumServedShare of the plain calls of a time of settleTime
+// are served.
 func (r *run) checkRecovery(ctx context.Context) {
 	err := r.fleet.waitFor(ctx, maximumRecoveryWait, "ready entries after the last fault", r.fleet.allReady)
 	if err != nil {
--- a/internal/lab/soak/upgrade.go
+++ b/internal/lab/soak/upgrade.go
@@ -43,13 +43,14 @@
 	maximumReplaceWait = 15 * time.Second
 	// changeInterval is the time between the operator's changes during an upgrade.
 	changeInterval = 700 * time.Millisecond
-	// servedWindow is the length of the windows whose calls are compared.
+	// servedWindow is the length of the windows; of each round the window with the most unserved calls
+	// is compared.
 	servedWindow = time.Second
 	// An upgrade may leave as many calls unserved as the same stops with a single build, plus these
-	// fractions for chance: a window contains about 40 plain calls, and where few fail one in ten
-	// of them is two standard deviations.
+	// fractions for chance: a window contains about 40 plain calls, and if few of them fail, two
+	// standard deviations are a tenth of the window's calls.
 	unservedTolerance, windowUnservedTolerance = 0.02, 0.15
-	// upgradeRandomStream numbers the random stream of upgrades.
+	// upgradeRandomStream is the second seed of the random numbers for upgrades.
 	upgradeRandomStream = 2000
 )
 
@@ -138,7 +139,8 @@
 	}
 }
 
-// round counts the plain calls of a span. Streams are left out, because their tenants may have used
+// round counts the plain calls of a round, in which each machine is replaced once, or of one window
+// of it. Streams are left out, because their tenants may have used
 // up their tokens.
 type round struct {
 	sent, unserved int
