--- a/internal/lab/openfleet/chaos_test.go
+++ b/internal/lab/openfleet/chaos_test.go
@@ -30,8 +30,8 @@
 				defer f.Close()
 				startWithEngines(t, f)
 				time.Sleep(3 * time.Second)
-				broken := NewChaos(f, seed, configuration).Run()
-				assert.Equal(t, len(broken), 0, "%v", broken)
+				violations := NewChaos(f, seed, configuration).Run()
+				assert.Equal(t, len(violations), 0, "%v", violations)
 			})
 		})
 	}
--- a/internal/lab/openfleet/evacuation_test.go
+++ b/internal/lab/openfleet/evacuation_test.go
@@ -19,13 +19,13 @@
 const orderInEffectWithin = time.Second
 
 // requestAll sends requests of each kind to each entry node and checks that all are served. It returns
-// when it began, as the time since the fleet was made. The ids of the requests begin with name.
-func requestAll(t *testing.T, f *Fleet, name string) time.Duration {
+// when it began, as the time since the fleet was made. The ids of the requests begin with prefix.
+func requestAll(t *testing.T, f *Fleet, prefix string) time.Duration {
 	t.Helper()
 	since := time.Since(f.GroundTruth.startedAt)
 	for _, entry := range f.MachineNames(false) {
 		for number, path := range []string{"/safe/x", "/once/x", "/stream/x", "/resumable/x", "/safe/x", "/stream/x"} {
-			response, err := f.Request(entry, newRequest(fmt.Sprintf("%s-%s-%d", name, entry, number), path))
+			response, err := f.Request(entry, newRequest(fmt.Sprintf("%s-%s-%d", prefix, entry, number), path))
 			assert.NilError(t, err)
 			assert.Equal(t, response.Status, http.StatusOK)
 		}
--- a/internal/lab/openfleet/openfleet.go
+++ b/internal/lab/openfleet/openfleet.go
@@ -551,6 +551,6 @@
 		return CallerResponse{}, err
 	}
 	defer response.Body.Close()
-	body, broken := io.ReadAll(response.Body)
-	return CallerResponse{Status: response.StatusCode, Body: string(body), Header: response.Header, BodyError: broken}, nil
+	body, bodyError := io.ReadAll(response.Body)
+	return CallerResponse{Status: response.StatusCode, Body: string(body), Header: response.Header, BodyError: bodyError}, nil
 }
--- a/internal/lab/openfleet/openfleet_test.go
+++ b/internal/lab/openfleet/openfleet_test.go
@@ -280,9 +280,9 @@
 				}
 			}
 			f.Network.PartitionBetween([]string{partitioned}, others)
-			version, err := f.ReadNewestConfiguration(8 * time.Second)
+			newest, err := f.ReadNewestConfiguration(8 * time.Second)
 			assert.NilError(t, err)
-			assert.NilError(t, f.PutConfiguration(configuration(version.Version+1), 8*time.Second))
+			assert.NilError(t, f.PutConfiguration(configuration(newest.Version+1), 8*time.Second))
 			read, err := f.ReadConfiguration(partitioned)
 			assert.Assert(t, err != nil, "%s read version %v", partitioned, read)
 			f.Network.Heal()
--- a/internal/lab/openfleet/restart_test.go
+++ b/internal/lab/openfleet/restart_test.go
@@ -60,10 +60,10 @@
 		for _, zone := range zones {
 			f.engines["llm-"+zone].Set(func(e *Engine) { e.WorkTime = 300 * time.Millisecond })
 		}
-		isServed := make(chan CallerResponse, 1)
+		responses := make(chan CallerResponse, 1)
 		go func() {
 			response, _ := f.Request("entry-0", newRequest("r1", "/resumable/x"))
-			isServed <- response
+			responses <- response
 		}()
 		time.Sleep(400 * time.Millisecond)
 		runs := f.GroundTruth.Runs()
@@ -77,7 +77,7 @@
 		renewed := before.Instance
 		renewed.StartedAt, renewed.Sequence = time.Now().UnixMilli(), 1
 		assert.NilError(t, f.Heartbeat(renewed))
-		response := <-isServed
+		response := <-responses
 		assert.NilError(t, response.BodyError)
 		assert.Equal(t, response.Body, eventsText("r1", 5))
 		assert.Assert(t, time.Since(start) < 3*time.Second, "resumed and completed %s after the heartbeat of the newer incarnation", time.Since(start))
