--- a/internal/lab/fleet/guarantees_test.go
+++ b/internal/lab/fleet/guarantees_test.go
@@ -189,7 +189,7 @@
 			}
 			return count + f.Emulator.Engine(leaving).ActiveRequests()
 		}
-		report, recorded := runUnderLoad(t, f, load.Options{Rate: 60, Duration: 12 * time.Second, Seed: 5}, func() {
+		report, responses := runUnderLoad(t, f, load.Options{Rate: 60, Duration: 12 * time.Second, Seed: 5}, func() {
 			time.Sleep(5 * time.Second)
 			f.Emulator.SetLeaving(leaving)
 			time.Sleep(2 * time.Second)
@@ -198,7 +198,7 @@
 		assert.Assert(t, before > 0, "the back end had no requests before it left")
 		assert.Equal(t, ranThere(), before)
 		assert.Equal(t, report.Outcomes[load.Complete], report.Sent, "%s", report)
-		assert.NilError(t, f.CheckGuarantees(recorded, 30*time.Second))
+		assert.NilError(t, f.CheckGuarantees(responses, 30*time.Second))
 	})
 }
 
