--- a/internal/lab/soak/backoff.go
+++ b/internal/lab/soak/backoff.go
@@ -122,11 +122,11 @@
 
 // disturbEngines makes engines request pauses, several at the same time, and announce shutdowns,
 // while faults are injected.
-func (r *run) disturbEngines(ctx, faulty context.Context, random *rand.Rand) {
+func (r *run) disturbEngines(ctx, faultContext context.Context, random *rand.Rand) {
 	var shuttingDown sync.WaitGroup
 	defer shuttingDown.Wait()
-	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(maximumRejectInterval))))
+	for faultContext.Err() == nil {
+		pause.For(faultContext, time.Duration(random.Int64N(int64(maximumRejectInterval))))
 		if random.IntN(shutdownOneIn) == 0 {
 			place, lasts := random.IntN(firstNewPlace), randomDuration(random, minimumShutdownTime, maximumShutdownTime)
 			shuttingDown.Go(func() { r.shutDownEngine(ctx, place, lasts) })
@@ -137,7 +137,7 @@
 			r.reportf("engine %s rejects all requests and requests a pause of %d ms", one.ID, requested.Milliseconds())
 			one.setPause(requested)
 		}
-		pause.For(faulty, randomDuration(random, minimumRejectTime, maximumRejectTime))
+		pause.For(faultContext, randomDuration(random, minimumRejectTime, maximumRejectTime))
 		for _, one := range rejecting {
 			one.setPause(0)
 		}
--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -78,9 +78,9 @@
 	maximumOutputTokens = streamEvents * eventTokens
 )
 
-func newCallers(of *fleet, began time.Time) *callers {
+func newCallers(of *fleet, startedAt time.Time) *callers {
 	return &callers{
-		fleet: of, startedAt: began,
+		fleet: of, startedAt: startedAt,
 		// Idle connections are kept until the peer's process is gone.
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, DisableCompression: true}},
 	}
--- a/internal/lab/soak/faults.go
+++ b/internal/lab/soak/faults.go
@@ -196,12 +196,12 @@
 		old.setState(registry.Draining)
 		pause.For(ctx, lasts+callTimeout/2)
 		r.fleet.mutex.Lock()
-		isOwn := r.fleet.engines[name] == old
-		if isOwn {
+		isCurrent := r.fleet.engines[name] == old
+		if isCurrent {
 			delete(r.fleet.engines, name)
 		}
 		r.fleet.mutex.Unlock()
-		if !isOwn {
+		if !isCurrent {
 			return
 		}
 	}
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -121,7 +121,7 @@
 			EventGap: 400 * time.Millisecond, MaximumAttempts: 2, Resumable: resumable, Targets: []document.Target{{Service: service, Weight: 1}},
 		}
 	}
-	wanted := &document.Document{
+	desired := &document.Document{
 		Version: 1, Limits: document.Limits{MaximumHeaderBytes: 16 << 10, MaximumBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Routes: []document.Route{
 			route("safe", servicePlain, document.Repeatable, false), route("once", servicePlain, document.NotRepeatable, false),
@@ -133,9 +133,9 @@
 	}
 	for number := range tenantCount {
 		name := fmt.Sprintf("tenant-%d", number)
-		wanted.Tenants = append(wanted.Tenants, document.Tenant{Name: name, Keys: []string{keyPrefix + name}, Prepaid: firstPrepaid, HasPrepaid: true})
+		desired.Tenants = append(desired.Tenants, document.Tenant{Name: name, Keys: []string{keyPrefix + name}, Prepaid: firstPrepaid, HasPrepaid: true})
 	}
-	return wanted
+	return desired
 }
 
 // start opens the relays, starts all daemons and engines, and sends the first configuration.
@@ -269,32 +269,32 @@
 // sendConfiguration sends the newest configuration and reports whether it was acknowledged.
 func (f *fleet) sendConfiguration(ctx context.Context) bool {
 	f.mutex.Lock()
-	wanted := f.desired
-	for _, tenant := range wanted.Tenants {
+	desired := f.desired
+	for _, tenant := range desired.Tenants {
 		f.prepaid[tenant.Name] = max(f.prepaid[tenant.Name], tenant.Prepaid)
 	}
 	f.mutex.Unlock()
-	path, body := f.wire.Configuration(wanted)
+	path, body := f.wire.Configuration(desired)
 	if _, accepted := f.callControl(ctx, http.MethodPut, path, body); !accepted {
 		return false
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.acknowledged = max(f.acknowledged, wanted.Version)
+	f.acknowledged = max(f.acknowledged, desired.Version)
 	return true
 }
 
 // checkConfiguration reads the configuration and returns what is wrong with it, or "".
 func (f *fleet) checkConfiguration(ctx context.Context) string {
 	f.mutex.Lock()
-	wanted, acknowledged := f.desired, f.acknowledged
+	desired, acknowledged := f.desired, f.acknowledged
 	f.mutex.Unlock()
-	path, sent := f.wire.Configuration(wanted)
+	path, sent := f.wire.Configuration(desired)
 	read, found := f.callControl(ctx, http.MethodGet, path, nil)
 	switch {
 	case !found:
 		return "no control node returned the configuration"
-	case acknowledged == wanted.Version && !bytes.Equal(read, sent):
+	case acknowledged == desired.Version && !bytes.Equal(read, sent):
 		return fmt.Sprintf("version %d was acknowledged, but the configuration that was read differs: %.80s", acknowledged, read)
 	}
 	return ""
@@ -326,9 +326,9 @@
 		return f.isReady(one)
 	}
 	f.mutex.Lock()
-	wanted := f.desired
+	desired := f.desired
 	f.mutex.Unlock()
-	path, _ := f.wire.Configuration(wanted)
+	path, _ := f.wire.Configuration(desired)
 	_, status := f.callControlNode(ctx, one, http.MethodGet, path, nil)
 	return status == http.StatusOK
 }
--- a/internal/lab/soak/limits.go
+++ b/internal/lab/soak/limits.go
@@ -82,17 +82,17 @@
 
 // limitEngines makes engines name, change and drop rate limits, several at the same time, while
 // faults are injected.
-func (r *run) limitEngines(faulty context.Context, random *rand.Rand) {
-	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(maximumLimitInterval))))
+func (r *run) limitEngines(faultContext context.Context, random *rand.Rand) {
+	for faultContext.Err() == nil {
+		pause.For(faultContext, time.Duration(random.Int64N(int64(maximumLimitInterval))))
 		limited := r.fleet.drawEngines(random)
 		lasting := minimumLimitTime + time.Duration(random.Int64N(int64(maximumLimitTime-minimumLimitTime)))
 		r.nameLimits(limited, random)
-		pause.For(faulty, lasting/2)
+		pause.For(faultContext, lasting/2)
 		if random.IntN(2) == 0 {
 			r.nameLimits(limited, random)
 		}
-		pause.For(faulty, lasting/2)
+		pause.For(faultContext, lasting/2)
 		for _, one := range limited {
 			one.endLimit()
 		}
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -96,7 +96,7 @@
 
 const (
 	seriesCount         = 2
-	settleTime          = 3 * time.Second
+	recoveryWindow      = 3 * time.Second
 	maximumRecoveryWait = 15 * time.Second
 	disruptionMargin    = 2 * time.Second
 	minimumServedShare  = 0.25
@@ -126,9 +126,9 @@
 		return Summary{}, err
 	}
 	defer made.close()
-	began := time.Now()
-	made.startedAt = began
-	r := &run{fleet: made, callers: newCallers(made, began), startedAt: began, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.EarlierDaemon != "", crashesBeforeQuarantine: map[Kind]int{}}
+	startedAt := time.Now()
+	made.startedAt = startedAt
+	r := &run{fleet: made, callers: newCallers(made, startedAt), startedAt: startedAt, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.EarlierDaemon != "", crashesBeforeQuarantine: map[Kind]int{}}
 	r.reportf("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.FaultDuration)
 	background, stopBackground := context.WithCancel(ctx)
 	defer stopBackground()
@@ -157,30 +157,30 @@
 			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonRandomStream+uint64(number))))
 		})
 	}
-	faulty, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
+	faultContext, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
 	defer stopFaults()
-	var playing sync.WaitGroup
+	var injecting sync.WaitGroup
 	if options.EarlierDaemon != "" {
-		playing.Go(func() { r.upgrade(ctx, options) })
+		injecting.Go(func() { r.upgrade(ctx, options) })
 	}
 	if options.EarlierDaemon == "" && options.FaultDuration > 0 {
-		playing.Go(func() { r.rollout(ctx, options.Seed) })
-		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
-		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
+		injecting.Go(func() { r.rollout(ctx, options.Seed) })
+		injecting.Go(func() { r.limitEngines(faultContext, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
+		injecting.Go(func() { r.disturbEngines(ctx, faultContext, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
 	}
 	for number := range seriesCount {
-		playing.Go(func() { r.runFaultSeries(ctx, faulty, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
+		injecting.Go(func() { r.runFaultSeries(ctx, faultContext, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
 	}
-	playing.Wait()
+	injecting.Wait()
 	r.injectDisruptive(func() { r.killAndRestartAll(ctx, finalDowntime, func(*machine) bool { return true }) })
 	r.checkRecovery(ctx)
 	stopCalling()
 	called.Wait()
 }
 
-func (r *run) runFaultSeries(ctx, faulty context.Context, random *rand.Rand) {
-	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(2*meanFaultInterval))))
+func (r *run) runFaultSeries(ctx, faultContext context.Context, random *rand.Rand) {
+	for faultContext.Err() == nil {
+		pause.For(faultContext, time.Duration(random.Int64N(int64(2*meanFaultInterval))))
 		one := faults[random.IntN(len(faults))]
 		if r.isUpgraded && !isUpgradeFault(one.name) {
 			continue
@@ -208,7 +208,7 @@
 }
 
 // checkRecovery waits up to maximumRecoveryWait until entry nodes are ready again. After another
-// recoveryTime it checks that at least minimumServedShare of the plain calls of a time of settleTime
+// recoveryTime it checks that at least minimumServedShare of the plain calls in recoveryWindow
 // are served.
 func (r *run) checkRecovery(ctx context.Context) {
 	err := r.fleet.waitFor(ctx, maximumRecoveryWait, "ready entries after the last fault", r.fleet.allReady)
@@ -217,7 +217,7 @@
 	}
 	pause.For(ctx, recoveryTime)
 	from := time.Since(r.startedAt)
-	pause.For(ctx, settleTime)
+	pause.For(ctx, recoveryWindow)
 	served, sent := 0, 0
 	for _, one := range r.callers.snapshot() {
 		if one.startedAt < from || one.kind == Stream || one.kind == Resumable {
--- a/internal/lab/soak/upgrade.go
+++ b/internal/lab/soak/upgrade.go
@@ -103,7 +103,7 @@
 // replaceAll stops machines with SIGTERM, one after the other, and starts each with a build. It
 // returns the span of the round.
 func (r *run) replaceAll(ctx context.Context, machines []*machine, daemon, name string) span {
-	round := span{from: time.Since(r.startedAt)}
+	period := span{from: time.Since(r.startedAt)}
 	for _, one := range machines {
 		for !r.hold(one) && ctx.Err() == nil {
 			pause.For(ctx, blockedPollInterval)
@@ -122,8 +122,8 @@
 		}
 		pause.For(ctx, replaceInterval)
 	}
-	round.until = time.Since(r.startedAt)
-	return round
+	period.until = time.Since(r.startedAt)
+	return period
 }
 
 // keepChanging changes the configuration repeatedly; each change is acknowledged before the next
@@ -139,18 +139,18 @@
 	}
 }
 
-// round counts the plain calls of a round, in which each machine is replaced once, or of one window
+// callCounts counts the plain calls of a round, in which each machine is replaced once, or of one window
 // of it. Streams are left out, because their tenants may have used
 // up their tokens.
-type round struct {
+type callCounts struct {
 	sent, unserved int
 	// worstWindow is the maximum fraction of unserved calls in any window.
 	worstWindow float64
 }
 
-func (r *run) countRound(during span) round {
-	var total round
-	windows := map[time.Duration]round{}
+func (r *run) countRound(during span) callCounts {
+	var total callCounts
+	windows := map[time.Duration]callCounts{}
 	for _, one := range r.callers.snapshot() {
 		if one.startedAt < during.from || one.startedAt > during.until || one.kind == Stream || one.kind == Resumable {
 			continue
@@ -170,15 +170,15 @@
 	return total
 }
 
-func (r round) unservedShare() float64 {
-	if r.sent == 0 {
+func (c callCounts) unservedShare() float64 {
+	if c.sent == 0 {
 		return 0
 	}
-	return float64(r.unserved) / float64(r.sent)
+	return float64(c.unserved) / float64(c.sent)
 }
 
-func (r round) String() string {
-	return fmt.Sprintf("%d of %d plain calls unserved, at most %.3f of a second's", r.unserved, r.sent, r.worstWindow)
+func (c callCounts) String() string {
+	return fmt.Sprintf("%d of %d plain calls unserved, at most %.3f of a second's", c.unserved, c.sent, c.worstWindow)
 }
 
 // compareRounds compares an upgrade with the same stops of one build.
