--- a/internal/lab/soak/callers.go
+++ b/internal/lab/soak/callers.go
@@ -57,7 +57,7 @@
 	isStopping bool
 }
 
-// keyPrefix and the tenant's name form the tenant's key.
+// keyPrefix and the tenant's name form the tenant's API key.
 const keyPrefix = "key-"
 
 func tenantOfKey(key string) string { return strings.TrimPrefix(key, keyPrefix) }
@@ -78,15 +78,15 @@
 	maximumOutputTokens = streamEvents * eventTokens
 )
 
-func newCallers(of *fleet, began time.Time) *callers {
+func newCallers(of *fleet, startedAt time.Time) *callers {
 	return &callers{
-		fleet: of, startedAt: began,
+		fleet: of, startedAt: startedAt,
 		// Idle connections are kept until the peer's process is gone.
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 32, DisableCompression: true}},
 	}
 }
 
-// run sends calls until the context ends, and waits for the last responses.
+// run sends a call every callInterval until the context ends, and waits for the last responses.
 func (c *callers) run(ctx context.Context, random *rand.Rand) {
 	kinds := []Kind{Safe, Once, Stream, Resumable}
 	var entries []*machine
--- a/internal/lab/soak/fleet.go
+++ b/internal/lab/soak/fleet.go
@@ -43,15 +43,18 @@
 // engines.
 type fleet struct {
 	// lane is added to firstLane for the second number of the run's loopback addresses.
-	lane    int
-	wire    standin.Wire
-	random  *rand.Rand
-	truth   *GroundTruth
-	client  *http.Client
-	seeds   []string
+	lane   int
+	wire   standin.Wire
+	random *rand.Rand
+	truth  *GroundTruth
+	client *http.Client
+	seeds  []string
+	// members are the machines of all nodes, those of the control nodes first.
 	members []*machine
 
-	mutex            sync.Mutex
+	mutex sync.Mutex
+	// engines are the running engines, by the name of their place. A place has a fixed address and
+	// zone, and at most one engine runs there at a time.
 	engines          map[string]*engine
 	incarnationCount int
 	// allIncarnations holds all incarnations of engines since the start of the run.
@@ -66,7 +69,8 @@
 	// start.
 	isClosed   bool
 	firstError error
-	desired    *document.Document
+	// desired is the newest configuration that the operator sends or is to send.
+	desired *document.Document
 	// acknowledged is the highest acknowledged version of the configuration.
 	acknowledged uint64
 	// prepaid is the highest prepaid budget, in tokens, that was ever sent for each tenant.
@@ -117,7 +121,7 @@
 			EventGap: 400 * time.Millisecond, MaximumAttempts: 2, Resumable: resumable, Targets: []document.Target{{Service: service, Weight: 1}},
 		}
 	}
-	wanted := &document.Document{
+	desired := &document.Document{
 		Version: 1, Limits: document.Limits{MaximumHeaderBytes: 16 << 10, MaximumBodyBytes: 1 << 20, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Routes: []document.Route{
 			route("safe", servicePlain, document.Repeatable, false), route("once", servicePlain, document.NotRepeatable, false),
@@ -129,9 +133,9 @@
 	}
 	for number := range tenantCount {
 		name := fmt.Sprintf("tenant-%d", number)
-		wanted.Tenants = append(wanted.Tenants, document.Tenant{Name: name, Keys: []string{keyPrefix + name}, Prepaid: firstPrepaid, HasPrepaid: true})
+		desired.Tenants = append(desired.Tenants, document.Tenant{Name: name, Keys: []string{keyPrefix + name}, Prepaid: firstPrepaid, HasPrepaid: true})
 	}
-	return wanted
+	return desired
 }
 
 // start opens the relays, starts all daemons and engines, and sends the first configuration.
@@ -221,7 +225,8 @@
 	}
 }
 
-// callControl calls the control nodes in a random order deadline one responds with status 200.
+// callControl calls the control nodes in a random order until one responds with status 200. Each
+// of the calls may take controlWait.
 func (f *fleet) callControl(ctx context.Context, method, path string, body []byte) ([]byte, bool) {
 	for _, position := range rand.Perm(controlCount) {
 		received, status := f.callControlNode(ctx, f.members[position], method, path, body)
@@ -249,8 +254,8 @@
 	return received, response.StatusCode
 }
 
-// changeConfiguration makes a new version of the configuration with more prepaid tokens for one
-// tenant.
+// changeConfiguration makes a new version of the configuration with prepaidIncrement more prepaid
+// tokens for one tenant.
 func (f *fleet) changeConfiguration(number int) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -264,32 +269,32 @@
 // sendConfiguration sends the newest configuration and reports whether it was acknowledged.
 func (f *fleet) sendConfiguration(ctx context.Context) bool {
 	f.mutex.Lock()
-	wanted := f.desired
-	for _, tenant := range wanted.Tenants {
+	desired := f.desired
+	for _, tenant := range desired.Tenants {
 		f.prepaid[tenant.Name] = max(f.prepaid[tenant.Name], tenant.Prepaid)
 	}
 	f.mutex.Unlock()
-	path, body := f.wire.Configuration(wanted)
+	path, body := f.wire.Configuration(desired)
 	if _, accepted := f.callControl(ctx, http.MethodPut, path, body); !accepted {
 		return false
 	}
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.acknowledged = max(f.acknowledged, wanted.Version)
+	f.acknowledged = max(f.acknowledged, desired.Version)
 	return true
 }
 
 // checkConfiguration reads the configuration and returns what is wrong with it, or "".
 func (f *fleet) checkConfiguration(ctx context.Context) string {
 	f.mutex.Lock()
-	wanted, acknowledged := f.desired, f.acknowledged
+	desired, acknowledged := f.desired, f.acknowledged
 	f.mutex.Unlock()
-	path, sent := f.wire.Configuration(wanted)
+	path, sent := f.wire.Configuration(desired)
 	read, found := f.callControl(ctx, http.MethodGet, path, nil)
 	switch {
 	case !found:
 		return "no control node returned the configuration"
-	case acknowledged == wanted.Version && !bytes.Equal(read, sent):
+	case acknowledged == desired.Version && !bytes.Equal(read, sent):
 		return fmt.Sprintf("version %d was acknowledged, but the configuration that was read differs: %.80s", acknowledged, read)
 	}
 	return ""
@@ -321,9 +326,9 @@
 		return f.isReady(one)
 	}
 	f.mutex.Lock()
-	wanted := f.desired
+	desired := f.desired
 	f.mutex.Unlock()
-	path, _ := f.wire.Configuration(wanted)
+	path, _ := f.wire.Configuration(desired)
 	_, status := f.callControlNode(ctx, one, http.MethodGet, path, nil)
 	return status == http.StatusOK
 }
--- a/internal/lab/soak/soak.go
+++ b/internal/lab/soak/soak.go
@@ -34,8 +34,9 @@
 	ReturnsToEarlier bool
 	// Order is the order in which an upgrade replaces the machines.
 	Order Order
-	Wire  standin.Wire
-	Seed  uint64
+	// Wire encodes the messages of the stand-ins for callers, engines and the operator.
+	Wire standin.Wire
+	Seed uint64
 	// Entries is the number of entry nodes; there are always three control nodes.
 	Entries int
 	// FaultDuration is how long faults are injected.
@@ -79,12 +80,15 @@
 	mutex      sync.Mutex
 	report     io.Writer
 	violations []string
-	injected   int
-	held       map[*machine]bool
+	// injected is the number of injected faults.
+	injected int
+	// held are the machines that are reserved for a fault or a replacement.
+	held map[*machine]bool
+	// diskLostAt is the time at which the last machine that lost its disk was to start again.
 	diskLostAt time.Time
 	// disruptiveSpans are the spans in which a fault other than a planned stop was injected.
 	disruptiveSpans []span
-	// ledgerOvercharge is the maximum over the tenants.
+	// ledgerOvercharge is the maximum of ledgerEntry.overcharge over the tenants.
 	ledgerOvercharge float64
 }
 
@@ -92,13 +96,13 @@
 
 const (
 	seriesCount         = 2
-	settleTime          = 3 * time.Second
+	recoveryWindow      = 3 * time.Second
 	maximumRecoveryWait = 15 * time.Second
 	disruptionMargin    = 2 * time.Second
 	minimumServedShare  = 0.25
 	finalDowntime       = time.Second
 	recoveryTime        = 4 * time.Second
-	// poisonRandomStream numbers the first of the random streams of poison requests.
+	// poisonRandomStream is the first of the second seeds of the random numbers for poison requests.
 	poisonRandomStream = 1000
 )
 
@@ -122,9 +126,9 @@
 		return Summary{}, err
 	}
 	defer made.close()
-	began := time.Now()
-	made.startedAt = began
-	r := &run{fleet: made, callers: newCallers(made, began), startedAt: began, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.EarlierDaemon != "", crashesBeforeQuarantine: map[Kind]int{}}
+	startedAt := time.Now()
+	made.startedAt = startedAt
+	r := &run{fleet: made, callers: newCallers(made, startedAt), startedAt: startedAt, report: options.Report, held: map[*machine]bool{}, isUpgraded: options.EarlierDaemon != "", crashesBeforeQuarantine: map[Kind]int{}}
 	r.reportf("seed %d, %d entry nodes, faults for %s", options.Seed, options.Entries, options.FaultDuration)
 	background, stopBackground := context.WithCancel(ctx)
 	defer stopBackground()
@@ -138,8 +142,8 @@
 	return r.summarize()
 }
 
-// runFaults sends calls while concurrent series inject faults, then kills all processes at the same
-// time and lets the fleet recover.
+// runFaults sends calls while seriesCount concurrent series inject faults, then kills all processes
+// at the same time for finalDowntime and lets the fleet recover.
 func (r *run) runFaults(ctx context.Context, options Options) {
 	calling, stopCalling := context.WithCancel(ctx)
 	var called sync.WaitGroup
@@ -153,30 +157,30 @@
 			r.callers.sendPoison(calling, kind, rand.New(rand.NewPCG(options.Seed, poisonRandomStream+uint64(number))))
 		})
 	}
-	faulty, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
+	faultContext, stopFaults := context.WithTimeout(ctx, options.FaultDuration)
 	defer stopFaults()
-	var playing sync.WaitGroup
+	var injecting sync.WaitGroup
 	if options.EarlierDaemon != "" {
-		playing.Go(func() { r.upgrade(ctx, options) })
+		injecting.Go(func() { r.upgrade(ctx, options) })
 	}
 	if options.EarlierDaemon == "" && options.FaultDuration > 0 {
-		playing.Go(func() { r.rollout(ctx, options.Seed) })
-		playing.Go(func() { r.limitEngines(faulty, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
-		playing.Go(func() { r.disturbEngines(ctx, faulty, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
+		injecting.Go(func() { r.rollout(ctx, options.Seed) })
+		injecting.Go(func() { r.limitEngines(faultContext, rand.New(rand.NewPCG(options.Seed, limitRandomStream))) })
+		injecting.Go(func() { r.disturbEngines(ctx, faultContext, rand.New(rand.NewPCG(options.Seed, backoffRandomStream))) })
 	}
 	for number := range seriesCount {
-		playing.Go(func() { r.runFaultSeries(ctx, faulty, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
+		injecting.Go(func() { r.runFaultSeries(ctx, faultContext, rand.New(rand.NewPCG(options.Seed, 3+uint64(number)))) })
 	}
-	playing.Wait()
+	injecting.Wait()
 	r.injectDisruptive(func() { r.killAndRestartAll(ctx, finalDowntime, func(*machine) bool { return true }) })
 	r.checkRecovery(ctx)
 	stopCalling()
 	called.Wait()
 }
 
-func (r *run) runFaultSeries(ctx, faulty context.Context, random *rand.Rand) {
-	for faulty.Err() == nil {
-		pause.For(faulty, time.Duration(random.Int64N(int64(2*meanFaultInterval))))
+func (r *run) runFaultSeries(ctx, faultContext context.Context, random *rand.Rand) {
+	for faultContext.Err() == nil {
+		pause.For(faultContext, time.Duration(random.Int64N(int64(2*meanFaultInterval))))
 		one := faults[random.IntN(len(faults))]
 		if r.isUpgraded && !isUpgradeFault(one.name) {
 			continue
@@ -193,7 +197,8 @@
 	}
 }
 
-// injectDisruptive injects a fault that may cut requests and records its span.
+// injectDisruptive injects a fault that may cut calls, and records its span. The span ends
+// disruptionMargin after the fault.
 func (r *run) injectDisruptive(inject func()) {
 	from := time.Since(r.startedAt)
 	inject()
@@ -202,7 +207,9 @@
 	r.disruptiveSpans = append(r.disruptiveSpans, span{from: from, until: time.Since(r.startedAt) + disruptionMargin})
 }
 
-// checkRecovery waits until entry nodes are ready again, and checks that calls are served.
+// checkRecovery waits up to maximumRecoveryWait until entry nodes are ready again. After another
+// recoveryTime it checks that at least minimumServedShare of the plain calls in recoveryWindow
+// are served.
 func (r *run) checkRecovery(ctx context.Context) {
 	err := r.fleet.waitFor(ctx, maximumRecoveryWait, "ready entries after the last fault", r.fleet.allReady)
 	if err != nil {
@@ -210,7 +217,7 @@
 	}
 	pause.For(ctx, recoveryTime)
 	from := time.Since(r.startedAt)
-	pause.For(ctx, settleTime)
+	pause.For(ctx, recoveryWindow)
 	served, sent := 0, 0
 	for _, one := range r.callers.snapshot() {
 		if one.startedAt < from || one.kind == Stream || one.kind == Resumable {
