--- a/internal/coordination/escrow/doc.go
+++ b/internal/coordination/escrow/doc.go
@@ -11,7 +11,8 @@
 // other.
 //
 // All amounts are in tokens. Messages carry what was granted, used, returned and lent as cumulative
-// amounts, so a lost, late, duplicated or reordered message changes nothing. Grants never expire: neither clocks nor missing contact prove that a grant is unspent.
+// amounts, so a lost, late, duplicated or reordered message changes nothing. Grants never expire:
+// neither clocks nor missing contact prove that a grant is unspent.
 // What a lost node held returns to the budget when its incarnation is fenced, so that it can't
 // spend any more, and its claims (package claims) are known.
 package escrow
